--- /dev/null
+++ b/crates/control/tests/stored_record.rs
@@ -0,0 +1,68 @@
+//! The record on disk stays readable: its bytes here are those that version 0.2.0 wrote at 45d1a44.
+
+use latchhaven_control::keep::{Kept, decode, encode, open};
+use latchhaven_handout::order::{Basis, ListMark, NewsMark, Way};
+use redb::{Database, TableDefinition};
+use std::collections::BTreeSet;
+
+const TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("handed-out");
+const RECORD: &str = "last";
+
+/// Each way a build can stand, as it was written.
+const WRITTEN: [(Way, &str); 5] = [
+    (
+        Way::OnTrial,
+        r#"{"schema":1,"basis":{"list":{"epoch":2,"version":41},"news":{"build":7,"cap":125000,"since":1733100000123,"stage":3,"way":"OnTrial"}},"withdrawn":[4,6]}"#,
+    ),
+    (
+        Way::Condemned,
+        r#"{"schema":1,"basis":{"list":{"epoch":2,"version":41},"news":{"build":7,"cap":125000,"since":1733100000123,"stage":3,"way":"Condemned"}},"withdrawn":[4,6]}"#,
+    ),
+    (
+        Way::Released,
+        r#"{"schema":1,"basis":{"list":{"epoch":2,"version":41},"news":{"build":7,"cap":125000,"since":1733100000123,"stage":3,"way":"Released"}},"withdrawn":[4,6]}"#,
+    ),
+    (
+        Way::GoingBack,
+        r#"{"schema":1,"basis":{"list":{"epoch":2,"version":41},"news":{"build":7,"cap":125000,"since":1733100000123,"stage":3,"way":"GoingBack"}},"withdrawn":[4,6]}"#,
+    ),
+    (
+        Way::Withdrawn,
+        r#"{"schema":1,"basis":{"list":{"epoch":2,"version":41},"news":{"build":7,"cap":125000,"since":1733100000123,"stage":3,"way":"Withdrawn"}},"withdrawn":[4,6]}"#,
+    ),
+];
+
+fn record(way: Way) -> Kept {
+    let news = NewsMark { build: 7, way, stage: 3, cap: 125_000, since: 1_733_100_000_123 };
+    Kept {
+        basis: Basis { news, list: ListMark { epoch: 2, version: 41 } },
+        withdrawn: BTreeSet::from([4, 6]),
+    }
+}
+
+#[test]
+fn stored_record_is_read_and_written_as_by_the_version_before() {
+    for (way, written) in WRITTEN {
+        assert_eq!(decode(written.as_bytes()), Ok(record(way)));
+        assert_eq!(String::from_utf8(encode(&record(way))).unwrap(), written);
+    }
+}
+
+#[test]
+fn stored_database_of_the_version_before_is_opened_and_read() {
+    let folder = std::env::temp_dir().join(format!("latchhaven-record-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&folder);
+    std::fs::create_dir_all(&folder).unwrap();
+    let path = folder.join("state.redb");
+    let (way, written) = WRITTEN[4];
+    let store = Database::create(&path).unwrap();
+    let writing = store.begin_write().unwrap();
+    writing.open_table(TABLE).unwrap().insert(RECORD, written.as_bytes()).unwrap();
+    writing.commit().unwrap();
+    drop(store);
+    let (writer, found) = open(Some(&path));
+    assert!(writer.is_some());
+    assert_eq!(found, Some(record(way)));
+    drop(writer);
+    std::fs::remove_dir_all(folder).unwrap();
+}
