--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -3,13 +3,13 @@
 use crate::core::Core;
 use crate::keep;
 use ipnet::IpNet;
-use latchhaven::api::{Action, Event, StageNews};
 use latchhaven_gateway::gateway::Clock;
 use latchhaven_gateway::net::platform::Vote;
 use latchhaven_gateway::net::{NOTES_HELD, Note, VOTES_HELD, list, platform};
 use latchhaven_handout::handout;
 use latchhaven_handout::order::Labels;
 use latchhaven_operator::{Evidence, Plan};
+use latchhaven_policy::api::{Action, Event, StageNews};
 use latchhaven_wire::WireFault;
 use latchhaven_wire::terms::{self, Terms};
 use latchhaven_xds::resources::Front;
--- a/crates/control/src/keep.rs
+++ b/crates/control/src/keep.rs
@@ -2,8 +2,8 @@
 //! of its own that always writes the newest, so that a slow or full disk stalls nobody. What cannot be read is told in
 //! one line, and the service goes on without it.
 
-use latchhaven::api::Build;
 use latchhaven_handout::order::Basis;
+use latchhaven_policy::api::Build;
 use redb::{Database, ReadableDatabase, TableDefinition};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
--- a/crates/control/tests/cases.rs
+++ b/crates/control/tests/cases.rs
@@ -1,12 +1,12 @@
 //! The hard cases, one by one, with the service's whole state and proxies that cache as real ones do, under a clock of
 //! the test's own.
 
-use latchhaven::api::*;
 use latchhaven_control::core::Core;
 use latchhaven_control::keep::Kept;
 use latchhaven_handout::evidence::{ClusterReport, Figures, Report};
 use latchhaven_handout::handout::Terms;
 use latchhaven_handout::order::Labels;
+use latchhaven_policy::api::*;
 use latchhaven_standins::cache::{Cache, Wanted};
 use latchhaven_wire::terms;
 use latchhaven_xds::resources::{Front, Kind, Snapshot};
--- a/crates/gateway/src/arrivals.rs
+++ b/crates/gateway/src/arrivals.rs
@@ -1,7 +1,7 @@
 //! When the bytes of a connection came: a txn's time runs from its last byte, also while it waits behind
 //! others.
 
-use latchhaven::api::Ms;
+use latchhaven_policy::api::Ms;
 use std::collections::VecDeque;
 
 /// Parts that are told apart at most; further ones count as come with the newest of these.
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::net::list::{self, List};
 use crate::net::platform;
-use latchhaven::api::StageNews;
+use latchhaven_policy::api::StageNews;
 use latchhaven_wire::WireFault;
 use latchhaven_wire::terms::{self, Terms};
 use serde_json::Value;
--- a/crates/gateway/src/net/clients.rs
+++ b/crates/gateway/src/net/clients.rs
@@ -12,7 +12,7 @@
 use crate::must;
 use crate::proto::pg::{self, Asked, Frontend, Statement};
 use bytes::{Bytes, BytesMut};
-use latchhaven::api::{Effect, Ms, Product};
+use latchhaven_policy::api::{Effect, Ms, Product};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/gateway/src/net/list.rs
+++ b/crates/gateway/src/net/list.rs
@@ -5,7 +5,7 @@
 use crate::proto::http::{self, Body, Part, Reader};
 use crate::proto::json::{Piece, Pieces};
 use bytes::BytesMut;
-use latchhaven::api::{Build, Listing, Standing};
+use latchhaven_policy::api::{Build, Listing, Standing};
 use serde::Deserialize;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/gateway/src/net/mod.rs
+++ b/crates/gateway/src/net/mod.rs
@@ -6,7 +6,7 @@
 pub mod servers;
 
 use bytes::{Bytes, BytesMut};
-use latchhaven::api::{Ending, ListKind, Load, Ms, StageNews};
+use latchhaven_policy::api::{Ending, ListKind, Load, Ms, StageNews};
 use socket2::SockRef;
 use std::io::{self, IoSlice};
 use std::mem::MaybeUninit;
--- a/crates/gateway/src/net/platform.rs
+++ b/crates/gateway/src/net/platform.rs
@@ -4,7 +4,7 @@
 use crate::counters::COUNTERS;
 use crate::proto::http::{self, Body, Part, Reader};
 use bytes::BytesMut;
-use latchhaven::api::{Build, Ms, Phase, StageNews, Verdict};
+use latchhaven_policy::api::{Build, Ms, Phase, StageNews, Verdict};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use serde::Deserialize;
--- a/crates/gateway/src/net/servers.rs
+++ b/crates/gateway/src/net/servers.rs
@@ -5,7 +5,7 @@
 use crate::must;
 use crate::proto::pg::{self, Backend, Statement, Told};
 use bytes::{Bytes, BytesMut};
-use latchhaven::api::{Connections, Ending, Listing, Load, Ms, Reports, Standing};
+use latchhaven_policy::api::{Connections, Ending, Listing, Load, Ms, Reports, Standing};
 use socket2::SockRef;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/gateway/src/proto/pg.rs
+++ b/crates/gateway/src/proto/pg.rs
@@ -1,7 +1,7 @@
 //! PostgreSQL's protocol, version 3, both sides, as far as simple queries go.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
-use latchhaven::api::Ms;
+use latchhaven_policy::api::Ms;
 use std::ops::Range;
 
 /// The longest message: 64 KiB of value in hex, and the statement round it.
--- a/crates/handout/src/evidence.rs
+++ b/crates/handout/src/evidence.rs
@@ -1,7 +1,7 @@
 //! Load reports of proxies: checked, weighed against each other, and turned into tallies and figures on instances.
 //! They are counts over a period; no outcome is made up that nobody saw.
 
-use latchhaven::api::{Build, Event, Ms};
+use latchhaven_policy::api::{Build, Event, Ms};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
--- a/crates/handout/src/handout.rs
+++ b/crates/handout/src/handout.rs
@@ -3,7 +3,9 @@
 
 use crate::ledger::{Ledger, Shares};
 use crate::shares::{MILLION, cold_share, parts, safe_share};
-use latchhaven::api::{Build, ColdStart, Effect, ExposureTerms, Group, Ms, Outlook, Outlooked, Product};
+use latchhaven_policy::api::{
+    Build, ColdStart, Effect, ExposureTerms, Group, Ms, Outlook, Outlooked, Product,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -261,7 +263,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use latchhaven::api::Trial;
+    use latchhaven_policy::api::Trial;
     use proptest::prelude::*;
 
     fn product(effect: Effect, group: Group, remember: Ms) -> Product {
--- a/crates/handout/src/ledger.rs
+++ b/crates/handout/src/ledger.rs
@@ -2,7 +2,7 @@
 //! it, or that went away, goes on with what it holds for as long as it lasts: nothing calls it back. So that the sum
 //! over all stays within the cap, the others are given less.
 
-use latchhaven::api::Ms;
+use latchhaven_policy::api::Ms;
 use std::collections::BTreeMap;
 
 /// A proxy that has not accepted what it was sent within this many ms counts as not having got it. Half a drain
--- a/crates/handout/src/order.rs
+++ b/crates/handout/src/order.rs
@@ -5,7 +5,7 @@
 //! key, so that a proxy which reports what it holds tells another service how far the world is.
 
 use hmac::{Hmac, Mac};
-use latchhaven::api::{Build, Ms, Phase, StageNews};
+use latchhaven_policy::api::{Build, Ms, Phase, StageNews};
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
 use std::cmp::Ordering;
--- a/crates/handout/src/world.rs
+++ b/crates/handout/src/world.rs
@@ -6,7 +6,7 @@
 //! as far as what is known to have been handed out.
 
 use crate::order::{Basis, Label, ListMark, NewsMark, Way};
-use latchhaven::api::{Build, Ms, StageNews};
+use latchhaven_policy::api::{Build, Ms, StageNews};
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
 
@@ -168,7 +168,7 @@
 mod tests {
     use super::*;
     use crate::order::Labels;
-    use latchhaven::api::Phase;
+    use latchhaven_policy::api::Phase;
     use proptest::prelude::*;
 
     fn state(build: Build, stage: u32, phase: Phase, cap: f64) -> StageNews {
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -4,12 +4,12 @@
 
 use crate::agenda::Agenda;
 use clap::Args;
-use latchhaven::api::*;
-use latchhaven::choice::Choice;
 use latchhaven_control::core::Core;
 use latchhaven_handout::evidence::{ClusterReport, Figures, Report};
 use latchhaven_handout::handout::Terms;
 use latchhaven_handout::order::Labels;
+use latchhaven_policy::api::*;
+use latchhaven_policy::choice::Choice;
 use latchhaven_standins::cache::{Cache, Wanted};
 use latchhaven_wire::terms;
 use latchhaven_xds::resources::{Front, Snapshot, cluster_of};
--- a/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! Many gateways in one simulated run, over random sizes: what each does alone stays within a bound for all.
 
 use crate::host::{Host, STEP, Terms};
-use latchhaven::api::*;
+use latchhaven_policy::api::*;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/tests/host/mod.rs
+++ b/crates/policy/tests/host/mod.rs
@@ -1,7 +1,7 @@
 //! One tiny fake host: a clock, a list, and instances that end what they get as a story wants.
 
-use latchhaven::api::*;
-use latchhaven::choice::Choice;
+use latchhaven_policy::api::*;
+use latchhaven_policy::choice::Choice;
 use std::collections::BTreeMap;
 
 pub const STEP: Ms = 10.0;
--- a/tests/stories.rs
+++ b/crates/policy/tests/stories.rs
@@ -4,8 +4,8 @@
 mod host;
 
 use host::{Host, STEP, Sent, Terms, product};
-use latchhaven::api::*;
-use latchhaven::state::{Desk, Exposure, Fleet};
+use latchhaven_policy::api::*;
+use latchhaven_policy::state::{Desk, Exposure, Fleet};
 use rstest::rstest;
 
 fn well(_: &Sent) -> (Ending, Ms) {
--- a/crates/program/tests/stories.rs
+++ b/crates/program/tests/stories.rs
@@ -1,10 +1,10 @@
 //! Stories over loopback: the gateway's program between stand-ins, one for each failure.
 
 use bytes::Bytes;
-use latchhaven::api::{Connections, Ending, Listing, Reports};
 use latchhaven_gateway::net::list::read as read_list;
 use latchhaven_gateway::net::servers::{Errand, Pool, Stopped};
 use latchhaven_gateway::net::{Note, write_all};
+use latchhaven_policy::api::{Connections, Ending, Listing, Reports};
 use latchhaven_standins::wire::*;
 use rstest::rstest;
 use serde_json::{Value, json};
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -4,8 +4,8 @@
 pub mod lines;
 pub mod terms;
 
-use latchhaven::api::{Event, ListKind, Listing, Ms};
-use latchhaven::choice::Choice;
+use latchhaven_policy::api::{Event, ListKind, Listing, Ms};
+use latchhaven_policy::choice::Choice;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
--- a/crates/wire/src/lines.rs
+++ b/crates/wire/src/lines.rs
@@ -2,7 +2,7 @@
 
 use crate::WireFault;
 use base64::{Engine, engine::general_purpose::STANDARD};
-use latchhaven::api::*;
+use latchhaven_policy::api::*;
 use std::io::{self, Write};
 use std::str::FromStr;
 
--- a/crates/wire/src/terms.rs
+++ b/crates/wire/src/terms.rs
@@ -1,8 +1,8 @@
 //! The settings object: read, checked, and handed on in the records of the interface.
 
 use crate::WireFault;
-use latchhaven::api;
-use latchhaven::choice::Choice;
+use latchhaven_policy::api;
+use latchhaven_policy::choice::Choice;
 use serde::Deserialize;
 
 const MS_PER_S: f64 = 1000.0;
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The wire on good and malformed lines.
 
-use latchhaven::api::*;
+use latchhaven_policy::api::*;
 use latchhaven_wire::lines::{Fields, Incoming, incoming, listing, outgoing};
 use latchhaven_wire::{Host, terms};
 use rstest::rstest;
--- a/crates/xds/src/admission.rs
+++ b/crates/xds/src/admission.rs
@@ -1,7 +1,7 @@
 //! When streams may begin. A crowd that returns all at once is let in at a bounded rate, while those that are served
 //! already go on being served; what waits is bounded, and each waits its turn.
 
-use latchhaven::api::Ms;
+use latchhaven_policy::api::Ms;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Streams that begin per ms at most: each costs a whole state, some tens of KiB, so that a second of it is 100 MiB.
