--- a/crates/control/tests/cases.rs
+++ b/crates/control-plane/tests/cases.rs
@@ -1,8 +1,8 @@
 //! The hard cases, one by one, with the service's whole state and proxies that cache as real ones do, under a clock of
 //! the test's own.
 
-use latchhaven_control::core::Core;
-use latchhaven_control::keep::Kept;
+use latchhaven_control_plane::core::Core;
+use latchhaven_control_plane::keep::Kept;
 use latchhaven_handout::evidence::{ClusterReport, Figures, Report};
 use latchhaven_handout::handout::Terms;
 use latchhaven_handout::order::Labels;
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -4,7 +4,7 @@
 
 use crate::agenda::Agenda;
 use clap::Args;
-use latchhaven_control::core::Core;
+use latchhaven_control_plane::core::Core;
 use latchhaven_handout::evidence::{ClusterReport, Figures, Report};
 use latchhaven_handout::handout::Terms;
 use latchhaven_handout::order::Labels;
--- a/crates/program/src/check.rs
+++ b/crates/program/src/check.rs
@@ -28,7 +28,7 @@
     match latchhaven_operator::read(file) {
         Err(faults) => faults.0.iter().map(ToString::to_string).collect(),
         Ok((plan, _)) => {
-            let settings = latchhaven_control::settings(&plan);
+            let settings = latchhaven_control_plane::settings(&plan);
             settings.err().into_iter().map(|why| format!("{}: control.{why}", file.display())).collect()
         }
     }
--- a/crates/program/src/main.rs
+++ b/crates/program/src/main.rs
@@ -114,7 +114,7 @@
 
 fn control(file: &Path) -> io::Result<ExitCode> {
     let (plan, _) = latchhaven_operator::read(file).map_err(io::Error::other)?;
-    on_one_thread(latchhaven_control::serve(plan)).map(|()| ExitCode::SUCCESS)
+    on_one_thread(latchhaven_control_plane::serve(plan)).map(|()| ExitCode::SUCCESS)
 }
 
 /// One thread and no locks: tasks of a gateway or control service take turns.
