--- a/crates/control-plane/src/core.rs
+++ b/crates/control-plane/src/core.rs
@@ -1,13 +1,13 @@
 //! The control service without its sockets: what is taken in, what the decisions make of it, and what follows.
 
 use crate::keep::Kept;
-use latchhaven_handout::evidence::{Gathered, Report};
-use latchhaven_handout::handout::{self, Terms};
-use latchhaven_handout::ledger::{Ledger, Shares};
-use latchhaven_handout::order::{Basis, Label, Labels, Way};
-use latchhaven_handout::world::{Heard, World};
 use latchhaven_policy::api::{Action, Event, ListKind, Listing, Ms, Product, StageNews, Standing};
 use latchhaven_policy::choice::Choice;
+use latchhaven_proxy_config::evidence::{Gathered, Report};
+use latchhaven_proxy_config::handout::{self, Terms};
+use latchhaven_proxy_config::ledger::{Ledger, Shares};
+use latchhaven_proxy_config::order::{Basis, Label, Labels, Way};
+use latchhaven_proxy_config::world::{Heard, World};
 use latchhaven_xds::admission::{Admission, Knock};
 use latchhaven_xds::resources::{Front, Kind, Snapshot};
 use latchhaven_xds::stream::Said;
--- a/crates/control-plane/src/keep.rs
+++ b/crates/control-plane/src/keep.rs
@@ -2,8 +2,8 @@
 //! of its own that always writes the newest, so that a slow or full disk stalls nobody. What cannot be read is told in
 //! one line, and the service goes on without it.
 
-use latchhaven_handout::order::Basis;
 use latchhaven_policy::api::Build;
+use latchhaven_proxy_config::order::Basis;
 use redb::{Database, ReadableDatabase, TableDefinition};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -152,7 +152,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use latchhaven_handout::order::{ListMark, NewsMark, Way};
+    use latchhaven_proxy_config::order::{ListMark, NewsMark, Way};
 
     fn kept(version: u64) -> Kept {
         let news = NewsMark { build: 7, way: Way::Withdrawn, stage: 1, cap: 0, since: 5 };
--- a/crates/control-plane/tests/cases.rs
+++ b/crates/control-plane/tests/cases.rs
@@ -3,10 +3,10 @@
 
 use latchhaven_control_plane::core::Core;
 use latchhaven_control_plane::keep::Kept;
-use latchhaven_handout::evidence::{ClusterReport, Figures, Report};
-use latchhaven_handout::handout::Terms;
-use latchhaven_handout::order::Labels;
 use latchhaven_policy::api::*;
+use latchhaven_proxy_config::evidence::{ClusterReport, Figures, Report};
+use latchhaven_proxy_config::handout::Terms;
+use latchhaven_proxy_config::order::Labels;
 use latchhaven_standins::cache::{Cache, Wanted};
 use latchhaven_wire::terms;
 use latchhaven_xds::resources::{Front, Kind, Snapshot};
--- a/crates/control-plane/tests/stored_record.rs
+++ b/crates/control-plane/tests/stored_record.rs
@@ -1,7 +1,7 @@
 //! The record on disk stays readable: its bytes here are those that version 0.2.0 wrote at 45d1a44.
 
 use latchhaven_control_plane::keep::{Kept, decode, encode, open};
-use latchhaven_handout::order::{Basis, ListMark, NewsMark, Way};
+use latchhaven_proxy_config::order::{Basis, ListMark, NewsMark, Way};
 use redb::{Database, TableDefinition};
 use std::collections::BTreeSet;
 
--- a/crates/lab/src/xds.rs
+++ b/crates/lab/src/xds.rs
@@ -3,7 +3,7 @@
 
 use clap::Args;
 use hdrhistogram::Histogram;
-use latchhaven_handout::order::{NewsMark, Way};
+use latchhaven_proxy_config::order::{NewsMark, Way};
 use latchhaven_standins::machine::Machine;
 use latchhaven_standins::proxy::{Goes, Orders, Proxy, Seen};
 use latchhaven_standins::site::{Site, plan};
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -322,7 +322,7 @@
 }
 
 /// How far the decisions stand, for a front that hands them on instead of asking for each txn. Shares,
-/// weights and health in it are decided; what such a front still owes to the rules is in `crates/handout`.
+/// weights and health in it are decided; what such a front still owes to the rules is in `crates/proxy-config`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outlook {
     /// Builds on trial among the ready instances, lowest first.
--- a/crates/standins/src/cache.rs
+++ b/crates/standins/src/cache.rs
@@ -1,7 +1,7 @@
 //! What a proxy that speaks xDS holds: answers taken in, requests made, and where a txn would go. It checks on the
 //! way what must never happen: a state that goes back, a reference that dangles. Pure: no socket, no clock.
 
-use latchhaven_handout::order::{Basis, Labels};
+use latchhaven_proxy_config::order::{Basis, Labels};
 use latchhaven_xds::loads::socket;
 use latchhaven_xds::pb::envoy::config::cluster::v3::Cluster;
 use latchhaven_xds::pb::envoy::config::core::v3::{HealthStatus, Node};
--- a/crates/xds/src/loads.rs
+++ b/crates/xds/src/loads.rs
@@ -4,8 +4,8 @@
 use crate::pb::envoy::config::endpoint::v3::{ClusterStats, UpstreamLocalityStats};
 use crate::pb::envoy::service::load_stats::v3::LoadStatsRequest;
 use crate::resources::{DECLINE, cluster_of};
-use latchhaven_handout::evidence::{ClusterReport, Figures, Report};
 use latchhaven_policy::api::Ms;
+use latchhaven_proxy_config::evidence::{ClusterReport, Figures, Report};
 use std::net::SocketAddr;
 
 /// The named metric in which proxies and hosts report times: milliseconds of one answer.
--- a/crates/xds/src/resources.rs
+++ b/crates/xds/src/resources.rs
@@ -11,11 +11,11 @@
 use crate::pb::envoy::r#type::v3 as kinds;
 use crate::pb::google::protobuf::{Any, Duration, UInt32Value};
 use bytes::{BufMut, Bytes, BytesMut};
-use latchhaven_handout::handout::{Cluster, Handout, Health, Host, Repeat, Route, Target};
-use latchhaven_handout::ledger::Shares;
-use latchhaven_handout::order::{Basis, Labels, label};
-use latchhaven_handout::shares::MILLION;
 use latchhaven_policy::api::{Build, Effect, Ms, Product};
+use latchhaven_proxy_config::handout::{Cluster, Handout, Health, Host, Repeat, Route, Target};
+use latchhaven_proxy_config::ledger::Shares;
+use latchhaven_proxy_config::order::{Basis, Labels, label};
+use latchhaven_proxy_config::shares::MILLION;
 use prost::Message;
 use prost::encoding::{WireType, encode_key, encode_varint};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/xds/src/stream.rs
+++ b/crates/xds/src/stream.rs
@@ -9,8 +9,8 @@
 
 use crate::resources::{Kind, Resource, Set, Snapshot, field, hash};
 use bytes::{BufMut, Bytes, BytesMut};
-use latchhaven_handout::ledger::Shares;
-use latchhaven_handout::order::{Basis, Label, Labels, halves};
+use latchhaven_proxy_config::ledger::Shares;
+use latchhaven_proxy_config::order::{Basis, Label, Labels, halves};
 use prost::encoding::{WireType, encode_key, encode_varint};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
--- a/crates/xds/tests/model.rs
+++ b/crates/xds/tests/model.rs
@@ -1,11 +1,11 @@
 //! Proxies, two services and a world that moves on, over random news, lists, losses, refusals and restarts: no proxy's
 //! state ever goes back, no reference dangles, and all converge once things are quiet.
 
-use latchhaven_handout::handout::{self, Terms};
-use latchhaven_handout::ledger::Ledger;
-use latchhaven_handout::order::Labels;
-use latchhaven_handout::world::World;
 use latchhaven_policy::api::*;
+use latchhaven_proxy_config::handout::{self, Terms};
+use latchhaven_proxy_config::ledger::Ledger;
+use latchhaven_proxy_config::order::Labels;
+use latchhaven_proxy_config::world::World;
 use latchhaven_standins::cache::{Cache, Wanted};
 use latchhaven_xds::resources::{Front, Kind, Snapshot};
 use latchhaven_xds::stream::{Answer, Said, Stream};
