--- a/crates/control-plane/src/driver.rs
+++ b/crates/control-plane/src/driver.rs
@@ -6,7 +6,7 @@
 use latchhaven_gateway::gateway::Clock;
 use latchhaven_gateway::net::platform::Vote;
 use latchhaven_gateway::net::{NOTES_HELD, Note, VOTES_HELD, list, platform};
-use latchhaven_operator::{Evidence, Plan};
+use latchhaven_operator_config::{Evidence, Plan};
 use latchhaven_policy::api::{Action, Event, StageNews};
 use latchhaven_proxy_config::handout;
 use latchhaven_proxy_config::order::Labels;
--- a/crates/program/src/check.rs
+++ b/crates/program/src/check.rs
@@ -1,14 +1,14 @@
 //! `check`: reads configurations as they would be read at a start, and prints each fault.
 
 use latchhaven_gateway::config;
-use latchhaven_operator::line_of;
+use latchhaven_operator_config::line_of;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 /// Checks each file: an operator's script by its ending, anything else as a gateway's configuration.
 pub fn check(files: &[PathBuf], schema: bool) -> ExitCode {
     if schema {
-        println!("{:#}", latchhaven_operator::schema());
+        println!("{:#}", latchhaven_operator_config::schema());
         return ExitCode::SUCCESS;
     }
     let mut faults = 0;
@@ -25,7 +25,7 @@
 }
 
 fn script(file: &Path) -> Vec<String> {
-    match latchhaven_operator::read(file) {
+    match latchhaven_operator_config::read(file) {
         Err(faults) => faults.0.iter().map(ToString::to_string).collect(),
         Ok((plan, _)) => {
             let settings = latchhaven_control_plane::settings(&plan);
--- a/crates/program/src/main.rs
+++ b/crates/program/src/main.rs
@@ -113,7 +113,7 @@
 }
 
 fn control(file: &Path) -> io::Result<ExitCode> {
-    let (plan, _) = latchhaven_operator::read(file).map_err(io::Error::other)?;
+    let (plan, _) = latchhaven_operator_config::read(file).map_err(io::Error::other)?;
     on_one_thread(latchhaven_control_plane::serve(plan)).map(|()| ExitCode::SUCCESS)
 }
 
