--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -3,8 +3,8 @@
 use crate::net::list::{self, List};
 use crate::net::platform;
 use latchhaven_policy::api::StageNews;
-use latchhaven_wire::WireFault;
-use latchhaven_wire::terms::{self, Terms};
+use latchhaven_simulator_protocol::WireFault;
+use latchhaven_simulator_protocol::terms::{self, Terms};
 use serde_json::Value;
 use std::net::SocketAddr;
 
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    let mut host = latchhaven_wire::Host::default();
+    let mut host = latchhaven_simulator_protocol::Host::default();
     match host.serve(BufReader::new(io::stdin().lock()), BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
--- a/crates/wire/tests/wire.rs
+++ b/crates/simulator-protocol/tests/wire.rs
@@ -1,8 +1,8 @@
 //! The wire on good and malformed lines.
 
 use latchhaven_policy::api::*;
-use latchhaven_wire::lines::{Fields, Incoming, incoming, listing, outgoing};
-use latchhaven_wire::{Host, terms};
+use latchhaven_simulator_protocol::lines::{Fields, Incoming, incoming, listing, outgoing};
+use latchhaven_simulator_protocol::{Host, terms};
 use rstest::rstest;
 
 const SETTINGS: &str = r#"{"azs": ["x"], "classes": [{"aim-s": 0.5, "effect": "at_most_once", "gain": 1.0, "hard-limit-s": 2.0, "name": "pay"}], "domain": {"allowance": 1.0, "caps": [0.1, 1.0], "counts": "all", "style": "rolling", "vote-mode": "single", "vote-ttl-s": 4.0, "votes-to-go": 1, "votes-to-revert": 1, "window-s": 2.0}, "later-key": 1, "locality": "x", "me": 0, "permissions": {"cancelling": true, "second-copies": true, "try-limit": 3}, "registry-mode": "subscribe", "replicas-of-me": 2, "rules": {"ask-within-s": 10.0, "cold-from": 0.4, "drain-grace-s": 2.0, "fall-s": 1.5, "tip-multiple": 3.0, "warm-up-s": 4.0}}"#;
