--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,9 +1,9 @@
 //! `demo`: stand-ins, a gateway and a control service on loopback, and a rollout of a good and a bad build.
 
-use latchhaven_standins::machine::Machine;
-use latchhaven_standins::proxy::{Goes, Orders, Proxy};
-use latchhaven_standins::site::{Site, plan};
-use latchhaven_standins::wire::{self, Client, Does, Server, host, select, spawn, startup, state};
+use latchhaven_test_support::machine::Machine;
+use latchhaven_test_support::proxy::{Goes, Orders, Proxy};
+use latchhaven_test_support::site::{Site, plan};
+use latchhaven_test_support::wire::{self, Client, Does, Server, host, select, spawn, startup, state};
 use serde_json::{Value, json};
 use std::io;
 use std::net::SocketAddr;
--- a/crates/cli/tests/control.rs
+++ b/crates/cli/tests/control.rs
@@ -1,11 +1,11 @@
 //! The control service as a process, on loopback: what bad peers cost, who may connect, what a death costs.
 
 use bytes::Bytes;
-use latchhaven_standins::cache::Cache;
-use latchhaven_standins::machine::Machine;
-use latchhaven_standins::proxy::{Orders, Proxy, dial, report};
-use latchhaven_standins::site::{Site, plan};
-use latchhaven_standins::wire::{host, program, state, until};
+use latchhaven_test_support::cache::Cache;
+use latchhaven_test_support::machine::Machine;
+use latchhaven_test_support::proxy::{Orders, Proxy, dial, report};
+use latchhaven_test_support::site::{Site, plan};
+use latchhaven_test_support::wire::{host, program, state, until};
 use latchhaven_xds::codec::Pieces;
 use latchhaven_xds::pb::envoy::config::core::v3::Node;
 use latchhaven_xds::pb::envoy::config::endpoint::v3::ClusterStats;
--- a/crates/cli/tests/endings.rs
+++ b/crates/cli/tests/endings.rs
@@ -1,7 +1,7 @@
 //! Stories of how things end, over loopback: each brings about the one order of events in which an ending
 //! could go wrong, by holding sockets and signals, and bounds no wait by hope.
 
-use latchhaven_standins::wire::*;
+use latchhaven_test_support::wire::*;
 use rstest::rstest;
 use serde_json::{Value, json};
 use std::io::Read;
--- a/crates/cli/tests/stories.rs
+++ b/crates/cli/tests/stories.rs
@@ -5,7 +5,7 @@
 use latchhaven_gateway::net::servers::{Errand, Pool, Stopped};
 use latchhaven_gateway::net::{Note, write_all};
 use latchhaven_policy::api::{Connections, Ending, Listing, Reports};
-use latchhaven_standins::wire::*;
+use latchhaven_test_support::wire::*;
 use rstest::rstest;
 use serde_json::{Value, json};
 use std::io::{Read, Write};
--- a/crates/control-plane/tests/cases.rs
+++ b/crates/control-plane/tests/cases.rs
@@ -8,7 +8,7 @@
 use latchhaven_proxy_config::handout::Terms;
 use latchhaven_proxy_config::order::Labels;
 use latchhaven_simulator_protocol::terms;
-use latchhaven_standins::cache::{Cache, Wanted};
+use latchhaven_test_support::cache::{Cache, Wanted};
 use latchhaven_xds::resources::{Front, Kind, Snapshot};
 use latchhaven_xds::stream::{Ask, Stream};
 use std::net::SocketAddr;
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -11,7 +11,7 @@
 use latchhaven_proxy_config::handout::Terms;
 use latchhaven_proxy_config::order::Labels;
 use latchhaven_simulator_protocol::terms;
-use latchhaven_standins::cache::{Cache, Wanted};
+use latchhaven_test_support::cache::{Cache, Wanted};
 use latchhaven_xds::resources::{Front, Snapshot, cluster_of};
 use latchhaven_xds::stream::Stream;
 use rand::{RngExt, SeedableRng};
@@ -495,7 +495,7 @@
         let number = |addr: SocketAddr| usize::from(addr.port() - 5000) + 250 * usize::from(last_of(addr));
         let mut pick = || healthy[self.rng.random_range(0..healthy.len())];
         let (one, other) = (pick(), pick());
-        let load = |host: &latchhaven_standins::cache::Host| {
+        let load = |host: &latchhaven_test_support::cache::Host| {
             f64::from(self.proxies[front].in_flight[number(host.addr)] + 1) / f64::from(host.weight)
         };
         let n = number(if load(other) < load(one) { other.addr } else { one.addr });
--- a/crates/lab/src/xds.rs
+++ b/crates/lab/src/xds.rs
@@ -4,10 +4,10 @@
 use clap::Args;
 use hdrhistogram::Histogram;
 use latchhaven_proxy_config::order::{NewsMark, Way};
-use latchhaven_standins::machine::Machine;
-use latchhaven_standins::proxy::{Goes, Orders, Proxy, Seen};
-use latchhaven_standins::site::{Site, plan};
-use latchhaven_standins::wire::{host, state};
+use latchhaven_test_support::machine::Machine;
+use latchhaven_test_support::proxy::{Goes, Orders, Proxy, Seen};
+use latchhaven_test_support::site::{Site, plan};
+use latchhaven_test_support::wire::{host, state};
 use latchhaven_xds::resources::Kind;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -355,7 +355,7 @@
             }
         }
     }
-    let sum = |count: fn(&latchhaven_standins::cache::Cache) -> u64| -> u64 {
+    let sum = |count: fn(&latchhaven_test_support::cache::Cache) -> u64| -> u64 {
         proxies.iter().map(|proxy| count(&proxy.cache())).sum()
     };
     let (regressions, dangling, refused) =
--- a/crates/standins/tests/wire.rs
+++ b/crates/test-support/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The stand-ins themselves.
 
-use latchhaven_standins::wire::{LONG, STREAM, Says, Service, until};
+use latchhaven_test_support::wire::{LONG, STREAM, Says, Service, until};
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::TcpStream;
--- a/crates/xds/tests/model.rs
+++ b/crates/xds/tests/model.rs
@@ -6,7 +6,7 @@
 use latchhaven_proxy_config::ledger::Ledger;
 use latchhaven_proxy_config::order::Labels;
 use latchhaven_proxy_config::world::World;
-use latchhaven_standins::cache::{Cache, Wanted};
+use latchhaven_test_support::cache::{Cache, Wanted};
 use latchhaven_xds::resources::{Front, Kind, Snapshot};
 use latchhaven_xds::stream::{Answer, Said, Stream};
 use proptest::prelude::*;
