--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -267,7 +267,7 @@
     }
 
     proptest! {
-        #![proptest_config(latchhaven_fixed::fixed())]
+        #![proptest_config(latchhaven_proptest_config::deterministic())]
 
         /// Over any endings at any moments: at most one try of a once-only call that may have run, a referenced one
         /// sent again only while hosts remember, nothing written past the expiry, one result.
--- a/crates/client/src/pool.rs
+++ b/crates/client/src/pool.rs
@@ -415,7 +415,7 @@
     }
 
     proptest! {
-        #![proptest_config(latchhaven_fixed::fixed())]
+        #![proptest_config(latchhaven_proptest_config::deterministic())]
 
         /// Over any order of events: bounds hold, each call is given one connection or turned away once, and no
         /// connection is two calls'.
--- a/crates/client/src/wire.rs
+++ b/crates/client/src/wire.rs
@@ -307,7 +307,7 @@
     }
 
     proptest! {
-        #![proptest_config(latchhaven_fixed::fixed())]
+        #![proptest_config(latchhaven_proptest_config::deterministic())]
 
         #[test]
         fn no_bytes_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), at in 0usize..300) {
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -76,7 +76,7 @@
 }
 
 fn config() -> ProptestConfig {
-    ProptestConfig { cases: 24, ..latchhaven_fixed::fixed() }
+    ProptestConfig { cases: 24, ..latchhaven_proptest_config::deterministic() }
 }
 
 proptest! {
--- a/crates/fixed/src/lib.rs
+++ b/crates/proptest-config/src/lib.rs
@@ -3,6 +3,6 @@
 use proptest::test_runner::{Config, RngSeed};
 
 /// The same cases each run, and no files left behind.
-pub fn fixed() -> Config {
+pub fn deterministic() -> Config {
     Config { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..Config::default() }
 }
--- a/crates/proxy-config/src/evidence.rs
+++ b/crates/proxy-config/src/evidence.rs
@@ -300,7 +300,7 @@
     }
 
     proptest! {
-        #![proptest_config(latchhaven_fixed::fixed())]
+        #![proptest_config(latchhaven_proptest_config::deterministic())]
 
         #[test]
         fn whatever_is_reported_no_event_contradicts_itself(
--- a/crates/proxy-config/src/handout.rs
+++ b/crates/proxy-config/src/handout.rs
@@ -368,7 +368,7 @@
     }
 
     proptest! {
-        #![proptest_config(latchhaven_fixed::fixed())]
+        #![proptest_config(latchhaven_proptest_config::deterministic())]
 
         /// Whatever the fleet looks like: each route is one whole, the trial within the cap and open only where it
         /// may be, a withdrawn build gets nothing, and each build's cold hosts no more than their budget.
--- a/crates/proxy-config/src/ledger.rs
+++ b/crates/proxy-config/src/ledger.rs
@@ -174,7 +174,7 @@
     }
 
     proptest! {
-        #![proptest_config(latchhaven_fixed::fixed())]
+        #![proptest_config(latchhaven_proptest_config::deterministic())]
 
         /// Whatever was sent, accepted, refused or lost: with the rest given to all others the sum keeps the cap,
         /// wherever what is stuck leaves room for that at all.
--- a/crates/proxy-config/src/order.rs
+++ b/crates/proxy-config/src/order.rs
@@ -250,7 +250,7 @@
     }
 
     proptest! {
-        #![proptest_config(latchhaven_fixed::fixed())]
+        #![proptest_config(latchhaven_proptest_config::deterministic())]
 
         #[test]
         fn a_label_tells_what_it_was_made_of(basis in basis(), content: u64, key in "[a-z]{0,9}") {
--- a/crates/proxy-config/src/shares.rs
+++ b/crates/proxy-config/src/shares.rs
@@ -52,7 +52,7 @@
     use rand_pcg::Pcg64Mcg;
 
     proptest! {
-        #![proptest_config(latchhaven_fixed::fixed())]
+        #![proptest_config(latchhaven_proptest_config::deterministic())]
 
         #[test]
         fn it_grows_with_cap_free_and_traffic_and_stays_below_the_cap(
--- a/crates/proxy-config/src/world.rs
+++ b/crates/proxy-config/src/world.rs
@@ -223,7 +223,7 @@
     }
 
     proptest! {
-        #![proptest_config(latchhaven_fixed::fixed())]
+        #![proptest_config(latchhaven_proptest_config::deterministic())]
 
         /// Over any news, lists and evidence the basis only ever moves on.
         #[test]
--- a/crates/xds/src/admission.rs
+++ b/crates/xds/src/admission.rs
@@ -131,7 +131,7 @@
     }
 
     proptest! {
-        #![proptest_config(latchhaven_fixed::fixed())]
+        #![proptest_config(latchhaven_proptest_config::deterministic())]
 
         #[test]
         fn never_more_than_the_most_nor_faster_than_the_rate(
--- a/crates/xds/tests/model.rs
+++ b/crates/xds/tests/model.rs
@@ -280,7 +280,7 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 100, ..latchhaven_fixed::fixed() })]
+    #![proptest_config(ProptestConfig { cases: 100, ..latchhaven_proptest_config::deterministic() })]
 
     #[test]
     fn nothing_goes_back_or_dangles_and_all_converge(
