--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -11,7 +11,7 @@
 
 /// Measures this project's programs against stand-ins.
 #[derive(Parser)]
-#[command(name = "latchhaven-lab", version)]
+#[command(name = "latchhaven-experiments", version)]
 struct Line {
     #[command(subcommand)]
     word: Word,
--- a/crates/experiments/src/xds.rs
+++ b/crates/experiments/src/xds.rs
@@ -183,7 +183,7 @@
 
 /// Plays the experiment; its figures, and whether all that must hold did.
 pub fn run(sizes: &Sizes) -> (Value, bool) {
-    let folder = std::env::temp_dir().join(format!("latchhaven-lab-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("latchhaven-experiments-{}", std::process::id()));
     let _ = std::fs::create_dir_all(&folder);
     let list: Vec<Value> = (0..sizes.hosts).map(|n| entry(n, "up", 1)).collect();
     let site = Site::start(1, list, state(1, 0, "COMPLETE", 1.0));
