--- a/crates/cli/tests/stories.rs
+++ b/crates/cli/tests/stories.rs
@@ -4,7 +4,7 @@
 use latchhaven_gateway::net::list::read as read_list;
 use latchhaven_gateway::net::servers::{Errand, Pool, Stopped};
 use latchhaven_gateway::net::{Note, write_all};
-use latchhaven_policy::api::{Connections, Ending, Listing, Reports};
+use latchhaven_policy::{AttemptOutcome, EndpointEntry, LoadReporting, UpstreamConnectionConfig};
 use latchhaven_test_support::wire::*;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -175,7 +175,7 @@
         server.seen.lock().unwrap().open[0].write_all(&row(b"not asked for")).unwrap();
         thread::sleep(Duration::from_millis(50));
         let Some(Note::Ended { ending, value, .. }) = noted.recv().await else { panic!("it never ended") };
-        assert_eq!((ending, value.is_none()), (Ending::NotSent, true));
+        assert_eq!((ending, value.is_none()), (AttemptOutcome::NotSent, true));
         assert!(server.queries().is_empty());
     });
 }
@@ -193,18 +193,24 @@
 }
 
 /// An instance that is up at this address.
-fn up(addr: SocketAddr) -> (Listing, SocketAddr) {
+fn up(addr: SocketAddr) -> (EndpointEntry, SocketAddr) {
     read_list(list(1, true, &[host("s0", addr, "up", 1)]).to_string().as_bytes()).unwrap().entries.remove(0)
 }
 
-fn pool(reports: Reports) -> (Pool, mpsc::Receiver<Note>) {
+fn pool(reports: LoadReporting) -> (Pool, mpsc::Receiver<Note>) {
     pool_of(4, reports)
 }
 
-fn pool_of(most: usize, reports: Reports) -> (Pool, mpsc::Receiver<Note>) {
+fn pool_of(most: usize, reports: LoadReporting) -> (Pool, mpsc::Receiver<Note>) {
     let (notes, noted) = mpsc::channel(16);
     let (idle, dial_within, vote_within, probes) = (9000.0, 5000.0, 500.0, true);
-    let connections = Connections { idle, dial_within, vote_within, probes, reports };
+    let connections = UpstreamConnectionConfig {
+        idle_timeout: idle,
+        connect_timeout: dial_within,
+        vote_timeout: vote_within,
+        health_checks: probes,
+        load_reporting: reports,
+    };
     (Pool::new(most, connections, notes), noted)
 }
 
@@ -213,7 +219,7 @@
 
 /// A pool alone, with one connection to a server that idles; tasks go on only where a story waits.
 async fn idling(server: &Server) -> (Pool, mpsc::Receiver<Note>) {
-    idling_in(pool(Reports::Silent), server).await
+    idling_in(pool(LoadReporting::Disabled), server).await
 }
 
 async fn idling_in(
@@ -245,7 +251,7 @@
             match noted.recv().await.unwrap() {
                 Note::Free { link, first } => pool.free(link, first, 0.0),
                 Note::Over { link } => pool.over(&link),
-                Note::Ended { ending, .. } => return assert_eq!(ending, Ending::Settled),
+                Note::Ended { ending, .. } => return assert_eq!(ending, AttemptOutcome::Success),
                 _ => panic!("the txn should not notice"),
             }
         }
@@ -256,9 +262,9 @@
 fn a_connection_that_makes_room_as_it_would_be_picked_carries_nothing() {
     alone(async {
         let (one, other) = (Server::start(Does::Serves), Server::start(Does::Serves));
-        let (mut pool, mut noted) = idling_in(pool_of(1, Reports::Silent), &one).await;
+        let (mut pool, mut noted) = idling_in(pool_of(1, LoadReporting::Disabled), &one).await;
         let (mut listing, _) = up(one.addr);
-        listing.instance = "s1".to_string();
+        listing.endpoint = "s1".to_string();
         pool.relist(&listing, other.addr);
         // In one moment, before any driver runs: the idle one makes room for the first, and there is none for
         // the next.
@@ -268,7 +274,7 @@
             match noted.recv().await.unwrap() {
                 Note::Free { link, first } => pool.free(link, first, 0.0),
                 Note::Over { link } => pool.over(&link),
-                Note::Ended { ending, .. } => break assert_eq!(ending, Ending::Settled),
+                Note::Ended { ending, .. } => break assert_eq!(ending, AttemptOutcome::Success),
                 _ => panic!("the other one should come up"),
             }
         }
@@ -278,11 +284,11 @@
 }
 
 #[rstest]
-#[case::in_answers(Reports::InAnswers, "SELECT 1", 2)]
-#[case::in_probes(Reports::InProbes, "SHOW load", 0)]
-#[case::silent(Reports::Silent, "SELECT 1", 0)]
+#[case::in_answers(LoadReporting::InResponses, "SELECT 1", 2)]
+#[case::in_probes(LoadReporting::InHealthChecks, "SHOW load", 0)]
+#[case::silent(LoadReporting::Disabled, "SELECT 1", 0)]
 fn probes_and_reports_are_as_the_settings_say(
-    #[case] reports: Reports, #[case] asked: &'static str, #[case] figures: usize,
+    #[case] reports: LoadReporting, #[case] asked: &'static str, #[case] figures: usize,
 ) {
     alone(async move {
         let server = Server::start(Does::Chats);
@@ -293,7 +299,7 @@
         let Some(Note::Free { link, first }) = noted.recv().await else { panic!("it never came up") };
         pool.free(link, first, 0.0);
         let Some(Note::Ended { ending, load, .. }) = noted.recv().await else { panic!("it never ended") };
-        assert_eq!((ending, load.len()), (Ending::Settled, figures));
+        assert_eq!((ending, load.0.len()), (AttemptOutcome::Success, figures));
         assert_eq!(server.queries(), [(0, asked.to_string())]);
     });
 }
@@ -344,7 +350,7 @@
 fn connections_still_opened_to_what_was_there_before_are_not_waited_for() {
     alone(async {
         let (stuck, closed) = (Server::start(Does::NeverUp), TcpListener::bind("127.0.0.1:0").unwrap());
-        let (mut pool, mut noted) = pool(Reports::Silent);
+        let (mut pool, mut noted) = pool(LoadReporting::Disabled);
         let (listing, old) = up(stuck.addr);
         let new = closed.local_addr().unwrap();
         drop(closed);
--- a/crates/control-plane/src/core.rs
+++ b/crates/control-plane/src/core.rs
@@ -1,8 +1,10 @@
 //! The control service without its sockets: what is taken in, what the decisions make of it, and what follows.
 
 use crate::keep::Kept;
-use latchhaven_policy::api::{Action, Event, ListKind, Listing, Ms, Product, StageNews, Standing};
-use latchhaven_policy::choice::Choice;
+use latchhaven_policy::Policy;
+use latchhaven_policy::{
+    Action, EndpointEntry, EndpointStatus, Event, Millis, RequestClass, RolloutState, UpdateKind, VoteOutcome,
+};
 use latchhaven_proxy_config::evidence::{Gathered, Report};
 use latchhaven_proxy_config::handout::{self, Terms};
 use latchhaven_proxy_config::ledger::{Ledger, Shares};
@@ -16,13 +18,13 @@
 use std::sync::Arc;
 
 /// ms in which a burst of news becomes one handout.
-const COALESCE: Ms = 40.0;
+const COALESCE: Millis = 40.0;
 /// ms after which a handout is made anew though nothing was told: hosts warm up, traffic changes, proxies fall silent.
-const ANEW: Ms = 250.0;
+const ANEW: Millis = 250.0;
 /// ms between two calls for the whole list while it is behind what is known.
-const ASK_BEHIND: Ms = 5_000.0;
+const ASK_BEHIND: Millis = 5_000.0;
 /// ms for which a host that left the list may still be reported of.
-const HOST_KEPT: Ms = 60_000.0;
+const HOST_KEPT: Millis = 60_000.0;
 /// Builds that one address is known to have had: a host comes back with another one.
 const BUILDS_KEPT: usize = 4;
 
@@ -30,7 +32,7 @@
 struct Known {
     instance: String,
     builds: BTreeSet<u32>,
-    seen: Ms,
+    seen: Millis,
 }
 
 struct Proxy {
@@ -41,13 +43,13 @@
 
 /// The service's state.
 pub struct Core {
-    choice: Choice,
+    choice: Policy,
     world: World,
     gathered: Gathered,
     ledger: Ledger,
     labels: Labels,
     terms: Terms,
-    made_of: Arc<(Vec<Product>, Front)>,
+    made_of: Arc<(Vec<RequestClass>, Front)>,
     admission: Admission,
     addresses: BTreeMap<String, SocketAddr>,
     known: BTreeMap<SocketAddr, Known>,
@@ -59,10 +61,10 @@
     streams: BTreeMap<u64, (String, bool)>,
     knocking: BTreeMap<u64, String>,
     /// When a handout is due, and when one was last made.
-    due: Ms,
-    made: Ms,
-    wake: Ms,
-    asked: Ms,
+    due: Millis,
+    made: Millis,
+    wake: Millis,
+    asked: Millis,
     behind: bool,
     waiting_for: Option<&'static str>,
 }
@@ -81,7 +83,7 @@
 impl Core {
     /// A service that begins from what was kept.
     pub fn new(
-        choice: Choice, terms: Terms, front: Front, labels: Labels, streams_most: usize, platform_only: bool,
+        choice: Policy, terms: Terms, front: Front, labels: Labels, streams_most: usize, platform_only: bool,
         kept: Option<Kept>,
     ) -> Self {
         let names = terms.products.iter().map(|product| product.name.clone()).collect();
@@ -115,12 +117,14 @@
     }
 
     /// The first news of a burst is handed out at once, what follows it together a little later.
-    fn hurry(&mut self, now: Ms) {
+    fn hurry(&mut self, now: Millis) {
         self.due = self.due.min(now.max(self.made + COALESCE));
     }
 
     /// A list, or changes to it.
-    pub fn list(&mut self, version: u64, whole: bool, entries: Vec<(Listing, SocketAddr)>, now: Ms) {
+    pub fn list(
+        &mut self, version: u64, whole: bool, entries: Vec<(EndpointEntry, SocketAddr)>, now: Millis,
+    ) {
         let heard = self.world.list(version, whole, now);
         self.behind = heard == Heard::Older && whole;
         if heard == Heard::Older {
@@ -130,17 +134,17 @@
             self.addresses.clear();
         }
         for (listing, addr) in &entries {
-            if listing.state == Standing::Gone {
-                self.addresses.remove(&listing.instance);
+            if listing.status == EndpointStatus::Removed {
+                self.addresses.remove(&listing.endpoint);
                 continue;
             }
-            self.addresses.insert(listing.instance.clone(), *addr);
+            self.addresses.insert(listing.endpoint.clone(), *addr);
             let known = self.known.entry(*addr).or_insert_with(|| {
-                let (instance, builds) = (listing.instance.clone(), BTreeSet::new());
+                let (instance, builds) = (listing.endpoint.clone(), BTreeSet::new());
                 Known { instance, builds, seen: now }
             });
-            known.instance.clone_from(&listing.instance);
-            known.builds.insert(listing.build);
+            known.instance.clone_from(&listing.endpoint);
+            known.builds.insert(listing.version);
             while known.builds.len() > BUILDS_KEPT {
                 known.builds.pop_first();
             }
@@ -150,34 +154,44 @@
             known.seen = if here.contains(addr) { now } else { known.seen };
             now - known.seen < HOST_KEPT
         });
-        let kind = if whole { ListKind::Whole } else { ListKind::Changes };
+        let kind = if whole { UpdateKind::Snapshot } else { UpdateKind::Delta };
         let entries = entries.into_iter().map(|(listing, _)| listing).collect();
-        self.events.push(Event::Fleet { kind, version, entries });
+        self.events.push(Event::EndpointUpdate { kind, list_version: version, entries });
         self.hurry(now);
     }
 
     /// A call for the list failed, or its watch broke.
     pub fn list_failed(&mut self) {
         self.world.list_failed();
-        self.events.push(Event::Fleet { kind: ListKind::Failed, version: 0, entries: Vec::new() });
+        self.events.push(Event::EndpointUpdate {
+            kind: UpdateKind::Failed,
+            list_version: 0,
+            entries: Vec::new(),
+        });
     }
 
-    /// News of the platform, or its answer to a vote.
-    pub fn stage(&mut self, news: StageNews, now: Ms) {
-        if !news.valid {
-            self.events.push(Event::Stage(news));
-            return;
+    /// A vote was answered, or will not be.
+    pub fn vote_completed(&mut self, outcome: VoteOutcome, now: Millis) {
+        match outcome {
+            VoteOutcome::Counted(rollout) => self.stage(rollout, now),
+            VoteOutcome::NotCounted | VoteOutcome::Unknown => {
+                self.events.push(Event::VoteCompleted(outcome));
+            }
         }
+    }
+
+    /// The state of the newest version's rollout, as the platform tells it.
+    pub fn stage(&mut self, news: RolloutState, now: Millis) {
         // The world alone remembers which build was found bad: of the next one nothing is known yet.
         let condemned =
-            self.world.news().is_some_and(|known| known.build == news.build && known.way == Way::Condemned);
+            self.world.news().is_some_and(|known| known.build == news.version && known.way == Way::Condemned);
         let taken = self.world.platform(&news, condemned, now);
-        self.events.extend(taken.map(Event::Stage));
+        self.events.extend(taken.map(Event::RolloutUpdate));
         self.hurry(now);
     }
 
     /// A tally of the platform: counts where proxies report nothing themselves.
-    pub fn tally(&mut self, tally: Event, now: Ms) {
+    pub fn tally(&mut self, tally: Event, now: Millis) {
         if self.gathered.platform_counts(now) {
             self.events.push(tally);
         }
@@ -194,7 +208,7 @@
     }
 
     /// A stream wants to begin; false: there are too many.
-    pub fn knock(&mut self, stream: u64, node: String, now: Ms) -> bool {
+    pub fn knock(&mut self, stream: u64, node: String, now: Millis) -> bool {
         let waits = self.admission.knock(stream, &node, now) == Knock::Waits;
         if waits {
             self.knocking.insert(stream, node);
@@ -224,7 +238,7 @@
     }
 
     /// A stream ended.
-    pub fn over(&mut self, stream: u64, now: Ms) {
+    pub fn over(&mut self, stream: u64, now: Millis) {
         self.admission.over(stream);
         self.knocking.remove(&stream);
         // Whether it reports loads or not, it goes on by what it holds.
@@ -238,7 +252,7 @@
     }
 
     /// What a stream has learnt.
-    pub fn said(&mut self, stream: u64, said: Vec<Said>, now: Ms) {
+    pub fn said(&mut self, stream: u64, said: Vec<Said>, now: Millis) {
         let Some(number) = self.number(stream) else { return };
         for said in said {
             match said {
@@ -260,7 +274,7 @@
         }
     }
 
-    fn holds(&mut self, number: u64, kind: Kind, label: &Label, now: Ms) {
+    fn holds(&mut self, number: u64, kind: Kind, label: &Label, now: Millis) {
         // It may go on by what it held, whoever told it: the cap of then bounds its share.
         let news = label.basis.news;
         let part = if matches!(news.way, Way::OnTrial | Way::GoingBack) { news.cap } else { 0 };
@@ -269,13 +283,13 @@
         }
         let learnt = self.world.evidence(label, now);
         if let Some(news) = learnt {
-            self.events.push(Event::Stage(news));
+            self.events.push(Event::RolloutUpdate(news));
             self.hurry(now);
         }
     }
 
     /// Routes go out on a stream.
-    pub fn sends(&mut self, stream: u64, trial: &Shares, now: Ms) {
+    pub fn sends(&mut self, stream: u64, trial: &Shares, now: Millis) {
         if let Some(number) = self.number(stream) {
             self.ledger.sent(number, trial, now);
         }
@@ -285,7 +299,7 @@
     ///
     /// # Errors
     /// What cannot be in it.
-    pub fn report(&mut self, stream: u64, report: &Report, now: Ms) -> Result<(), String> {
+    pub fn report(&mut self, stream: u64, report: &Report, now: Millis) -> Result<(), String> {
         let Some(number) = self.number(stream).filter(|_| !self.known.is_empty()) else { return Ok(()) };
         let whose = |addr: &SocketAddr, build| {
             let known = self.known.get(addr).filter(|known| known.builds.contains(&build));
@@ -297,14 +311,14 @@
     }
 
     /// When [`Core::turn`] is to be called next, at the latest.
-    pub fn next(&self, now: Ms) -> Ms {
+    pub fn next(&self, now: Millis) -> Millis {
         let door = if self.admission.waits() { now + 1.0 } else { f64::INFINITY };
         let events = if self.events.is_empty() { f64::INFINITY } else { now + COALESCE };
         self.due.min(self.wake).min(door).min(events)
     }
 
     /// Decides on all that was taken in.
-    pub fn turn(&mut self, now: Ms) -> Doings {
+    pub fn turn(&mut self, now: Millis) -> Doings {
         let mut doings = Doings { begin: self.admission.turn(now), ..Doings::default() };
         doings.begin.iter().for_each(|stream| self.begin(*stream));
         if now < self.due && now < self.wake {
@@ -313,12 +327,12 @@
         let mut events = std::mem::take(&mut self.events);
         events.extend(self.gathered.take(now));
         if self.wake <= now {
-            events.push(Event::Timer { token: "look".to_string() });
+            events.push(Event::TimerFired { token: "look".to_string() });
         }
         self.wake = f64::INFINITY;
-        for action in self.choice.decide(now, events) {
+        for action in self.choice.handle_events(now, events) {
             match action {
-                Action::Wake { after, .. } => self.wake = self.wake.min(now + after.max(1.0)),
+                Action::SetTimer { after, .. } => self.wake = self.wake.min(now + after.max(1.0)),
                 action => doings.actions.push(action),
             }
         }
@@ -327,7 +341,7 @@
         }
         if (self.behind || self.world.list_behind()) && now - self.asked >= ASK_BEHIND {
             self.asked = now;
-            doings.actions.push(Action::Fetch);
+            doings.actions.push(Action::FetchEndpoints);
         }
         if now >= self.due {
             (self.due, self.made) = (now + ANEW, now);
@@ -336,14 +350,14 @@
         doings
     }
 
-    fn hand(&mut self, now: Ms) -> Option<(Arc<Snapshot>, Kept)> {
+    fn hand(&mut self, now: Millis) -> Option<(Arc<Snapshot>, Kept)> {
         self.ledger.forget(now);
         let Core { proxies, ledger, .. } = self;
         if proxies.len() > 2 * ledger.len() + 64 {
             proxies.retain(|_, proxy| proxy.open > 0);
         }
-        let mut outlook = self.choice.outlook(now);
-        if outlook.condemned {
+        let mut outlook = self.choice.snapshot(now);
+        if outlook.is_canary_rejected {
             self.world.condemn();
         }
         let basis = match self.world.basis() {
@@ -355,9 +369,9 @@
                 return None;
             }
         };
-        if basis.news.way == Way::Condemned && outlook.share < 1.0 {
+        if basis.news.way == Way::Condemned && outlook.canary_share < 1.0 {
             // Found bad by another service.
-            outlook.share = 0.0;
+            outlook.canary_share = 0.0;
         }
         let (addresses, withdrawn) = (&self.addresses, self.world.withdrawn());
         let made = handout::make(&outlook, &self.terms, withdrawn, addresses, &self.ledger, now);
--- a/crates/control-plane/src/driver.rs
+++ b/crates/control-plane/src/driver.rs
@@ -7,7 +7,7 @@
 use latchhaven_gateway::net::platform::Vote;
 use latchhaven_gateway::net::{NOTES_HELD, Note, VOTES_HELD, list, platform};
 use latchhaven_operator_config::{Evidence, Plan};
-use latchhaven_policy::api::{Action, Event, StageNews};
+use latchhaven_policy::{Action, Event, OutcomeReport, VoteOutcome};
 use latchhaven_proxy_config::handout;
 use latchhaven_proxy_config::order::Labels;
 use latchhaven_simulator_protocol::WireFault;
@@ -93,7 +93,7 @@
     let (votes, cast) = mpsc::channel(VOTES_HELD);
     let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
     let (_platform, at) = watch::channel(plan.platform);
-    let within = Duration::from_secs_f64(connections.vote_within / 1000.0);
+    let within = Duration::from_secs_f64(connections.vote_timeout / 1000.0);
     tokio::task::spawn_local(platform::feed(at.clone(), Pcg64Mcg::from_rng(&mut rng), notes.clone()));
     tokio::task::spawn_local(platform::votes(at, within, cast, notes.clone()));
     let (told, telling) = mpsc::channel(TOLD_HELD);
@@ -219,10 +219,17 @@
                 }
             }
             Note::Stage(news) => self.core.stage(news, now),
+            Note::VoteCompleted(outcome) => self.core.vote_completed(outcome, now),
             Note::Tally(tally) => {
-                let (build, product, age) = (tally.build, tally.product, tally.age);
-                let (count, failed, took) = (tally.count, tally.failed, tally.took);
-                self.core.tally(Event::Tally { build, product, count, failed, took, age }, now);
+                let report = OutcomeReport {
+                    version: tally.build,
+                    class: tally.product,
+                    attempts: tally.count,
+                    failures: tally.failed,
+                    mean_latency: tally.took,
+                    age: tally.age,
+                };
+                self.core.tally(Event::OutcomesReported(report), now);
             }
             // Of gateways: there are no txns here.
             _ => {}
@@ -272,7 +279,7 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Watch { on } => {
+            Action::WatchEndpoints { enabled: on } => {
                 self.watch.take().inspect(|(_, watch)| watch.abort());
                 match (on, self.version) {
                     (true, 0) => self.fetch(),
@@ -280,11 +287,11 @@
                     (false, _) => {}
                 }
             }
-            Action::Fetch => self.fetch(),
-            Action::Vote { build, stage, verdict } => {
+            Action::FetchEndpoints => self.fetch(),
+            Action::CastVote { version: build, stage, verdict } => {
                 let vote = Vote { build, stage, verdict, cast: Instant::now() };
                 if self.votes.try_send(vote).is_err() {
-                    self.core.stage(StageNews::not_counted(build, stage, false), self.clock.now());
+                    self.core.vote_completed(VoteOutcome::NotCounted, self.clock.now());
                 }
             }
             Action::Log(line) => tracing::info!("{line}"),
--- a/crates/control-plane/src/keep.rs
+++ b/crates/control-plane/src/keep.rs
@@ -2,7 +2,7 @@
 //! of its own that always writes the newest, so that a slow or full disk stalls nobody. What cannot be read is told in
 //! one line, and the service goes on without it.
 
-use latchhaven_policy::api::Build;
+use latchhaven_policy::Version;
 use latchhaven_proxy_config::order::Basis;
 use redb::{Database, ReadableDatabase, TableDefinition};
 use serde::{Deserialize, Serialize};
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Kept {
     pub basis: Basis,
-    pub withdrawn: BTreeSet<Build>,
+    pub withdrawn: BTreeSet<Version>,
 }
 
 #[derive(Serialize, Deserialize)]
--- a/crates/control-plane/tests/cases.rs
+++ b/crates/control-plane/tests/cases.rs
@@ -3,7 +3,7 @@
 
 use latchhaven_control_plane::core::Core;
 use latchhaven_control_plane::keep::Kept;
-use latchhaven_policy::api::*;
+use latchhaven_policy::*;
 use latchhaven_proxy_config::evidence::{ClusterReport, Figures, Report};
 use latchhaven_proxy_config::handout::Terms;
 use latchhaven_proxy_config::order::Labels;
@@ -27,20 +27,20 @@
 /// A service under the test's clock.
 struct Service {
     core: Core,
-    now: Ms,
+    now: Millis,
     snapshot: Option<Arc<Snapshot>>,
     kept: Option<Kept>,
     labels: Labels,
     streams: u64,
-    votes: Vec<(Build, Verdict)>,
+    votes: Vec<(Version, Verdict)>,
 }
 
 impl Service {
-    fn start(now: Ms, key: &str, kept: Option<Kept>) -> Self {
+    fn start(now: Millis, key: &str, kept: Option<Kept>) -> Self {
         Service::start_with(now, key, kept, false)
     }
 
-    fn start_with(now: Ms, key: &str, kept: Option<Kept>, hosts_apart: bool) -> Self {
+    fn start_with(now: Millis, key: &str, kept: Option<Kept>, hosts_apart: bool) -> Self {
         let settings = || terms::read(SETTINGS).unwrap();
         let (exposure, cold, submissions) = settings().bounds();
         let products = settings().products();
@@ -58,13 +58,13 @@
     }
 
     /// Lets time pass.
-    fn pass(&mut self, ms: Ms) {
+    fn pass(&mut self, ms: Millis) {
         let until = self.now + ms;
         while self.now < until {
             self.now = (self.now + 10.0).min(until);
             let doings = self.core.turn(self.now);
             for action in doings.actions {
-                if let Action::Vote { build, verdict, .. } = action {
+                if let Action::CastVote { version: build, verdict, .. } = action {
                     self.votes.push((build, verdict));
                 }
             }
@@ -74,24 +74,23 @@
         }
     }
 
-    fn news(&mut self, build: Build, stage: u32, phase: Phase, cap: f64) {
-        let news =
-            StageNews { valid: true, unsure: false, answer: false, build, stage, phase, cap, age: 0.0 };
+    fn news(&mut self, build: Version, stage: u32, phase: RolloutPhase, cap: f64) {
+        let news = RolloutState { version: build, stage, phase, traffic_cap: cap, age: 0.0 };
         self.core.stage(news, self.now);
     }
 
     /// A whole list: each host's build, and whether it is ready; host n is at port n.
-    fn list(&mut self, version: u64, hosts: &[(u16, Build, bool)]) {
+    fn list(&mut self, version: u64, hosts: &[(u16, Version, bool)]) {
         let entries = hosts.iter().map(|(n, build, ready)| {
-            let listing = Listing {
-                instance: format!("s{n}"),
-                state: if *ready { Standing::Ready } else { Standing::Draining },
-                build: *build,
+            let listing = EndpointEntry {
+                endpoint: format!("s{n}"),
+                status: if *ready { EndpointStatus::Ready } else { EndpointStatus::Draining },
+                version: *build,
                 zone: "a".to_string(),
                 cell: 0,
-                kind: String::new(),
+                machine_type: String::new(),
                 weight: 1.0,
-                since: 0.0,
+                started_at: 0.0,
             };
             (listing, addr(*n))
         });
@@ -101,7 +100,7 @@
     /// Two hosts of build 1, released, and build 2 beside them on trial.
     fn on_trial(&mut self, stage: u32, cap: f64) {
         self.list(5, &[(1, 1, true), (2, 1, true), (3, 2, true), (4, 2, true)]);
-        self.news(2, stage, Phase::OnTrial, cap);
+        self.news(2, stage, RolloutPhase::Canary, cap);
         self.pass(20.0);
     }
 
@@ -181,7 +180,7 @@
         true
     }
 
-    fn part(&self, build: Build) -> f64 {
+    fn part(&self, build: Version) -> f64 {
         f64::from(self.cache.part("look", build)) / 1e6
     }
 }
@@ -216,7 +215,7 @@
     service.list(5, &[(1, 1, true)]);
     service.pass(1_000.0);
     assert!(service.snapshot.is_none(), "the platform has told nothing");
-    service.news(1, 0, Phase::Released, 1.0);
+    service.news(1, 0, RolloutPhase::Promoted, 1.0);
     service.pass(20.0);
     assert!(service.snapshot.is_some());
 }
@@ -225,9 +224,9 @@
 fn a_proxy_that_comes_back_between_withdrawal_and_the_next_build_gets_neither() {
     let (mut service, mut proxies) = settled(2);
     proxies.iter_mut().for_each(|proxy| proxy.leave(&mut service));
-    service.news(2, 1, Phase::GoingBack, 0.0);
+    service.news(2, 1, RolloutPhase::RollingBack, 0.0);
     service.pass(500.0);
-    service.news(2, 1, Phase::Withdrawn, 0.0);
+    service.news(2, 1, RolloutPhase::RolledBack, 0.0);
     service.pass(500.0);
     for proxy in &mut proxies {
         proxy.connect(&mut service);
@@ -236,7 +235,7 @@
     }
     // The next one is on trial while a host of the withdrawn one is still listed.
     service.list(6, &[(1, 1, true), (2, 1, true), (3, 2, true), (4, 3, true)]);
-    service.news(3, 0, Phase::OnTrial, 0.1);
+    service.news(3, 0, RolloutPhase::Canary, 0.1);
     service.pass(500.0);
     for proxy in &mut proxies {
         proxy.talk(&mut service);
@@ -249,7 +248,7 @@
 fn a_restarted_service_with_an_old_list_says_nothing_until_it_has_caught_up() {
     let (mut service, mut proxies) = settled(2);
     service.list(40, &[(1, 1, true), (2, 1, false), (3, 2, true), (4, 2, true)]);
-    service.news(2, 1, Phase::GoingBack, 0.0);
+    service.news(2, 1, RolloutPhase::RollingBack, 0.0);
     service.pass(100.0);
     talk_all(&mut proxies, &mut service);
     // With what was kept, and without it by what proxies hold.
@@ -264,7 +263,7 @@
         again.pass(1_000.0);
         proxies.iter_mut().for_each(|proxy| assert_eq!(proxy.talk(&mut again), 0));
         again.list(41, &[(1, 1, true), (3, 1, true)]);
-        again.news(2, 1, Phase::Withdrawn, 0.0);
+        again.news(2, 1, RolloutPhase::RolledBack, 0.0);
         again.pass(100.0);
         for proxy in &mut proxies {
             proxy.talk(&mut again);
@@ -279,7 +278,7 @@
     let (mut service, mut proxies) = settled(2);
     let mut cut_off = Service::start(service.now, "site", None);
     cut_off.on_trial(1, 0.5);
-    service.news(2, 1, Phase::Withdrawn, 0.0);
+    service.news(2, 1, RolloutPhase::RolledBack, 0.0);
     service.pass(100.0);
     talk_all(&mut proxies, &mut service);
     proxies[0].leave(&mut service);
@@ -313,14 +312,14 @@
     // Endpoints tell the share declined: it has faded and is told before anything waits.
     service.pass(5_000.0);
     proxy.talk(&mut service);
-    service.news(2, 1, Phase::OnTrial, 0.2);
+    service.news(2, 1, RolloutPhase::Canary, 0.2);
     service.pass(100.0);
     proxy.ask(&mut service);
     let (_, stream, _) = proxy.stream.as_mut().unwrap();
     let snapshot = service.snapshot.clone().unwrap();
     while stream.next(&snapshot).is_some_and(|answer| answer.kind != Kind::Route) {}
     for cap in [0.15, 0.1, 0.05] {
-        service.news(2, 1, Phase::OnTrial, cap);
+        service.news(2, 1, RolloutPhase::Canary, cap);
         service.pass(100.0);
         assert!(stream.next(service.snapshot.as_ref().unwrap()).is_none(), "one pending answer a type");
     }
@@ -340,7 +339,7 @@
     let (mut service, mut proxies) = settled(4);
     let held = proxies[0].part(2);
     proxies.iter_mut().take(2).for_each(|proxy| proxy.refuses = true);
-    service.news(2, 1, Phase::OnTrial, 0.3);
+    service.news(2, 1, RolloutPhase::Canary, 0.3);
     service.pass(20.0);
     for _ in 0..10 {
         let mut answers: Vec<usize> = proxies.iter_mut().map(|proxy| proxy.talk(&mut service)).collect();
@@ -360,13 +359,13 @@
     let held = proxies[4].part(2);
     proxies[4].leave(&mut service);
     for cap in [0.4, 0.2, 0.06] {
-        service.news(2, 1, Phase::OnTrial, cap);
+        service.news(2, 1, RolloutPhase::Canary, cap);
         service.pass(60.0);
         talk_all(&mut proxies, &mut service);
         let sum = proxies.iter().map(|proxy| proxy.part(2)).sum::<f64>() / 10.0;
         assert!(sum <= cap && proxies[4].part(2) == held, "{sum} of {cap}");
     }
-    service.news(2, 1, Phase::GoingBack, 0.0);
+    service.news(2, 1, RolloutPhase::RollingBack, 0.0);
     service.pass(60.0);
     talk_all(&mut proxies, &mut service);
     assert!(
@@ -410,7 +409,7 @@
         }
         let mut again = Service::start(service.now, "site", service.kept.clone());
         again.list(6, &[(1, 1, true), (2, 1, true), (5, 3, true)]);
-        again.news(3, 0, Phase::OnTrial, 0.1);
+        again.news(3, 0, RolloutPhase::Canary, 0.1);
         again.pass(20.0);
         for proxy in &mut proxies {
             proxy.connect(&mut again);
@@ -479,7 +478,7 @@
         hosts.into_iter().find(|host| host.addr == addr(2)).map(|host| host.healthy)
     };
     assert_eq!(health(&proxies[0], "b1/pay"), Some(true));
-    type Step<'a> = (&'a [(u16, Build, bool)], Option<bool>, Option<bool>);
+    type Step<'a> = (&'a [(u16, Version, bool)], Option<bool>, Option<bool>);
     let steps: [Step; 3] = [
         (&[(1, 1, true), (2, 1, false), (3, 2, true), (4, 2, true)], Some(false), None),
         (&[(1, 1, true), (3, 2, true), (4, 2, true)], None, None),
@@ -508,7 +507,7 @@
 fn a_build_after_one_that_was_found_bad_here_gets_its_share() {
     let (mut service, mut proxies) = settled(3);
     let report =
-        |service: &mut Service, proxy: &Proxy, build: Build, host: u16, settled: u64, failed: u64| {
+        |service: &mut Service, proxy: &Proxy, build: Version, host: u16, settled: u64, failed: u64| {
             let figures = Figures { issued: settled + failed, settled, failed, ..Figures::default() };
             let cluster = |build, host, figures| ClusterReport {
                 build,
@@ -526,13 +525,13 @@
         service.pass(1_000.0);
         talk_all(&mut proxies, &mut service);
     }
-    assert_eq!(service.votes.last(), Some(&(2, Verdict::Back)));
-    service.news(2, 1, Phase::GoingBack, 0.0);
+    assert_eq!(service.votes.last(), Some(&(2, Verdict::RollBack)));
+    service.news(2, 1, RolloutPhase::RollingBack, 0.0);
     service.pass(1_000.0);
-    service.news(2, 1, Phase::Withdrawn, 0.0);
+    service.news(2, 1, RolloutPhase::RolledBack, 0.0);
     service.list(6, &[(1, 1, true), (2, 1, true), (3, 1, true), (4, 3, true)]);
     service.pass(1_000.0);
-    service.news(3, 1, Phase::OnTrial, 0.5);
+    service.news(3, 1, RolloutPhase::Canary, 0.5);
     for _ in 0..4 {
         proxies.iter().for_each(|proxy| report(&mut service, proxy, 3, 4, 100, 0));
         service.pass(1_000.0);
@@ -543,7 +542,7 @@
 
 #[test]
 fn reports_of_proxies_condemn_a_bad_build_and_pass_a_good_one() {
-    for (fails, wanted) in [(0.0, Verdict::On), (0.5, Verdict::Back)] {
+    for (fails, wanted) in [(0.0, Verdict::Promote), (0.5, Verdict::RollBack)] {
         let (mut service, mut proxies) = settled(3);
         for _ in 0..40 {
             for proxy in &mut proxies {
@@ -563,6 +562,6 @@
             talk_all(&mut proxies, &mut service);
         }
         assert_eq!(service.votes.last(), Some(&(2, wanted)), "{:?}", service.votes);
-        assert_eq!(proxies[0].part(2) == 0.0, wanted == Verdict::Back);
+        assert_eq!(proxies[0].part(2) == 0.0, wanted == Verdict::RollBack);
     }
 }
--- a/crates/experiments/src/day.rs
+++ b/crates/experiments/src/day.rs
@@ -5,8 +5,8 @@
 use crate::agenda::Agenda;
 use clap::Args;
 use latchhaven_control_plane::core::Core;
-use latchhaven_policy::api::*;
-use latchhaven_policy::choice::Choice;
+use latchhaven_policy::Policy;
+use latchhaven_policy::*;
 use latchhaven_proxy_config::evidence::{ClusterReport, Figures, Report};
 use latchhaven_proxy_config::handout::Terms;
 use latchhaven_proxy_config::order::Labels;
@@ -45,30 +45,30 @@
 const PRODUCTS: [&str; 3] = ["look", "book", "pay"];
 const REVENUE: [f64; 3] = [1.0, 3.0, 2.0];
 /// Mean work of a txn in ms, and txns that a host works on at once.
-const WORK: Ms = 20.0;
+const WORK: Millis = 20.0;
 const WORKERS: usize = 4;
 /// A host turns away what would wait longer.
-const QUEUE: Ms = 800.0;
-const SLA: Ms = 300.0;
-const EXPIRY: Ms = 1500.0;
+const QUEUE: Millis = 800.0;
+const SLA: Millis = 300.0;
+const EXPIRY: Millis = 1500.0;
 /// Stages: caps, and the part of the hosts that has the build.
 const CAPS: [f64; 3] = [0.12, 0.45, 1.0];
 const PLACES: [f64; 3] = [0.1, 0.4, 1.0];
 const FREE: f64 = 2.0;
-const WINDOW: Ms = 2000.0;
-const SOAK: Ms = 2000.0;
-const BACK: Ms = 1500.0;
-const WARM_UP: Ms = 2000.0;
-const GRACE: Ms = 2000.0;
+const WINDOW: Millis = 2000.0;
+const SOAK: Millis = 2000.0;
+const BACK: Millis = 1500.0;
+const WARM_UP: Millis = 2000.0;
+const GRACE: Millis = 2000.0;
 /// A message from one machine to another takes so long.
-const WAY: Ms = 2.0;
-const TICK: Ms = 10.0;
+const WAY: Millis = 2.0;
+const TICK: Millis = 10.0;
 /// The builds come at these moments.
-const COMES: [Ms; 2] = [5_000.0, 45_000.0];
+const COMES: [Millis; 2] = [5_000.0, 45_000.0];
 /// Without a judge a stage lasts so long.
-const UNJUDGED: Ms = 5_000.0;
+const UNJUDGED: Millis = 5_000.0;
 /// Tallies cover this span, and this part of the submissions.
-const TALLY: Ms = 2000.0;
+const TALLY: Millis = 2000.0;
 const SAMPLED: f64 = 0.2;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -100,19 +100,19 @@
 }
 
 struct Host {
-    build: Build,
-    since: Ms,
-    free: Vec<Ms>,
+    build: Version,
+    since: Millis,
+    free: Vec<Millis>,
 }
 
 /// The platform's part: the newest build, its stage, and what hosts have it.
 struct Rollout {
-    news: StageNews,
-    at: Ms,
-    bad: BTreeMap<Build, u8>,
+    news: RolloutState,
+    at: Millis,
+    bad: BTreeMap<Version, u8>,
     next: usize,
     version: u64,
-    caps: Vec<(Ms, f64)>,
+    caps: Vec<(Millis, f64)>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -129,7 +129,7 @@
 struct Txn {
     front: usize,
     product: usize,
-    came: Ms,
+    came: Millis,
     closed: bool,
     met_bad: bool,
     submissions: Vec<Sub>,
@@ -141,9 +141,9 @@
 
 struct Sub {
     host: usize,
-    build: Build,
-    at: Ms,
-    ending: Ending,
+    build: Version,
+    at: Millis,
+    ending: AttemptOutcome,
     ended: bool,
 }
 
@@ -170,7 +170,7 @@
 struct Day {
     mode: Mode,
     rng: Pcg64Mcg,
-    now: Ms,
+    now: Millis,
     agenda: Agenda<What>,
     hosts: Vec<Host>,
     rollout: Rollout,
@@ -181,14 +181,14 @@
     core: Option<Core>,
     snapshot: Option<Arc<Snapshot>>,
     proxies: Vec<ProxyState>,
-    choices: Vec<Choice>,
+    choices: Vec<Policy>,
     events: Vec<Vec<Event>>,
-    wakes: Vec<Ms>,
-    votes: Vec<(Build, u32, Verdict)>,
-    arrivals: VecDeque<Ms>,
-    trial_sends: VecDeque<Ms>,
-    tallies: BTreeMap<(Build, usize), (u64, u64, f64)>,
-    tallied: Ms,
+    wakes: Vec<Millis>,
+    votes: Vec<(Version, u32, Verdict)>,
+    arrivals: VecDeque<Millis>,
+    trial_sends: VecDeque<Millis>,
+    tallies: BTreeMap<(Version, usize), (u64, u64, f64)>,
+    tallied: Millis,
     count: Count,
 }
 
@@ -196,10 +196,22 @@
     SocketAddr::from(([127, 0, 1, (n / 250) as u8], 5000 + (n % 250) as u16))
 }
 
-fn listing(n: usize, host: &Host) -> (Listing, SocketAddr) {
+fn listing(n: usize, host: &Host) -> (EndpointEntry, SocketAddr) {
     let (instance, zone, kind) = (format!("s{n}"), "a".to_string(), String::new());
-    let (state, build, since) = (Standing::Ready, host.build, host.since);
-    (Listing { instance, state, build, zone, cell: 0, kind, weight: 1.0, since }, addr(n))
+    let (state, build, since) = (EndpointStatus::Ready, host.build, host.since);
+    (
+        EndpointEntry {
+            endpoint: instance,
+            status: state,
+            version: build,
+            zone,
+            cell: 0,
+            machine_type: kind,
+            weight: 1.0,
+            started_at: since,
+        },
+        addr(n),
+    )
 }
 
 impl Day {
@@ -209,7 +221,8 @@
         let (which, how) = (rng.random_range(0..2u32), rng.random_range(1..=3u8));
         let hosts: Vec<Host> =
             (0..sizes.hosts).map(|_| Host { build: 1, since: 0.0, free: vec![0.0; WORKERS] }).collect();
-        let news = StageNews::told(1, 0, Phase::Released, 1.0, 0.0);
+        let news =
+            RolloutState { version: 1, stage: 0, phase: RolloutPhase::Promoted, traffic_cap: 1.0, age: 0.0 };
         let bad = BTreeMap::from([(2 + which, how)]);
         let rollout = Rollout { news, at: 0.0, bad, next: 0, version: 1, caps: vec![(0.0, 1.0)] };
         let read = |me: usize, count: usize| terms::read(&settings(me, count)).expect("settings of the lab");
@@ -277,7 +290,7 @@
         day
     }
 
-    fn push(&mut self, at: Ms, what: What) {
+    fn push(&mut self, at: Millis, what: What) {
         self.agenda.push(at, what);
     }
 
@@ -287,30 +300,34 @@
         if let Some(core) = &mut self.core {
             core.list(version, true, entries.clone(), self.now);
         }
-        let entries: Vec<Listing> = entries.into_iter().map(|(listing, _)| listing).collect();
+        let entries: Vec<EndpointEntry> = entries.into_iter().map(|(listing, _)| listing).collect();
         for events in &mut self.events {
-            events.push(Event::Fleet { kind: ListKind::Whole, version, entries: entries.clone() });
+            events.push(Event::EndpointUpdate {
+                kind: UpdateKind::Snapshot,
+                list_version: version,
+                entries: entries.clone(),
+            });
         }
         self.rollout.version += 1;
     }
 
     fn tell_news(&mut self) {
-        let news = StageNews { age: self.now - self.rollout.at, ..self.rollout.news.clone() };
+        let news = RolloutState { age: self.now - self.rollout.at, ..self.rollout.news };
         if let Some(core) = &mut self.core {
-            core.stage(news.clone(), self.now);
+            core.stage(news, self.now);
         }
-        self.events.iter_mut().for_each(|events| events.push(Event::Stage(news.clone())));
+        self.events.iter_mut().for_each(|events| events.push(Event::RolloutUpdate(news)));
     }
 
-    fn stand(&mut self, build: Build, stage: u32, phase: Phase, cap: f64) {
-        (self.rollout.news.build, self.rollout.news.stage) = (build, stage);
-        (self.rollout.news.phase, self.rollout.news.cap, self.rollout.at) = (phase, cap, self.now);
+    fn stand(&mut self, build: Version, stage: u32, phase: RolloutPhase, cap: f64) {
+        (self.rollout.news.version, self.rollout.news.stage) = (build, stage);
+        (self.rollout.news.phase, self.rollout.news.traffic_cap, self.rollout.at) = (phase, cap, self.now);
         self.rollout.caps.push((self.now, cap));
         self.tell_news();
     }
 
     /// Hosts up to this part begin anew with a build; the work in hand there is done first.
-    fn place(&mut self, part: f64, build: Build) {
+    fn place(&mut self, part: f64, build: Version) {
         let count = (part * self.hosts.len() as f64).round() as usize;
         for host in self.hosts.iter_mut().take(count).filter(|host| host.build != build) {
             (host.build, host.since) = (build, self.now);
@@ -320,48 +337,51 @@
 
     /// The platform acts on votes, or without a judge on the clock.
     fn platform(&mut self) {
-        let StageNews { build, stage, phase, .. } = self.rollout.news;
+        let RolloutState { version: build, stage, phase, .. } = self.rollout.news;
         let stood = self.now - self.rollout.at;
         match phase {
-            Phase::Released | Phase::Withdrawn => {
+            RolloutPhase::Promoted | RolloutPhase::RolledBack => {
                 if self.rollout.next < COMES.len() && self.now >= COMES[self.rollout.next] {
                     self.rollout.next += 1;
-                    let build = 1 + self.rollout.next as Build;
-                    self.stand(build, 0, Phase::OnTrial, CAPS[0]);
+                    let build = 1 + self.rollout.next as Version;
+                    self.stand(build, 0, RolloutPhase::Canary, CAPS[0]);
                     self.place(PLACES[0], build);
                 }
             }
-            Phase::GoingBack => {
+            RolloutPhase::RollingBack => {
                 if stood >= BACK {
                     let before = if build == 3 && !self.rollout.bad.contains_key(&2) { 2 } else { 1 };
                     self.place(1.0, before);
-                    self.stand(build, stage, Phase::Withdrawn, 0.0);
+                    self.stand(build, stage, RolloutPhase::RolledBack, 0.0);
                 }
             }
-            Phase::OnTrial => {
+            RolloutPhase::Canary => {
                 let voted = |verdict| self.votes.contains(&(build, stage, verdict));
                 let unjudged = self.mode == Mode::Even && stood >= UNJUDGED;
-                if voted(Verdict::Back) {
-                    self.stand(build, stage, Phase::GoingBack, 0.0);
-                } else if (voted(Verdict::On) && stood >= SOAK) || unjudged {
+                if voted(Verdict::RollBack) {
+                    self.stand(build, stage, RolloutPhase::RollingBack, 0.0);
+                } else if (voted(Verdict::Promote) && stood >= SOAK) || unjudged {
                     let next = stage as usize + 1;
                     if next == CAPS.len() {
-                        self.stand(build, stage, Phase::Released, 1.0);
+                        self.stand(build, stage, RolloutPhase::Promoted, 1.0);
                     } else {
-                        self.stand(build, next as u32, Phase::OnTrial, CAPS[next]);
+                        self.stand(build, next as u32, RolloutPhase::Canary, CAPS[next]);
                         self.place(PLACES[next], build);
                     }
                 }
             }
         }
         // What was released and found bad goes back as well.
-        if phase == Phase::Released && self.votes.contains(&(build, stage, Verdict::Back)) && build > 1 {
-            self.stand(build, stage, Phase::GoingBack, 0.0);
+        if phase == RolloutPhase::Promoted
+            && self.votes.contains(&(build, stage, Verdict::RollBack))
+            && build > 1
+        {
+            self.stand(build, stage, RolloutPhase::RollingBack, 0.0);
         }
     }
 
     /// How a build treats a product: share of failures, and times its usual work.
-    fn harm(&self, build: Build, product: usize) -> (f64, f64) {
+    fn harm(&self, build: Version, product: usize) -> (f64, f64) {
         match self.rollout.bad.get(&build) {
             Some(1) => (0.3, 1.0),
             Some(2) if product == 2 => (0.5, 1.0),
@@ -381,13 +401,14 @@
         let ends_badly = self.rng.random::<f64>() < fails;
         let free = self.hosts[n].free.iter_mut().min_by(|a, b| a.total_cmp(b)).expect("workers");
         let (ending, ends) = if *free - now > QUEUE {
-            (Ending::TurnedAway, now)
+            (AttemptOutcome::Rejected, now)
         } else {
             *free = free.max(now) + work;
-            (if ends_badly { Ending::Error } else { Ending::Settled }, *free)
+            (if ends_badly { AttemptOutcome::Error } else { AttemptOutcome::Success }, *free)
         };
-        let on_trial =
-            self.rollout.news.build == build && self.rollout.news.phase != Phase::Released && build > 1;
+        let on_trial = self.rollout.news.version == build
+            && self.rollout.news.phase != RolloutPhase::Promoted
+            && build > 1;
         if on_trial {
             self.trial_sends.push_back(self.now);
         }
@@ -395,7 +416,8 @@
         let at = self.now;
         let txn = self.txns.get_mut(&id).expect("open");
         txn.met_bad |= bad;
-        let once = product == 2 && txn.submissions.iter().any(|sub| !sub.ended || !sub.ending.never_ran());
+        let once = product == 2
+            && txn.submissions.iter().any(|sub| !sub.ended || !sub.ending.is_definitely_not_executed());
         txn.submissions.push(Sub { host: n, build, at, ending, ended: false });
         let number = txn.submissions.len() as u32 - 1;
         self.count.repeated_once_only += u64::from(once);
@@ -447,17 +469,17 @@
             }
             Mode::Handout => self.route(id),
             Mode::Gateways => {
-                let event = Event::Txn {
+                let event = Event::RequestReceived(IncomingRequest {
                     id,
-                    product: PRODUCTS[product].to_string(),
+                    class: PRODUCTS[product].to_string(),
                     tenant: None,
-                    key: None,
-                    waited: 0.0,
-                    left: EXPIRY,
-                    work: None,
-                    repeat: false,
-                    write: product > 0,
-                };
+                    sticky_key: None,
+                    queued_for: 0.0,
+                    time_remaining: EXPIRY,
+                    expected_work: None,
+                    is_retry: false,
+                    is_write: product > 0,
+                });
                 self.events[front].push(event);
                 self.decide(front);
             }
@@ -511,32 +533,32 @@
         }
         let (host, build, ending, took) = (sub.host, sub.build, sub.ending, self.now - sub.at);
         let (front, product, late) = (txn.front, txn.product, self.now - txn.came > EXPIRY);
-        if self.rng.random::<f64>() < SAMPLED && ending != Ending::TurnedAway {
+        if self.rng.random::<f64>() < SAMPLED && ending != AttemptOutcome::Rejected {
             let tally = self.tallies.entry((build, product)).or_default();
             tally.0 += 1;
             match ending {
-                Ending::Error => tally.1 += 1,
+                AttemptOutcome::Error => tally.1 += 1,
                 _ => tally.2 += took,
             }
         }
         match self.mode {
-            Mode::Even => self.close(id, ending == Ending::Settled && !late),
+            Mode::Even => self.close(id, ending == AttemptOutcome::Success && !late),
             Mode::Gateways => {
-                let settled = ending == Ending::Settled && !late;
+                let settled = ending == AttemptOutcome::Success && !late;
                 if settled {
                     self.close(id, true);
                 }
                 let closed = self.txns[&id].closed;
-                let (instance, load) = (format!("s{host}"), Load::new());
-                self.events[front].push(Event::Ended {
+                let (instance, load) = (format!("s{host}"), LoadReport::default());
+                self.events[front].push(Event::AttemptCompleted(CompletedAttempt {
                     id,
-                    submission: n,
-                    instance,
-                    ending,
-                    closed,
-                    took,
+                    attempt: n,
+                    endpoint: instance,
+                    outcome: ending,
+                    is_final: closed,
+                    elapsed: took,
                     load,
-                });
+                }));
                 self.decide(front);
             }
             Mode::Handout => {
@@ -545,19 +567,19 @@
                 let figures = proxy.reported.entry((self.txns[&id].cluster.clone(), host)).or_default();
                 figures.issued += 1;
                 match ending {
-                    Ending::Settled => {
+                    AttemptOutcome::Success => {
                         (figures.settled, figures.timed) = (figures.settled + 1, figures.timed + 1);
                         figures.took += took;
                     }
                     _ => figures.failed += 1,
                 }
                 let txn = self.txns.get_mut(&id).expect("open");
-                let any = txn.retry_on.contains("5xx") || ending.never_ran();
-                if !late && ending != Ending::Settled && any && txn.repeats > 0 && !txn.closed {
+                let any = txn.retry_on.contains("5xx") || ending.is_definitely_not_executed();
+                if !late && ending != AttemptOutcome::Success && any && txn.repeats > 0 && !txn.closed {
                     txn.repeats -= 1;
                     self.pick(id);
                 } else {
-                    self.close(id, ending == Ending::Settled && !late);
+                    self.close(id, ending == AttemptOutcome::Success && !late);
                 }
             }
         }
@@ -567,18 +589,18 @@
     /// A gateway decides, and its actions are carried out.
     fn decide(&mut self, front: usize) {
         let events = std::mem::take(&mut self.events[front]);
-        let actions = self.choices[front].decide(self.now, events);
+        let actions = self.choices[front].handle_events(self.now, events);
         let mut again = false;
         for action in actions {
             match action {
-                Action::Submit { id, instance, .. } => {
+                Action::SendAttempt { id, endpoint: instance, .. } => {
                     self.send(id, instance[1..].parse().expect("a host"));
                 }
-                Action::Decline { id, .. } | Action::Void { id } => {
+                Action::Reject { id, .. } | Action::Fail { id } => {
                     self.close(id, false);
                     self.forget(id);
                 }
-                Action::Recall { id, submission } => {
+                Action::CancelAttempt { id, attempt: submission } => {
                     let Some(sub) =
                         self.txns.get_mut(&id).and_then(|txn| txn.submissions.get_mut(submission as usize))
                     else {
@@ -587,22 +609,24 @@
                     if !std::mem::replace(&mut sub.ended, true) {
                         let (instance, took, closed) =
                             (format!("s{}", sub.host), self.now - sub.at, self.txns[&id].closed);
-                        let (ending, load) = (Ending::Recalled, Load::new());
-                        self.events[front].push(Event::Ended {
+                        let (ending, load) = (AttemptOutcome::Cancelled, LoadReport::default());
+                        self.events[front].push(Event::AttemptCompleted(CompletedAttempt {
                             id,
-                            submission,
-                            instance,
-                            ending,
-                            closed,
-                            took,
+                            attempt: submission,
+                            endpoint: instance,
+                            outcome: ending,
+                            is_final: closed,
+                            elapsed: took,
                             load,
-                        });
+                        }));
                         again = true;
                     }
                     self.forget(id);
                 }
-                Action::Wake { after, .. } => self.wakes[front] = self.now + after,
-                Action::Vote { build, stage, verdict } => self.votes.push((build, stage, verdict)),
+                Action::SetTimer { after, .. } => self.wakes[front] = self.now + after,
+                Action::CastVote { version: build, stage, verdict } => {
+                    self.votes.push((build, stage, verdict))
+                }
                 _ => {}
             }
         }
@@ -618,14 +642,14 @@
             self.tallied = self.now;
             for ((build, product), (count, failed, took)) in std::mem::take(&mut self.tallies) {
                 let took = (count > failed).then(|| took / (count - failed) as f64);
-                let tally = Event::Tally {
-                    build,
-                    product: PRODUCTS[product].to_string(),
-                    count,
-                    failed,
-                    took,
+                let tally = Event::OutcomesReported(OutcomeReport {
+                    version: build,
+                    class: PRODUCTS[product].to_string(),
+                    attempts: count,
+                    failures: failed,
+                    mean_latency: took,
                     age: 500.0,
-                };
+                });
                 if let Some(core) = &mut self.core {
                     core.tally(tally.clone(), self.now);
                 }
@@ -637,7 +661,7 @@
                 for front in 0..self.fronts {
                     if self.wakes[front] <= self.now || !self.events[front].is_empty() {
                         self.wakes[front] = f64::INFINITY;
-                        self.events[front].push(Event::Timer { token: "look".to_string() });
+                        self.events[front].push(Event::TimerFired { token: "look".to_string() });
                         self.decide(front);
                     }
                 }
@@ -655,7 +679,7 @@
         let Some(core) = &mut self.core else { return };
         let names: Vec<String> = PRODUCTS.iter().map(|name| name.to_string()).collect();
         for (n, proxy) in self.proxies.iter_mut().enumerate().filter(|_| second) {
-            let mut clusters: BTreeMap<(Build, usize), ClusterReport> = BTreeMap::new();
+            let mut clusters: BTreeMap<(Version, usize), ClusterReport> = BTreeMap::new();
             for ((cluster, host), figures) in std::mem::take(&mut proxy.reported) {
                 let Some((build, product)) = cluster_of(&cluster, &names) else { continue };
                 let report = clusters.entry((build, product));
@@ -668,7 +692,7 @@
         }
         let doings = core.turn(now);
         for action in doings.actions {
-            if let Action::Vote { build, stage, verdict } = action {
+            if let Action::CastVote { version: build, stage, verdict } = action {
                 self.votes.push((build, stage, verdict));
             }
         }
@@ -699,7 +723,7 @@
             self.trial_sends.pop_front();
         }
         let news = &self.rollout.news;
-        if news.build == 1 || news.phase == Phase::Released {
+        if news.version == 1 || news.phase == RolloutPhase::Promoted {
             return;
         }
         // The highest cap that stood within the window, or within the grace before now.
@@ -719,7 +743,7 @@
         self.count.over_cap += u64::from(over);
     }
 
-    fn play(mut self, until: Ms) -> (Count, Vec<(Build, &'static str, bool)>) {
+    fn play(mut self, until: Millis) -> (Count, Vec<(Version, &'static str, bool)>) {
         while let Some((at, what)) = self.agenda.pop(until) {
             self.now = at;
             match what {
@@ -730,9 +754,9 @@
         }
         // What is still open at the end is no answer in time, unless it is young.
         let ends = [2, 3].map(|build| {
-            let back = self.votes.iter().any(|vote| vote.0 == build && vote.2 == Verdict::Back);
-            let newer = self.rollout.news.build > build;
-            let released = newer || self.rollout.news.phase == Phase::Released;
+            let back = self.votes.iter().any(|vote| vote.0 == build && vote.2 == Verdict::RollBack);
+            let newer = self.rollout.news.version > build;
+            let released = newer || self.rollout.news.phase == RolloutPhase::Promoted;
             let end = if back {
                 "back"
             } else if released {
@@ -755,7 +779,7 @@
 
 /// Plays the days in all three ways; the figures, and whether all that must hold did.
 pub fn run(sizes: &Sizes) -> (Value, bool) {
-    let until = sizes.seconds as Ms * 1000.0;
+    let until = sizes.seconds as Millis * 1000.0;
     let mut rows = serde_json::Map::new();
     let mut held = true;
     let mut shares = BTreeMap::new();
--- a/crates/gateway/src/arrivals.rs
+++ b/crates/gateway/src/arrivals.rs
@@ -1,7 +1,7 @@
 //! When the bytes of a connection came: a txn's time runs from its last byte, also while it waits behind
 //! others.
 
-use latchhaven_policy::api::Ms;
+use latchhaven_policy::Millis;
 use std::collections::VecDeque;
 
 /// Parts that are told apart at most; further ones count as come with the newest of these.
@@ -10,13 +10,13 @@
 /// The bytes that were read and not yet taken, in parts that came together.
 #[derive(Clone, Debug, Default)]
 pub struct Arrivals {
-    parts: VecDeque<(usize, Ms)>,
+    parts: VecDeque<(usize, Millis)>,
     held: usize,
 }
 
 impl Arrivals {
     /// So many bytes are held in all by now; what is new came at this time.
-    pub fn hold(&mut self, held: usize, at: Ms) {
+    pub fn hold(&mut self, held: usize, at: Millis) {
         let new = held.saturating_sub(self.held);
         self.held += new;
         let many = self.parts.len() >= PARTS;
@@ -33,7 +33,7 @@
     }
 
     /// So many bytes are still held; when the last one of those that were taken came.
-    pub fn take(&mut self, held: usize) -> Option<Ms> {
+    pub fn take(&mut self, held: usize) -> Option<Millis> {
         let (mut taken, mut last) = (self.held.saturating_sub(held), None);
         self.held -= taken;
         while taken > 0 {
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::net::list::{self, List};
 use crate::net::platform;
-use latchhaven_policy::api::StageNews;
+use latchhaven_policy::RolloutState;
 use latchhaven_simulator_protocol::WireFault;
 use latchhaven_simulator_protocol::terms::{self, Terms};
 use serde_json::Value;
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Known {
     pub list: List,
-    pub news: Option<StageNews>,
+    pub news: Option<RolloutState>,
 }
 
 /// All that a file tells: addresses, descriptors, what was known, the seed, and the settings.
@@ -92,8 +92,7 @@
         news: match whole.pointer("/pipeline/news") {
             None | Some(Value::Null) => None,
             Some(value) => Some(
-                platform::state(value.to_string().as_bytes(), false)
-                    .map_err(|why| fault("pipeline.news", &why))?,
+                platform::state(value.to_string().as_bytes()).map_err(|why| fault("pipeline.news", &why))?,
             ),
         },
     };
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -11,8 +11,11 @@
 use crate::order::{Order, order};
 use crate::proto::pg::{self, Statement};
 use bytes::Bytes;
-use latchhaven_policy::api::{Action, Connections, Ending, Event, ListKind, Load, Ms, Reports, StageNews};
-use latchhaven_policy::choice::Choice;
+use latchhaven_policy::Policy;
+use latchhaven_policy::{
+    Action, AttemptOutcome, CompletedAttempt, Event, IncomingRequest, LoadReport, LoadReporting, Millis,
+    OutcomeReport, RolloutState, UpdateKind, UpstreamConnectionConfig, VoteOutcome,
+};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
@@ -26,7 +29,7 @@
 /// Unix time in ms at the start, and steady from there: the list gives starts of instances in Unix time.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    unix: Ms,
+    unix: Millis,
     start: Instant,
 }
 
@@ -36,11 +39,11 @@
         Clock { unix: unix.as_secs_f64() * 1000.0, start: Instant::now() }
     }
 
-    pub fn now(&self) -> Ms {
+    pub fn now(&self) -> Millis {
         self.unix + self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    fn instant(&self, at: Ms) -> Instant {
+    fn instant(&self, at: Millis) -> Instant {
         self.start + Duration::from_secs_f64((at - self.unix).max(0.0) / 1000.0)
     }
 }
@@ -48,7 +51,7 @@
 /// A txn that was taken and is not yet over.
 struct Open {
     statement: Rc<Statement>,
-    expires: Ms,
+    expires: Millis,
     /// None: it has its final answer, or the client has gone away.
     reply: Option<oneshot::Sender<Answer>>,
     submissions: Vec<Sent>,
@@ -56,7 +59,7 @@
 
 struct Sent {
     instance: String,
-    at: Ms,
+    at: Millis,
     ended: bool,
 }
 
@@ -81,7 +84,7 @@
 }
 
 pub struct Gateway {
-    choice: Choice,
+    choice: Policy,
     clock: Clock,
     open: BTreeMap<u32, Open>,
     pool: Pool,
@@ -89,11 +92,11 @@
     timers: BinaryHeap<Reverse<(u64, Due)>>,
     /// Events that actions brought about, for the next batch.
     next: Vec<Event>,
-    probes: BTreeMap<u64, (String, Ms)>,
+    probes: BTreeMap<u64, (String, Millis)>,
     probed: u64,
-    connections: Connections,
+    connections: UpstreamConnectionConfig,
     /// The state of the newest build, and since when it stands so.
-    news: Option<(StageNews, Ms)>,
+    news: Option<(RolloutState, Millis)>,
     list_addr: SocketAddr,
     version: u64,
     /// The calls for the list that are out; after a move the earlier watch goes on until the new one tells.
@@ -109,8 +112,8 @@
 
 impl Gateway {
     pub fn new(
-        choice: Choice, clock: Clock, pool: Pool, connections: Connections, list_addr: SocketAddr,
-        votes: mpsc::Sender<Vote>, notes: mpsc::Sender<Note>,
+        choice: Policy, clock: Clock, pool: Pool, connections: UpstreamConnectionConfig,
+        list_addr: SocketAddr, votes: mpsc::Sender<Vote>, notes: mpsc::Sender<Note>,
     ) -> Self {
         Gateway {
             choice,
@@ -137,8 +140,8 @@
 
     /// Starts from what was held, and serves until dropped.
     pub async fn run(mut self, held: Known, mut notes: mpsc::Receiver<Note>) {
-        let told = held.news.map(|news| Event::Stage(self.staged(news)));
-        let listed = self.listed(ListKind::Cached, held.list);
+        let told = held.news.map(|news| Event::RolloutUpdate(self.staged(news)));
+        let listed = self.listed(UpdateKind::CachedSnapshot, held.list);
         self.decide(told.into_iter().chain([listed]).collect());
         let mut batch = Vec::new();
         loop {
@@ -156,7 +159,9 @@
                 batch.push(note);
             }
             // What the list and the platform told comes before all that is decided after it.
-            batch.sort_by_key(|note| !matches!(note, Note::List { .. } | Note::Stage(_) | Note::Tally(_)));
+            batch.sort_by_key(|note| {
+                !matches!(note, Note::List { .. } | Note::Stage(_) | Note::VoteCompleted(_) | Note::Tally(_))
+            });
             let mut events = std::mem::take(&mut self.next);
             for note in batch.drain(..) {
                 self.hear(note, &mut events);
@@ -170,7 +175,7 @@
 
     fn decide(&mut self, events: Vec<Event>) {
         COUNTERS.batches.add();
-        let actions = self.choice.decide(self.clock.now(), events);
+        let actions = self.choice.handle_events(self.clock.now(), events);
         for action in actions {
             self.act(action);
         }
@@ -185,17 +190,17 @@
             Note::Txn { id, statement, came, reply } => {
                 COUNTERS.txns.add();
                 let expires = came + statement.left;
-                events.push(Event::Txn {
+                events.push(Event::RequestReceived(IncomingRequest {
                     id,
-                    product: statement.product.clone(),
+                    class: statement.product.clone(),
                     tenant: statement.tenant.clone(),
-                    key: statement.item.clone(),
-                    left: expires - now,
-                    waited: now - came,
-                    work: statement.work,
-                    repeat: statement.repeat,
-                    write: statement.write,
-                });
+                    sticky_key: statement.item.clone(),
+                    time_remaining: expires - now,
+                    queued_for: now - came,
+                    expected_work: statement.work,
+                    is_retry: statement.repeat,
+                    is_write: statement.write,
+                }));
                 let open = Open { statement, expires, reply: Some(reply), submissions: Vec::new() };
                 must!(self.open.insert(id, open).is_none(), "a txn has an id of its own");
             }
@@ -203,15 +208,15 @@
                 COUNTERS.clients_gone.add();
                 if let Some(open) = self.open.get_mut(&id) {
                     open.reply = None;
-                    events.push(Event::ClientGone { id });
+                    events.push(Event::ClientDisconnected { id });
                 }
                 self.closed(id);
             }
-            Note::GiveUp { id } => events.push(Event::GiveUp { id }),
+            Note::GiveUp { id } => events.push(Event::Abandon { id }),
             Note::Free { link, first } => self.pool.free(link, first, now),
             Note::NotUp { link } => {
                 if let Some(errand) = self.pool.not_up(&link) {
-                    self.ended(errand, Ending::NoConnection, None, Load::new(), events);
+                    self.ended(errand, AttemptOutcome::ConnectFailed, None, LoadReport::default(), events);
                 }
             }
             Note::Over { link } => self.pool.over(&link),
@@ -224,19 +229,24 @@
             Note::Moved { list } => self.moved(list),
             Note::Stage(stage) => {
                 let stage = self.staged(stage);
-                events.push(Event::Stage(stage));
+                events.push(Event::RolloutUpdate(stage));
+            }
+            Note::VoteCompleted(VoteOutcome::Counted(stage)) => {
+                let stage = self.staged(stage);
+                events.push(Event::VoteCompleted(VoteOutcome::Counted(stage)));
             }
+            Note::VoteCompleted(outcome) => events.push(Event::VoteCompleted(outcome)),
             Note::Tally(tally) => {
                 COUNTERS.tallies_told.add();
                 tracing::debug!(?tally, "platform: tally");
-                events.push(Event::Tally {
-                    build: tally.build,
-                    product: tally.product,
-                    count: tally.count,
-                    failed: tally.failed,
-                    took: tally.took,
+                events.push(Event::OutcomesReported(OutcomeReport {
+                    version: tally.build,
+                    class: tally.product,
+                    attempts: tally.count,
+                    failures: tally.failed,
+                    mean_latency: tally.took,
                     age: tally.age,
-                });
+                }));
             }
         }
     }
@@ -268,17 +278,17 @@
             out.task.abort();
         }
         if new {
-            let (kind, version) = (ListKind::Failed, self.version);
-            events.push(Event::Fleet { kind, version, entries: Vec::new() });
+            let (kind, version) = (UpdateKind::Failed, self.version);
+            events.push(Event::EndpointUpdate { kind, list_version: version, entries: Vec::new() });
         }
     }
 
     /// Takes over a list; what was not yet written to an instance that changed is decided anew.
-    fn listed(&mut self, kind: ListKind, list: List) -> Event {
+    fn listed(&mut self, kind: UpdateKind, list: List) -> Event {
         (self.version, self.lists) = (list.version, self.lists + 1);
         let mut back = Vec::new();
-        if kind != ListKind::Changes {
-            let here = |id: &String| list.entries.iter().any(|(listing, _)| listing.instance == *id);
+        if kind != UpdateKind::Delta {
+            let here = |id: &String| list.entries.iter().any(|(listing, _)| listing.endpoint == *id);
             let left: Vec<String> = self.pool.listed().into_iter().filter(|id| !here(id)).collect();
             left.iter().for_each(|id| back.append(&mut self.pool.delist(id)));
         }
@@ -287,29 +297,26 @@
         }
         self.hand_back(back);
         let entries = list.entries.into_iter().map(|(listing, _)| listing).collect();
-        Event::Fleet { kind, version: list.version, entries }
+        Event::EndpointUpdate { kind, list_version: list.version, entries }
     }
 
     /// Takes over news of the newest build. Feed and answers to votes come on connections of their own and
     /// may cross: the state that began last stands.
-    fn staged(&mut self, stage: StageNews) -> StageNews {
-        if !stage.valid {
-            return stage;
-        }
+    fn staged(&mut self, stage: RolloutState) -> RolloutState {
         COUNTERS.states_told.add();
         tracing::debug!(?stage, "platform: state");
         let now = self.clock.now();
         let since = now - stage.age;
-        let said = |news: &StageNews| (news.build, news.stage, news.phase, news.cap);
+        let said = |news: &RolloutState| (news.version, news.stage, news.phase, news.traffic_cap);
         match &self.news {
             Some((held, _)) if said(held) == said(&stage) => return stage,
             Some((held, from))
-                if stage.build < held.build || (stage.build == held.build && since < from - CROSSING) =>
+                if stage.version < held.version
+                    || (stage.version == held.version && since < from - CROSSING) =>
             {
-                let (answer, age) = (stage.answer, now - from);
-                return StageNews { answer, age, ..held.clone() };
+                return RolloutState { age: now - from, ..*held };
             }
-            _ => self.news = Some((stage.clone(), since)),
+            _ => self.news = Some((stage, since)),
         }
         // Decided under the news before, and not yet written: it would count under these.
         let back = self.pool.unwritten();
@@ -320,7 +327,7 @@
     fn hand_back(&mut self, errands: Vec<Errand>) {
         let mut events = Vec::new();
         for errand in errands {
-            self.ended(errand, Ending::NotSent, None, Load::new(), &mut events);
+            self.ended(errand, AttemptOutcome::NotSent, None, LoadReport::default(), &mut events);
         }
         self.next.append(&mut events);
     }
@@ -330,27 +337,29 @@
         while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= now) {
             let Some(Reverse((_, due))) = self.timers.pop() else { return };
             match due {
-                Due::Wake(token) => events.push(Event::Timer { token }),
-                Due::Limit(errand) => self.stop(errand, Ending::NoAnswer, events),
+                Due::Wake(token) => events.push(Event::TimerFired { token }),
+                Due::Limit(errand) => self.stop(errand, AttemptOutcome::Timeout, events),
                 Due::Unwritten(errand) => self.take_back(errand, events),
             }
         }
     }
 
-    fn remind(&mut self, at: Ms, due: Due) {
+    fn remind(&mut self, at: Millis, due: Due) {
         self.timers.push(Reverse(((at.max(0.0) * 1000.0).ceil() as u64, due)));
     }
 
     /// Stops waiting for an errand. What was never written never ran.
-    fn stop(&mut self, errand: Errand, ending: Ending, events: &mut Vec<Event>) {
+    fn stop(&mut self, errand: Errand, ending: AttemptOutcome, events: &mut Vec<Event>) {
         let instance = match errand {
             Errand::Submission { id, n } => self.sent(id, n).map(|sent| sent.instance.clone()),
             Errand::Probe(number) => self.probes.get(&number).map(|(instance, _)| instance.clone()),
         };
         let Some(instance) = instance else { return };
         match self.pool.stop(&instance, errand) {
-            Stopped::Written => self.ended(errand, ending, None, Load::new(), events),
-            Stopped::Unwritten => self.ended(errand, Ending::NotSent, None, Load::new(), events),
+            Stopped::Written => self.ended(errand, ending, None, LoadReport::default(), events),
+            Stopped::Unwritten => {
+                self.ended(errand, AttemptOutcome::NotSent, None, LoadReport::default(), events)
+            }
             Stopped::Unknown => drop(must!(false, "what has not ended is out somewhere")),
         }
     }
@@ -360,7 +369,7 @@
         let Errand::Submission { id, n } = errand else { return };
         let Some(instance) = self.sent(id, n).map(|sent| sent.instance.clone()) else { return };
         if self.pool.take_back(&instance, errand) {
-            self.ended(errand, Ending::NotSent, None, Load::new(), events);
+            self.ended(errand, AttemptOutcome::NotSent, None, LoadReport::default(), events);
         }
     }
 
@@ -383,7 +392,7 @@
 
     /// The one ending of an errand. The first value goes to the client at once.
     fn ended(
-        &mut self, errand: Errand, ending: Ending, value: Option<[Bytes; 3]>, load: Load,
+        &mut self, errand: Errand, ending: AttemptOutcome, value: Option<[Bytes; 3]>, load: LoadReport,
         events: &mut Vec<Event>,
     ) {
         let now = self.clock.now();
@@ -391,9 +400,16 @@
             Errand::Submission { id, n } => (id, n),
             Errand::Probe(number) => {
                 let Some((instance, at)) = self.probes.remove(&number) else { return };
-                let report = value.as_ref().filter(|_| self.connections.reports == Reports::InProbes);
+                let report = value
+                    .as_ref()
+                    .filter(|_| self.connections.load_reporting == LoadReporting::InHealthChecks);
                 let load = report.and_then(|[_, row, _]| pg::text_of(row)).map(pg::load).unwrap_or(load);
-                return events.push(Event::Probed { instance, ending, took: now - at, load });
+                return events.push(Event::HealthCheckCompleted {
+                    endpoint: instance,
+                    outcome: ending,
+                    elapsed: now - at,
+                    load,
+                });
             }
         };
         count(ending).add();
@@ -404,14 +420,22 @@
         sent.ended = true;
         let (instance, took) = (sent.instance.clone(), now - sent.at);
         let Some(open) = self.open.get_mut(&id) else { return };
-        if let Some(value) = value.filter(|_| ending == Ending::Settled)
+        if let Some(value) = value.filter(|_| ending == AttemptOutcome::Success)
             && let Some(reply) = open.reply.take()
         {
             COUNTERS.settled.add();
             let _ = reply.send(Answer::Settled(value));
         }
         let closed = open.reply.is_none();
-        events.push(Event::Ended { id, submission: n, instance, ending, closed, took, load });
+        events.push(Event::AttemptCompleted(CompletedAttempt {
+            id,
+            attempt: n,
+            endpoint: instance,
+            outcome: ending,
+            is_final: closed,
+            elapsed: took,
+            load,
+        }));
         if closed {
             self.closed(id)
         }
@@ -427,35 +451,35 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Submit { id, instance, limit, write_within } => {
+            Action::SendAttempt { id, endpoint: instance, timeout: limit, write_within } => {
                 self.submit(id, instance, limit, write_within)
             }
-            Action::Decline { id, come_back } => {
+            Action::Reject { id, retry_after: come_back } => {
                 self.answer(id, Answer::Declined { come_back }, &COUNTERS.declined);
             }
-            Action::Void { id } => self.answer(id, Answer::Voided, &COUNTERS.voided),
-            Action::Recall { id, submission } => {
+            Action::Fail { id } => self.answer(id, Answer::Voided, &COUNTERS.voided),
+            Action::CancelAttempt { id, attempt: submission } => {
                 let mut events = Vec::new();
-                self.stop(Errand::Submission { id, n: submission }, Ending::Recalled, &mut events);
+                self.stop(Errand::Submission { id, n: submission }, AttemptOutcome::Cancelled, &mut events);
                 self.next.append(&mut events);
             }
-            Action::Wake { after, token } => self.remind(self.clock.now() + after, Due::Wake(token)),
-            Action::Probe { instance } => self.probe(instance),
-            Action::CloseIdle { instance } => self.pool.close_idle(&instance),
-            Action::Watch { on } => {
+            Action::SetTimer { after, token } => self.remind(self.clock.now() + after, Due::Wake(token)),
+            Action::HealthCheck { endpoint: instance } => self.probe(instance),
+            Action::CloseIdleConnections { endpoint: instance } => self.pool.close_idle(&instance),
+            Action::WatchEndpoints { enabled: on } => {
                 self.watch.take().inspect(|watch| watch.task.abort());
                 if on {
                     self.watch();
                 }
             }
-            Action::Fetch => self.fetch(),
-            Action::Vote { build, stage, verdict } => {
+            Action::FetchEndpoints => self.fetch(),
+            Action::CastVote { version: build, stage, verdict } => {
                 let vote = Vote { build, stage, verdict, cast: Instant::now() };
                 must!(self.votes.try_send(vote).is_ok(), "few votes wait for the platform");
             }
             Action::Log(line) => tracing::info!("{line}"),
             // How gateways speak to each other is not laid down.
-            Action::Tell { .. } => {}
+            Action::SendPeerMessage { .. } => {}
         }
     }
 
@@ -503,7 +527,7 @@
         self.closed(id);
     }
 
-    fn submit(&mut self, id: u32, instance: String, limit: Option<Ms>, write_within: Option<Ms>) {
+    fn submit(&mut self, id: u32, instance: String, limit: Option<Millis>, write_within: Option<Millis>) {
         let now = self.clock.now();
         let by = write_within.map(|within| now + within);
         let Some(open) = self.open.get_mut(&id) else {
@@ -529,9 +553,9 @@
         let now = self.clock.now();
         COUNTERS.probes.add();
         self.probed += 1;
-        let (errand, until) = (Errand::Probe(self.probed), now + self.connections.dial_within);
+        let (errand, until) = (Errand::Probe(self.probed), now + self.connections.connect_timeout);
         self.probes.insert(self.probed, (instance.clone(), now));
-        let allowed = must!(self.connections.probes, "probes only where allowed");
+        let allowed = must!(self.connections.health_checks, "probes only where allowed");
         if allowed && self.pool.send(&instance, errand, None, until, None, now) {
             self.remind(until, Due::Limit(errand));
         } else {
@@ -540,15 +564,15 @@
     }
 }
 
-fn count(ending: Ending) -> &'static Count {
+fn count(ending: AttemptOutcome) -> &'static Count {
     match ending {
-        Ending::Settled => &COUNTERS.sub_settled,
-        Ending::Error => &COUNTERS.sub_error,
-        Ending::TurnedAway => &COUNTERS.sub_turned_away,
-        Ending::NoAnswer => &COUNTERS.sub_no_answer,
-        Ending::NoConnection => &COUNTERS.sub_no_connection,
-        Ending::ConnectionLost => &COUNTERS.sub_lost,
-        Ending::Recalled => &COUNTERS.sub_recalled,
-        Ending::NotSent => &COUNTERS.sub_not_sent,
+        AttemptOutcome::Success => &COUNTERS.sub_settled,
+        AttemptOutcome::Error => &COUNTERS.sub_error,
+        AttemptOutcome::Rejected => &COUNTERS.sub_turned_away,
+        AttemptOutcome::Timeout => &COUNTERS.sub_no_answer,
+        AttemptOutcome::ConnectFailed => &COUNTERS.sub_no_connection,
+        AttemptOutcome::ConnectionLost => &COUNTERS.sub_lost,
+        AttemptOutcome::Cancelled => &COUNTERS.sub_recalled,
+        AttemptOutcome::NotSent => &COUNTERS.sub_not_sent,
     }
 }
--- a/crates/gateway/src/net/clients.rs
+++ b/crates/gateway/src/net/clients.rs
@@ -12,7 +12,7 @@
 use crate::must;
 use crate::proto::pg::{self, Asked, Frontend, Statement};
 use bytes::{Bytes, BytesMut};
-use latchhaven_policy::api::{Effect, Ms, Product};
+use latchhaven_policy::{Idempotency, Millis, RequestClass};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -76,14 +76,14 @@
     buf: BytesMut,
     came: Arrivals,
     /// When something was first seen that could not be read for want of room here.
-    seen: Option<Ms>,
+    seen: Option<Millis>,
     /// Its client writes queries behind others.
     pipelined: bool,
 }
 
 impl Inbox {
     /// Notes what was read.
-    fn note(&mut self, stream: &TcpStream, now: Ms) {
+    fn note(&mut self, stream: &TcpStream, now: Millis) {
         // All that waited unread counts as come with its first byte: a later one may have less time than is
         // right.
         self.came.hold(self.buf.len(), self.seen.unwrap_or(now));
@@ -92,7 +92,7 @@
 }
 
 /// Notes that nothing was read since a moment, where something waits.
-fn waits(seen: &mut Option<Ms>, stream: &TcpStream, since: Ms) {
+fn waits(seen: &mut Option<Millis>, stream: &TcpStream, since: Millis) {
     *seen = seen.or_else(|| unread(stream).then_some(since));
 }
 
@@ -109,7 +109,7 @@
     seated: Cell<u64>,
     txns: Cell<u32>,
     /// Since when all stops, on both clocks.
-    stopped: Cell<Option<(Instant, Ms)>>,
+    stopped: Cell<Option<(Instant, Millis)>>,
     /// How long after that the process may be killed, less a moment.
     ends_within: Duration,
     clock: Clock,
@@ -117,9 +117,12 @@
 }
 
 impl Clients {
-    pub fn new(most: usize, products: Vec<Product>, clock: Clock, notes: mpsc::Sender<Note>) -> Rc<Self> {
-        let longest = products.iter().map(|product| product.expiry).fold(0.0, f64::max);
-        let keyed = |product: Product| (product.name, product.effect == Effect::Referenced);
+    pub fn new(
+        most: usize, products: Vec<RequestClass>, clock: Clock, notes: mpsc::Sender<Note>,
+    ) -> Rc<Self> {
+        let longest = products.iter().map(|product| product.timeout).fold(0.0, f64::max);
+        let keyed =
+            |product: RequestClass| (product.name, product.idempotency == Idempotency::IdempotencyKey);
         Rc::new(Clients {
             seats: RefCell::default(),
             most,
@@ -335,7 +338,7 @@
 
     /// Hands a txn on and writes its answer.
     async fn take(
-        &self, stream: &TcpStream, seat: &Seat, inbox: &mut Inbox, statement: Rc<Statement>, came: Ms,
+        &self, stream: &TcpStream, seat: &Seat, inbox: &mut Inbox, statement: Rc<Statement>, came: Millis,
     ) -> io::Result<()> {
         if self.comes_too_late(came) {
             COUNTERS.txns.add();
@@ -412,7 +415,7 @@
 
     /// True where all stops and a txn came so late that it might not be answered before the process is
     /// killed.
-    fn comes_too_late(&self, came: Ms) -> bool {
+    fn comes_too_late(&self, came: Millis) -> bool {
         self.stopped
             .get()
             .is_some_and(|(since, at)| came >= at + LAST_TAKES || since.elapsed() >= self.ends_within)
@@ -504,7 +507,7 @@
 }
 
 /// What a client gets that may come again.
-fn declined(come_back: Option<Ms>) -> Bytes {
+fn declined(come_back: Option<Millis>) -> Bytes {
     let after = come_back.map(|after| format!("{}", after.ceil()));
     pg::error(false, pg::TOO_MANY, "declined: trying again is harmless", after)
 }
--- a/crates/gateway/src/net/list.rs
+++ b/crates/gateway/src/net/list.rs
@@ -5,7 +5,7 @@
 use crate::proto::http::{self, Body, Part, Reader};
 use crate::proto::json::{Piece, Pieces};
 use bytes::BytesMut;
-use latchhaven_policy::api::{Build, Listing, Standing};
+use latchhaven_policy::{EndpointEntry, EndpointStatus, Version};
 use serde::Deserialize;
 use std::io;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 pub struct List {
     pub version: u64,
     pub whole: bool,
-    pub entries: Vec<(Listing, SocketAddr)>,
+    pub entries: Vec<(EndpointEntry, SocketAddr)>,
 }
 
 #[derive(Deserialize)]
@@ -44,7 +44,7 @@
     #[serde(default)]
     born_ms: f64,
     #[serde(default)]
-    release: Build,
+    release: Version,
 }
 
 fn one() -> f64 {
@@ -70,19 +70,19 @@
     }
     let entries = page.hosts.into_iter().map(|host| {
         let state = match host.health {
-            Health::Up => Standing::Ready,
-            Health::Draining => Standing::Draining,
-            Health::Removed => Standing::Gone,
+            Health::Up => EndpointStatus::Ready,
+            Health::Draining => EndpointStatus::Draining,
+            Health::Removed => EndpointStatus::Removed,
         };
-        let listing = Listing {
-            instance: host.host,
-            state,
-            build: host.release,
+        let listing = EndpointEntry {
+            endpoint: host.host,
+            status: state,
+            version: host.release,
             zone: host.site,
             cell: host.block,
-            kind: host.class,
+            machine_type: host.class,
             weight: host.share,
-            since: host.born_ms,
+            started_at: host.born_ms,
         };
         (listing, host.dial)
     });
--- a/crates/gateway/src/net/mod.rs
+++ b/crates/gateway/src/net/mod.rs
@@ -6,7 +6,7 @@
 pub mod servers;
 
 use bytes::{Bytes, BytesMut};
-use latchhaven_policy::api::{Ending, ListKind, Load, Ms, StageNews};
+use latchhaven_policy::{AttemptOutcome, LoadReport, Millis, RolloutState, UpdateKind, VoteOutcome};
 use socket2::SockRef;
 use std::io::{self, IoSlice};
 use std::mem::MaybeUninit;
@@ -49,7 +49,7 @@
 pub const GONE_LOOK: Duration = Duration::from_millis(50);
 /// ms from which an answer that is being written counts as slow: what comes meanwhile is not read before its
 /// end.
-pub const ANSWER_SLOW: Ms = 20.0;
+pub const ANSWER_SLOW: Millis = 20.0;
 /// While all stops, one that has not asked yet gets so long: the front hands connections out for 0.4 s, and
 /// what is asked later than 0.7 s after SIGTERM may not be answered in time.
 pub const LAST_FIRST: Duration = Duration::from_millis(250);
@@ -58,11 +58,11 @@
 pub const QUIET: Duration = Duration::from_millis(10);
 /// ms after SIGTERM from which a txn that comes is declined at once: one that came later than 0.7 s after it
 /// counts as lost where SIGKILL finds it unanswered.
-pub const LAST_TAKES: Ms = 600.0;
+pub const LAST_TAKES: Millis = 600.0;
 /// SIGKILL comes no sooner than the longest time that clients wait, counted as the first at most, and 700 ms
 /// after SIGTERM; 250 ms of these are kept to give up what others wait behind, and to answer them.
-pub const KILL_COUNTED: Ms = 3000.0;
-pub const KILL_AFTER: Ms = 450.0;
+pub const KILL_COUNTED: Millis = 3000.0;
+pub const KILL_AFTER: Millis = 450.0;
 /// Of these so much goes to answering: a connection closes in the first moment in which nothing on it is
 /// unanswered.
 pub const LAST_CLOSES: Duration = Duration::from_millis(200);
@@ -101,7 +101,7 @@
 /// A connection for votes that idled longer is not used again: the platform closes some before 10 s.
 pub const VOTES_IDLE: Duration = Duration::from_secs(3);
 /// Ages come in whole ms and a little late: states that differ in their beginning by less crossed by chance.
-pub const CROSSING: Ms = 20.0;
+pub const CROSSING: Millis = 20.0;
 /// Votes that wait for an answer, and notes that wait for the gateway.
 pub const VOTES_HELD: usize = 64;
 pub const NOTES_HELD: usize = 4096;
@@ -109,7 +109,7 @@
 /// What a driver has seen, for the gateway.
 pub enum Note {
     /// A txn's last byte has come.
-    Txn { id: u32, statement: Rc<Statement>, came: Ms, reply: oneshot::Sender<Answer> },
+    Txn { id: u32, statement: Rc<Statement>, came: Millis, reply: oneshot::Sender<Answer> },
     /// The client of a txn has gone away.
     Gone { id: u32 },
     /// The process ends, and others wait behind this txn.
@@ -121,13 +121,15 @@
     /// A connection to a server has ended.
     Over { link: Rc<servers::Link> },
     /// What was sent on a connection has ended.
-    Ended { link: Rc<servers::Link>, ending: Ending, value: Option<[Bytes; 3]>, load: Load },
+    Ended { link: Rc<servers::Link>, ending: AttemptOutcome, value: Option<[Bytes; 3]>, load: LoadReport },
     /// The list or changes to it, by the call with this number; none: the call failed.
     List { call: u64, list: Option<list::List> },
     /// The list is to be had at another address from now on.
     Moved { list: SocketAddr },
     /// News of the newest build.
-    Stage(StageNews),
+    Stage(RolloutState),
+    /// A vote was answered, or will not be.
+    VoteCompleted(VoteOutcome),
     /// A tally of the platform.
     Tally(platform::Tally),
 }
@@ -135,13 +137,13 @@
 /// The final answer to a client.
 pub enum Answer {
     Settled([Bytes; 3]),
-    Declined { come_back: Option<Ms> },
+    Declined { come_back: Option<Millis> },
     Voided,
 }
 
 /// How a list came: changes where not whole.
-pub fn list_kind(whole: bool) -> ListKind {
-    if whole { ListKind::Whole } else { ListKind::Changes }
+pub fn list_kind(whole: bool) -> UpdateKind {
+    if whole { UpdateKind::Snapshot } else { UpdateKind::Delta }
 }
 
 /// True where nothing may be written on an idle connection: its peer has ended it, or said what nobody asked.
--- a/crates/gateway/src/net/platform.rs
+++ b/crates/gateway/src/net/platform.rs
@@ -4,7 +4,7 @@
 use crate::counters::COUNTERS;
 use crate::proto::http::{self, Body, Part, Reader};
 use bytes::BytesMut;
-use latchhaven_policy::api::{Build, Ms, Phase, StageNews, Verdict};
+use latchhaven_policy::{Millis, RolloutPhase, RolloutState, Verdict, Version, VoteOutcome};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use serde::Deserialize;
@@ -22,7 +22,7 @@
 #[serde(rename_all = "camelCase")]
 pub struct Tally {
     #[serde(rename = "version")]
-    pub build: Build,
+    pub build: Version,
     #[serde(rename = "kind")]
     pub product: String,
     #[serde(rename = "requests")]
@@ -30,20 +30,20 @@
     #[serde(rename = "failures", default)]
     pub failed: u64,
     #[serde(rename = "avgMs")]
-    pub took: Option<Ms>,
+    pub took: Option<Millis>,
     #[serde(rename = "observedAgoMs", default)]
-    pub age: Ms,
+    pub age: Millis,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct State {
-    version: Build,
+    version: Version,
     step: u32,
     status: Status,
     max_weight: f64,
     #[serde(default)]
-    observed_ago_ms: Ms,
+    observed_ago_ms: Millis,
 }
 
 #[derive(Deserialize)]
@@ -56,19 +56,19 @@
 }
 
 /// The highest age in ms of what is told: a year.
-const AGE_MOST: Ms = 365.0 * 86_400_000.0;
+const AGE_MOST: Millis = 365.0 * 86_400_000.0;
 
 /// What one line of the feed tells.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Told {
-    State(StageNews),
+    State(RolloutState),
     Tally(Tally),
     /// A sign of life, or something that is not known here.
     Nothing,
 }
 
 /// Reads a state of the newest build; the text names the faulty key.
-pub fn state(text: &[u8], answer: bool) -> Result<StageNews, String> {
+pub fn state(text: &[u8]) -> Result<RolloutState, String> {
     let mut reader = serde_json::Deserializer::from_slice(text);
     let state: State = serde_path_to_error::deserialize(&mut reader).map_err(|fault| fault.to_string())?;
     reader.end().map_err(|fault| fault.to_string())?;
@@ -79,13 +79,18 @@
         return Err("observedAgoMs: no sensible age".to_string());
     }
     let phase = match state.status {
-        Status::InProgress => Phase::OnTrial,
-        Status::RollingBack => Phase::GoingBack,
-        Status::Complete => Phase::Released,
-        Status::RolledBack => Phase::Withdrawn,
+        Status::InProgress => RolloutPhase::Canary,
+        Status::RollingBack => RolloutPhase::RollingBack,
+        Status::Complete => RolloutPhase::Promoted,
+        Status::RolledBack => RolloutPhase::RolledBack,
     };
-    let told = StageNews::told(state.version, state.step, phase, state.max_weight, state.observed_ago_ms);
-    Ok(StageNews { answer, ..told })
+    Ok(RolloutState {
+        version: state.version,
+        stage: state.step,
+        phase,
+        traffic_cap: state.max_weight,
+        age: state.observed_ago_ms,
+    })
 }
 
 /// Reads a line of the feed.
@@ -93,7 +98,7 @@
     let mut line: Map<String, Value> = serde_json::from_slice(line).map_err(|fault| fault.to_string())?;
     let (kind, object) = (line.remove("type"), line.remove("object").unwrap_or_default());
     match kind.as_ref().and_then(Value::as_str) {
-        Some("ROLLOUT") => state(object.to_string().as_bytes(), false).map(Told::State),
+        Some("ROLLOUT") => state(object.to_string().as_bytes()).map(Told::State),
         Some("SAMPLE") => {
             let tally: Tally = serde_json::from_value(object).map_err(|fault| fault.to_string())?;
             let aged = (0.0..=AGE_MOST).contains(&tally.age);
@@ -249,7 +254,7 @@
 /// One vote.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Vote {
-    pub build: Build,
+    pub build: Version,
     pub stage: u32,
     pub verdict: Verdict,
     pub cast: Instant,
@@ -257,7 +262,7 @@
 
 /// How a vote ended.
 enum Outcome {
-    Counted(StageNews),
+    Counted(RolloutState),
     NotCounted(String),
     /// It may have been carried out, or may yet be.
     Unsure(String),
@@ -280,24 +285,23 @@
             Err(_) if written => Outcome::Unsure("no answer in time".to_string()),
             Err(_) => Outcome::NotCounted("no connection in time".to_string()),
         };
-        let failed = |unsure| StageNews::not_counted(vote.build, vote.stage, unsure);
-        let news = match outcome {
+        let completed = match outcome {
             Outcome::Counted(news) => {
                 COUNTERS.votes_counted.add();
-                news
+                VoteOutcome::Counted(news)
             }
             Outcome::NotCounted(why) => {
                 COUNTERS.votes_not_counted.add();
                 tracing::info!(why, build = vote.build, stage = vote.stage, "platform: vote not counted");
-                failed(false)
+                VoteOutcome::NotCounted
             }
             Outcome::Unsure(why) => {
                 COUNTERS.votes_unsure.add();
                 tracing::info!(why, build = vote.build, stage = vote.stage, "platform: vote without answer");
-                failed(true)
+                VoteOutcome::Unknown
             }
         };
-        let _ = notes.send(Note::Stage(news)).await;
+        let _ = notes.send(Note::VoteCompleted(completed)).await;
     }
 }
 
@@ -322,10 +326,10 @@
         }
     };
     let word = match vote.verdict {
-        Verdict::None => "clear",
-        Verdict::On => "approve",
-        Verdict::Hold => "wait",
-        Verdict::Back => "reject",
+        Verdict::Abstain => "clear",
+        Verdict::Promote => "approve",
+        Verdict::Pause => "wait",
+        Verdict::RollBack => "reject",
     };
     let body = serde_json::json!({"version": vote.build, "step": vote.stage, "vote": word}).to_string();
     write_all(&stream, &[http::post(&addr.to_string(), "/v1/ballots", &body)]).await.map_err(text)?;
@@ -357,7 +361,7 @@
         error: String,
     }
     if status == 200 {
-        return state(body, true).map(Outcome::Counted);
+        return state(body).map(Outcome::Counted);
     }
     let refused: Refused =
         serde_json::from_slice(body).map_err(|fault| format!("status {status}: {fault}"))?;
--- a/crates/gateway/src/net/servers.rs
+++ b/crates/gateway/src/net/servers.rs
@@ -5,7 +5,10 @@
 use crate::must;
 use crate::proto::pg::{self, Backend, Statement, Told};
 use bytes::{Bytes, BytesMut};
-use latchhaven_policy::api::{Connections, Ending, Listing, Load, Ms, Reports, Standing};
+use latchhaven_policy::{
+    AttemptOutcome, EndpointEntry, EndpointStatus, LoadReport, LoadReporting, Millis,
+    UpstreamConnectionConfig,
+};
 use socket2::SockRef;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -31,7 +34,7 @@
     errand: Errand,
     /// None: a probe.
     statement: Option<Rc<Statement>>,
-    until: Ms,
+    until: Millis,
     /// Its last byte may not be written later.
     by: Option<Instant>,
 }
@@ -73,7 +76,7 @@
     addr: SocketAddr,
     /// Counts what is new under the id: another address, build or start.
     life: u64,
-    listing: Listing,
+    listing: EndpointEntry,
     idle: Vec<Rc<Link>>,
     dialing: usize,
     waiting: VecDeque<Job>,
@@ -96,14 +99,14 @@
     open: usize,
     most: usize,
     lives: u64,
-    connections: Connections,
+    connections: UpstreamConnectionConfig,
     /// Who may hold a large answer.
     large: Arc<Semaphore>,
     notes: mpsc::Sender<Note>,
 }
 
 impl Pool {
-    pub fn new(most: usize, connections: Connections, notes: mpsc::Sender<Note>) -> Self {
+    pub fn new(most: usize, connections: UpstreamConnectionConfig, notes: mpsc::Sender<Note>) -> Self {
         let (spots, carrying) = (BTreeMap::new(), BTreeMap::new());
         let large = Arc::new(Semaphore::new(LARGE_ANSWERS_AT_ONCE));
         Pool { spots, carrying, open: 0, most, lives: 0, connections, large, notes }
@@ -111,12 +114,12 @@
 
     /// Takes over what the list says of an instance; returns what had not been written to it and has to be
     /// decided anew.
-    pub fn relist(&mut self, listing: &Listing, addr: SocketAddr) -> Vec<Errand> {
-        if listing.state == Standing::Gone {
-            return self.delist(&listing.instance);
+    pub fn relist(&mut self, listing: &EndpointEntry, addr: SocketAddr) -> Vec<Errand> {
+        if listing.status == EndpointStatus::Removed {
+            return self.delist(&listing.endpoint);
         }
         let life = self.lives + 1;
-        let spot = self.spots.entry(listing.instance.clone()).or_insert_with(|| Spot {
+        let spot = self.spots.entry(listing.endpoint.clone()).or_insert_with(|| Spot {
             addr,
             life,
             listing: listing.clone(),
@@ -125,8 +128,8 @@
             waiting: VecDeque::new(),
         });
         let (old, new) = (&spot.listing, listing);
-        let same = (spot.addr, old.build, old.since) == (addr, new.build, new.since);
-        let stays = same && (old.state == new.state || new.state == Standing::Ready);
+        let same = (spot.addr, old.version, old.started_at) == (addr, new.version, new.started_at);
+        let stays = same && (old.status == new.status || new.status == EndpointStatus::Ready);
         (spot.listing, spot.addr) = (listing.clone(), addr);
         if spot.life != life && stays {
             return Vec::new();
@@ -161,12 +164,12 @@
 
     /// Sends on an idle connection, or opens one. False: no connection can be had, nothing was sent.
     pub fn send(
-        &mut self, instance: &str, errand: Errand, statement: Option<Rc<Statement>>, until: Ms,
-        by: Option<Instant>, now: Ms,
+        &mut self, instance: &str, errand: Errand, statement: Option<Rc<Statement>>, until: Millis,
+        by: Option<Instant>, now: Millis,
     ) -> bool {
         let job = Job { errand, statement, until, by };
         let Some(spot) = self.spots.get_mut(instance) else { return false };
-        let fresh = Duration::from_secs_f64(self.connections.idle * IDLE_SHARE / 1000.0);
+        let fresh = Duration::from_secs_f64(self.connections.idle_timeout * IDLE_SHARE / 1000.0);
         while let Some(link) = spot.idle.pop() {
             if !link.over.get()
                 && link.idle_from.get().elapsed() < fresh
@@ -212,12 +215,14 @@
         true
     }
 
-    fn carry(&mut self, link: Rc<Link>, job: Job, now: Ms) {
+    fn carry(&mut self, link: Rc<Link>, job: Job, now: Millis) {
         must!(link.errand.replace(Some(job.errand)).is_none(), "one txn at a time on a connection");
         link.written.set(false);
         let pieces = match &job.statement {
             Some(statement) => pg::passed_on(statement, job.until - now).to_vec(),
-            None if self.connections.reports == Reports::InProbes => vec![pg::query("SHOW load")],
+            None if self.connections.load_reporting == LoadReporting::InHealthChecks => {
+                vec![pg::query("SHOW load")]
+            }
             None => vec![pg::query("SELECT 1")],
         };
         *link.pieces.borrow_mut() = Some((pieces, job.by));
@@ -226,7 +231,7 @@
     }
 
     /// A connection is up or ready again: it takes what waits longest, or idles.
-    pub fn free(&mut self, link: Rc<Link>, first: bool, now: Ms) {
+    pub fn free(&mut self, link: Rc<Link>, first: bool, now: Millis) {
         let Some(spot) = self.spots.get_mut(&link.instance) else { return link.close() };
         if spot.life != link.life || link.over.get() {
             return link.close();
@@ -317,11 +322,11 @@
 
 /// Drives one connection from its opening to its end.
 async fn run(
-    link: Rc<Link>, addr: SocketAddr, connections: Connections, large: Arc<Semaphore>,
+    link: Rc<Link>, addr: SocketAddr, connections: UpstreamConnectionConfig, large: Arc<Semaphore>,
     notes: mpsc::Sender<Note>,
 ) {
     let (mut backend, mut buf) = (Backend::default(), BytesMut::new());
-    let within = Duration::from_secs_f64(connections.dial_within / 1000.0);
+    let within = Duration::from_secs_f64(connections.connect_timeout / 1000.0);
     let up = select! {
         up = timeout(within, reach(&link, addr, &mut backend, &mut buf)) => up.map_err(io::Error::from),
         () = link.closed() => Err(io::ErrorKind::ConnectionAborted.into()),
@@ -333,14 +338,14 @@
         let _ = notes.send(Note::NotUp { link }).await;
         return;
     }
-    let (mut first, idle) = (true, connections.idle * (1.0 + IDLE_SHARE) / 2000.0);
+    let (mut first, idle) = (true, connections.idle_timeout * (1.0 + IDLE_SHARE) / 2000.0);
     let Some(stream) = link.stream.get() else { return };
     loop {
         let _ = notes.send(Note::Free { link: link.clone(), first: std::mem::take(&mut first) }).await;
         let until = Instant::now() + Duration::from_secs_f64(idle);
         let Some(pieces) = next_pieces(&link, stream, until, &mut backend, &mut buf).await else { break };
         let sent = select! {
-            sent = converse(&link, stream, pieces, &mut backend, &mut buf, connections.reports, &large) => sent,
+            sent = converse(&link, stream, pieces, &mut backend, &mut buf, connections.load_reporting, &large) => sent,
             () = link.closed() => break,
         };
         let (ending, value, load, next) = sent;
@@ -362,7 +367,7 @@
     link.close();
     if link.errand.get().is_some() && !link.written.get() {
         // Handed over just as the connection ended.
-        let (ending, value, load) = (Ending::NoConnection, None, Vec::new());
+        let (ending, value, load) = (AttemptOutcome::ConnectFailed, None, LoadReport::default());
         let _ = notes.send(Note::Ended { link: link.clone(), ending, value, load }).await;
     }
     let _ = notes.send(Note::Over { link }).await;
@@ -419,16 +424,16 @@
 /// Sends one query and reads its answer: the ending, the value, the report, and what follows.
 async fn converse(
     link: &Link, stream: &TcpStream, (pieces, by): Pieces, backend: &mut Backend, buf: &mut BytesMut,
-    reports: Reports, large: &Arc<Semaphore>,
-) -> (Ending, Option<[Bytes; 3]>, Load, Next) {
+    reports: LoadReporting, large: &Arc<Semaphore>,
+) -> (AttemptOutcome, Option<[Bytes; 3]>, LoadReport, Next) {
     // Handed over in the moment in which something came that nobody asked for.
     if !buf.is_empty() || unfit(stream) {
         COUNTERS.server_unasked.add();
-        return (Ending::NotSent, None, Vec::new(), Next::Over);
+        return (AttemptOutcome::NotSent, None, LoadReport::default(), Next::Over);
     }
     // Looked at here, where it is written: a process that stood still since was handed it in time.
     if by.is_some_and(|by| Instant::now() >= by) {
-        return (Ending::NotSent, None, Vec::new(), Next::Over);
+        return (AttemptOutcome::NotSent, None, LoadReport::default(), Next::Over);
     }
     let written = async {
         match by {
@@ -437,10 +442,10 @@
         }
     };
     if written.await.is_err() {
-        return (Ending::NoConnection, None, Vec::new(), Next::Over);
+        return (AttemptOutcome::ConnectFailed, None, LoadReport::default(), Next::Over);
     }
     link.written.set(true);
-    let (mut ended, mut load, mut place) = (None, Vec::new(), None);
+    let (mut ended, mut load, mut place) = (None, LoadReport::default(), None);
     loop {
         match backend.next(buf) {
             Ok(Some(Told::Value([described, row, complete]))) if ended.is_none() => {
@@ -448,20 +453,20 @@
                     Some(place) => Bytes::from_owner(Large { row, _place: place }),
                     None => row,
                 };
-                ended = Some((Ending::Settled, Some([described, row, complete])));
+                ended = Some((AttemptOutcome::Success, Some([described, row, complete])));
             }
             Ok(Some(Told::Failed(code))) if ended.is_none() => {
                 let never = [pg::TOO_MANY, pg::STARTING].contains(&code.as_str());
                 tracing::debug!(instance = link.instance, code, "error of a server");
-                ended = Some((if never { Ending::TurnedAway } else { Ending::Error }, None));
+                ended = Some((if never { AttemptOutcome::Rejected } else { AttemptOutcome::Error }, None));
             }
             Ok(Some(Told::Parameter(name, text))) => {
-                if name == "load" && reports == Reports::InAnswers {
+                if name == "load" && reports == LoadReporting::InResponses {
                     load = pg::load(&text);
                 }
             }
             Ok(Some(Told::Ready)) if ended.is_some() => {
-                let (ending, value) = ended.unwrap_or((Ending::ConnectionLost, None));
+                let (ending, value) = ended.unwrap_or((AttemptOutcome::ConnectionLost, None));
                 return (ending, value, load, Next::Ready);
             }
             Ok(None) => {
@@ -473,14 +478,14 @@
                     place = large.clone().acquire_owned().await.ok();
                 }
                 if !matches!(read_some(stream, buf).await, Ok(count) if count > 0) {
-                    return (Ending::ConnectionLost, None, load, Next::Over);
+                    return (AttemptOutcome::ConnectionLost, None, load, Next::Over);
                 }
             }
             out_of_step => {
                 // It has run, or may have: an error of the server as far as any txn goes.
                 COUNTERS.server_spoilt.add();
                 tracing::debug!(instance = link.instance, ?out_of_step, "malformed answer of a server");
-                let (ending, value) = ended.unwrap_or((Ending::Error, None));
+                let (ending, value) = ended.unwrap_or((AttemptOutcome::Error, None));
                 return (ending, value, load, Next::Over);
             }
         }
--- a/crates/gateway/src/proto/pg.rs
+++ b/crates/gateway/src/proto/pg.rs
@@ -1,7 +1,7 @@
 //! PostgreSQL's protocol, version 3, both sides, as far as simple queries go.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
-use latchhaven_policy::api::Ms;
+use latchhaven_policy::{LoadReport, Millis};
 use std::ops::Range;
 
 /// The longest message: 64 KiB of value in hex, and the statement round it.
@@ -24,7 +24,7 @@
 /// The largest value, in bytes.
 const LARGEST_VALUE: usize = 65536;
 /// The longest time in ms that a client may say it waits: an hour is no txn any more.
-const LONGEST_WAIT: Ms = 3_600_000.0;
+const LONGEST_WAIT: Millis = 3_600_000.0;
 /// PostgreSQL's own limit of a startup packet.
 const LONGEST_STARTUP: usize = 10_000;
 
@@ -148,8 +148,8 @@
     pub item: Option<String>,
     /// An idempotency key stands there.
     pub keyed: bool,
-    pub left: Ms,
-    pub work: Option<Ms>,
+    pub left: Millis,
+    pub work: Option<Millis>,
     pub repeat: bool,
     pub write: bool,
 }
@@ -227,7 +227,7 @@
 }
 
 /// A query as it goes on to a server: `d` tells how long this gateway will wait. Four pieces for one write.
-pub fn passed_on(statement: &Statement, wait: Ms) -> [Bytes; 4] {
+pub fn passed_on(statement: &Statement, wait: Millis) -> [Bytes; 4] {
     let digits = format!("{}", wait.max(1.0).floor());
     let (text, at) = (&statement.text, &statement.digits);
     let length = text.len() - at.len() + digits.len() + 5;
@@ -449,11 +449,11 @@
 }
 
 /// A load report: `inflight=7,util=0.61`. One that cannot be read whole, or makes no sense, is none.
-pub fn load(text: &str) -> Vec<(String, f64)> {
+pub fn load(text: &str) -> LoadReport {
     let figure = |pair: &str| {
         let (name, value) = pair.split_once('=')?;
         let value = value.trim().parse::<f64>().ok().filter(|value| (0.0..=LOAD_MOST).contains(value))?;
         Some((name.trim().to_string(), value)).filter(|(name, _)| !name.is_empty())
     };
-    text.split(',').map(figure).collect::<Option<Vec<_>>>().unwrap_or_default()
+    text.split(',').map(figure).collect::<Option<LoadReport>>().unwrap_or_default()
 }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -69,7 +69,7 @@
     let (connections, products) = (terms.connections(), terms.products());
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let (platform, at) = watch::channel(addresses.platform);
-    let within = Duration::from_secs_f64(connections.vote_within / 1000.0);
+    let within = Duration::from_secs_f64(connections.vote_timeout / 1000.0);
     let feed_rng = Pcg64Mcg::from_rng(&mut rng);
     tokio::task::spawn_local(platform::feed(at.clone(), feed_rng, notes.clone()));
     tokio::task::spawn_local(platform::votes(at, within, cast, notes.clone()));
--- a/crates/gateway/tests/parsers.rs
+++ b/crates/gateway/tests/parsers.rs
@@ -7,6 +7,7 @@
 use latchhaven_gateway::proto::http::{self, Body, Part, Reader};
 use latchhaven_gateway::proto::json::{Piece, Pieces};
 use latchhaven_gateway::proto::pg::{self, Asked, Backend, Broken, Frontend, Told};
+use latchhaven_policy::LoadReport;
 use rstest::rstest;
 use std::fmt::Debug;
 
@@ -97,11 +98,12 @@
     let load = Told::Parameter("load".to_string(), "inflight=7".to_string());
     let failed = Told::Failed("53300".to_string());
     assert_eq!(got, [Told::Ready, load, Told::Value(value), Told::Ready, failed, Told::Ready]);
-    assert_eq!(pg::load("inflight=7,util=0.61"), [("inflight".into(), 7.0), ("util".into(), 0.61)]);
+    let report = LoadReport::from_iter([("inflight".into(), 7.0), ("util".into(), 0.61)]);
+    assert_eq!(pg::load("inflight=7,util=0.61"), report);
     for spoilt in
         ["inflight=7,util=x", "util=inf", "inflight=-3", "inflight=1e300", "inflight=7,", "=7", "\u{1}", ""]
     {
-        assert_eq!(pg::load(spoilt), [], "{spoilt}");
+        assert_eq!(pg::load(spoilt), LoadReport::default(), "{spoilt}");
     }
 }
 
--- /dev/null
+++ b/crates/policy/src/endpoint.rs
@@ -0,0 +1,49 @@
+//! Entries of the endpoint list, as discovery tells them.
+
+use crate::Millis;
+use crate::rollout::Version;
+
+/// How an update relates to the endpoint list held so far.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum UpdateKind {
+    /// Only the entries that changed.
+    Delta,
+    /// The whole list.
+    Snapshot,
+    /// The whole list as it was last held, perhaps stale.
+    CachedSnapshot,
+    /// A call failed or the watch broke; the list stays.
+    Failed,
+}
+
+/// What the endpoint list says of an endpoint's lifecycle.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EndpointStatus {
+    /// It takes new requests.
+    Ready,
+    /// It finishes what it has and takes nothing new.
+    Draining,
+    /// It left the list.
+    Removed,
+}
+
+/// One entry of the endpoint list.
+#[derive(Clone, Debug, PartialEq)]
+pub struct EndpointEntry {
+    /// The endpoint's id, the same at every gateway.
+    pub endpoint: String,
+    /// What the list says of its lifecycle.
+    pub status: EndpointStatus,
+    /// The software version that it runs.
+    pub version: Version,
+    /// Its zone; empty where there are none.
+    pub zone: String,
+    /// Its cell within the zone.
+    pub cell: u32,
+    /// The type of machine that it runs on.
+    pub machine_type: String,
+    /// Its capacity beside other endpoints'.
+    pub weight: f64,
+    /// Clock time of its last start; 0 for long ago.
+    pub started_at: Millis,
+}
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,9 +1,6 @@
 //! Plain records that the decisions keep; no decisions here.
 
-use crate::api::{
-    Action, Build, ColdStart, Ending, ExposureTerms, ListTerms, Listing, Ms, StageNews, Standing, TxnId,
-    Verdict, VoteTerms,
-};
+use crate::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Tenants that are kept at most: a bound of memory, far above those that matter at once.
@@ -15,13 +12,13 @@
     pub server: usize,
     /// Which life of that dense index it went to; ids are reused.
     pub life: u32,
-    pub build: Build,
+    pub build: Version,
     pub zone: String,
     pub cell: u32,
-    pub sent: Ms,
+    pub sent: Millis,
     /// Capacity that the instance had at least, when it was sent.
     pub warmth: f64,
-    pub ending: Option<Ending>,
+    pub ending: Option<AttemptOutcome>,
     pub recalled: bool,
 }
 
@@ -31,12 +28,12 @@
     pub product: usize,
     pub tenant: Option<String>,
     pub key: Option<String>,
-    pub came: Ms,
+    pub came: Millis,
     /// When the client gives up on this try.
-    pub expires: Ms,
+    pub expires: Millis,
     /// When an answer stops being in time.
-    pub in_time: Ms,
-    pub work: Option<Ms>,
+    pub in_time: Millis,
+    pub work: Option<Millis>,
     pub submissions: Vec<Submission>,
     pub streaming: bool,
     pub answered: bool,
@@ -44,8 +41,8 @@
 
 impl Txn {
     pub fn new(
-        product: usize, tenant: Option<String>, key: Option<String>, work: Option<Ms>, now: Ms, left: Ms,
-        sla: Ms,
+        product: usize, tenant: Option<String>, key: Option<String>, work: Option<Millis>, now: Millis,
+        left: Millis, sla: Millis,
     ) -> Txn {
         let (submissions, streaming, answered) = (Vec::new(), false, false);
         let (came, expires, in_time) = (now, now + left, now + sla.min(left));
@@ -58,7 +55,9 @@
 
     /// Submissions that may have run, or may still.
     pub fn may_have_run(&self) -> impl Iterator<Item = &Submission> {
-        self.submissions.iter().filter(|sub| !sub.ending.is_some_and(Ending::never_ran))
+        self.submissions
+            .iter()
+            .filter(|sub| !sub.ending.is_some_and(AttemptOutcome::is_definitely_not_executed))
     }
 }
 
@@ -127,11 +126,11 @@
 
 /// Moments, oldest first.
 #[derive(Clone, Debug, Default)]
-pub struct Times(VecDeque<Ms>);
+pub struct Times(VecDeque<Millis>);
 
 impl Times {
     /// Notes a moment, which may lie before the newest, and forgets those more than `keep` before it.
-    pub fn note(&mut self, moment: Ms, keep: Ms) {
+    pub fn note(&mut self, moment: Millis, keep: Millis) {
         while self.0.front().is_some_and(|time| *time < moment - keep) {
             self.0.pop_front();
         }
@@ -140,7 +139,7 @@
     }
 
     /// How many there were after a moment.
-    pub fn since(&self, moment: Ms) -> usize {
+    pub fn since(&self, moment: Millis) -> usize {
         self.0.len() - self.0.partition_point(|time| *time <= moment)
     }
 }
@@ -156,9 +155,9 @@
     pub id: Vec<String>,
     pub zone: Vec<String>,
     pub cell: Vec<u32>,
-    pub build: Vec<Build>,
+    pub build: Vec<Version>,
     pub weight: Vec<f64>,
-    pub since: Vec<Ms>,
+    pub since: Vec<Millis>,
     pub ready: Vec<bool>,
     /// It left the list: its index is free for another once nothing is out there.
     pub gone: Vec<bool>,
@@ -166,9 +165,9 @@
     pub life: Vec<u32>,
     pub in_flight: Vec<u32>,
     pub in_flight_cap: Vec<f64>,
-    pub last_answer: Vec<Ms>,
+    pub last_answer: Vec<Millis>,
     pub errors: Vec<f64>,
-    pub aside_until: Vec<Ms>,
+    pub aside_until: Vec<Millis>,
     pub aside_times: Vec<u32>,
     /// Arms by kind, then by instance.
     pub arms: [Vec<Arm>; 3],
@@ -176,7 +175,7 @@
     pub silent: Vec<u32>,
     /// How slow it lately answered, in log of its usual time, and when.
     pub slow: Vec<f64>,
-    pub slow_at: Vec<Ms>,
+    pub slow_at: Vec<Millis>,
     /// Submissions that a cold instance may still get from this gateway.
     pub cold_part: Vec<f64>,
     /// Under which share of the fleet a gateway's subset has it.
@@ -185,13 +184,13 @@
 
 impl Servers {
     /// Makes room for one more instance and returns its index.
-    pub fn add(&mut self, entry: &Listing) -> usize {
-        self.id.push(entry.instance.clone());
+    pub fn add(&mut self, entry: &EndpointEntry) -> usize {
+        self.id.push(entry.endpoint.clone());
         self.zone.push(entry.zone.clone());
         self.cell.push(entry.cell);
-        self.build.push(entry.build);
+        self.build.push(entry.version);
         self.weight.push(1.0);
-        self.since.push(entry.since);
+        self.since.push(entry.started_at);
         self.ready.push(false);
         self.gone.push(false);
         self.life.push(0);
@@ -211,14 +210,14 @@
     }
 
     /// Takes over what the list says of an instance.
-    pub fn relist(&mut self, i: usize, entry: &Listing) {
-        self.build[i] = entry.build;
-        self.since[i] = self.since[i].max(entry.since);
+    pub fn relist(&mut self, i: usize, entry: &EndpointEntry) {
+        self.build[i] = entry.version;
+        self.since[i] = self.since[i].max(entry.started_at);
         self.weight[i] = if entry.weight > 0.0 { entry.weight } else { 1.0 };
         self.zone[i].clone_from(&entry.zone);
         self.cell[i] = entry.cell;
-        self.ready[i] = entry.state == Standing::Ready;
-        self.gone[i] = entry.state == Standing::Gone;
+        self.ready[i] = entry.status == EndpointStatus::Ready;
+        self.gone[i] = entry.status == EndpointStatus::Removed;
     }
 
     /// The arms of all instances as one, by kind.
@@ -228,11 +227,11 @@
     }
 
     /// An index that nothing refers to any more, if there is one; the life there ends.
-    fn free(&mut self, entry: &Listing) -> Option<usize> {
+    fn free(&mut self, entry: &EndpointEntry) -> Option<usize> {
         let i = (0..self.id.len()).find(|i| self.gone[*i] && self.in_flight[*i] == 0)?;
-        (self.id[i], self.since[i]) = (entry.instance.clone(), entry.since);
+        (self.id[i], self.since[i]) = (entry.endpoint.clone(), entry.started_at);
         // No build has this number: whatever comes begins a life of its own.
-        self.build[i] = Build::MAX;
+        self.build[i] = Version::MAX;
         Some(i)
     }
 
@@ -242,7 +241,7 @@
     }
 
     /// A submission to an instance as it stands.
-    pub fn submission(&self, server: usize, warmth: f64, sent: Ms) -> Submission {
+    pub fn submission(&self, server: usize, warmth: f64, sent: Millis) -> Submission {
         let (life, build, cell) = (self.life[server], self.build[server], self.cell[server]);
         let zone = self.zone[server].clone();
         Submission { server, life, build, zone, cell, sent, warmth, ending: None, recalled: false }
@@ -263,11 +262,11 @@
 
 /// The rule on exposure: what each build on trial got, against what came in.
 pub struct Exposure {
-    pub terms: ExposureTerms,
-    pub news: Option<StageNews>,
+    pub terms: ExposureConfig,
+    pub news: Option<RolloutState>,
     pub arrivals: Vec<Times>,
-    pub sends: BTreeMap<(Build, usize), Times>,
-    pub bound: BTreeMap<String, Build>,
+    pub sends: BTreeMap<(Version, usize), Times>,
+    pub bound: BTreeMap<String, Version>,
 }
 
 /// What the gateway sees of its fleet when it judges.
@@ -278,28 +277,28 @@
     pub warmth: [f64; 2],
     /// Txns that lately came for each instance that lately answered.
     pub load: f64,
-    pub now: Ms,
+    pub now: Millis,
 }
 
 /// Judges builds and votes.
 #[derive(Default)]
 pub struct Judge {
-    pub terms: VoteTerms,
+    pub terms: VotingConfig,
     pub delta: f64,
-    pub judged: Ms,
+    pub judged: Millis,
     /// The largest π against the trial.
     pub pi: f64,
     pub enough: bool,
-    pub sure_since: Option<Ms>,
+    pub sure_since: Option<Millis>,
     /// The build now on trial, and the one last so.
-    pub trial: Option<Build>,
-    pub watched: Option<Build>,
-    pub released: Option<(Build, Ms)>,
-    pub rehearsed: Option<Ms>,
+    pub trial: Option<Version>,
+    pub watched: Option<Version>,
+    pub released: Option<(Version, Millis)>,
+    pub rehearsed: Option<Millis>,
     /// The build that was found bad: that verdict stays.
-    pub condemned: Option<Build>,
-    pub vote: Option<(Build, u32, Verdict)>,
-    pub voted: Ms,
+    pub condemned: Option<Version>,
+    pub vote: Option<(Version, u32, Verdict)>,
+    pub voted: Millis,
     pub stands: bool,
     /// The chance that this gateway is one of those that vote.
     pub voters: f64,
@@ -326,7 +325,7 @@
     /// Log of how many times longer all answers took just now than before the trial.
     pub lag: f64,
     /// Counted at the present stage; what was weighed.
-    pub stage: (Build, u32),
+    pub stage: (Version, u32),
     pub tallied: f64,
     pub weighed: Weighed,
     /// Flags heard of by any gateway, and answers in tallies: of the others, and of the watched build.
@@ -339,20 +338,20 @@
 /// The list of instances and how each one does.
 #[derive(Default)]
 pub struct Fleet {
-    pub terms: ListTerms,
-    pub cold: ColdStart,
+    pub terms: DiscoveryConfig,
+    pub cold: SlowStartConfig,
     pub servers: Servers,
     pub index: BTreeMap<String, usize>,
-    pub ask_at: Option<Ms>,
+    pub ask_at: Option<Millis>,
     /// First tries that came in, their rate per ms and unit of capacity, and its running mean.
     pub arrivals: Times,
     pub usual: f64,
     /// The share of the instances that is this gateway's subset.
     pub part: f64,
     /// When the parts of cold instances were last added to.
-    pub filled: Ms,
+    pub filled: Millis,
     /// The lowest build on the list.
-    pub lowest: Build,
+    pub lowest: Version,
     /// Calls for the list that failed in a row.
     pub failures: u32,
     /// This gateway logs which instances it leaves aside.
@@ -360,12 +359,12 @@
 }
 
 impl Desk {
-    pub fn submission(&mut self, id: TxnId, n: usize) -> Option<&mut Submission> {
+    pub fn submission(&mut self, id: RequestId, n: usize) -> Option<&mut Submission> {
         self.txns.get_mut(&id)?.submissions.get_mut(n)
     }
 
     /// Drops a txn that is answered and has nothing out.
-    pub fn forget(&mut self, id: TxnId) {
+    pub fn forget(&mut self, id: RequestId) {
         if self.txns.get(&id).is_some_and(|txn| txn.answered && txn.outstanding() == 0) {
             self.txns.remove(&id);
         }
@@ -388,17 +387,17 @@
 pub struct Service {
     pub came: f64,
     pub good: f64,
-    pub at: Ms,
+    pub at: Millis,
 }
 
 impl Service {
-    pub fn fade(&mut self, now: Ms, half: Ms) {
+    pub fn fade(&mut self, now: Millis, half: Millis) {
         let share = 0.5f64.powf((now - self.at) / half);
         (self.came, self.good, self.at) = (self.came * share, self.good * share, now);
     }
 
     /// Notes so many txns of which this part was served well.
-    pub fn note(&mut self, now: Ms, half: Ms, count: f64, good: f64) {
+    pub fn note(&mut self, now: Millis, half: Millis, count: f64, good: f64) {
         self.fade(now, half);
         (self.came, self.good) = (self.came + count, self.good + count * good);
     }
@@ -409,7 +408,7 @@
 pub struct Count {
     pub count: f64,
     pub failed: f64,
-    pub time: Ms,
+    pub time: Millis,
 }
 
 impl Count {
@@ -422,7 +421,7 @@
         self.count - self.failed
     }
 
-    pub fn add(&mut self, count: f64, failed: f64, time: Ms) {
+    pub fn add(&mut self, count: f64, failed: f64, time: Millis) {
         let time = time.max(0.001);
         let (had, more) = (self.count - self.failed, count - failed);
         self.time = (self.time * had + time * more) / (had + more).max(1.0);
@@ -447,32 +446,32 @@
 
 impl Fleet {
     /// The least share of its capacity that an instance has by now.
-    pub fn warmth(&self, i: usize, now: Ms) -> f64 {
+    pub fn warmth(&self, i: usize, now: Millis) -> f64 {
         let since = self.servers.since[i];
-        let way = if since <= 0.0 { 1.0 } else { ((now - since) / self.cold.warm_up).clamp(0.0, 1.0) };
-        self.cold.from + (1.0 - self.cold.from) * way
+        let way = if since <= 0.0 { 1.0 } else { ((now - since) / self.cold.duration).clamp(0.0, 1.0) };
+        self.cold.initial_capacity + (1.0 - self.cold.initial_capacity) * way
     }
 
     /// The index of an instance; ids come and go, indices are used again.
-    pub fn slot(&mut self, entry: &Listing) -> usize {
-        if let Some(i) = self.index.get(&entry.instance) {
+    pub fn slot(&mut self, entry: &EndpointEntry) -> usize {
+        if let Some(i) = self.index.get(&entry.endpoint) {
             return *i;
         }
         let i = self.servers.free(entry).unwrap_or_else(|| self.servers.add(entry));
         self.index.retain(|_, taken| *taken != i);
-        self.index.insert(entry.instance.clone(), i);
+        self.index.insert(entry.endpoint.clone(), i);
         i
     }
 
     /// Those that a whole list leaves out are gone.
-    pub fn leave_out(&mut self, entries: &[Listing]) {
-        let listed: BTreeSet<&str> = entries.iter().map(|entry| entry.instance.as_str()).collect();
+    pub fn leave_out(&mut self, entries: &[EndpointEntry]) {
+        let listed: BTreeSet<&str> = entries.iter().map(|entry| entry.endpoint.as_str()).collect();
         let left = self.index.iter().filter(|(id, _)| !listed.contains(id.as_str()));
         left.for_each(|(_, i)| self.servers.gone[*i] = true);
     }
 
     /// First tries that came since, for each instance that answered since.
-    pub fn load_since(&self, moment: Ms) -> f64 {
+    pub fn load_since(&self, moment: Millis) -> f64 {
         let answered = self.ready().filter(|i| self.servers.last_answer[*i] > moment).count();
         self.arrivals.since(moment) as f64 / answered.max(1) as f64
     }
@@ -485,16 +484,16 @@
 impl Exposure {
     /// Under which index a product is counted.
     pub fn lane(&self, product: usize) -> usize {
-        if self.terms.by_product { product } else { 0 }
+        if self.terms.per_class { product } else { 0 }
     }
 
-    pub fn note_arrival(&mut self, product: usize, now: Ms, keep: Ms) {
+    pub fn note_arrival(&mut self, product: usize, now: Millis, keep: Millis) {
         let lane = self.lane(product);
         self.arrivals[lane].note(now, keep);
     }
 
     /// Notes a submission; builds that got none for as long are forgotten.
-    pub fn note_send(&mut self, build: Build, product: usize, now: Ms, keep: Ms) {
+    pub fn note_send(&mut self, build: Version, product: usize, now: Millis, keep: Millis) {
         let lane = self.lane(product);
         if !self.sends.contains_key(&(build, lane)) {
             self.sends.retain(|_, sends| sends.since(now - keep) > 0);
@@ -502,7 +501,7 @@
         self.sends.entry((build, lane)).or_default().note(now, keep);
     }
 
-    pub fn new(terms: ExposureTerms, products: usize) -> Self {
+    pub fn new(terms: ExposureConfig, products: usize) -> Self {
         let (arrivals, sends, bound) = (vec![Times::default(); products], BTreeMap::new(), BTreeMap::new());
         Exposure { terms, news: None, arrivals, sends, bound }
     }
@@ -510,13 +509,13 @@
 
 impl Judge {
     /// Counts a flag of the watched build, or of an earlier one.
-    pub fn note_flag(&mut self, build: Option<Build>) {
+    pub fn note_flag(&mut self, build: Option<Version>) {
         if let (Some(build), Some(watched)) = (build, self.watched) {
             self.flags[usize::from(build == watched)] += f64::from(u8::from(build <= watched));
         }
     }
 
-    pub fn new(terms: VoteTerms, delta: f64, voters: f64, products: usize) -> Self {
+    pub fn new(terms: VotingConfig, delta: f64, voters: f64, products: usize) -> Self {
         let base = vec![Arm::default(); products];
         let (tallied_before, time_before, load_tallied) = (base.clone(), base.clone(), base.clone());
         let tallies = vec![Default::default(); products];
@@ -536,11 +535,11 @@
 
 /// What lies on a gateway's desk: its txns, and when it looks at them.
 pub struct Desk {
-    pub txns: BTreeMap<TxnId, Txn>,
-    pub waiting: Vec<TxnId>,
+    pub txns: BTreeMap<RequestId, Txn>,
+    pub waiting: Vec<RequestId>,
     /// Usual time of an answer, and the longest time left to a try, by product.
-    pub typical: Vec<Ms>,
-    pub longest: Vec<Ms>,
+    pub typical: Vec<Millis>,
+    pub longest: Vec<Millis>,
     /// How txns are served: by tenant, and all.
     pub service: BTreeMap<Option<String>, Service>,
     pub all_service: Service,
@@ -548,15 +547,15 @@
     pub resends: f64,
     /// Share of submissions lately that got no connection.
     pub refused: f64,
-    pub look_at: Ms,
-    pub wake_at: Ms,
+    pub look_at: Millis,
+    pub wake_at: Millis,
     /// Until when this gateway last stood still.
-    pub stalled: Ms,
+    pub stalled: Millis,
     pub out: Vec<Action>,
 }
 
 impl Desk {
-    pub fn new(typical: Vec<Ms>, resends: f64) -> Self {
+    pub fn new(typical: Vec<Millis>, resends: f64) -> Self {
         let (look_at, wake_at, stalled) = (0.0, f64::INFINITY, f64::NEG_INFINITY);
         let (txns, service, all_service) = (BTreeMap::new(), BTreeMap::new(), Service::default());
         let (longest, waiting, out) = (vec![0.0; typical.len()], Vec::new(), Vec::new());
@@ -578,6 +577,6 @@
 }
 
 /// The build that a gateway's message tells was flagged.
-pub fn build_told(data: &[u8]) -> Option<Build> {
-    <[u8; 4]>::try_from(data).ok().map(Build::from_be_bytes)
+pub fn build_told(data: &[u8]) -> Option<Version> {
+    <[u8; 4]>::try_from(data).ok().map(Version::from_be_bytes)
 }
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! Many gateways in one simulated run, over random sizes: what each does alone stays within a bound for all.
 
 use crate::host::{Host, STEP, Terms};
-use latchhaven_policy::api::*;
+use latchhaven_policy::*;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -36,9 +36,9 @@
             let terms = Terms { seed: seed ^ u64::from(me), gateways, ..Terms::default() };
             let mut host = Host::new(terms);
             for i in 0..instances {
-                host.list(&format!("{}{i}", ["a", "b", "c"][i % zones]), 1, Standing::Ready, 0.0);
+                host.list(&format!("{}{i}", ["a", "b", "c"][i % zones]), 1, EndpointStatus::Ready, 0.0);
             }
-            host.stage(1, 2, Phase::Released, 1.0);
+            host.stage(1, 2, RolloutPhase::Promoted, 1.0);
             host.step();
             hosts.push(host);
         }
@@ -47,7 +47,7 @@
         Fleet { hosts, shares, owed }
     }
 
-    fn serve(&mut self, ms: Ms) {
+    fn serve(&mut self, ms: Millis) {
         for _ in 0..(ms / STEP) as usize {
             for ((host, share), owed) in self.hosts.iter_mut().zip(&self.shares).zip(&mut self.owed) {
                 *owed += share * STEP / APART;
@@ -60,12 +60,12 @@
         }
     }
 
-    fn now(&self) -> Ms {
+    fn now(&self) -> Millis {
         self.hosts[0].now
     }
 
     /// Moments of all submissions to an instance since.
-    fn sent_to(&self, instance: &str, since: Ms) -> Vec<Ms> {
+    fn sent_to(&self, instance: &str, since: Millis) -> Vec<Millis> {
         let all = self.hosts.iter().flat_map(|host| &host.sent);
         all.filter(|sent| sent.instance == instance && sent.at >= since).map(|sent| sent.at).collect()
     }
@@ -114,7 +114,7 @@
         }
         fleet.tell(|host| {
             host.start(&["a998", "a999"], 2);
-            host.stage(2, 1, Phase::OnTrial, 0.5);
+            host.stage(2, 1, RolloutPhase::Canary, 0.5);
         });
         fleet.serve(4000.0);
         for _ in 0..4 {
@@ -127,9 +127,9 @@
         let mut looks: BTreeMap<u64, usize> = BTreeMap::new();
         let mut backs = 0;
         for (at, action) in fleet.hosts.iter().flat_map(|host| &host.all) {
-            if let Action::Vote { verdict, .. } = action {
+            if let Action::CastVote { verdict, .. } = action {
                 *looks.entry((at / 250.0) as u64).or_default() += 1;
-                backs += usize::from(*verdict == Verdict::Back);
+                backs += usize::from(*verdict == Verdict::RollBack);
             }
         }
         let most = looks.values().max().copied().unwrap_or(0);
@@ -146,7 +146,7 @@
             let mut fleet = Fleet::new((few, size.1, size.2, times, size.4));
             fleet.serve(1000.0);
             fleet.tell(|host| host.start(&["a999"], 2));
-            fleet.tell(|host| host.stage(2, 1, Phase::OnTrial, 0.5));
+            fleet.tell(|host| host.stage(2, 1, RolloutPhase::Canary, 0.5));
             fleet.serve(1500.0);
             fleet.hosts.into_iter().map(|host| host.all).collect::<Vec<_>>()
         };
--- a/crates/policy/tests/stories.rs
+++ b/crates/policy/tests/stories.rs
@@ -4,57 +4,60 @@
 mod host;
 
 use host::{Host, STEP, Sent, Terms, product};
-use latchhaven_policy::api::*;
 use latchhaven_policy::state::{Desk, Exposure, Fleet};
+use latchhaven_policy::*;
 use rstest::rstest;
 
-fn well(_: &Sent) -> (Ending, Ms) {
-    (Ending::Settled, 50.0)
+fn well(_: &Sent) -> (AttemptOutcome, Millis) {
+    (AttemptOutcome::Success, 50.0)
 }
 
 /// Fails one in so many submissions of a build.
-fn every(n: u32, sent: &Sent, ending: Ending) -> (Ending, Ms) {
-    if sent.id.is_multiple_of(n) { (ending, 50.0) } else { (Ending::Settled, 50.0) }
+fn every(n: u32, sent: &Sent, ending: AttemptOutcome) -> (AttemptOutcome, Millis) {
+    if sent.id.is_multiple_of(n) { (ending, 50.0) } else { (AttemptOutcome::Success, 50.0) }
 }
 
 /// Four warm instances of build 1 and three of build 2, told to be on trial at this stage and cap.
-fn trial(terms: Terms, stage: u32, cap: f64, behave: impl Fn(&Sent) -> (Ending, Ms) + 'static) -> Host {
+fn trial(
+    terms: Terms, stage: u32, cap: f64, behave: impl Fn(&Sent) -> (AttemptOutcome, Millis) + 'static,
+) -> Host {
     let mut host = Host::with(terms, 4, behave);
     host.serve(4000.0, 2);
     host.start(&["a7", "b8", "b9"], 2);
-    host.stage(2, stage, Phase::OnTrial, cap);
+    host.stage(2, stage, RolloutPhase::Canary, cap);
     host
 }
 
 #[rstest]
-#[case::inquiry_error("look", Ending::Error, true, false)]
-#[case::referenced_error("book", Ending::Error, true, false)]
-#[case::once_only_error("pay", Ending::Error, false, true)]
-#[case::once_only_lost("pay", Ending::ConnectionLost, false, true)]
-#[case::once_only_turned_away("pay", Ending::TurnedAway, true, false)]
-#[case::once_only_no_connection("pay", Ending::NoConnection, true, false)]
+#[case::inquiry_error("look", AttemptOutcome::Error, true, false)]
+#[case::referenced_error("book", AttemptOutcome::Error, true, false)]
+#[case::once_only_error("pay", AttemptOutcome::Error, false, true)]
+#[case::once_only_lost("pay", AttemptOutcome::ConnectionLost, false, true)]
+#[case::once_only_turned_away("pay", AttemptOutcome::Rejected, true, false)]
+#[case::once_only_no_connection("pay", AttemptOutcome::ConnectFailed, true, false)]
 fn sent_again_only_as_the_product_permits(
-    #[case] product: &str, #[case] ending: Ending, #[case] again: bool, #[case] voided: bool,
+    #[case] product: &str, #[case] ending: AttemptOutcome, #[case] again: bool, #[case] voided: bool,
 ) {
-    let first_fails = move |sent: &Sent| if sent.n == 0 { (ending, 20.0) } else { (Ending::Settled, 20.0) };
+    let first_fails =
+        move |sent: &Sent| if sent.n == 0 { (ending, 20.0) } else { (AttemptOutcome::Success, 20.0) };
     let mut host = Host::with(Terms::default(), 4, first_fails);
     let id = host.txn(product, None);
     host.run(300.0);
     assert_eq!(host.sent_of(id).len(), if again { 2 } else { 1 });
     assert_eq!(host.settled.contains_key(&id), again);
-    assert_eq!(matches!(host.answers.get(&id).map(|a| &a[..]), Some([(_, Action::Void { .. })])), voided);
+    assert_eq!(matches!(host.answers.get(&id).map(|a| &a[..]), Some([(_, Action::Fail { .. })])), voided);
 }
 
 #[rstest]
 fn a_referenced_txn_stays_in_the_zone_that_knows_it() {
-    let mut host = Host::with(Terms::default(), 8, |_| (Ending::Error, 20.0));
-    let ids: Vec<TxnId> = (0..20).map(|_| host.txn("book", None)).collect();
+    let mut host = Host::with(Terms::default(), 8, |_| (AttemptOutcome::Error, 20.0));
+    let ids: Vec<RequestId> = (0..20).map(|_| host.txn("book", None)).collect();
     host.run(1000.0);
     for id in ids {
         let zones: Vec<String> = host.sent_of(id).iter().map(|name| name[..1].to_string()).collect();
         assert_eq!(zones.len(), 3);
         assert!(zones.iter().all(|zone| *zone == zones[0]), "{zones:?}");
-        assert!(matches!(host.answers[&id][..], [(_, Action::Void { .. })]));
+        assert!(matches!(host.answers[&id][..], [(_, Action::Fail { .. })]));
     }
 }
 
@@ -63,8 +66,8 @@
 #[case("book", false)]
 #[case("pay", false)]
 fn silent_instances_cost_no_txn_its_one_answer(#[case] product: &str, #[case] declined: bool) {
-    let mut host = Host::with(Terms::default(), 4, |_| (Ending::Settled, 1e9));
-    let ids: Vec<TxnId> = (0..30).map(|_| host.txn(product, None)).collect();
+    let mut host = Host::with(Terms::default(), 4, |_| (AttemptOutcome::Success, 1e9));
+    let ids: Vec<RequestId> = (0..30).map(|_| host.txn(product, None)).collect();
     let came = host.now;
     host.run(3000.0);
     for id in ids {
@@ -72,7 +75,7 @@
             panic!("not one answer: {:?}", host.answers[&id])
         };
         assert!(*at <= came + 2000.0 + 10.0);
-        assert!(declined == matches!(answer, Action::Decline { .. }) || host.sent_of(id).is_empty());
+        assert!(declined == matches!(answer, Action::Reject { .. }) || host.sent_of(id).is_empty());
         assert!(host.sent.iter().filter(|sent| sent.id == id).all(|sent| sent.at <= *at));
     }
 }
@@ -82,18 +85,20 @@
 #[case(false)]
 fn a_txn_stuck_at_a_silent_instance_goes_elsewhere(#[case] second_copies: bool) {
     let mut terms = Terms::default();
-    terms.permits.second_copies = second_copies;
-    let hang =
-        |sent: &Sent| if sent.instance == "a0" { (Ending::Settled, 1e9) } else { (Ending::Settled, 50.0) };
+    terms.permits.hedging = second_copies;
+    let hang = |sent: &Sent| {
+        if sent.instance == "a0" { (AttemptOutcome::Success, 1e9) } else { (AttemptOutcome::Success, 50.0) }
+    };
     let mut host = Host::with(terms, 4, hang);
     host.serve(3000.0, 2);
-    let stuck: Vec<TxnId> = host.sent.iter().filter(|s| s.instance == "a0").map(|s| s.id).collect();
+    let stuck: Vec<RequestId> = host.sent.iter().filter(|s| s.instance == "a0").map(|s| s.id).collect();
     assert!((1..30).contains(&stuck.len()), "left aside before it eats many: {}", stuck.len());
     assert!(stuck.iter().filter(|id| host.settled.contains_key(id)).count() * 10 >= stuck.len() * 8);
     if !second_copies {
         // The second goes out only after the first was called back.
-        let recalled =
-            |id: TxnId| host.all.iter().find(|(_, a)| matches!(a, Action::Recall { id: r, .. } if *r == id));
+        let recalled = |id: RequestId| {
+            host.all.iter().find(|(_, a)| matches!(a, Action::CancelAttempt { id: r, .. } if *r == id))
+        };
         for second in host.sent.iter().filter(|sent| sent.n == 1) {
             assert!(recalled(second.id).is_some_and(|(at, _)| *at < second.at));
         }
@@ -101,9 +106,9 @@
 }
 
 #[rstest]
-#[case(Standing::Draining)]
-#[case(Standing::Gone)]
-fn nothing_goes_to_a_draining_or_gone_instance(#[case] state: Standing) {
+#[case(EndpointStatus::Draining)]
+#[case(EndpointStatus::Removed)]
+fn nothing_goes_to_a_draining_or_gone_instance(#[case] state: EndpointStatus) {
     let mut host = Host::with(Terms::default(), 4, well);
     host.serve(500.0, 1);
     host.list("a0", 1, state, 0.0);
@@ -112,7 +117,7 @@
     assert!(host.sent.iter().any(|sent| sent.instance == "a0"));
     assert!(host.sent.iter().all(|sent| sent.instance != "a0" || sent.at < told));
     // The id comes back with another build: it counts as that build's, and as cold.
-    host.stage(2, 0, Phase::OnTrial, 0.0);
+    host.stage(2, 0, RolloutPhase::Canary, 0.0);
     host.start(&["a0"], 2);
     host.serve(1000.0, 1);
     assert!(host.sent.iter().all(|sent| sent.instance != "a0" || sent.at < told));
@@ -121,21 +126,22 @@
 #[rstest]
 fn an_instance_left_out_of_a_whole_list_is_gone() {
     let mut host = Host::with(Terms::default(), 4, well);
-    host.tell(Event::Fleet { kind: ListKind::Whole, version: 2, entries: vec![] });
+    host.tell(Event::EndpointUpdate { kind: UpdateKind::Snapshot, list_version: 2, entries: vec![] });
     let id = host.txn("pay", None);
     host.run(2000.0);
     assert!(host.sent_of(id).is_empty());
-    assert!(matches!(host.answers[&id][..], [(_, Action::Decline { .. })]));
+    assert!(matches!(host.answers[&id][..], [(_, Action::Reject { .. })]));
 }
 
 #[rstest]
 fn a_broken_watch_is_asked_for_again() {
     let mut host = Host::with(Terms::default(), 4, well);
-    let watches =
-        |host: &Host| host.all.iter().filter(|(_, a)| matches!(a, Action::Watch { on: true })).count();
+    let watches = |host: &Host| {
+        host.all.iter().filter(|(_, a)| matches!(a, Action::WatchEndpoints { enabled: true })).count()
+    };
     host.run(2000.0);
     assert_eq!(watches(&host), 1);
-    host.tell(Event::Fleet { kind: ListKind::Failed, version: 0, entries: vec![] });
+    host.tell(Event::EndpointUpdate { kind: UpdateKind::Failed, list_version: 0, entries: vec![] });
     host.run(1000.0);
     assert_eq!(watches(&host), 2);
     host.run(5000.0);
@@ -163,10 +169,10 @@
 #[case::by_product(true)]
 fn exposure_stays_within_the_cap_in_every_window(#[case] by_product: bool) {
     let mut terms = Terms::default();
-    terms.exposure.by_product = by_product;
-    terms.products.push(product("rare", Effect::InquiryLike, Group::All));
+    terms.exposure.per_class = by_product;
+    terms.products.push(product("rare", Idempotency::Idempotent, DedupScope::All));
     let mut host = trial(terms, 0, 0.1, well);
-    let mut came: Vec<(Ms, TxnId, bool)> = Vec::new();
+    let mut came: Vec<(Millis, RequestId, bool)> = Vec::new();
     for k in 0..600 {
         let rare = k % 10 == 0;
         came.push((host.now, host.txn(if rare { "rare" } else { "look" }, None), rare));
@@ -174,11 +180,11 @@
     }
     let exposed: Vec<&Sent> = host.sent.iter().filter(|sent| sent.build == 2).collect();
     assert!(exposed.len() > 20, "the trial gets its share: {}", exposed.len());
-    let is_rare = |id: TxnId| came.iter().any(|(_, other, rare)| *other == id && *rare);
+    let is_rare = |id: RequestId| came.iter().any(|(_, other, rare)| *other == id && *rare);
     for lane in if by_product { vec![Some(true), Some(false)] } else { vec![None] } {
         let counts = |rare: bool| lane.is_none_or(|lane| lane == rare);
         for last in exposed.iter().filter(|sent| counts(is_rare(sent.id))) {
-            let within = |at: Ms| at > last.at - 2000.0 && at <= last.at;
+            let within = |at: Millis| at > last.at - 2000.0 && at <= last.at;
             let sent = exposed.iter().filter(|sent| within(sent.at) && counts(is_rare(sent.id))).count();
             let taken = host.sent.iter().filter(|sent| sent.id < came[0].1 && within(sent.at)).count()
                 + came.iter().filter(|(at, _, rare)| within(*at) && counts(*rare)).count();
@@ -229,7 +235,7 @@
 #[rstest]
 fn a_key_that_the_new_build_answered_goes_to_no_earlier_one() {
     let mut terms = Terms::default();
-    terms.exposure.no_return = true;
+    terms.exposure.sticky_keys = true;
     let mut host = trial(terms, 1, 0.5, well);
     for k in 0..400 {
         host.txn("look", Some(&format!("k{}", k % 40)));
@@ -238,46 +244,48 @@
     // Ids run on one a txn, so the key follows from the id.
     let first = host.sent.iter().find(|sent| sent.build == 2).expect("the trial gets some").id;
     let start = host.sent.iter().map(|s| s.id).max().unwrap_or(0) - 399;
-    let key = |id: TxnId| (id - start) % 40;
+    let key = |id: RequestId| (id - start) % 40;
     for new in host.sent.iter().filter(|sent| sent.build == 2 && sent.id >= first) {
         assert!(host.sent.iter().all(|s| s.id <= new.id || key(s.id) != key(new.id) || s.build == 2));
     }
-    host.stage(2, 1, Phase::GoingBack, 0.0);
+    host.stage(2, 1, RolloutPhase::RollingBack, 0.0);
     let freed = host.txn("look", Some(&format!("k{}", key(first))));
     host.run(100.0);
     assert!(host.settled.contains_key(&freed));
 }
 
 #[rstest]
-#[case::fails(|sent: &Sent| if sent.build == 2 { every(5, sent, Ending::Error) } else { well(sent) }, true)]
-#[case::too_late(|sent: &Sent| (Ending::Settled, if sent.build == 2 { 700.0 } else { 50.0 }), true)]
-#[case::slow_but_in_time(|sent: &Sent| (Ending::Settled, if sent.build == 2 { 150.0 } else { 50.0 }), true)]
+#[case::fails(|sent: &Sent| if sent.build == 2 { every(5, sent, AttemptOutcome::Error) } else { well(sent) }, true)]
+#[case::too_late(|sent: &Sent| (AttemptOutcome::Success, if sent.build == 2 { 700.0 } else { 50.0 }), true)]
+#[case::slow_but_in_time(|sent: &Sent| (AttemptOutcome::Success, if sent.build == 2 { 150.0 } else { 50.0 }), true)]
 #[case::turns_bad_late(
-    |sent: &Sent| if sent.build == 2 && sent.at - sent.started > 6000.0 { every(3, sent, Ending::Error) } else { well(sent) },
+    |sent: &Sent| if sent.build == 2 && sent.at - sent.started > 6000.0 { every(3, sent, AttemptOutcome::Error) } else { well(sent) },
     true
 )]
 #[case::slows_all(slowed, true)]
 #[case::good(well, false)]
-#[case::both_fail(|sent: &Sent| every(10, sent, Ending::Error), false)]
+#[case::both_fail(|sent: &Sent| every(10, sent, AttemptOutcome::Error), false)]
 #[case::cold_machines(
-    |sent: &Sent| (Ending::Settled, if sent.build == 2 && sent.at - sent.started < 4000.0 { 110.0 } else { 50.0 }),
+    |sent: &Sent| (AttemptOutcome::Success, if sent.build == 2 && sent.at - sent.started < 4000.0 { 110.0 } else { 50.0 }),
     false
 )]
 #[case::one_sick_machine(
-    |sent: &Sent| if sent.instance == "a7" { every(3, sent, Ending::Error) } else { well(sent) },
+    |sent: &Sent| if sent.instance == "a7" { every(3, sent, AttemptOutcome::Error) } else { well(sent) },
     false
 )]
-#[case::one_slow_machine(|sent: &Sent| (Ending::Settled, if sent.instance == "a7" { 400.0 } else { 50.0 }), false)]
-fn the_judge_tells_builds_from_machines(#[case] behave: fn(&Sent) -> (Ending, Ms), #[case] bad: bool) {
+#[case::one_slow_machine(|sent: &Sent| (AttemptOutcome::Success, if sent.instance == "a7" { 400.0 } else { 50.0 }), false)]
+fn the_judge_tells_builds_from_machines(
+    #[case] behave: fn(&Sent) -> (AttemptOutcome, Millis), #[case] bad: bool,
+) {
     let mut host = trial(Terms::default(), 1, 0.5, behave);
     host.serve(15_000.0, 2);
-    assert_eq!(host.voted(2, Verdict::Back), bad, "{:?}", host.logged());
-    assert!(bad || host.voted(2, Verdict::On));
+    assert_eq!(host.voted(2, Verdict::RollBack), bad, "{:?}", host.logged());
+    assert!(bad || host.voted(2, Verdict::Promote));
 }
 
 /// All are slower from the time at which the trial's instances start.
-fn slowed(sent: &Sent) -> (Ending, Ms) {
-    (Ending::Settled, if sent.at < 104_100.0 { 50.0 } else { 110.0 })
+fn slowed(sent: &Sent) -> (AttemptOutcome, Millis) {
+    (AttemptOutcome::Success, if sent.at < 104_100.0 { 50.0 } else { 110.0 })
 }
 
 #[rstest]
@@ -287,22 +295,22 @@
     let mut host = Host::with(Terms::default(), 4, slowed);
     host.serve(4000.0, 8);
     host.start(&["a7", "b8", "b9"], 2);
-    host.stage(2, 1, Phase::OnTrial, 0.5);
+    host.stage(2, 1, RolloutPhase::Canary, 0.5);
     host.serve(8000.0, every);
-    assert_eq!(host.voted(2, Verdict::Back), bad);
+    assert_eq!(host.voted(2, Verdict::RollBack), bad);
 }
 
 /// A gateway of many, with 20 instances of build 1 and two of build 2 on trial at this cap.
-fn one_of_many(seed: u64, cap: f64, behave: impl Fn(&Sent) -> (Ending, Ms) + 'static) -> Host {
+fn one_of_many(seed: u64, cap: f64, behave: impl Fn(&Sent) -> (AttemptOutcome, Millis) + 'static) -> Host {
     let mut host = Host::with(Terms { seed, gateways: 300, ..Terms::default() }, 20, behave);
-    host.stage(1, 2, Phase::Released, 1.0);
+    host.stage(1, 2, RolloutPhase::Promoted, 1.0);
     host.serve(4000.0, 40);
     for _ in 0..4 {
         host.tally(1, 100, 2, 60.0);
         host.serve(250.0, 40);
     }
     host.start(&["a30", "b31"], 2);
-    host.stage(2, if cap < 1.0 { 1 } else { 2 }, Phase::OnTrial, cap);
+    host.stage(2, if cap < 1.0 { 1 } else { 2 }, RolloutPhase::Canary, cap);
     host
 }
 
@@ -318,7 +326,7 @@
 #[case::all_fail(1.0, (200, 200, 0.0), (4, 0, 60.0), true)]
 #[case::some_more_while_it_carries_all(1.0, (200, 20, 60.0), (4, 0, 60.0), false)]
 fn what_no_gateway_sees_by_itself_the_tallies_tell(
-    #[case] cap: f64, #[case] new: (u64, u64, Ms), #[case] old: (u64, u64, Ms), #[case] bad: bool,
+    #[case] cap: f64, #[case] new: (u64, u64, Millis), #[case] old: (u64, u64, Millis), #[case] bad: bool,
 ) {
     let mut host = one_of_many(7, cap, well);
     // While the machines are cold, failures do not compare.
@@ -332,7 +340,7 @@
     }
     // Few of many vote: give this one time to be drawn.
     host.run(20_000.0);
-    assert_eq!(host.voted(2, Verdict::Back), bad);
+    assert_eq!(host.voted(2, Verdict::RollBack), bad);
 }
 
 /// Two machines of the trial are warm and carry its txns, a third has just started.
@@ -340,7 +348,7 @@
 #[case::failures_compare((60, 30, 60.0), true)]
 #[case::times_do_not((60, 0, 150.0), false)]
 fn while_some_of_the_trial_start_failures_compare_and_times_do_not(
-    #[case] new: (u64, u64, Ms), #[case] bad: bool,
+    #[case] new: (u64, u64, Millis), #[case] bad: bool,
 ) {
     let mut host = one_of_many(7, 0.5, well);
     host.serve(4000.0, 40);
@@ -353,7 +361,7 @@
     }
     // Few of many vote: give this one time to be drawn.
     host.run(60_000.0);
-    assert_eq!(host.voted(2, Verdict::Back), bad);
+    assert_eq!(host.voted(2, Verdict::RollBack), bad);
 }
 
 /// Failures of old and new alike, in tallies of all gateways; each period by the trial's and the others'
@@ -376,7 +384,7 @@
         host.serve(2000.0, 40);
     }
     host.run(20_000.0);
-    assert_eq!(host.voted(2, Verdict::Back), bad, "{:?}", host.logged());
+    assert_eq!(host.voted(2, Verdict::RollBack), bad, "{:?}", host.logged());
 }
 
 /// Two of four machines of the trial are sick, and this gateway happens to meet them.
@@ -388,14 +396,14 @@
     #[case] failed: Option<u64>, #[case] bad: bool,
 ) {
     let behave = |sent: &Sent| match sent.instance.as_str() {
-        "a7" | "b8" => every(2, sent, Ending::Error),
+        "a7" | "b8" => every(2, sent, AttemptOutcome::Error),
         _ => well(sent),
     };
     let mut host = Host::with(Terms::default(), 8, behave);
-    host.stage(1, 2, Phase::Released, 1.0);
+    host.stage(1, 2, RolloutPhase::Promoted, 1.0);
     host.serve(4000.0, 4);
     host.start(&["a7", "b8", "a9", "b10"], 2);
-    host.stage(2, 1, Phase::OnTrial, 0.5);
+    host.stage(2, 1, RolloutPhase::Canary, 0.5);
     for _ in 0..40 {
         if let Some(failed) = failed {
             host.tally(2, 40, failed, 60.0);
@@ -403,27 +411,31 @@
         }
         host.serve(250.0, 4);
     }
-    assert_eq!(host.voted(2, Verdict::Back), bad);
+    assert_eq!(host.voted(2, Verdict::RollBack), bad);
 }
 
 #[rstest]
 #[case::told_of_the_trial(false, 2, true)]
 #[case::told_of_both(false, 1, false)]
 #[case::own(true, 2, true)]
-fn flags_add_up(#[case] own: bool, #[case] other: Build, #[case] bad: bool) {
+fn flags_add_up(#[case] own: bool, #[case] other: Version, #[case] bad: bool) {
     let mut host = one_of_many(7, 0.5, well);
     host.serve(4000.0, 40);
     for k in 0..24u32 {
-        let build: Build = if k % 3 == 0 { 2 } else { other };
+        let build: Version = if k % 3 == 0 { 2 } else { other };
         let (instance, product) = ("a30".to_string(), "look".to_string());
-        let told = Event::Peer { from: k, data: build.to_be_bytes().to_vec() };
-        host.tell(if own { Event::Flagged { instance, product, age: 1000.0 } } else { told });
+        let told = Event::PeerMessage { from: k, data: build.to_be_bytes().to_vec() };
+        host.tell(if own {
+            Event::WrongAnswerReported { endpoint: instance, class: product, age: 1000.0 }
+        } else {
+            told
+        });
         host.tally(2, 20, 0, 60.0);
         host.tally(1, 60, 0, 60.0);
         host.serve(500.0, 40);
     }
     host.run(20_000.0);
-    assert_eq!(host.voted(2, Verdict::Back), bad);
+    assert_eq!(host.voted(2, Verdict::RollBack), bad);
 }
 
 #[rstest]
@@ -434,7 +446,7 @@
         host.tally(2, 40, 0, 60.0);
         host.tally(1, 100, 2, 60.0);
         host.run(1000.0);
-        host.voted(2, Verdict::On)
+        host.voted(2, Verdict::Promote)
     };
     let voted = (0..60).filter(|seed| votes(*seed)).count();
     // 8 of 300 a look: about a tenth in four looks.
@@ -461,7 +473,7 @@
     let (mut new, mut all) = (0, 0);
     for seed in 0..20 {
         let mut host = one_of_many(seed, 1.0, well);
-        host.stage(2, 1, Phase::OnTrial, 0.5);
+        host.stage(2, 1, RolloutPhase::Canary, 0.5);
         host.serve(5000.0, 40);
         let from = host.now;
         host.serve(10_000.0, 40);
@@ -491,7 +503,7 @@
 
 #[rstest]
 fn a_tenant_that_waits_everywhere_does_not_take_the_others_places() {
-    let slow = |sent: &Sent| (Ending::Settled, if sent.id.is_multiple_of(2) { 800.0 } else { 50.0 });
+    let slow = |sent: &Sent| (AttemptOutcome::Success, if sent.id.is_multiple_of(2) { 800.0 } else { 50.0 });
     let mut host = Host::with(Terms::default(), 4, slow);
     let mut ids = Vec::new();
     for k in 0..2000 {
@@ -510,7 +522,7 @@
 #[case::early_repeat(true, 1900.0, true)]
 #[case::late_repeat(true, 1200.0, false)]
 fn a_repeat_after_the_sla_time_of_its_first_try_is_declined_at_once(
-    #[case] repeat: bool, #[case] left: Ms, #[case] sent: bool,
+    #[case] repeat: bool, #[case] left: Millis, #[case] sent: bool,
 ) {
     let mut host = Host::with(Terms::default(), 4, well);
     host.serve(100.0, 1);
@@ -518,8 +530,7 @@
     host.run(30.0);
     assert_eq!((host.sent_of(id).is_empty(), host.answers.contains_key(&id)), (!sent, !sent));
     // And what is sent has until its SLA time, so that servers may drop it unbegun.
-    let beyond =
-        |action: &Action| matches!(action, Action::Submit { limit, .. } if limit.is_none_or(|l| l > 500.0));
+    let beyond = |action: &Action| matches!(action, Action::SendAttempt { timeout: limit, .. } if limit.is_none_or(|l| l > 500.0));
     assert!(!host.all.iter().any(|(_, action)| beyond(action)));
 }
 
@@ -530,13 +541,14 @@
     let before = host.all.len();
     host.run(20_000.0);
     assert!(host.all.len() - before <= 30, "a look a second: {}", host.all.len() - before);
-    let watches =
-        |host: &Host| host.all.iter().filter(|(_, a)| matches!(a, Action::Watch { on: true })).count();
+    let watches = |host: &Host| {
+        host.all.iter().filter(|(_, a)| matches!(a, Action::WatchEndpoints { enabled: true })).count()
+    };
     let (before, mut told) = (watches(&host), watches(&host) - 1);
     for _ in 0..4000 {
         if watches(&host) > told {
             told = watches(&host);
-            host.tell(Event::Fleet { kind: ListKind::Failed, version: 0, entries: vec![] });
+            host.tell(Event::EndpointUpdate { kind: UpdateKind::Failed, list_version: 0, entries: vec![] });
         }
         host.step();
     }
@@ -545,14 +557,14 @@
 }
 
 #[rstest]
-#[case::everywhere(|sent: &Sent| if sent.id.is_multiple_of(3) { (Ending::NoConnection, 1.0) } else { well(sent) }, true)]
-#[case::at_one_instance(|sent: &Sent| if sent.instance == "a0" { (Ending::NoConnection, 1.0) } else { well(sent) }, false)]
+#[case::everywhere(|sent: &Sent| if sent.id.is_multiple_of(3) { (AttemptOutcome::ConnectFailed, 1.0) } else { well(sent) }, true)]
+#[case::at_one_instance(|sent: &Sent| if sent.instance == "a0" { (AttemptOutcome::ConnectFailed, 1.0) } else { well(sent) }, false)]
 fn where_connections_are_scarce_none_is_kept_idle(
-    #[case] behave: fn(&Sent) -> (Ending, Ms), #[case] closes: bool,
+    #[case] behave: fn(&Sent) -> (AttemptOutcome, Millis), #[case] closes: bool,
 ) {
     let mut host = Host::with(Terms::default(), 12, behave);
     host.serve(8000.0, 2);
-    let closed = host.all.iter().filter(|(_, a)| matches!(a, Action::CloseIdle { .. })).count();
+    let closed = host.all.iter().filter(|(_, a)| matches!(a, Action::CloseIdleConnections { .. })).count();
     assert!(if closes { closed > 100 } else { closed < 200 }, "{closed}");
 }
 
@@ -574,38 +586,37 @@
 fn before_its_release_a_build_carries_nearly_all() {
     let mut host = trial(Terms::default(), 2, 1.0, well);
     host.serve(6000.0, 2);
-    assert!(!host.voted(2, Verdict::On), "only after the rehearsal");
+    assert!(!host.voted(2, Verdict::Promote), "only after the rehearsal");
     let from = host.now;
     host.serve(4500.0, 2);
     let (new, all): (Vec<_>, Vec<_>) = host.sent.iter().filter(|s| s.at >= from).partition(|s| s.build == 2);
     assert!(new.len() > 4 * all.len(), "{} against {}", new.len(), all.len());
-    assert!(host.voted(2, Verdict::On));
+    assert!(host.voted(2, Verdict::Promote));
 }
 
 #[rstest]
-#[case::single(VoteMode::Single, Verdict::On)]
-#[case::majority(VoteMode::Majority, Verdict::On)]
-#[case::clocked(VoteMode::Clocked, Verdict::Hold)]
+#[case::single(VoteMode::Single, Verdict::Promote)]
+#[case::majority(VoteMode::Majority, Verdict::Promote)]
+#[case::clocked(VoteMode::Clocked, Verdict::Pause)]
 fn votes_are_renewed_and_repeated(#[case] mode: VoteMode, #[case] verdict: Verdict) {
     let mut terms = Terms::default();
     terms.votes.mode = mode;
     // Under a clock nothing is voted unless in doubt: a mild fault that is no certainty for a while.
     let fault = move |sent: &Sent| {
         let doubtful = mode == VoteMode::Clocked && sent.build == 2;
-        if doubtful { every(9, sent, Ending::Error) } else { well(sent) }
+        if doubtful { every(9, sent, AttemptOutcome::Error) } else { well(sent) }
     };
     let mut host = trial(terms, 1, 0.5, fault);
     host.serve(12_000.0, 2);
     assert!(host.voted(2, verdict));
     if mode != VoteMode::Clocked {
-        let votes = |host: &Host| host.all.iter().filter(|(_, a)| matches!(a, Action::Vote { .. })).count();
+        let votes =
+            |host: &Host| host.all.iter().filter(|(_, a)| matches!(a, Action::CastVote { .. })).count();
         let before = votes(&host);
         host.serve(4100.0, 2);
         assert!((before + 1..before + 4).contains(&votes(&host)), "renewed before it lapses");
-        let (valid, unsure, answer, phase) = (false, false, true, Phase::OnTrial);
-        let failed = StageNews { valid, unsure, answer, build: 2, stage: 1, phase, cap: 0.5, age: 0.0 };
         let before = votes(&host);
-        host.tell(Event::Stage(failed));
+        host.tell(Event::VoteCompleted(VoteOutcome::NotCounted));
         host.serve(800.0, 2);
         assert!(votes(&host) > before, "repeated when it did not count");
     }
@@ -614,7 +625,8 @@
 #[rstest]
 fn too_much_is_declined_at_once_and_the_rest_is_in_time() {
     // Each instance does one txn at a time, in order.
-    let mut host = Host::with(Terms::default(), 4, |sent| (Ending::Settled, 100.0 * (sent.load + 1) as f64));
+    let mut host =
+        Host::with(Terms::default(), 4, |sent| (AttemptOutcome::Success, 100.0 * (sent.load + 1) as f64));
     host.serve(8000.0, 1);
     let mut declined = 0;
     for (id, answers) in &host.answers {
@@ -634,12 +646,12 @@
 fn once_a_jam_is_over_nothing_more_is_declined_for_it(#[case] every: usize) {
     // For four seconds nobody answers within the SLA time, then all as well as before.
     let jammed = |sent: &Sent| (103_000.0..107_000.0).contains(&sent.at);
-    let behave = move |sent: &Sent| if jammed(sent) { (Ending::NoAnswer, 500.0) } else { well(sent) };
+    let behave = move |sent: &Sent| if jammed(sent) { (AttemptOutcome::Timeout, 500.0) } else { well(sent) };
     let mut host = Host::with(Terms::default(), 4, behave);
     host.serve(3000.0, every);
     assert!(host.answers.is_empty(), "declined with no cause");
     host.serve(4000.0, every);
-    let declined = |host: &Host, from: Ms| host.answers.values().filter(|told| told[0].0 >= from).count();
+    let declined = |host: &Host, from: Millis| host.answers.values().filter(|told| told[0].0 >= from).count();
     assert!(declined(&host, 105_000.0) * 2 * every > 100, "a jam is not fed");
     host.serve(5000.0, every);
     let still = declined(&host, 109_500.0) * every;
@@ -650,7 +662,8 @@
 fn in_a_lasting_jam_a_gateway_of_little_traffic_sends_little() {
     let (mut came, mut sent) = (0, 0);
     for seed in 0..10 {
-        let jammed = |sent: &Sent| if sent.at > 103_000.0 { (Ending::NoAnswer, 500.0) } else { well(sent) };
+        let jammed =
+            |sent: &Sent| if sent.at > 103_000.0 { (AttemptOutcome::Timeout, 500.0) } else { well(sent) };
         let mut host = Host::with(Terms { seed, ..Terms::default() }, 4, jammed);
         host.serve(6000.0, 10);
         let before = host.txn("look", None);
@@ -664,25 +677,25 @@
 #[rstest]
 fn a_restarted_gateway_serves_from_its_old_list_and_asks_for_the_new() {
     let mut host = Host::new(Terms::default());
-    let entries: Vec<Listing> =
-        (0..3).map(|i| host.list(&format!("a{i}"), 1, Standing::Ready, 0.0)).collect();
-    host.tell(Event::Fleet { kind: ListKind::Cached, version: 1, entries });
+    let entries: Vec<EndpointEntry> =
+        (0..3).map(|i| host.list(&format!("a{i}"), 1, EndpointStatus::Ready, 0.0)).collect();
+    host.tell(Event::EndpointUpdate { kind: UpdateKind::CachedSnapshot, list_version: 1, entries });
     let id = host.txn("pay", None);
     host.run(2500.0);
     assert!(host.settled.contains_key(&id));
-    assert!(host.all.iter().any(|(_, action)| matches!(action, Action::Watch { on: true })));
+    assert!(host.all.iter().any(|(_, action)| matches!(action, Action::WatchEndpoints { enabled: true })));
 }
 
 #[rstest]
 fn the_same_events_and_seed_give_the_same_actions() {
     let day = || {
-        let mut host = trial(Terms::default(), 1, 0.5, |sent| every(7, sent, Ending::Error));
+        let mut host = trial(Terms::default(), 1, 0.5, |sent| every(7, sent, AttemptOutcome::Error));
         host.serve(5000.0, 1);
         host.all
     };
     assert_eq!(day(), day());
     let terms = Terms { seed: 8, ..Terms::default() };
-    let mut other = trial(terms, 1, 0.5, |sent| every(7, sent, Ending::Error));
+    let mut other = trial(terms, 1, 0.5, |sent| every(7, sent, AttemptOutcome::Error));
     other.serve(5000.0, 1);
     assert_ne!(day(), other.all);
 }
@@ -691,38 +704,53 @@
 fn absurd_news_stalls_nothing() {
     let mut host = trial(Terms::default(), 1, 0.5, well);
     let instance = "nobody".to_string();
-    let (ending, took) = (Ending::Settled, -5.0);
-    host.tell(Event::Ended { id: 9999, submission: 7, instance, ending, closed: false, took, load: vec![] });
-    host.tell(Event::ClientGone { id: 4242 });
-    host.tell(Event::Flagged { instance: "nobody".into(), product: "none".into(), age: -1.0 });
-    host.tell(Event::Tally { build: 77, product: "none".into(), count: 0, failed: 5, took: None, age: 1e9 });
-    host.tell(Event::Peer { from: 99, data: vec![255; 256] });
-    host.tell(Event::Peer { from: 99, data: vec![255; 4] });
+    let (ending, took) = (AttemptOutcome::Success, -5.0);
+    host.tell(Event::AttemptCompleted(CompletedAttempt {
+        id: 9999,
+        attempt: 7,
+        endpoint: instance,
+        outcome: ending,
+        is_final: false,
+        elapsed: took,
+        load: LoadReport::default(),
+    }));
+    host.tell(Event::ClientDisconnected { id: 4242 });
+    host.tell(Event::WrongAnswerReported { endpoint: "nobody".into(), class: "none".into(), age: -1.0 });
+    host.tell(Event::OutcomesReported(OutcomeReport {
+        version: 77,
+        class: "none".into(),
+        attempts: 0,
+        failures: 5,
+        mean_latency: None,
+        age: 1e9,
+    }));
+    host.tell(Event::PeerMessage { from: 99, data: vec![255; 256] });
+    host.tell(Event::PeerMessage { from: 99, data: vec![255; 4] });
     host.tally(2, u64::MAX, u64::MAX, 1.0);
     host.tally(1, 3, 9, -4.0);
-    host.stage(9, 40, Phase::OnTrial, -3.0);
-    host.stage(2, 40, Phase::OnTrial, 7.0);
-    host.list("a0", 1, Standing::Ready, 1e12);
+    host.stage(9, 40, RolloutPhase::Canary, -3.0);
+    host.stage(2, 40, RolloutPhase::Canary, 7.0);
+    host.list("a0", 1, EndpointStatus::Ready, 1e12);
     let unknown = host.txn("unheard-of", None);
     let id = host.txn("pay", None);
     host.run(300.0);
-    assert!(matches!(host.answers[&unknown][..], [(_, Action::Void { .. })]));
+    assert!(matches!(host.answers[&unknown][..], [(_, Action::Fail { .. })]));
     assert!(host.settled.contains_key(&id));
 }
 
 #[test]
 fn many_instances_tenants_and_builds_leave_nothing_behind() {
     let (mut fleet, mut desk) = (Fleet::default(), Desk::new(vec![50.0], 0.0));
-    let mut exposure = Exposure::new(ExposureTerms::default(), 1);
-    let mut listing = Host::new(Terms::default()).list("a", 1, Standing::Ready, 0.0);
+    let mut exposure = Exposure::new(ExposureConfig::default(), 1);
+    let mut listing = Host::new(Terms::default()).list("a", 1, EndpointStatus::Ready, 0.0);
     let stays = fleet.slot(&listing);
     for n in 0..5000 {
-        (listing.instance, listing.build, listing.state) = (format!("s{n}"), n, Standing::Ready);
+        (listing.endpoint, listing.version, listing.status) = (format!("s{n}"), n, EndpointStatus::Ready);
         let i = fleet.slot(&listing);
         assert!(i != stays && fleet.servers.build[i] != fleet.servers.build[stays]);
         fleet.servers.begin_life(i, 2.0);
         fleet.servers.relist(i, &listing);
-        listing.state = Standing::Gone;
+        listing.status = EndpointStatus::Removed;
         fleet.servers.relist(i, &listing);
         desk.services(&Some(format!("t{n}")))[1].at = f64::from(n);
         exposure.note_send(n, 0, 100.0 * f64::from(n), 1000.0);
@@ -732,7 +760,7 @@
     // One that still carries a txn keeps its index.
     let carries = fleet.slot(&listing);
     fleet.servers.in_flight[carries] = 1;
-    listing.instance = "another".to_string();
+    listing.endpoint = "another".to_string();
     assert_ne!(fleet.slot(&listing), carries);
 }
 
@@ -741,7 +769,7 @@
 #[case::one_after_another(|sent: &Sent| sent.instance == "a0", true)]
 fn a_server_is_left_aside_for_two_lost_connections_in_a_row_and_not_for_one(
     #[case] loses: fn(&Sent) -> bool, #[case] aside: bool,
-    #[values(Ending::ConnectionLost, Ending::NoConnection)] how: Ending,
+    #[values(AttemptOutcome::ConnectionLost, AttemptOutcome::ConnectFailed)] how: AttemptOutcome,
 ) {
     let behave = move |sent: &Sent| if loses(sent) { (how, 5.0) } else { well(sent) };
     let mut host = Host::with(Terms::default(), 4, behave);
@@ -758,40 +786,41 @@
     #[case] one_in: u32, #[case] bad: bool,
 ) {
     let behave = move |sent: &Sent| match sent.build {
-        2 if sent.at > 117_000.0 => every(one_in, sent, Ending::Error),
+        2 if sent.at > 117_000.0 => every(one_in, sent, AttemptOutcome::Error),
         _ => well(sent),
     };
     let mut host = Host::with(Terms::default(), 4, behave);
-    host.stage(1, 2, Phase::Released, 1.0);
+    host.stage(1, 2, RolloutPhase::Promoted, 1.0);
     host.serve(12_000.0, 2);
     host.start(&["a7", "b8", "b9"], 2);
-    host.stage(2, 1, Phase::OnTrial, 0.5);
+    host.stage(2, 1, RolloutPhase::Canary, 0.5);
     host.serve(4000.0, 2);
-    ["a0", "a1", "b2", "b3"].iter().for_each(|name| drop(host.list(name, 1, Standing::Gone, 0.0)));
-    host.stage(2, 2, Phase::OnTrial, 1.0);
+    ["a0", "a1", "b2", "b3"].iter().for_each(|name| drop(host.list(name, 1, EndpointStatus::Removed, 0.0)));
+    host.stage(2, 2, RolloutPhase::Canary, 1.0);
     host.serve(10_000.0, 2);
-    assert_eq!(host.voted(2, Verdict::Back), bad);
+    assert_eq!(host.voted(2, Verdict::RollBack), bad);
 }
 
 #[test]
 fn where_all_was_slow_before_a_build_came_it_is_not_sent_back_for_that() {
-    let took = |at: Ms| match at {
+    let took = |at: Millis| match at {
         at if at < 104_000.0 => 50.0,
         at if at < 107_100.0 => 200.0,
         _ => 420.0,
     };
-    let mut host = Host::with(Terms::default(), 4, move |sent: &Sent| (Ending::Settled, took(sent.at)));
-    host.stage(1, 2, Phase::Released, 1.0);
+    let mut host =
+        Host::with(Terms::default(), 4, move |sent: &Sent| (AttemptOutcome::Success, took(sent.at)));
+    host.stage(1, 2, RolloutPhase::Promoted, 1.0);
     host.serve(7000.0, 2);
     host.start(&["a7", "b8", "b9"], 2);
-    host.stage(2, 0, Phase::OnTrial, 0.5);
+    host.stage(2, 0, RolloutPhase::Canary, 0.5);
     host.serve(8000.0, 2);
-    assert!(!host.voted(2, Verdict::Back));
+    assert!(!host.voted(2, Verdict::RollBack));
 }
 
 #[test]
 fn hundreds_that_start_while_discovery_is_down_ask_seldom_and_all_get_a_list() {
-    const DOWN: Ms = 8000.0;
+    const DOWN: Millis = 8000.0;
     let terms = |seed| Terms { seed, gateways: 300, ..Terms::default() };
     let mut hosts: Vec<Host> = (0..300).map(|seed| Host::new(terms(seed))).collect();
     let (mut calls, mut heard) = (Vec::new(), 0);
@@ -801,17 +830,18 @@
             // What it asked for as it started counts too.
             let before = if step == 0 { 0 } else { host.all.len() };
             host.step();
-            let asks = |(_, action): &(Ms, Action)| matches!(action, Action::Watch { on: true });
+            let asks =
+                |(_, action): &(Millis, Action)| matches!(action, Action::WatchEndpoints { enabled: true });
             if host.all[before..].iter().any(asks) {
                 calls.push(at);
                 heard += usize::from(at >= DOWN);
-                let kind = if at >= DOWN { ListKind::Whole } else { ListKind::Failed };
-                host.tell(Event::Fleet { kind, version: 2, entries: vec![] });
+                let kind = if at >= DOWN { UpdateKind::Snapshot } else { UpdateKind::Failed };
+                host.tell(Event::EndpointUpdate { kind, list_version: 2, entries: vec![] });
             }
         }
     }
-    let most = |from: Ms| {
-        let within = |start: Ms| calls.iter().filter(|at| (start..start + 1000.0).contains(*at)).count();
+    let most = |from: Millis| {
+        let within = |start: Millis| calls.iter().filter(|at| (start..start + 1000.0).contains(*at)).count();
         (0..120).map(|k| within(from + 100.0 * f64::from(k))).max().unwrap_or(0)
     };
     assert_eq!(heard, 300, "each asks until it has a list, and no more");
@@ -823,13 +853,13 @@
 #[rstest]
 #[case::little_traffic(5, 4500.0)]
 #[case::much(1, 1500.0)]
-fn while_four_in_ten_pause_again_and_again_the_others_go_on(#[case] every: usize, #[case] longest: Ms) {
+fn while_four_in_ten_pause_again_and_again_the_others_go_on(#[case] every: usize, #[case] longest: Millis) {
     // Each of four stands still for a second in every two; what comes then waits for the end of it.
     let pauses = |sent: &Sent| ["a0", "a1", "b5", "b6"].contains(&sent.instance.as_str());
     let behave = move |sent: &Sent| {
         let into = sent.at % 2000.0;
         let rest = if pauses(sent) && into < 1000.0 { 1000.0 - into } else { 0.0 };
-        (Ending::Settled, 50.0 + rest)
+        (AttemptOutcome::Success, 50.0 + rest)
     };
     let mut host = Host::with(Terms::default(), 10, behave);
     host.serve(12_000.0, every);
--- a/crates/proxy-config/src/evidence.rs
+++ b/crates/proxy-config/src/evidence.rs
@@ -1,14 +1,14 @@
 //! Load reports of proxies: checked, weighed against each other, and turned into tallies and figures on instances.
 //! They are counts over a period; no outcome is made up that nobody saw.
 
-use latchhaven_policy::api::{Build, Event, Ms};
+use latchhaven_policy::{EndpointOutcomes, Event, Millis, OutcomeReport, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 /// Reports are gathered for so many ms before the decisions hear of them: news of a period, not of each proxy.
-pub const PERIOD: Ms = 1_000.0;
+pub const PERIOD: Millis = 1_000.0;
 /// Without a report for so many ms the platform's tallies count instead.
-const SILENT: Ms = 5_000.0;
+const SILENT: Millis = 5_000.0;
 /// Times the mean of all reporting proxies that one of them counts at most, where at least so many report: one that
 /// is wrong, or lies, condemns nothing alone.
 const CLIP: f64 = 4.0;
@@ -18,9 +18,9 @@
 /// No proxy sends more in a period; figures above are nonsense.
 const COUNT_MOST: u64 = 1_000_000_000;
 /// The longest and shortest periods in ms that a report may cover.
-const INTERVAL: std::ops::RangeInclusive<Ms> = 1.0..=3_600_000.0;
+const INTERVAL: std::ops::RangeInclusive<Millis> = 1.0..=3_600_000.0;
 /// The longest mean time of an answer in ms that is believed: an hour.
-const TOOK_MOST: Ms = 3_600_000.0;
+const TOOK_MOST: Millis = 3_600_000.0;
 /// Weight of the newest report in a proxy's rate.
 const NEWEST: f64 = 0.3;
 
@@ -41,7 +41,7 @@
 /// What a proxy counted in one cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClusterReport {
-    pub build: Build,
+    pub build: Version,
     pub product: usize,
     pub hosts: Vec<(SocketAddr, Figures)>,
     pub dropped: u64,
@@ -50,7 +50,7 @@
 /// One report of one proxy; `interval`: ms that it covers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    pub interval: Ms,
+    pub interval: Millis,
     pub clusters: Vec<ClusterReport>,
 }
 
@@ -78,7 +78,7 @@
     }
 
     /// Submissions, those that failed, and the mean time of the others.
-    fn told(&self) -> (u64, u64, Option<Ms>) {
+    fn told(&self) -> (u64, u64, Option<Millis>) {
         let (count, failed) = (self.count.round() as u64, self.failed.round() as u64);
         (count, failed.min(count), (self.timed > 0.0).then(|| self.took / self.timed))
     }
@@ -89,7 +89,7 @@
 struct Reporter {
     rate: Vec<f64>,
     /// Still out at each cluster when it last reported.
-    out: BTreeMap<(Build, usize), u64>,
+    out: BTreeMap<(Version, usize), u64>,
 }
 
 /// All reports since they were last taken.
@@ -97,11 +97,11 @@
 pub struct Gathered {
     products: Vec<String>,
     /// By build and product, then proxy.
-    tallies: BTreeMap<(Build, usize), BTreeMap<u64, Sum>>,
+    tallies: BTreeMap<(Version, usize), BTreeMap<u64, Sum>>,
     hosts: BTreeMap<(String, usize), Sum>,
     reporters: BTreeMap<u64, Reporter>,
-    heard: Option<Ms>,
-    taken: Ms,
+    heard: Option<Millis>,
+    taken: Millis,
     platform_only: bool,
 }
 
@@ -118,8 +118,8 @@
     /// # Errors
     /// What cannot be in it: figures that contradict, times that are none, hosts that are not in their cluster.
     pub fn report<'a>(
-        &mut self, proxy: u64, report: &Report, whose: impl Fn(&SocketAddr, Build) -> Option<&'a str>,
-        now: Ms,
+        &mut self, proxy: u64, report: &Report, whose: impl Fn(&SocketAddr, Version) -> Option<&'a str>,
+        now: Millis,
     ) -> Result<Vec<f64>, String> {
         if !INTERVAL.contains(&report.interval) {
             return Err("load_report_interval: not from 1 ms to 1 h".to_string());
@@ -189,12 +189,12 @@
     }
 
     /// Whether the platform's tallies count now: never both its and the proxies', which saw the same submissions.
-    pub fn platform_counts(&self, now: Ms) -> bool {
+    pub fn platform_counts(&self, now: Millis) -> bool {
         self.platform_only || self.heard.is_none_or(|heard| now - heard > SILENT)
     }
 
     /// What a period brought, for the decisions; nothing before it is over.
-    pub fn take(&mut self, now: Ms) -> Vec<Event> {
+    pub fn take(&mut self, now: Millis) -> Vec<Event> {
         if now - self.taken < PERIOD {
             return Vec::new();
         }
@@ -203,7 +203,13 @@
         let mut events = Vec::new();
         for ((instance, product), sum) in std::mem::take(&mut self.hosts) {
             let (product, (count, failed, took)) = (self.products[product].clone(), sum.told());
-            events.push(Event::Seen { instance, product, count, failed, took });
+            events.push(Event::EndpointOutcomesReported(EndpointOutcomes {
+                endpoint: instance,
+                class: product,
+                attempts: count,
+                failures: failed,
+                mean_latency: took,
+            }));
         }
         for ((build, product), sums) in std::mem::take(&mut self.tallies) {
             if self.platform_only {
@@ -214,7 +220,14 @@
             let mut all = Sum::default();
             sums.values().for_each(|sum| all.add(sum, most));
             let (product, (count, failed, took)) = (self.products[product].clone(), all.told());
-            events.push(Event::Tally { build, product, count, failed, took, age });
+            events.push(Event::OutcomesReported(OutcomeReport {
+                version: build,
+                class: product,
+                attempts: count,
+                failures: failed,
+                mean_latency: took,
+                age,
+            }));
         }
         events
     }
@@ -226,12 +239,12 @@
     use proptest::prelude::*;
 
     /// Hosts 1 to 3 have build 1.
-    fn known(host: &SocketAddr, build: Build) -> Option<&'static str> {
+    fn known(host: &SocketAddr, build: Version) -> Option<&'static str> {
         let names = ["s1", "s2", "s3"];
         names.get(usize::from(host.port().wrapping_sub(1))).copied().filter(|_| build == 1)
     }
 
-    fn report(build: Build, host: u16, figures: Figures) -> Report {
+    fn report(build: Version, host: u16, figures: Figures) -> Report {
         let hosts = vec![(SocketAddr::from(([127, 0, 0, 1], host)), figures)];
         Report { interval: 1000.0, clusters: vec![ClusterReport { build, product: 0, hosts, dropped: 0 }] }
     }
@@ -261,7 +274,9 @@
         }
         let events = all.take(2000.0);
         let tallied = events.iter().find_map(|event| match event {
-            Event::Tally { count, failed, .. } => Some((*count, *failed)),
+            Event::OutcomesReported(OutcomeReport { attempts: count, failures: failed, .. }) => {
+                Some((*count, *failed))
+            }
             _ => None,
         });
         assert_eq!(tallied, Some((6, 1)), "only what was sound");
@@ -277,7 +292,12 @@
         let mut failing = Vec::new();
         for event in all.take(2000.0) {
             match event {
-                Event::Tally { count, failed, .. } | Event::Seen { count, failed, .. } => {
+                Event::OutcomesReported(OutcomeReport { attempts: count, failures: failed, .. })
+                | Event::EndpointOutcomesReported(EndpointOutcomes {
+                    attempts: count,
+                    failures: failed,
+                    ..
+                }) => {
                     failing.push(failed as f64 / count as f64);
                 }
                 _ => {}
@@ -296,7 +316,11 @@
         let mut all = Gathered::new(vec!["look".to_string()], true);
         all.report(1, &report(1, 1, ok(5, 0)), known, 0.0).unwrap();
         assert!(all.platform_counts(1.0));
-        assert!(all.take(2000.0).iter().all(|event| matches!(event, Event::Seen { .. })));
+        assert!(
+            all.take(2000.0)
+                .iter()
+                .all(|event| matches!(event, Event::EndpointOutcomesReported(EndpointOutcomes { .. })))
+        );
     }
 
     proptest! {
@@ -315,7 +339,7 @@
                 let _ = all.report(proxy, &report(1, host, figures), known, 0.0);
             }
             for event in all.take(1500.0) {
-                if let Event::Tally { count, failed, took, .. } | Event::Seen { count, failed, took, .. } = event {
+                if let Event::OutcomesReported(OutcomeReport { attempts: count, failures: failed, mean_latency: took, .. }) | Event::EndpointOutcomesReported(EndpointOutcomes { attempts: count, failures: failed, mean_latency: took, .. }) = event {
                     prop_assert!(failed <= count);
                     prop_assert!(took.is_none_or(|took| took.is_finite() && took >= 0.0));
                 }
