--- a/crates/proxy-config/src/handout.rs
+++ b/crates/proxy-config/src/handout.rs
@@ -3,8 +3,9 @@
 
 use crate::ledger::{Ledger, Shares};
 use crate::shares::{MILLION, cold_share, parts, safe_share};
-use latchhaven_policy::api::{
-    Build, ColdStart, Effect, ExposureTerms, Group, Ms, Outlook, Outlooked, Product,
+use latchhaven_policy::{
+    DedupScope, EndpointSnapshot, ExposureConfig, Idempotency, Millis, PolicySnapshot, RequestClass,
+    SlowStartConfig, Version,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -20,14 +21,14 @@
 /// In flight that a proxy may have at a build at least.
 const IN_FLIGHT_LEAST: u32 = 4;
 /// ms between two tries of a proxy at most, beside the time of the try itself.
-const BACK_OFF: Ms = 100.0;
+const BACK_OFF: Millis = 100.0;
 
 /// What stays the same from handout to handout.
 #[derive(Clone, Debug)]
 pub struct Terms {
-    pub products: Vec<Product>,
-    pub exposure: ExposureTerms,
-    pub cold: ColdStart,
+    pub products: Vec<RequestClass>,
+    pub exposure: ExposureConfig,
+    pub cold: SlowStartConfig,
     /// Submissions of a txn at most.
     pub submissions: usize,
     /// In flight that a warm host of weight 1 can hold, over all proxies.
@@ -38,7 +39,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Handout {
     pub clusters: Vec<Cluster>,
-    pub hosts: BTreeMap<Build, Vec<Host>>,
+    pub hosts: BTreeMap<Version, Vec<Host>>,
     /// In parts of a million, to be declined at once.
     pub dropped: u32,
     pub routes: Vec<Route>,
@@ -49,7 +50,7 @@
 /// One product's way to one build.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cluster {
-    pub build: Build,
+    pub build: Version,
     pub product: usize,
     /// In flight at most, at each proxy.
     pub in_flight: u32,
@@ -79,7 +80,7 @@
 /// Where a part of a product's txns goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Target {
-    Build(Build),
+    Build(Version),
     /// Nowhere: declined at once.
     Decline,
 }
@@ -101,40 +102,41 @@
     pub shares: Vec<(Target, u32)>,
     /// The same for txns with a key, where keys may not go back.
     pub keyed: Option<Vec<(Target, u32)>>,
-    pub timeout: Ms,
-    pub try_timeout: Option<Ms>,
+    pub timeout: Millis,
+    pub try_timeout: Option<Millis>,
     pub repeats: u32,
     pub repeat: Repeat,
 }
 
 /// Builds whose ready hosts are all left aside: that is no choice left, they are tried rather than none.
-fn all_aside(outlook: &Outlook) -> BTreeSet<Build> {
+fn all_aside(outlook: &PolicySnapshot) -> BTreeSet<Version> {
     let builds = |aside: bool| {
-        let hosts = outlook.instances.iter().filter(move |host| host.ready && host.aside == aside);
-        hosts.map(|host| host.build).collect::<BTreeSet<Build>>()
+        let hosts = outlook.endpoints.iter().filter(move |host| host.is_ready && host.is_ejected == aside);
+        hosts.map(|host| host.version).collect::<BTreeSet<Version>>()
     };
     &builds(true) - &builds(false)
 }
 
 /// Capacity of the hosts of each build that get txns.
-fn capacities(outlook: &Outlook, tried: &BTreeSet<Build>) -> BTreeMap<Build, f64> {
-    let mut capacities: BTreeMap<Build, f64> = BTreeMap::new();
-    let serving = |host: &&Outlooked| host.ready && (!host.aside || tried.contains(&host.build));
-    for host in outlook.instances.iter().filter(serving) {
-        *capacities.entry(host.build).or_default() += host.capacity;
+fn capacities(outlook: &PolicySnapshot, tried: &BTreeSet<Version>) -> BTreeMap<Version, f64> {
+    let mut capacities: BTreeMap<Version, f64> = BTreeMap::new();
+    let serving =
+        |host: &&EndpointSnapshot| host.is_ready && (!host.is_ejected || tried.contains(&host.version));
+    for host in outlook.endpoints.iter().filter(serving) {
+        *capacities.entry(host.version).or_default() += host.capacity;
     }
     capacities
 }
 
 /// Makes a handout of what the decisions look like at one moment.
 pub fn make(
-    outlook: &Outlook, terms: &Terms, withdrawn: &BTreeSet<Build>, addresses: &BTreeMap<String, SocketAddr>,
-    ledger: &Ledger, now: Ms,
+    outlook: &PolicySnapshot, terms: &Terms, withdrawn: &BTreeSet<Version>,
+    addresses: &BTreeMap<String, SocketAddr>, ledger: &Ledger, now: Millis,
 ) -> Handout {
     let tried = all_aside(outlook);
     let (capacities, hosts) = (capacities(outlook, &tried), hosts(outlook, &tried, addresses));
-    let trial_builds: BTreeSet<Build> = outlook.trials.iter().map(|trial| trial.build).collect();
-    let earlier: Vec<(Build, f64)> = capacities
+    let trial_builds: BTreeSet<Version> = outlook.canaries.iter().map(|trial| trial.version).collect();
+    let earlier: Vec<(Version, f64)> = capacities
         .iter()
         .filter(|(build, capacity)| {
             !trial_builds.contains(build) && !withdrawn.contains(build) && **capacity > 0.0
@@ -145,14 +147,14 @@
     let routes = terms.products.iter().enumerate().map(|(product, known)| {
         let parts = trial_parts(outlook, terms, &capacities, !earlier.is_empty(), product, ledger, now);
         trial.push(parts.iter().map(|(_, part)| part).sum());
-        let keyed = terms.exposure.no_return.then(|| {
+        let keyed = terms.exposure.sticky_keys.then(|| {
             // A key that the trial answered must not return: with a key all stay where they are, then move once.
             let stays = if earlier.is_empty() { parts.clone() } else { Vec::new() };
             whole(stays, &earlier)
         });
         let (repeat, repeats, try_timeout) = repeats(known, terms.submissions);
         let shares = whole(parts, &earlier);
-        Route { product, shares, keyed, timeout: known.expiry, try_timeout, repeats, repeat }
+        Route { product, shares, keyed, timeout: known.timeout, try_timeout, repeats, repeat }
     });
     let routes: Vec<Route> = routes.collect();
     let proxies = ledger.len().max(1) as f64;
@@ -161,29 +163,29 @@
         let room = f64::from(terms.in_flight_per_host) * capacity * UNEVEN / proxies;
         // Powers of two: a proxy more or less, or a host, does not tell all of them anew.
         let in_flight = (room.ceil() as u32).max(IN_FLIGHT_LEAST).next_power_of_two();
-        let capped = outlook.trials.iter().any(|trial| trial.build == *build && trial.cap < 1.0);
+        let capped = outlook.canaries.iter().any(|trial| trial.version == *build && trial.traffic_cap < 1.0);
         let cluster = move |product| Cluster { build: *build, product, in_flight, repeats: !capped };
         (0..terms.products.len()).map(cluster)
     });
     let clusters = clusters.collect();
-    let dropped = parts(outlook.shed) / STEP * STEP;
+    let dropped = parts(outlook.shed_probability) / STEP * STEP;
     Handout { clusters, hosts, dropped, routes, trial }
 }
 
 fn hosts(
-    outlook: &Outlook, tried: &BTreeSet<Build>, addresses: &BTreeMap<String, SocketAddr>,
-) -> BTreeMap<Build, Vec<Host>> {
-    let mut hosts: BTreeMap<Build, Vec<Host>> = BTreeMap::new();
-    for host in &outlook.instances {
-        let Some(addr) = addresses.get(&host.instance) else { continue };
-        let health = match (host.ready, host.aside) {
+    outlook: &PolicySnapshot, tried: &BTreeSet<Version>, addresses: &BTreeMap<String, SocketAddr>,
+) -> BTreeMap<Version, Vec<Host>> {
+    let mut hosts: BTreeMap<Version, Vec<Host>> = BTreeMap::new();
+    for host in &outlook.endpoints {
+        let Some(addr) = addresses.get(&host.endpoint) else { continue };
+        let health = match (host.is_ready, host.is_ejected) {
             (false, _) => Health::Draining,
-            (true, true) if !tried.contains(&host.build) => Health::Unhealthy,
+            (true, true) if !tried.contains(&host.version) => Health::Unhealthy,
             (true, _) => Health::Healthy,
         };
         let weight = ((host.capacity * WEIGHT_STEPS).floor().clamp(1.0, 1e6)) as u32;
-        let (instance, zone) = (host.instance.clone(), host.zone.clone());
-        hosts.entry(host.build).or_default().push(Host { instance, addr: *addr, zone, weight, health });
+        let (instance, zone) = (host.endpoint.clone(), host.zone.clone());
+        hosts.entry(host.version).or_default().push(Host { instance, addr: *addr, zone, weight, health });
     }
     hosts.values_mut().for_each(|hosts| hosts.sort_by(|a, b| a.instance.cmp(&b.instance)));
     hosts
@@ -191,40 +193,42 @@
 
 /// What each build on trial gets of a product's txns.
 fn trial_parts(
-    outlook: &Outlook, terms: &Terms, capacities: &BTreeMap<Build, f64>, beside: bool, product: usize,
-    ledger: &Ledger, now: Ms,
-) -> Vec<(Build, u32)> {
-    let capacity = |build: Build| capacities.get(&build).copied().unwrap_or(0.0);
+    outlook: &PolicySnapshot, terms: &Terms, capacities: &BTreeMap<Version, f64>, beside: bool,
+    product: usize, ledger: &Ledger, now: Millis,
+) -> Vec<(Version, u32)> {
+    let capacity = |build: Version| capacities.get(&build).copied().unwrap_or(0.0);
     let (all, on_trial) = (
         capacities.values().sum::<f64>(),
-        outlook.trials.iter().map(|trial| capacity(trial.build)).sum::<f64>(),
+        outlook.canaries.iter().map(|trial| capacity(trial.version)).sum::<f64>(),
     );
-    let cold =
-        |build: Build| outlook.instances.iter().any(|host| host.build == build && host.ready && host.cold);
-    let any_cold = outlook.trials.iter().any(|trial| cold(trial.build));
-    let bound = if any_cold && beside { cold_share(terms.cold.multiple, on_trial, all) } else { 1.0 };
-    let wanted = outlook.share.min(bound);
-    let rate: f64 = match terms.exposure.by_product {
+    let cold = |build: Version| {
+        outlook.endpoints.iter().any(|host| host.version == build && host.is_ready && host.is_warming_up)
+    };
+    let any_cold = outlook.canaries.iter().any(|trial| cold(trial.version));
+    let bound =
+        if any_cold && beside { cold_share(terms.cold.overload_multiple, on_trial, all) } else { 1.0 };
+    let wanted = outlook.canary_share.min(bound);
+    let rate: f64 = match terms.exposure.per_class {
         true => ledger.rate(product),
         false => (0..terms.products.len()).map(|product| ledger.rate(product)).sum(),
     };
     let least = rate * terms.exposure.window * LEAST_OF_LATE;
     let mut found = Vec::new();
-    for trial in outlook.trials.iter().filter(|trial| capacity(trial.build) > 0.0) {
+    for trial in outlook.canaries.iter().filter(|trial| capacity(trial.version) > 0.0) {
         let open = trial.stage >= terms.exposure.closed_stages
-            || terms.products[product].effect == Effect::InquiryLike;
-        let safe = if open { safe_share(trial.cap, terms.exposure.free, least) } else { 0.0 };
+            || terms.products[product].idempotency == Idempotency::Idempotent;
+        let safe = if open { safe_share(trial.traffic_cap, terms.exposure.allowance, least) } else { 0.0 };
         let rest = ledger.rest(product, safe, now);
-        let part = (wanted * capacity(trial.build) / on_trial).min(rest);
+        let part = (wanted * capacity(trial.version) / on_trial).min(rest);
         // Coarse steps downwards, so that a change of traffic does not tell all anew.
-        let (part, step) = (parts(part), if trial.cap < 1.0 { STEP / 10 } else { STEP });
-        found.push((trial.build, part / step * step));
+        let (part, step) = (parts(part), if trial.traffic_cap < 1.0 { STEP / 10 } else { STEP });
+        found.push((trial.version, part / step * step));
     }
     found
 }
 
 /// The parts of a trial and what is left of one whole, by capacity among the earlier builds.
-fn whole(trial: Vec<(Build, u32)>, earlier: &[(Build, f64)]) -> Vec<(Target, u32)> {
+fn whole(trial: Vec<(Version, u32)>, earlier: &[(Version, f64)]) -> Vec<(Target, u32)> {
     let mut shares: Vec<(Target, u32)> =
         trial.into_iter().map(|(build, part)| (Target::Build(build), part)).collect();
     let left = MILLION - shares.iter().map(|(_, part)| *part).sum::<u32>().min(MILLION);
@@ -245,66 +249,79 @@
 }
 
 /// Which submissions of a product a proxy may repeat, how often, and how long it waits for each.
-fn repeats(product: &Product, submissions: usize) -> (Repeat, u32, Option<Ms>) {
+fn repeats(product: &RequestClass, submissions: usize) -> (Repeat, u32, Option<Millis>) {
     let most = submissions.saturating_sub(1) as u32;
-    match product.effect {
-        Effect::InquiryLike => (Repeat::Any, most, Some(product.sla)),
+    match product.idempotency {
+        Idempotency::Idempotent => (Repeat::Any, most, Some(product.latency_objective)),
         // A proxy chooses the host of a repeat by itself: it may leave the group that drops repeats.
-        Effect::Referenced if product.group == Group::All => {
+        Idempotency::IdempotencyKey if product.dedup_scope == DedupScope::All => {
             // Each try takes its time at most; the last has to begin while repeats are still dropped.
-            let span = (product.remember - BACK_OFF).max(0.0);
-            let fit = (span / (product.sla + BACK_OFF)).floor() as u32;
-            (Repeat::Any, most.min(fit), Some(product.sla))
+            let span = (product.dedup_window - BACK_OFF).max(0.0);
+            let fit = (span / (product.latency_objective + BACK_OFF)).floor() as u32;
+            (Repeat::Any, most.min(fit), Some(product.latency_objective))
         }
-        Effect::Referenced | Effect::OnceOnly => (Repeat::NeverRan, most, None),
+        Idempotency::IdempotencyKey | Idempotency::NonIdempotent => (Repeat::NeverRan, most, None),
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use latchhaven_policy::api::Trial;
+    use latchhaven_policy::Canary;
     use proptest::prelude::*;
 
-    fn product(effect: Effect, group: Group, remember: Ms) -> Product {
+    fn product(effect: Idempotency, group: DedupScope, remember: Millis) -> RequestClass {
         let name = format!("{effect:?}{group:?}");
         let (sla, expiry) = (600.0, 2000.0);
-        Product {
+        RequestClass {
             name,
-            effect,
-            group,
-            remember,
-            sla,
-            sla_stretch: 0.0,
-            expiry,
-            revenue: 1.0,
-            late_share: 0.0,
+            idempotency: effect,
+            dedup_scope: group,
+            dedup_window: remember,
+            latency_objective: sla,
+            objective_per_work: 0.0,
+            timeout: expiry,
+            priority_weight: 1.0,
+            late_value_share: 0.0,
             streamed: false,
         }
     }
 
     fn terms() -> Terms {
         let products = vec![
-            product(Effect::InquiryLike, Group::All, 0.0),
-            product(Effect::Referenced, Group::All, 1500.0),
-            product(Effect::Referenced, Group::Zone, 5000.0),
-            product(Effect::OnceOnly, Group::All, 0.0),
+            product(Idempotency::Idempotent, DedupScope::All, 0.0),
+            product(Idempotency::IdempotencyKey, DedupScope::All, 1500.0),
+            product(Idempotency::IdempotencyKey, DedupScope::Zone, 5000.0),
+            product(Idempotency::NonIdempotent, DedupScope::All, 0.0),
         ];
-        let exposure = ExposureTerms {
-            free: 2.0,
-            caps: vec![0.1, 1.0],
+        let exposure = ExposureConfig {
+            allowance: 2.0,
+            stage_caps: vec![0.1, 1.0],
             window: 2000.0,
-            by_product: false,
+            per_class: false,
             closed_stages: 1,
-            no_return: true,
+            sticky_keys: true,
+        };
+        let cold = SlowStartConfig {
+            initial_capacity: 0.4,
+            duration: 5000.0,
+            overload_multiple: 3.0,
+            overload_window: 1500.0,
         };
-        let cold = ColdStart { from: 0.4, warm_up: 5000.0, multiple: 3.0, span: 1500.0 };
         Terms { products, exposure, cold, submissions: 3, in_flight_per_host: 64 }
     }
 
-    fn host(n: usize, build: Build, ready: bool, aside: bool, cold: bool) -> Outlooked {
+    fn host(n: usize, build: Version, ready: bool, aside: bool, cold: bool) -> EndpointSnapshot {
         let capacity = if cold { 0.4 } else { 1.0 };
-        Outlooked { instance: format!("s{n}"), build, zone: "a".to_string(), ready, aside, capacity, cold }
+        EndpointSnapshot {
+            endpoint: format!("s{n}"),
+            version: build,
+            zone: "a".to_string(),
+            is_ready: ready,
+            is_ejected: aside,
+            capacity,
+            is_warming_up: cold,
+        }
     }
 
     fn addresses(n: usize) -> BTreeMap<String, SocketAddr> {
@@ -321,8 +338,13 @@
     #[test]
     fn closed_stages_and_keys_keep_all_but_inquiries_with_the_earlier_build() {
         let hosts = vec![host(0, 1, true, false, false), host(1, 2, true, false, false)];
-        let trials = vec![Trial { build: 2, cap: 0.1, stage: 0 }];
-        let outlook = Outlook { trials, share: 0.5, instances: hosts, ..Outlook::default() };
+        let trials = vec![Canary { version: 2, traffic_cap: 0.1, stage: 0 }];
+        let outlook = PolicySnapshot {
+            canaries: trials,
+            canary_share: 0.5,
+            endpoints: hosts,
+            ..PolicySnapshot::default()
+        };
         let made = make(&outlook, &terms(), &BTreeSet::new(), &addresses(2), &busy(1.0), 0.0);
         assert!(made.trial[0] > 30_000 && made.trial[0] < 100_000, "{:?}", made.trial);
         assert_eq!(made.trial[1..], [0, 0, 0]);
@@ -338,8 +360,13 @@
             host(1, 2, true, false, false),
             host(2, 3, true, false, false),
         ];
-        let trials = vec![Trial { build: 3, cap: 0.1, stage: 1 }];
-        let outlook = Outlook { trials, share: 0.3, instances: hosts, ..Outlook::default() };
+        let trials = vec![Canary { version: 3, traffic_cap: 0.1, stage: 1 }];
+        let outlook = PolicySnapshot {
+            canaries: trials,
+            canary_share: 0.3,
+            endpoints: hosts,
+            ..PolicySnapshot::default()
+        };
         let made = make(&outlook, &terms(), &BTreeSet::from([2]), &addresses(3), &busy(1.0), 0.0);
         let given = |target| {
             made.routes.iter().any(|route| {
@@ -355,16 +382,19 @@
 
     #[test]
     fn repeats_follow_what_a_product_allows() {
-        let made = repeats(&product(Effect::OnceOnly, Group::All, 9000.0), 3);
+        let made = repeats(&product(Idempotency::NonIdempotent, DedupScope::All, 9000.0), 3);
         assert_eq!(made, (Repeat::NeverRan, 2, None));
-        assert_eq!(repeats(&product(Effect::Referenced, Group::Cell, 9000.0), 3).0, Repeat::NeverRan);
         assert_eq!(
-            repeats(&product(Effect::Referenced, Group::All, 9000.0), 3),
+            repeats(&product(Idempotency::IdempotencyKey, DedupScope::Cell, 9000.0), 3).0,
+            Repeat::NeverRan
+        );
+        assert_eq!(
+            repeats(&product(Idempotency::IdempotencyKey, DedupScope::All, 9000.0), 3),
             (Repeat::Any, 2, Some(600.0))
         );
         // Only one repeat begins before the window is over, or none.
-        assert_eq!(repeats(&product(Effect::Referenced, Group::All, 900.0), 3).1, 1);
-        assert_eq!(repeats(&product(Effect::Referenced, Group::All, 700.0), 3).1, 0);
+        assert_eq!(repeats(&product(Idempotency::IdempotencyKey, DedupScope::All, 900.0), 3).1, 1);
+        assert_eq!(repeats(&product(Idempotency::IdempotencyKey, DedupScope::All, 700.0), 3).1, 0);
     }
 
     proptest! {
@@ -378,15 +408,15 @@
             cap in 0.0f64..=1.0, stage in 0u32..2, share in 0.0f64..=1.0, rate in 0.0f64..10.0,
             withdrawn in prop::collection::btree_set(1u32..3, 0..2), shed in 0.0f64..=1.0
         ) {
-            let instances: Vec<Outlooked> = fleet
+            let instances: Vec<EndpointSnapshot> = fleet
                 .iter()
                 .enumerate()
                 .map(|(n, (build, ready, aside, cold))| host(n, *build, *ready, *aside, *cold))
                 .collect();
-            let on: BTreeSet<Build> =
-                instances.iter().filter(|host| host.ready && host.build >= 3).map(|host| host.build).collect();
-            let trials: Vec<Trial> = on.iter().map(|build| Trial { build: *build, cap, stage }).collect();
-            let outlook = Outlook { trials, share, shed, instances, ..Outlook::default() };
+            let on: BTreeSet<Version> =
+                instances.iter().filter(|host| host.is_ready && host.version >= 3).map(|host| host.version).collect();
+            let trials: Vec<Canary> = on.iter().map(|build| Canary { version: *build, traffic_cap: cap, stage }).collect();
+            let outlook = PolicySnapshot { canaries: trials, canary_share: share, shed_probability: shed, endpoints: instances, ..PolicySnapshot::default() };
             let terms = terms();
             let made = make(&outlook, &terms, &withdrawn, &addresses(12), &busy(rate), 0.0);
             let safe = parts(safe_share(cap, 2.0, rate * 4.0 * 2000.0 * LEAST_OF_LATE));
@@ -396,7 +426,7 @@
                     for (target, part) in shares {
                         let Target::Build(build) = target else { continue };
                         prop_assert!(*part == 0 || !withdrawn.contains(build) || on.contains(build));
-                        let closed = stage < 1 && terms.products[route.product].effect != Effect::InquiryLike;
+                        let closed = stage < 1 && terms.products[route.product].idempotency != Idempotency::Idempotent;
                         prop_assert!(!on.contains(build) || (*part <= safe && (*part == 0 || !closed)));
                         prop_assert!(made.hosts.contains_key(build), "no reference dangles");
                     }
@@ -408,9 +438,9 @@
             }
             for (build, hosts) in &made.hosts {
                 for host in hosts {
-                    let listed = &outlook.instances[host.instance[1..].parse::<usize>().unwrap()];
-                    prop_assert!(listed.ready || host.health == Health::Draining);
-                    prop_assert_eq!(listed.build, *build);
+                    let listed = &outlook.endpoints[host.instance[1..].parse::<usize>().unwrap()];
+                    prop_assert!(listed.is_ready || host.health == Health::Draining);
+                    prop_assert_eq!(listed.version, *build);
                 }
             }
         }
--- a/crates/proxy-config/src/ledger.rs
+++ b/crates/proxy-config/src/ledger.rs
@@ -2,14 +2,14 @@
 //! it, or that went away, goes on with what it holds for as long as it lasts: nothing calls it back. So that the sum
 //! over all stays within the cap, the others are given less.
 
-use latchhaven_policy::api::Ms;
+use latchhaven_policy::Millis;
 use std::collections::BTreeMap;
 
 /// A proxy that has not accepted what it was sent within this many ms counts as not having got it. Half a drain
 /// grace of 2 s is left for the others to be told.
-pub const LATE: Ms = 500.0;
+pub const LATE: Millis = 500.0;
 /// A proxy that has been away for so many ms no longer counts: it was shut down, or its site is lost.
-pub const AWAY_COUNTS: Ms = 600_000.0;
+pub const AWAY_COUNTS: Millis = 600_000.0;
 
 /// A share of the trial by product, in parts of a million.
 pub type Shares = Vec<u32>;
@@ -18,11 +18,11 @@
 struct Holding {
     accepted: Shares,
     /// Sent since and not accepted: when first, and the highest by product.
-    sent: Option<(Ms, Shares)>,
+    sent: Option<(Millis, Shares)>,
     /// Txns in ms, by product.
     rate: Vec<f64>,
     /// Since when it has been away.
-    away: Option<Ms>,
+    away: Option<Millis>,
 }
 
 /// All proxies, by a number that the caller gives each of them.
@@ -55,7 +55,7 @@
     }
 
     /// Shares went out; until they are accepted it may use these or what it had.
-    pub fn sent(&mut self, proxy: u64, shares: &Shares, now: Ms) {
+    pub fn sent(&mut self, proxy: u64, shares: &Shares, now: Millis) {
         let Some(held) = self.held.get_mut(&proxy) else { return };
         match &mut held.sent {
             Some((_, highest)) => {
@@ -82,7 +82,7 @@
     }
 
     /// A proxy went away; it goes on with what it holds.
-    pub fn left(&mut self, proxy: u64, now: Ms) {
+    pub fn left(&mut self, proxy: u64, now: Millis) {
         if let Some(held) = self.held.get_mut(&proxy) {
             held.away = Some(now);
         }
@@ -110,12 +110,12 @@
     }
 
     /// Forgets those that have been away for long.
-    pub fn forget(&mut self, now: Ms) {
+    pub fn forget(&mut self, now: Millis) {
         self.held.retain(|_, held| held.away.is_none_or(|since| now - since < AWAY_COUNTS));
     }
 
     /// The share that those who can be told may have, so that the sum over all is at most `whole` of the txns.
-    pub fn rest(&self, product: usize, whole: f64, now: Ms) -> f64 {
+    pub fn rest(&self, product: usize, whole: f64, now: Millis) -> f64 {
         let rate = |held: &Holding| held.rate.get(product).copied();
         // One that never reported may carry as much as any other.
         let busiest = self.held.values().filter_map(rate).fold(0.0, f64::max);
--- a/crates/proxy-config/src/order.rs
+++ b/crates/proxy-config/src/order.rs
@@ -5,7 +5,7 @@
 //! key, so that a proxy which reports what it holds tells another service how far the world is.
 
 use hmac::{Hmac, Mac};
-use latchhaven_policy::api::{Build, Ms, Phase, StageNews};
+use latchhaven_policy::{Millis, RolloutPhase, RolloutState, Version};
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
 use std::cmp::Ordering;
@@ -42,7 +42,7 @@
 /// A state of the newest build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewsMark {
-    pub build: Build,
+    pub build: Version,
     pub way: Way,
     pub stage: u32,
     /// Parts of a million.
@@ -53,28 +53,29 @@
 
 impl NewsMark {
     /// The mark of a state that was told at this moment.
-    pub fn of(news: &StageNews, condemned: bool, now: Ms) -> Self {
+    pub fn of(news: &RolloutState, condemned: bool, now: Millis) -> Self {
         let way = match news.phase {
-            Phase::OnTrial if condemned => Way::Condemned,
-            Phase::OnTrial => Way::OnTrial,
-            Phase::Released => Way::Released,
-            Phase::GoingBack => Way::GoingBack,
-            Phase::Withdrawn => Way::Withdrawn,
+            RolloutPhase::Canary if condemned => Way::Condemned,
+            RolloutPhase::Canary => Way::OnTrial,
+            RolloutPhase::Promoted => Way::Released,
+            RolloutPhase::RollingBack => Way::GoingBack,
+            RolloutPhase::RolledBack => Way::Withdrawn,
         };
-        let cap = (news.cap.clamp(0.0, 1.0) * MILLION).round() as u32;
-        NewsMark { build: news.build, way, stage: news.stage, cap, since: (now - news.age).max(0.0) as u64 }
+        let cap = (news.traffic_cap.clamp(0.0, 1.0) * MILLION).round() as u32;
+        NewsMark { build: news.version, way, stage: news.stage, cap, since: (now - news.age).max(0.0) as u64 }
     }
 
     /// The state that a mark stands for, told at this moment.
-    pub fn news(&self, now: Ms) -> StageNews {
+    pub fn news(&self, now: Millis) -> RolloutState {
         let phase = match self.way {
-            Way::OnTrial | Way::Condemned => Phase::OnTrial,
-            Way::Released => Phase::Released,
-            Way::GoingBack => Phase::GoingBack,
-            Way::Withdrawn => Phase::Withdrawn,
+            Way::OnTrial | Way::Condemned => RolloutPhase::Canary,
+            Way::Released => RolloutPhase::Promoted,
+            Way::GoingBack => RolloutPhase::RollingBack,
+            Way::Withdrawn => RolloutPhase::RolledBack,
         };
-        let age = (now - self.since as Ms).max(0.0);
-        StageNews::told(self.build, self.stage, phase, f64::from(self.cap) / MILLION, age)
+        let age = (now - self.since as Millis).max(0.0);
+        let traffic_cap = f64::from(self.cap) / MILLION;
+        RolloutState { version: self.build, stage: self.stage, phase, traffic_cap, age }
     }
 
     /// By build, way and stage. Within a stage by beginning; where those cannot be told apart the lower cap is
--- a/crates/proxy-config/src/world.rs
+++ b/crates/proxy-config/src/world.rs
@@ -6,7 +6,7 @@
 //! as far as what is known to have been handed out.
 
 use crate::order::{Basis, Label, ListMark, NewsMark, Way};
-use latchhaven_policy::api::{Build, Ms, StageNews};
+use latchhaven_policy::{Millis, RolloutState, Version};
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
 
@@ -14,9 +14,9 @@
 const WITHDRAWN_KEPT: usize = 64;
 /// A list that stays behind what is known for so many ms, while discovery answers, counts anew: discovery itself was
 /// restarted. A copy that lags catches up much sooner.
-const COUNTS_ANEW: Ms = 60_000.0;
+const COUNTS_ANEW: Millis = 60_000.0;
 /// Evidence may be ahead of this service's own clock by so many ms at most: clocks differ, but not by more.
-const AHEAD: Ms = 60_000.0;
+const AHEAD: Millis = 60_000.0;
 
 /// What is known.
 #[derive(Clone, Debug, Default)]
@@ -29,8 +29,8 @@
     /// The furthest list known of.
     furthest: ListMark,
     /// Since when whole lists were behind that, without a break.
-    behind: Option<Ms>,
-    withdrawn: BTreeSet<Build>,
+    behind: Option<Millis>,
+    withdrawn: BTreeSet<Version>,
 }
 
 /// What becomes of a list that was told.
@@ -44,7 +44,7 @@
 
 impl World {
     /// Begins from what was kept: nothing is handed out that is older.
-    pub fn since(kept: Option<Basis>, withdrawn: impl IntoIterator<Item = Build>) -> Self {
+    pub fn since(kept: Option<Basis>, withdrawn: impl IntoIterator<Item = Version>) -> Self {
         let mut world = World { withdrawn: withdrawn.into_iter().collect(), ..World::default() };
         if let Some(kept) = kept {
             (world.news, world.furthest) = (Some(kept.news), kept.list);
@@ -53,7 +53,7 @@
     }
 
     /// What the platform tells. The state to go on with, if it is not older than the one known.
-    pub fn platform(&mut self, news: &StageNews, condemned: bool, now: Ms) -> Option<StageNews> {
+    pub fn platform(&mut self, news: &RolloutState, condemned: bool, now: Millis) -> Option<RolloutState> {
         let mark = NewsMark::of(news, condemned, now);
         match self.news {
             Some(known) => match mark.order(&known) {
@@ -65,7 +65,7 @@
             None => self.take(mark),
         }
         self.told = true;
-        Some(news.clone())
+        Some(*news)
     }
 
     /// The newest build was found bad here: from now on it is so for all who are told.
@@ -77,10 +77,10 @@
     }
 
     /// What a peer holds. A signed label tells how far the world is; the state to go on with, if it was not known.
-    pub fn evidence(&mut self, label: &Label, now: Ms) -> Option<StageNews> {
+    pub fn evidence(&mut self, label: &Label, now: Millis) -> Option<RolloutState> {
         let Basis { news, list } = label.basis;
         // A state that has yet to begin cannot have been handed out.
-        if !label.signed || news.since as Ms > now + AHEAD {
+        if !label.signed || news.since as Millis > now + AHEAD {
             return None;
         }
         self.furthest = self.furthest.max(list);
@@ -102,7 +102,7 @@
     }
 
     /// A list that discovery told. Changes build upon the list held; only a whole one begins.
-    pub fn list(&mut self, version: u64, whole: bool, now: Ms) -> Heard {
+    pub fn list(&mut self, version: u64, whole: bool, now: Millis) -> Heard {
         let Some(held) = self.list.filter(|_| !whole) else {
             return if whole { self.whole(version, now) } else { Heard::Older };
         };
@@ -114,7 +114,7 @@
         Heard::Taken
     }
 
-    fn whole(&mut self, version: u64, now: Ms) -> Heard {
+    fn whole(&mut self, version: u64, now: Millis) -> Heard {
         let here = ListMark { epoch: self.furthest.epoch, version };
         if here >= self.furthest {
             (self.list, self.furthest, self.behind) = (Some(here), here, None);
@@ -143,7 +143,7 @@
     }
 
     /// Builds that were withdrawn.
-    pub fn withdrawn(&self) -> &BTreeSet<Build> {
+    pub fn withdrawn(&self) -> &BTreeSet<Version> {
         &self.withdrawn
     }
 
@@ -168,11 +168,11 @@
 mod tests {
     use super::*;
     use crate::order::Labels;
-    use latchhaven_policy::api::Phase;
+    use latchhaven_policy::RolloutPhase;
     use proptest::prelude::*;
 
-    fn state(build: Build, stage: u32, phase: Phase, cap: f64) -> StageNews {
-        StageNews::told(build, stage, phase, cap, 0.0)
+    fn state(build: Version, stage: u32, phase: RolloutPhase, cap: f64) -> RolloutState {
+        RolloutState { version: build, stage, phase, traffic_cap: cap, age: 0.0 }
     }
 
     #[test]
@@ -183,9 +183,9 @@
         assert!(world.basis().is_err());
         // The list is 30 s old, and the platform's replica too.
         assert_eq!(world.list(31, true, 9_000.0), Heard::Taken);
-        assert!(world.platform(&state(7, 1, Phase::OnTrial, 0.5), false, 9_000.0).is_none());
+        assert!(world.platform(&state(7, 1, RolloutPhase::Canary, 0.5), false, 9_000.0).is_none());
         assert!(world.basis().is_err());
-        assert!(world.platform(&state(7, 1, Phase::Withdrawn, 0.0), false, 9_500.0).is_some());
+        assert!(world.platform(&state(7, 1, RolloutPhase::RolledBack, 0.0), false, 9_500.0).is_some());
         assert!(world.basis().is_err());
         assert_eq!(world.list(41, false, 10_000.0), Heard::Taken);
         assert_eq!(world.basis().map(|basis| basis.list.version), Ok(41));
@@ -199,21 +199,21 @@
         let basis = Basis { news, list: ListMark { epoch: 0, version: 12 } };
         let mut world = World::default();
         world.list(11, true, 2_000.0);
-        world.platform(&state(9, 2, Phase::OnTrial, 0.5), false, 2_000.0);
+        world.platform(&state(9, 2, RolloutPhase::Canary, 0.5), false, 2_000.0);
         assert!(world.basis().is_ok());
         let plain = Labels::default().read(&Labels::default().write(&basis, 0)).unwrap();
         assert!(world.evidence(&plain, 2_000.0).is_none() && world.basis().is_ok());
         let signed = labels.read(&labels.write(&basis, 0)).unwrap();
-        assert_eq!(world.evidence(&signed, 2_000.0).map(|news| news.phase), Some(Phase::GoingBack));
+        assert_eq!(world.evidence(&signed, 2_000.0).map(|news| news.phase), Some(RolloutPhase::RollingBack));
         assert!(world.basis().is_err(), "its list is behind");
-        assert!(world.platform(&state(9, 2, Phase::OnTrial, 0.5), false, 2_100.0).is_none());
+        assert!(world.platform(&state(9, 2, RolloutPhase::Canary, 0.5), false, 2_100.0).is_none());
     }
 
     #[test]
     fn a_list_that_stays_behind_while_discovery_answers_counts_anew() {
         let mut world = World::default();
         world.list(500, true, 0.0);
-        world.platform(&state(1, 0, Phase::Released, 1.0), false, 0.0);
+        world.platform(&state(1, 0, RolloutPhase::Promoted, 1.0), false, 0.0);
         assert_eq!(world.list(3, true, 1_000.0), Heard::Older);
         assert_eq!(world.list(4, true, 50_000.0), Heard::Older);
         world.list_failed();
@@ -231,10 +231,10 @@
             steps in prop::collection::vec((0u8..4, 0u32..3, 0u32..3, 0u8..4, 0u64..6, 0u32..=2), 1..60)
         ) {
             let labels = Labels::new(Some(b"k".to_vec()));
-            let (mut world, mut last, mut now): (World, Option<Basis>, Ms) = (World::default(), None, 10_000.0);
+            let (mut world, mut last, mut now): (World, Option<Basis>, Millis) = (World::default(), None, 10_000.0);
             for (kind, build, stage, phase, version, cap) in steps {
                 now += 700.0;
-                let phase = [Phase::OnTrial, Phase::Released, Phase::GoingBack, Phase::Withdrawn][phase as usize];
+                let phase = [RolloutPhase::Canary, RolloutPhase::Promoted, RolloutPhase::RollingBack, RolloutPhase::RolledBack][phase as usize];
                 let news = state(build, stage, phase, f64::from(cap) / 2.0);
                 match kind {
                     0 => drop(world.platform(&news, false, now)),
--- a/crates/simulator-protocol/src/lib.rs
+++ b/crates/simulator-protocol/src/lib.rs
@@ -4,8 +4,8 @@
 pub mod lines;
 pub mod terms;
 
-use latchhaven_policy::api::{Event, ListKind, Listing, Ms};
-use latchhaven_policy::choice::Choice;
+use latchhaven_policy::Policy;
+use latchhaven_policy::{EndpointEntry, Event, Millis, UpdateKind};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -65,12 +65,12 @@
 #[derive(Default)]
 pub struct Host {
     /// An instance that was stopped stays known, without its decisions.
-    instances: BTreeMap<String, Option<Choice>>,
-    banks: [Option<Vec<Listing>>; BANKS],
-    now: Option<Ms>,
+    instances: BTreeMap<String, Option<Policy>>,
+    banks: [Option<Vec<EndpointEntry>>; BANKS],
+    now: Option<Millis>,
     turns: Vec<Turn>,
     on: Option<usize>,
-    filling: Option<(usize, usize, Vec<Listing>)>,
+    filling: Option<(usize, usize, Vec<EndpointEntry>)>,
 }
 
 impl Host {
@@ -191,7 +191,7 @@
             _ if decisions.is_none() => return Err(WireFault::NotEnlisted(turn.name.clone())),
             Incoming::Event(event) => turn.news.push(event),
             Incoming::Sync { kind, version, bank } => {
-                let failed = kind == ListKind::Failed;
+                let failed = kind == UpdateKind::Failed;
                 let entries = if failed {
                     Vec::new()
                 } else {
@@ -199,7 +199,7 @@
                     let held = self.banks.get(bank).and_then(Option::as_ref);
                     held.ok_or(WireFault::NoSuchList(bank))?.clone()
                 };
-                turn.news.push(Event::Fleet { kind, version, entries });
+                turn.news.push(Event::EndpointUpdate { kind, list_version: version, entries });
             }
         }
         Ok(())
@@ -213,7 +213,7 @@
             if turn.news.is_empty() {
                 continue;
             }
-            let decided = catch_unwind(AssertUnwindSafe(|| decisions.decide(now, turn.news)));
+            let decided = catch_unwind(AssertUnwindSafe(|| decisions.handle_events(now, turn.news)));
             let actions = match decided {
                 Ok(actions) if actions.is_empty() => continue,
                 Ok(actions) => actions,
--- a/crates/simulator-protocol/src/lines.rs
+++ b/crates/simulator-protocol/src/lines.rs
@@ -2,7 +2,7 @@
 
 use crate::WireFault;
 use base64::{Engine, engine::general_purpose::STANDARD};
-use latchhaven_policy::api::*;
+use latchhaven_policy::*;
 use std::io::{self, Write};
 use std::str::FromStr;
 
@@ -58,11 +58,11 @@
         self.maybe_real(name)?.ok_or(WireFault::Missing(name))
     }
 
-    fn maybe_ms(&self, name: &'static str) -> Result<Option<Ms>, WireFault> {
+    fn maybe_ms(&self, name: &'static str) -> Result<Option<Millis>, WireFault> {
         Ok(self.maybe_real(name)?.map(|seconds| seconds * MS_PER_S))
     }
 
-    pub fn ms(&self, name: &'static str) -> Result<Ms, WireFault> {
+    pub fn ms(&self, name: &'static str) -> Result<Millis, WireFault> {
         Ok(self.real(name)? * MS_PER_S)
     }
 
@@ -84,23 +84,23 @@
         self.text(name).map(str::to_string)
     }
 
-    fn ending(&self) -> Result<Ending, WireFault> {
+    fn ending(&self) -> Result<AttemptOutcome, WireFault> {
         self.word("ending", |word| {
             Some(match word {
-                "served" => Ending::Settled,
-                "server_error" => Ending::Error,
-                "turned_away" => Ending::TurnedAway,
-                "no_answer" => Ending::NoAnswer,
-                "no_connection" => Ending::NoConnection,
-                "connection_lost" => Ending::ConnectionLost,
-                "called_off" => Ending::Recalled,
-                "not_sent" => Ending::NotSent,
+                "served" => AttemptOutcome::Success,
+                "server_error" => AttemptOutcome::Error,
+                "turned_away" => AttemptOutcome::Rejected,
+                "no_answer" => AttemptOutcome::Timeout,
+                "no_connection" => AttemptOutcome::ConnectFailed,
+                "connection_lost" => AttemptOutcome::ConnectionLost,
+                "called_off" => AttemptOutcome::Cancelled,
+                "not_sent" => AttemptOutcome::NotSent,
                 _ => return None,
             })
         })
     }
 
-    fn load(&self) -> Result<Load, WireFault> {
+    fn load(&self) -> Result<LoadReport, WireFault> {
         let text = self.maybe("metrics").unwrap_or("");
         let unreadable = || WireFault::Unreadable("metrics", text.to_string());
         let pairs = text.split(',').filter(|pair| !pair.is_empty());
@@ -126,7 +126,7 @@
     Event(Event),
     /// A list whose entries stand in a numbered list.
     Sync {
-        kind: ListKind,
+        kind: UpdateKind,
         version: u64,
         bank: Option<usize>,
     },
@@ -134,25 +134,25 @@
 }
 
 /// Reads one entry of a list.
-pub fn listing(fields: &Fields) -> Result<Listing, WireFault> {
+pub fn listing(fields: &Fields) -> Result<EndpointEntry, WireFault> {
     let build = fields.real("build")?;
     if build.fract() != 0.0 || !(0.0..65536.0).contains(&build) {
         return Err(WireFault::Unreadable("build", build.to_string()));
     }
-    Ok(Listing {
-        instance: fields.owned("instance")?,
-        state: fields.word("state", |word| match word {
-            "healthy" => Some(Standing::Ready),
-            "cordoned" => Some(Standing::Draining),
-            "deregistered" => Some(Standing::Gone),
+    Ok(EndpointEntry {
+        endpoint: fields.owned("instance")?,
+        status: fields.word("state", |word| match word {
+            "healthy" => Some(EndpointStatus::Ready),
+            "cordoned" => Some(EndpointStatus::Draining),
+            "deregistered" => Some(EndpointStatus::Removed),
             _ => None,
         })?,
-        build: build as Build,
+        version: build as Version,
         zone: fields.maybe("az").unwrap_or("").to_string(),
         cell: fields.maybe_number("cluster")?.unwrap_or(0),
-        kind: fields.maybe("model").unwrap_or("").to_string(),
+        machine_type: fields.maybe("model").unwrap_or("").to_string(),
         weight: fields.maybe_real("power-hint")?.unwrap_or(1.0),
-        since: fields.maybe_ms("online-since-s")?.unwrap_or(0.0),
+        started_at: fields.maybe_ms("online-since-s")?.unwrap_or(0.0),
     })
 }
 
@@ -162,62 +162,62 @@
         "HALT" => return Ok(Incoming::Halt),
         "SYNC" => {
             let kind = fields.word("kind", |word| match word {
-                "D" => Some(ListKind::Changes),
-                "F" => Some(ListKind::Whole),
-                "C" => Some(ListKind::Cached),
-                "X" => Some(ListKind::Failed),
+                "D" => Some(UpdateKind::Delta),
+                "F" => Some(UpdateKind::Snapshot),
+                "C" => Some(UpdateKind::CachedSnapshot),
+                "X" => Some(UpdateKind::Failed),
                 _ => None,
             })?;
             let version = fields.maybe_number("index")?.unwrap_or(0);
             return Ok(Incoming::Sync { kind, version, bank: fields.maybe_number("bank")? });
         }
-        "JOB_IN" => Event::Txn {
+        "JOB_IN" => Event::RequestReceived(IncomingRequest {
             id: fields.number("handle")?,
-            product: fields.owned("profile")?,
+            class: fields.owned("profile")?,
             tenant: fields.maybe("realm").filter(|realm| *realm != "0").map(str::to_string),
-            key: fields.maybe("target-key").map(str::to_string),
-            waited: 0.0,
-            left: fields.ms("ttl-s")?,
-            work: fields.maybe_ms("work-s")?,
-            repeat: fields.flag("again-by-client")?,
-            write: fields.flag("mutates")?,
-        },
-        "STREAMING" => Event::Began {
+            sticky_key: fields.maybe("target-key").map(str::to_string),
+            queued_for: 0.0,
+            time_remaining: fields.ms("ttl-s")?,
+            expected_work: fields.maybe_ms("work-s")?,
+            is_retry: fields.flag("again-by-client")?,
+            is_write: fields.flag("mutates")?,
+        }),
+        "STREAMING" => Event::ResponseStarted {
             id: fields.number("handle")?,
-            submission: fields.number("go")?,
-            instance: fields.owned("instance")?,
-            took: fields.ms("duration-s")?,
+            attempt: fields.number("go")?,
+            endpoint: fields.owned("instance")?,
+            elapsed: fields.ms("duration-s")?,
         },
-        "RESOLVED" => Event::Ended {
+        "RESOLVED" => Event::AttemptCompleted(CompletedAttempt {
             id: fields.number("handle")?,
-            submission: fields.number("go")?,
-            instance: fields.owned("instance")?,
-            ending: fields.ending()?,
-            closed: fields.flag("ended")?,
-            took: fields.ms("duration-s")?,
+            attempt: fields.number("go")?,
+            endpoint: fields.owned("instance")?,
+            outcome: fields.ending()?,
+            is_final: fields.flag("ended")?,
+            elapsed: fields.ms("duration-s")?,
             load: fields.load()?,
-        },
-        "ABORTED" => Event::ClientGone { id: fields.number("handle")? },
-        "REMINDER" => Event::Timer { token: fields.owned("handle")? },
-        "CHECK_RESULT" => Event::Probed {
-            instance: fields.owned("instance")?,
-            ending: fields.ending()?,
-            took: fields.ms("duration-s")?,
+        }),
+        "ABORTED" => Event::ClientDisconnected { id: fields.number("handle")? },
+        "REMINDER" => Event::TimerFired { token: fields.owned("handle")? },
+        "CHECK_RESULT" => Event::HealthCheckCompleted {
+            endpoint: fields.owned("instance")?,
+            outcome: fields.ending()?,
+            elapsed: fields.ms("duration-s")?,
             load: fields.load()?,
         },
-        "PEER_DATA" => Event::Peer { from: fields.number("by")?, data: fields.bytes("payload")? },
-        "SHIP_STATE" => Event::Stage(stage(fields)?),
-        "DIGEST" => Event::Tally {
-            build: fields.number("rel")?,
-            product: fields.owned("profile")?,
-            count: fields.number("count")?,
-            failed: fields.maybe_number("errors")?.unwrap_or(0),
-            took: fields.maybe_ms("duration-s")?,
+        "PEER_DATA" => Event::PeerMessage { from: fields.number("by")?, data: fields.bytes("payload")? },
+        "SHIP_STATE" => rollout_event(fields)?,
+        "DIGEST" => Event::OutcomesReported(OutcomeReport {
+            version: fields.number("rel")?,
+            class: fields.owned("profile")?,
+            attempts: fields.number("count")?,
+            failures: fields.maybe_number("errors")?.unwrap_or(0),
+            mean_latency: fields.maybe_ms("duration-s")?,
             age: fields.maybe_ms("age-s")?.unwrap_or(0.0),
-        },
-        "REPORTED_WRONG" => Event::Flagged {
-            instance: fields.owned("instance")?,
-            product: fields.owned("profile")?,
+        }),
+        "REPORTED_WRONG" => Event::WrongAnswerReported {
+            endpoint: fields.owned("instance")?,
+            class: fields.owned("profile")?,
             age: fields.ms("age-s")?,
         },
         _ => return Err(WireFault::UnknownMessage(word.to_string())),
@@ -225,67 +225,74 @@
     Ok(Incoming::Event(event))
 }
 
-fn stage(fields: &Fields) -> Result<StageNews, WireFault> {
-    let ending = fields.ending()?;
-    let mut news = StageNews {
-        valid: ending == Ending::Settled,
-        unsure: ending == Ending::NoAnswer,
-        answer: fields.maybe_number::<u32>("how")?.unwrap_or(0) == 1,
-        build: 0,
-        stage: 0,
-        phase: Phase::OnTrial,
-        cap: 0.0,
-        age: 0.0,
-    };
-    if news.valid {
-        news.build = fields.number("rel")?;
-        news.stage = fields.maybe_number("wave")?.unwrap_or(0);
-        news.phase = fields.word("where-at", |word| match word {
-            "0" => Some(Phase::OnTrial),
-            "1" => Some(Phase::GoingBack),
-            "2" => Some(Phase::Released),
-            "3" => Some(Phase::Withdrawn),
+/// Reads the state of the newest version, told unasked or in answer to a vote.
+fn rollout_event(fields: &Fields) -> Result<Event, WireFault> {
+    let outcome = fields.ending()?;
+    let is_vote = fields.maybe_number::<u32>("how")?.unwrap_or(0) == 1;
+    Ok(match (is_vote, outcome) {
+        (true, AttemptOutcome::Success) => Event::VoteCompleted(VoteOutcome::Counted(rollout_state(fields)?)),
+        (true, AttemptOutcome::Timeout) => Event::VoteCompleted(VoteOutcome::Unknown),
+        (true, _) => Event::VoteCompleted(VoteOutcome::NotCounted),
+        (false, AttemptOutcome::Success) => Event::RolloutUpdate(rollout_state(fields)?),
+        (false, _) => Event::RolloutUnavailable,
+    })
+}
+
+fn rollout_state(fields: &Fields) -> Result<RolloutState, WireFault> {
+    Ok(RolloutState {
+        version: fields.number("rel")?,
+        stage: fields.maybe_number("wave")?.unwrap_or(0),
+        phase: fields.word("where-at", |word| match word {
+            "0" => Some(RolloutPhase::Canary),
+            "1" => Some(RolloutPhase::RollingBack),
+            "2" => Some(RolloutPhase::Promoted),
+            "3" => Some(RolloutPhase::RolledBack),
             _ => None,
-        })?;
-        news.cap = fields.real("allowed")?;
-        news.age = fields.maybe_ms("age-s")?.unwrap_or(0.0);
-    }
-    Ok(news)
+        })?,
+        traffic_cap: fields.real("allowed")?,
+        age: fields.maybe_ms("age-s")?.unwrap_or(0.0),
+    })
 }
 
 /// Prints one action.
 pub fn outgoing(action: &Action, out: &mut impl Write) -> io::Result<()> {
-    let seconds = |ms: Ms| ms / MS_PER_S;
+    let seconds = |ms: Millis| ms / MS_PER_S;
     match action {
-        Action::Submit { id, instance, limit, .. } => {
+        Action::SendAttempt { id, endpoint: instance, timeout: limit, .. } => {
             write!(out, "PASS_ON handle={id} instance={instance}")?;
             if let Some(limit) = limit {
                 write!(out, " max-wait-s={}", seconds(*limit))?;
             }
             writeln!(out)
         }
-        Action::Decline { id, come_back: Some(after) } => {
+        Action::Reject { id, retry_after: Some(after) } => {
             writeln!(out, "DENY handle={id} retry-after-s={}", seconds(*after))
         }
-        Action::Decline { id, come_back: None } => writeln!(out, "DENY handle={id}"),
-        Action::Void { id } => writeln!(out, "FAIL handle={id}"),
-        Action::Recall { id, submission } => writeln!(out, "ABANDON handle={id} go={submission}"),
-        Action::Wake { after, token } => writeln!(out, "WAKE_ME delay-s={} handle={token}", seconds(*after)),
-        Action::Probe { instance } => writeln!(out, "SOUND_OUT instance={instance}"),
-        Action::CloseIdle { instance } => writeln!(out, "CLOSE_IDLE instance={instance}"),
-        Action::Tell { to, data } => {
+        Action::Reject { id, retry_after: None } => writeln!(out, "DENY handle={id}"),
+        Action::Fail { id } => writeln!(out, "FAIL handle={id}"),
+        Action::CancelAttempt { id, attempt: submission } => {
+            writeln!(out, "ABANDON handle={id} go={submission}")
+        }
+        Action::SetTimer { after, token } => {
+            writeln!(out, "WAKE_ME delay-s={} handle={token}", seconds(*after))
+        }
+        Action::HealthCheck { endpoint: instance } => writeln!(out, "SOUND_OUT instance={instance}"),
+        Action::CloseIdleConnections { endpoint: instance } => {
+            writeln!(out, "CLOSE_IDLE instance={instance}")
+        }
+        Action::SendPeerMessage { to, data } => {
             let to = to.map_or("*".to_string(), |peer| peer.to_string());
             let data = if data.is_empty() { "-".to_string() } else { STANDARD.encode(data) };
             writeln!(out, "WRITE_PEER target={to} payload={data}")
         }
-        Action::Watch { on } => writeln!(out, "SUBSCRIBE active={}", u8::from(*on)),
-        Action::Fetch => writeln!(out, "PULL"),
-        Action::Vote { build, stage, verdict } => {
+        Action::WatchEndpoints { enabled: on } => writeln!(out, "SUBSCRIBE active={}", u8::from(*on)),
+        Action::FetchEndpoints => writeln!(out, "PULL"),
+        Action::CastVote { version: build, stage, verdict } => {
             let how = match verdict {
-                Verdict::None => 0,
-                Verdict::On => 1,
-                Verdict::Hold => 2,
-                Verdict::Back => 3,
+                Verdict::Abstain => 0,
+                Verdict::Promote => 1,
+                Verdict::Pause => 2,
+                Verdict::RollBack => 3,
             };
             writeln!(out, "BALLOT rel={build} wave={stage} how={how}")
         }
--- a/crates/simulator-protocol/src/terms.rs
+++ b/crates/simulator-protocol/src/terms.rs
@@ -1,8 +1,7 @@
 //! The settings object: read, checked, and handed on in the records of the interface.
 
 use crate::WireFault;
-use latchhaven_policy::api;
-use latchhaven_policy::choice::Choice;
+use latchhaven_policy::Policy;
 use serde::Deserialize;
 
 const MS_PER_S: f64 = 1000.0;
@@ -291,16 +290,16 @@
     }
 
     /// What a front on sockets has to know beside the decisions.
-    pub fn connections(&self) -> api::Connections {
-        api::Connections {
-            idle: self.permissions.conn_idle * MS_PER_S,
-            dial_within: self.permissions.dial_timeout * MS_PER_S,
-            vote_within: self.domain.api_timeout * MS_PER_S,
-            probes: self.permissions.probes,
-            reports: match self.load_report.via {
-                Via::Silent => api::Reports::Silent,
-                Via::Piggyback => api::Reports::InAnswers,
-                Via::Pull => api::Reports::InProbes,
+    pub fn connections(&self) -> latchhaven_policy::UpstreamConnectionConfig {
+        latchhaven_policy::UpstreamConnectionConfig {
+            idle_timeout: self.permissions.conn_idle * MS_PER_S,
+            connect_timeout: self.permissions.dial_timeout * MS_PER_S,
+            vote_timeout: self.domain.api_timeout * MS_PER_S,
+            health_checks: self.permissions.probes,
+            load_reporting: match self.load_report.via {
+                Via::Silent => latchhaven_policy::LoadReporting::Disabled,
+                Via::Piggyback => latchhaven_policy::LoadReporting::InResponses,
+                Via::Pull => latchhaven_policy::LoadReporting::InHealthChecks,
             },
         }
     }
@@ -315,93 +314,97 @@
     }
 
     /// The products that clients may name.
-    pub fn products(&self) -> Vec<api::Product> {
+    pub fn products(&self) -> Vec<latchhaven_policy::RequestClass> {
         let ms = |seconds: f64| seconds * MS_PER_S;
-        let products = self.classes.iter().map(|class| api::Product {
+        let products = self.classes.iter().map(|class| latchhaven_policy::RequestClass {
             name: class.name.clone(),
-            effect: match class.effect {
-                Effect::Idempotent => api::Effect::InquiryLike,
-                Effect::Deduplicated => api::Effect::Referenced,
-                Effect::AtMostOnce => api::Effect::OnceOnly,
+            idempotency: match class.effect {
+                Effect::Idempotent => latchhaven_policy::Idempotency::Idempotent,
+                Effect::Deduplicated => latchhaven_policy::Idempotency::IdempotencyKey,
+                Effect::AtMostOnce => latchhaven_policy::Idempotency::NonIdempotent,
             },
-            group: match class.group {
-                Group::All => api::Group::All,
-                Group::Zone => api::Group::Zone,
-                Group::Cell => api::Group::Cell,
+            dedup_scope: match class.group {
+                Group::All => latchhaven_policy::DedupScope::All,
+                Group::Zone => latchhaven_policy::DedupScope::Zone,
+                Group::Cell => latchhaven_policy::DedupScope::Cell,
             },
-            remember: ms(class.dedup_window),
-            sla: ms(class.aim),
-            sla_stretch: class.aim_stretch,
-            expiry: ms(class.hard_limit),
-            revenue: class.gain,
-            late_share: class.late_share,
+            dedup_window: ms(class.dedup_window),
+            latency_objective: ms(class.aim),
+            objective_per_work: class.aim_stretch,
+            timeout: ms(class.hard_limit),
+            priority_weight: class.gain,
+            late_value_share: class.late_share,
             streamed: class.stream,
         });
         products.collect()
     }
 
     /// What bounds a front that hands decisions on: exposure, cold starts, and submissions of a txn.
-    pub fn bounds(&self) -> (api::ExposureTerms, api::ColdStart, usize) {
+    pub fn bounds(&self) -> (latchhaven_policy::ExposureConfig, latchhaven_policy::SlowStartConfig, usize) {
         let ms = |seconds: f64| seconds * MS_PER_S;
         let (domain, rules) = (&self.domain, &self.rules);
-        let exposure = api::ExposureTerms {
-            free: domain.allowance,
-            caps: domain.caps.clone(),
+        let exposure = latchhaven_policy::ExposureConfig {
+            allowance: domain.allowance,
+            stage_caps: domain.caps.clone(),
             window: ms(domain.window),
-            by_product: domain.counts == Counts::PerLane,
+            per_class: domain.counts == Counts::PerLane,
             closed_stages: domain.closed_stages,
-            no_return: domain.no_return,
+            sticky_keys: domain.no_return,
         };
-        let cold = api::ColdStart {
-            from: rules.cold_from,
-            warm_up: ms(rules.warm_up),
-            multiple: rules.tip_multiple,
-            span: ms(rules.fall),
+        let cold = latchhaven_policy::SlowStartConfig {
+            initial_capacity: rules.cold_from,
+            duration: ms(rules.warm_up),
+            overload_multiple: rules.tip_multiple,
+            overload_window: ms(rules.fall),
         };
         (exposure, cold, self.permissions.try_limit)
     }
 
     /// Starts the decisions of one instance.
-    pub fn start(self, seed: u64) -> Choice {
+    pub fn start(self, seed: u64) -> Policy {
         let ms = |seconds: f64| seconds * MS_PER_S;
-        let products = self.products();
-        let (exposure, cold, _) = self.bounds();
+        let classes = self.products();
+        let (exposure, slow_start, _) = self.bounds();
         let Terms { domain, rules, permissions, .. } = self;
-        Choice::new(
+        Policy::new(latchhaven_policy::PolicyConfig {
             seed,
-            api::Place { me: self.me, gateways: self.replicas_of_me, zone: self.locality },
-            products,
-            api::Permits {
-                submissions: permissions.try_limit,
-                second_copies: permissions.second_copies,
-                recall: permissions.cancelling,
-                probes: permissions.probes,
-                peers: permissions.peers,
-                come_back: permissions.retry_after.then_some(ms(permissions.max_retry_after)),
+            identity: latchhaven_policy::GatewayIdentity {
+                index: self.me,
+                gateway_count: self.replicas_of_me,
+                zone: self.locality,
             },
-            api::ListTerms {
-                asked: self.registry_mode == RegistryMode::Subscribe,
-                ask_within: ms(rules.ask_within),
+            classes,
+            permissions: latchhaven_policy::Permissions {
+                max_attempts: permissions.try_limit,
+                hedging: permissions.second_copies,
+                cancel: permissions.cancelling,
+                health_checks: permissions.probes,
+                peer_messages: permissions.peers,
+                max_retry_after: permissions.retry_after.then_some(ms(permissions.max_retry_after)),
+            },
+            discovery: latchhaven_policy::DiscoveryConfig {
+                must_subscribe: self.registry_mode == RegistryMode::Subscribe,
+                max_poll_interval: ms(rules.ask_within),
                 drain_grace: ms(rules.drain_grace),
             },
-            cold,
+            slow_start,
             exposure,
-            api::VoteTerms {
+            voting: latchhaven_policy::VotingConfig {
                 mode: match domain.vote_mode {
-                    VoteMode::Single => api::VoteMode::Single,
-                    VoteMode::Majority => api::VoteMode::Majority,
-                    VoteMode::Clocked => api::VoteMode::Clocked,
+                    VoteMode::Single => latchhaven_policy::VoteMode::Single,
+                    VoteMode::Majority => latchhaven_policy::VoteMode::Majority,
+                    VoteMode::Clocked => latchhaven_policy::VoteMode::Clocked,
                 },
-                to_go: domain.votes_to_go,
-                to_pause: domain.to_pause,
-                to_revert: domain.votes_to_revert,
-                stands: ms(domain.vote_ttl),
-                soak: ms(domain.soak),
-                auto_after: ms(domain.auto_after),
-                answer_within: ms(domain.api_timeout),
-                beside: domain.style == Style::SideBySide,
+                promote_quorum: domain.votes_to_go,
+                pause_quorum: domain.to_pause,
+                rollback_quorum: domain.votes_to_revert,
+                vote_lease: ms(domain.vote_ttl),
+                min_stage_duration: ms(domain.soak),
+                auto_promote_after: ms(domain.auto_after),
+                answer_timeout: ms(domain.api_timeout),
+                keeps_baseline: domain.style == Style::SideBySide,
             },
-            api::Costs { cross_zone: self.prices.cross_zone },
-        )
+            costs: latchhaven_policy::CostConfig { cross_zone: self.prices.cross_zone },
+        })
     }
 }
--- a/crates/simulator-protocol/tests/wire.rs
+++ b/crates/simulator-protocol/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The wire on good and malformed lines.
 
-use latchhaven_policy::api::*;
+use latchhaven_policy::*;
 use latchhaven_simulator_protocol::lines::{Fields, Incoming, incoming, listing, outgoing};
 use latchhaven_simulator_protocol::{Host, terms};
 use rstest::rstest;
@@ -22,49 +22,52 @@
 }
 
 #[rstest]
-#[case("REMINDER handle=tick", Event::Timer { token: "tick".into() })]
-#[case("ABORTED handle=7 unknown=1", Event::ClientGone { id: 7 })]
+#[case("REMINDER handle=tick", Event::TimerFired { token: "tick".into() })]
+#[case("ABORTED handle=7 unknown=1", Event::ClientDisconnected { id: 7 })]
 #[case("STREAMING handle=7 go=1 instance=a:1 duration-s=0.25",
-    Event::Began { id: 7, submission: 1, instance: "a:1".into(), took: 250.0 })]
+    Event::ResponseStarted { id: 7, attempt: 1, endpoint: "a:1".into(), elapsed: 250.0 })]
 #[case("RESOLVED handle=7 ending=turned_away go=1 duration-s=0.5 instance=a:1 metrics=rif:3,rate:2.5",
-    Event::Ended { id: 7, submission: 1, instance: "a:1".into(), ending: Ending::TurnedAway, closed: false,
-        took: 500.0, load: vec![("rif".into(), 3.0), ("rate".into(), 2.5)] })]
+    Event::AttemptCompleted(CompletedAttempt { id: 7, attempt: 1, endpoint: "a:1".into(), outcome: AttemptOutcome::Rejected, is_final: false,
+        elapsed: 500.0, load: LoadReport::from_iter([("rif".into(), 3.0), ("rate".into(), 2.5)]) }))]
 #[case("CHECK_RESULT duration-s=0.5 instance=a:1 ending=no_connection",
-    Event::Probed { instance: "a:1".into(), ending: Ending::NoConnection, took: 500.0, load: vec![] })]
-#[case("PEER_DATA by=2 payload=aGk=", Event::Peer { from: 2, data: b"hi".to_vec() })]
-#[case("PEER_DATA by=2 payload=-", Event::Peer { from: 2, data: vec![] })]
+    Event::HealthCheckCompleted { endpoint: "a:1".into(), outcome: AttemptOutcome::ConnectFailed, elapsed: 500.0, load: LoadReport::default() })]
+#[case("PEER_DATA by=2 payload=aGk=", Event::PeerMessage { from: 2, data: b"hi".to_vec() })]
+#[case("PEER_DATA by=2 payload=-", Event::PeerMessage { from: 2, data: vec![] })]
 #[case("DIGEST rel=4 profile=pay count=8 errors=2 duration-s=0.5 age-s=1",
-    Event::Tally { build: 4, product: "pay".into(), count: 8, failed: 2, took: Some(500.0), age: 1000.0 })]
+    Event::OutcomesReported(OutcomeReport { version: 4, class: "pay".into(), attempts: 8, failures: 2, mean_latency: Some(500.0), age: 1000.0 }))]
 #[case("REPORTED_WRONG instance=a:1 profile=pay age-s=2",
-    Event::Flagged { instance: "a:1".into(), product: "pay".into(), age: 2000.0 })]
+    Event::WrongAnswerReported { endpoint: "a:1".into(), class: "pay".into(), age: 2000.0 })]
 #[case("JOB_IN handle=7 profile=pay ttl-s=0.5 again-by-client=1 target-key=k:1 mutates=0 realm=0",
-    Event::Txn { id: 7, product: "pay".into(), tenant: None, key: Some("k:1".into()), left: 500.0, waited: 0.0, work: None,
-        repeat: true, write: false })]
+    Event::RequestReceived(IncomingRequest { id: 7, class: "pay".into(), tenant: None, sticky_key: Some("k:1".into()), time_remaining: 500.0, queued_for: 0.0, expected_work: None,
+        is_retry: true, is_write: false }))]
 #[case("SHIP_STATE ending=served where-at=1 allowed=0.5 rel=4 wave=2 age-s=0.5 how=1",
-    Event::Stage(StageNews { valid: true, unsure: false, answer: true, build: 4, stage: 2,
-        phase: Phase::GoingBack, cap: 0.5, age: 500.0 }))]
-#[case("SHIP_STATE ending=no_answer how=1",
-    Event::Stage(StageNews { valid: false, unsure: true, answer: true, build: 0, stage: 0,
-        phase: Phase::OnTrial, cap: 0.0, age: 0.0 }))]
+    Event::VoteCompleted(VoteOutcome::Counted(RolloutState { version: 4, stage: 2,
+        phase: RolloutPhase::RollingBack, traffic_cap: 0.5, age: 500.0 })))]
+#[case("SHIP_STATE ending=served where-at=1 allowed=0.5 rel=4 wave=2 age-s=0.5 how=0",
+    Event::RolloutUpdate(RolloutState { version: 4, stage: 2,
+        phase: RolloutPhase::RollingBack, traffic_cap: 0.5, age: 500.0 }))]
+#[case("SHIP_STATE ending=no_answer how=1", Event::VoteCompleted(VoteOutcome::Unknown))]
+#[case("SHIP_STATE ending=turned_away how=1", Event::VoteCompleted(VoteOutcome::NotCounted))]
+#[case("SHIP_STATE ending=no_answer", Event::RolloutUnavailable)]
 fn events_are_read(#[case] line: &str, #[case] event: Event) {
     let (word, rest) = line.split_once(' ').expect("fields");
     assert_eq!(incoming(word, &Fields::parse(rest).expect("pairs")), Ok(Incoming::Event(event)));
 }
 
 #[rstest]
-#[case(Action::Submit { id: 7, instance: "a:1".into(), limit: Some(80.0), write_within: None }, "PASS_ON handle=7 instance=a:1 max-wait-s=0.08")]
-#[case(Action::Decline { id: 7, come_back: Some(500.0) }, "DENY handle=7 retry-after-s=0.5")]
-#[case(Action::Decline { id: 7, come_back: None }, "DENY handle=7")]
-#[case(Action::Void { id: 7 }, "FAIL handle=7")]
-#[case(Action::Recall { id: 7, submission: 2 }, "ABANDON handle=7 go=2")]
-#[case(Action::Wake { after: 10.0, token: "t".into() }, "WAKE_ME delay-s=0.01 handle=t")]
-#[case(Action::Probe { instance: "a:1".into() }, "SOUND_OUT instance=a:1")]
-#[case(Action::CloseIdle { instance: "a:1".into() }, "CLOSE_IDLE instance=a:1")]
-#[case(Action::Tell { to: None, data: b"hi".to_vec() }, "WRITE_PEER target=* payload=aGk=")]
-#[case(Action::Tell { to: Some(3), data: vec![] }, "WRITE_PEER target=3 payload=-")]
-#[case(Action::Watch { on: true }, "SUBSCRIBE active=1")]
-#[case(Action::Fetch, "PULL")]
-#[case(Action::Vote { build: 4, stage: 1, verdict: Verdict::Back }, "BALLOT rel=4 wave=1 how=3")]
+#[case(Action::SendAttempt { id: 7, endpoint: "a:1".into(), timeout: Some(80.0), write_within: None }, "PASS_ON handle=7 instance=a:1 max-wait-s=0.08")]
+#[case(Action::Reject { id: 7, retry_after: Some(500.0) }, "DENY handle=7 retry-after-s=0.5")]
+#[case(Action::Reject { id: 7, retry_after: None }, "DENY handle=7")]
+#[case(Action::Fail { id: 7 }, "FAIL handle=7")]
+#[case(Action::CancelAttempt { id: 7, attempt: 2 }, "ABANDON handle=7 go=2")]
+#[case(Action::SetTimer { after: 10.0, token: "t".into() }, "WAKE_ME delay-s=0.01 handle=t")]
+#[case(Action::HealthCheck { endpoint: "a:1".into() }, "SOUND_OUT instance=a:1")]
+#[case(Action::CloseIdleConnections { endpoint: "a:1".into() }, "CLOSE_IDLE instance=a:1")]
+#[case(Action::SendPeerMessage { to: None, data: b"hi".to_vec() }, "WRITE_PEER target=* payload=aGk=")]
+#[case(Action::SendPeerMessage { to: Some(3), data: vec![] }, "WRITE_PEER target=3 payload=-")]
+#[case(Action::WatchEndpoints { enabled: true }, "SUBSCRIBE active=1")]
+#[case(Action::FetchEndpoints, "PULL")]
+#[case(Action::CastVote { version: 4, stage: 1, verdict: Verdict::RollBack }, "BALLOT rel=4 wave=1 how=3")]
 #[case(Action::Log("two known".into()), "EMIT what=two known")]
 fn actions_are_printed(#[case] action: Action, #[case] line: &str) {
     let mut out = Vec::new();
@@ -73,14 +76,14 @@
 }
 
 #[rstest]
-#[case("instance=a:1 state=cordoned build=4", Ok((Standing::Draining, 0.0)))]
-#[case("instance=a:1 state=healthy build=4 online-since-s=6.1", Ok((Standing::Ready, 6100.0)))]
+#[case("instance=a:1 state=cordoned build=4", Ok((EndpointStatus::Draining, 0.0)))]
+#[case("instance=a:1 state=healthy build=4 online-since-s=6.1", Ok((EndpointStatus::Ready, 6100.0)))]
 #[case("instance=a:1 state=well build=4", Err("field 'state' cannot be read: 'well'"))]
 #[case("instance=a:1 state=healthy build=4.5", Err("field 'build' cannot be read: '4.5'"))]
-fn entries_are_read(#[case] line: &str, #[case] wanted: Result<(Standing, Ms), &str>) {
+fn entries_are_read(#[case] line: &str, #[case] wanted: Result<(EndpointStatus, Millis), &str>) {
     let entry = listing(&Fields::parse(line).expect("pairs"));
     assert_eq!(
-        entry.map(|entry| (entry.state, entry.since)).map_err(|fault| fault.to_string()),
+        entry.map(|entry| (entry.status, entry.started_at)).map_err(|fault| fault.to_string()),
         wanted.map_err(str::to_string)
     );
 }
--- a/crates/xds/src/admission.rs
+++ b/crates/xds/src/admission.rs
@@ -1,7 +1,7 @@
 //! When streams may begin. A crowd that returns all at once is let in at a bounded rate, while those that are served
 //! already go on being served; what waits is bounded, and each waits its turn.
 
-use latchhaven_policy::api::Ms;
+use latchhaven_policy::Millis;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Streams that begin per ms at most: each costs a whole state, some tens of KiB, so that a second of it is 100 MiB.
@@ -9,7 +9,7 @@
 /// Streams that may begin at once.
 const BURST: f64 = 50.0;
 /// ms after which a proxy's next stream counts as its usual one: sooner, it waits behind those that come once.
-const OFTEN: Ms = 1_000.0;
+const OFTEN: Millis = 1_000.0;
 /// Proxies whose last beginning is remembered.
 const KEPT: usize = 10_000;
 
@@ -28,11 +28,11 @@
     most: usize,
     open: BTreeSet<u64>,
     saved: f64,
-    at: Option<Ms>,
+    at: Option<Millis>,
     waiting: VecDeque<u64>,
     /// Those that come again and again: only when nobody else waits.
     again: VecDeque<u64>,
-    begun: BTreeMap<String, Ms>,
+    begun: BTreeMap<String, Millis>,
 }
 
 impl Admission {
@@ -43,7 +43,7 @@
     }
 
     /// A stream of a proxy wants to begin.
-    pub fn knock(&mut self, stream: u64, proxy: &str, now: Ms) -> Knock {
+    pub fn knock(&mut self, stream: u64, proxy: &str, now: Millis) -> Knock {
         if self.full() {
             return Knock::Full;
         }
@@ -76,7 +76,7 @@
     }
 
     /// Those whose turn it is.
-    pub fn turn(&mut self, now: Ms) -> Vec<u64> {
+    pub fn turn(&mut self, now: Millis) -> Vec<u64> {
         let since = now - self.at.replace(now).unwrap_or(now);
         self.saved = (self.saved + RATE * since.max(0.0)).min(BURST);
         let mut begin = Vec::new();
--- a/crates/xds/src/loads.rs
+++ b/crates/xds/src/loads.rs
@@ -4,7 +4,7 @@
 use crate::pb::envoy::config::endpoint::v3::{ClusterStats, UpstreamLocalityStats};
 use crate::pb::envoy::service::load_stats::v3::LoadStatsRequest;
 use crate::resources::{DECLINE, cluster_of};
-use latchhaven_policy::api::Ms;
+use latchhaven_policy::Millis;
 use latchhaven_proxy_config::evidence::{ClusterReport, Figures, Report};
 use std::net::SocketAddr;
 
@@ -22,7 +22,7 @@
     if request.cluster_stats.len() > CLUSTERS_MOST {
         return Err(format!("cluster_stats: more than {CLUSTERS_MOST}"));
     }
-    let mut interval: Option<Ms> = None;
+    let mut interval: Option<Millis> = None;
     let (mut clusters, mut hosts) = (Vec::new(), 0);
     for stats in &request.cluster_stats {
         let span = stats.load_report_interval.as_ref();
--- a/crates/xds/src/resources.rs
+++ b/crates/xds/src/resources.rs
@@ -11,7 +11,7 @@
 use crate::pb::envoy::r#type::v3 as kinds;
 use crate::pb::google::protobuf::{Any, Duration, UInt32Value};
 use bytes::{BufMut, Bytes, BytesMut};
-use latchhaven_policy::api::{Build, Effect, Ms, Product};
+use latchhaven_policy::{Idempotency, Millis, RequestClass, Version};
 use latchhaven_proxy_config::handout::{Cluster, Handout, Health, Host, Repeat, Route, Target};
 use latchhaven_proxy_config::ledger::Shares;
 use latchhaven_proxy_config::order::{Basis, Labels, label};
@@ -91,7 +91,7 @@
     /// long it has not changed.
     stamp: String,
     /// What clusters are made of, for those of builds that are gone.
-    made_of: Arc<(Vec<Product>, Front)>,
+    made_of: Arc<(Vec<RequestClass>, Front)>,
     sets: BTreeMap<(Kind, bool), (u64, Arc<Set>)>,
 }
 
@@ -101,7 +101,7 @@
     pub listener: SocketAddr,
     pub product_header: String,
     pub key_header: String,
-    pub connect_within: Ms,
+    pub connect_within: Millis,
     /// Incremental streams get each host as a resource of its own.
     pub hosts_apart: bool,
 }
@@ -122,7 +122,7 @@
     /// The clusters of a build that is gone, under the name of its endpoints: a proxy that comes back may still route
     /// to them until it has accepted new routes.
     pub fn gone(&self, service: &str) -> Vec<Arc<Resource>> {
-        let build = service.strip_prefix('b').and_then(|build| build.parse::<Build>().ok());
+        let build = service.strip_prefix('b').and_then(|build| build.parse::<Version>().ok());
         let Some(build) = build.filter(|build| endpoints_name(*build) == service) else { return Vec::new() };
         let (products, front) = &*self.made_of;
         let made = (0..products.len()).map(|product| {
@@ -136,7 +136,7 @@
 
     /// The snapshot of a handout; what has not changed since an earlier one stays as it was.
     pub fn make(
-        handout: &Handout, basis: Basis, made_of: &Arc<(Vec<Product>, Front)>, labels: &Labels,
+        handout: &Handout, basis: Basis, made_of: &Arc<(Vec<RequestClass>, Front)>, labels: &Labels,
         earlier: Option<&Snapshot>,
     ) -> Snapshot {
         let (products, front) = (made_of.0.as_slice(), &made_of.1);
@@ -219,17 +219,17 @@
 }
 
 /// The name of the cluster in which one product's txns go to one build.
-pub fn cluster_name(build: Build, product: &str) -> String {
+pub fn cluster_name(build: Version, product: &str) -> String {
     format!("b{build}/{product}")
 }
 
 /// The name of a build's endpoints.
-pub fn endpoints_name(build: Build) -> String {
+pub fn endpoints_name(build: Version) -> String {
     format!("b{build}")
 }
 
 /// The build and product that a cluster's name tells.
-pub fn cluster_of(name: &str, products: &[String]) -> Option<(Build, usize)> {
+pub fn cluster_of(name: &str, products: &[String]) -> Option<(Version, usize)> {
     let (build, product) = name.strip_prefix('b')?.split_once('/')?;
     Some((build.parse().ok()?, products.iter().position(|known| known == product)?))
 }
@@ -242,7 +242,7 @@
     Some(UInt32Value { value })
 }
 
-fn span(ms: Ms) -> Option<Duration> {
+fn span(ms: Millis) -> Option<Duration> {
     let nanos = (ms.max(0.0) * 1e6) as i64;
     Some(Duration { seconds: nanos / 1_000_000_000, nanos: (nanos % 1_000_000_000) as i32 })
 }
@@ -267,7 +267,7 @@
     core::Address { address: Some(core::address::Address::SocketAddress(socket)) }
 }
 
-fn clusters(handout: &Handout, products: &[Product], front: &Front) -> Vec<Raw> {
+fn clusters(handout: &Handout, products: &[RequestClass], front: &Front) -> Vec<Raw> {
     let made = handout.clusters.iter().map(|cluster| one_cluster(cluster, products, front));
     let decline = cluster::Cluster {
         name: DECLINE.to_string(),
@@ -281,7 +281,7 @@
     made.chain([decline]).collect()
 }
 
-fn one_cluster(told: &Cluster, products: &[Product], front: &Front) -> Raw {
+fn one_cluster(told: &Cluster, products: &[RequestClass], front: &Front) -> Raw {
     let (name, service) =
         (cluster_name(told.build, &products[told.product].name), endpoints_name(told.build));
     let thresholds = cluster::circuit_breakers::Thresholds {
@@ -341,7 +341,7 @@
 }
 
 /// The prefix of a build's hosts of one zone.
-fn collection(build: Build, zone: &str) -> String {
+fn collection(build: Version, zone: &str) -> String {
     format!("{COLLECTION}b{build}/z{}/", plain(zone))
 }
 
@@ -439,7 +439,7 @@
     }
 }
 
-fn routes(handout: &Handout, products: &[Product], front: &Front) -> Raw {
+fn routes(handout: &Handout, products: &[RequestClass], front: &Front) -> Raw {
     let mut refers = BTreeSet::new();
     let mut list = Vec::new();
     for told in &handout.routes {
@@ -464,7 +464,7 @@
 }
 
 fn one_route(
-    told: &Route, shares: &[(Target, u32)], keyed: bool, products: &[Product], front: &Front,
+    told: &Route, shares: &[(Target, u32)], keyed: bool, products: &[RequestClass], front: &Front,
     refers: &mut BTreeSet<String>,
 ) -> route::Route {
     let product = &products[told.product];
@@ -501,7 +501,7 @@
     // A once-only txn is repeated only where the proxy knows that it never reached the host.
     let retry_on = match told.repeat {
         Repeat::NeverRan => "connect-failure,refused-stream",
-        Repeat::Any if product.effect == Effect::OnceOnly => "connect-failure,refused-stream",
+        Repeat::Any if product.idempotency == Idempotency::NonIdempotent => "connect-failure,refused-stream",
         Repeat::Any => "connect-failure,refused-stream,reset,5xx",
     };
     let retry = route::RetryPolicy {
--- a/crates/xds/tests/model.rs
+++ b/crates/xds/tests/model.rs
@@ -1,7 +1,7 @@
 //! Proxies, two services and a world that moves on, over random news, lists, losses, refusals and restarts: no proxy's
 //! state ever goes back, no reference dangles, and all converge once things are quiet.
 
-use latchhaven_policy::api::*;
+use latchhaven_policy::*;
 use latchhaven_proxy_config::handout::{self, Terms};
 use latchhaven_proxy_config::ledger::Ledger;
 use latchhaven_proxy_config::order::Labels;
@@ -16,28 +16,28 @@
 /// The world at one moment: the newest build's state and the hosts' builds and health.
 #[derive(Clone, Debug)]
 struct Moment {
-    news: StageNews,
-    hosts: Vec<(Build, bool)>,
+    news: RolloutState,
+    hosts: Vec<(Version, bool)>,
     version: u64,
-    at: Ms,
+    at: Millis,
     /// When the newest build came to stand so.
-    since: Ms,
+    since: Millis,
 }
 
-fn products() -> Vec<Product> {
-    let product = |name: &str, effect| Product {
+fn products() -> Vec<RequestClass> {
+    let product = |name: &str, effect| RequestClass {
         name: name.to_string(),
-        effect,
-        group: Group::All,
-        remember: 5000.0,
-        sla: 600.0,
-        sla_stretch: 0.0,
-        expiry: 2000.0,
-        revenue: 1.0,
-        late_share: 0.0,
+        idempotency: effect,
+        dedup_scope: DedupScope::All,
+        dedup_window: 5000.0,
+        latency_objective: 600.0,
+        objective_per_work: 0.0,
+        timeout: 2000.0,
+        priority_weight: 1.0,
+        late_value_share: 0.0,
         streamed: false,
     };
-    vec![product("look", Effect::InquiryLike), product("pay", Effect::OnceOnly)]
+    vec![product("look", Idempotency::Idempotent), product("pay", Idempotency::NonIdempotent)]
 }
 
 fn addr(n: usize) -> SocketAddr {
@@ -49,26 +49,28 @@
     let mut next = now.clone();
     next.at += 5_000.0;
     let news = &mut next.news;
-    let before = news.clone();
+    let before = *news;
     match (kind % 6, news.phase) {
-        (0, Phase::Released | Phase::Withdrawn) => {
-            let (build, stage, phase, cap) = (news.build + 1, 0, Phase::OnTrial, 0.1);
-            *news = StageNews { build, stage, phase, cap, ..news.clone() };
+        (0, RolloutPhase::Promoted | RolloutPhase::RolledBack) => {
+            let (build, stage, phase, cap) = (news.version + 1, 0, RolloutPhase::Canary, 0.1);
+            *news = RolloutState { version: build, stage, phase, traffic_cap: cap, ..*news };
             let n = pick % next.hosts.len();
             next.hosts[n] = (build, true);
             next.version += 1;
         }
-        (1, Phase::OnTrial) if news.stage < 2 => (news.stage, news.cap) = (news.stage + 1, 0.5),
-        (1, Phase::OnTrial) => {
-            (news.phase, news.cap) = (Phase::Released, 1.0);
-            let build = news.build;
+        (1, RolloutPhase::Canary) if news.stage < 2 => (news.stage, news.traffic_cap) = (news.stage + 1, 0.5),
+        (1, RolloutPhase::Canary) => {
+            (news.phase, news.traffic_cap) = (RolloutPhase::Promoted, 1.0);
+            let build = news.version;
             next.hosts.iter_mut().for_each(|host| host.0 = build);
             next.version += 1;
         }
-        (2, Phase::OnTrial | Phase::Released) => (news.phase, news.cap) = (Phase::GoingBack, 0.0),
-        (3, Phase::GoingBack) => {
-            news.phase = Phase::Withdrawn;
-            let (bad, good) = (news.build, news.build - 1);
+        (2, RolloutPhase::Canary | RolloutPhase::Promoted) => {
+            (news.phase, news.traffic_cap) = (RolloutPhase::RollingBack, 0.0)
+        }
+        (3, RolloutPhase::RollingBack) => {
+            news.phase = RolloutPhase::RolledBack;
+            let (bad, good) = (news.version, news.version - 1);
             next.hosts.iter_mut().filter(|host| host.0 == bad).for_each(|host| host.0 = good);
             next.version += 1;
         }
@@ -95,7 +97,7 @@
     }
 
     fn hear(&mut self, moment: &Moment, labels: &Labels, apart: bool) {
-        let news = StageNews { age: moment.at - moment.since, ..moment.news.clone() };
+        let news = RolloutState { age: moment.at - moment.since, ..moment.news };
         self.world.platform(&news, false, moment.at);
         self.world.list(moment.version, true, moment.at);
         self.make(moment, labels, apart);
@@ -105,23 +107,36 @@
         let Ok(basis) = self.world.basis() else { return };
         // What is known of the newest build may be ahead of this moment, by what proxies hold.
         let news = basis.news.news(moment.at);
-        let on = news.phase != Phase::Released && moment.hosts.iter().any(|host| host.0 == news.build);
-        let trials =
-            if on { vec![Trial { build: news.build, cap: news.cap, stage: news.stage }] } else { Vec::new() };
-        let instances = moment.hosts.iter().enumerate().map(|(n, (build, ready))| Outlooked {
-            instance: format!("s{n}"),
-            build: *build,
+        let on =
+            news.phase != RolloutPhase::Promoted && moment.hosts.iter().any(|host| host.0 == news.version);
+        let trials = if on {
+            vec![Canary { version: news.version, traffic_cap: news.traffic_cap, stage: news.stage }]
+        } else {
+            Vec::new()
+        };
+        let instances = moment.hosts.iter().enumerate().map(|(n, (build, ready))| EndpointSnapshot {
+            endpoint: format!("s{n}"),
+            version: *build,
             zone: format!("z{}", n % 2),
-            ready: *ready,
-            aside: false,
+            is_ready: *ready,
+            is_ejected: false,
             capacity: 1.0,
-            cold: false,
+            is_warming_up: false,
         });
-        let share = if news.phase == Phase::OnTrial { 0.5 } else { 0.0 };
-        let outlook = Outlook { trials, share, instances: instances.collect(), ..Outlook::default() };
-        let exposure =
-            ExposureTerms { free: 2.0, caps: vec![0.1], window: 2000.0, ..ExposureTerms::default() };
-        let cold = ColdStart { multiple: 3.0, ..ColdStart::default() };
+        let share = if news.phase == RolloutPhase::Canary { 0.5 } else { 0.0 };
+        let outlook = PolicySnapshot {
+            canaries: trials,
+            canary_share: share,
+            endpoints: instances.collect(),
+            ..PolicySnapshot::default()
+        };
+        let exposure = ExposureConfig {
+            allowance: 2.0,
+            stage_caps: vec![0.1],
+            window: 2000.0,
+            ..ExposureConfig::default()
+        };
+        let cold = SlowStartConfig { overload_multiple: 3.0, ..SlowStartConfig::default() };
         let terms = Terms { products: products(), exposure, cold, submissions: 3, in_flight_per_host: 64 };
         let addresses: BTreeMap<_, _> = (0..moment.hosts.len()).map(|n| (format!("s{n}"), addr(n))).collect();
         let mut ledger = Ledger::new(10);
@@ -155,7 +170,7 @@
     }
 
     /// One request reaches the service.
-    fn ask(&mut self, services: &mut [Service], now: Ms) {
+    fn ask(&mut self, services: &mut [Service], now: Millis) {
         let Some((to, stream, asks, _)) = &mut self.stream else { return };
         let Some(ask) = asks.pop_front() else { return };
         stream.ask(ask.into()).expect("a sound proxy");
@@ -187,7 +202,8 @@
 
 fn play(steps: Vec<(u8, u8, usize, bool)>, apart: bool) {
     let labels = Labels::new(Some(b"site".to_vec()));
-    let news = StageNews::told(1, 0, Phase::Released, 1.0, 0.0);
+    let news =
+        RolloutState { version: 1, stage: 0, phase: RolloutPhase::Promoted, traffic_cap: 1.0, age: 0.0 };
     let mut moments =
         vec![Moment { news, hosts: vec![(1, true); 4], version: 1, at: 10_000.0, since: 9_000.0 }];
     let mut services = [Service::new(), Service::new()];
@@ -273,8 +289,8 @@
         assert!(client.cache.dangles().is_none() && client.cache.way("look", false).is_some());
         let way = client.cache.way("pay", false).unwrap();
         assert!(way.retry_on == "connect-failure,refused-stream" || way.repeats == 0, "never a blind repeat");
-        if last.news.phase == Phase::Withdrawn || last.news.phase == Phase::GoingBack {
-            assert_eq!(client.cache.part("look", last.news.build), 0);
+        if last.news.phase == RolloutPhase::RolledBack || last.news.phase == RolloutPhase::RollingBack {
+            assert_eq!(client.cache.part("look", last.news.version), 0);
         }
     }
 }
