--- a/crates/control-plane/src/core.rs
+++ b/crates/control-plane/src/core.rs
@@ -5,11 +5,11 @@
 use latchhaven_policy::{
     Action, EndpointEntry, EndpointStatus, Event, Millis, RequestClass, RolloutState, UpdateKind, VoteOutcome,
 };
-use latchhaven_proxy_config::evidence::{Gathered, Report};
-use latchhaven_proxy_config::handout::{self, Terms};
-use latchhaven_proxy_config::ledger::{Ledger, Shares};
-use latchhaven_proxy_config::order::{Basis, Label, Labels, Way};
-use latchhaven_proxy_config::world::{Heard, World};
+use latchhaven_proxy_config::freshness::{KnownState, UpdateResult};
+use latchhaven_proxy_config::load_reports::{LoadReportAggregator, ProxyReport};
+use latchhaven_proxy_config::proxy_config::{self, ProxyConfigSettings};
+use latchhaven_proxy_config::share_ledger::{CanaryShares, ShareLedger};
+use latchhaven_proxy_config::version::{ConfigVersion, RolloutStatus, SignedVersion, VersionSigner};
 use latchhaven_xds::admission::{Admission, Knock};
 use latchhaven_xds::resources::{Front, Kind, Snapshot};
 use latchhaven_xds::stream::Said;
@@ -44,11 +44,11 @@
 /// The service's state.
 pub struct Core {
     choice: Policy,
-    world: World,
-    gathered: Gathered,
-    ledger: Ledger,
-    labels: Labels,
-    terms: Terms,
+    world: KnownState,
+    gathered: LoadReportAggregator,
+    ledger: ShareLedger,
+    labels: VersionSigner,
+    terms: ProxyConfigSettings,
     made_of: Arc<(Vec<RequestClass>, Front)>,
     admission: Admission,
     addresses: BTreeMap<String, SocketAddr>,
@@ -83,20 +83,20 @@
 impl Core {
     /// A service that begins from what was kept.
     pub fn new(
-        choice: Policy, terms: Terms, front: Front, labels: Labels, streams_most: usize, platform_only: bool,
-        kept: Option<Kept>,
+        choice: Policy, terms: ProxyConfigSettings, front: Front, labels: VersionSigner, streams_most: usize,
+        platform_only: bool, kept: Option<Kept>,
     ) -> Self {
-        let names = terms.products.iter().map(|product| product.name.clone()).collect();
+        let names = terms.classes.iter().map(|product| product.name.clone()).collect();
         let (basis, withdrawn) =
             kept.map_or((None, BTreeSet::new()), |kept| (Some(kept.basis), kept.withdrawn));
         let (addresses, known, events) = Default::default();
         Core {
             choice,
-            world: World::since(basis, withdrawn),
-            gathered: Gathered::new(names, platform_only),
-            ledger: Ledger::new(2 * streams_most),
+            world: KnownState::restore(basis, withdrawn),
+            gathered: LoadReportAggregator::new(names, platform_only),
+            ledger: ShareLedger::new(2 * streams_most),
             labels,
-            made_of: Arc::new((terms.products.clone(), front)),
+            made_of: Arc::new((terms.classes.clone(), front)),
             terms,
             admission: Admission::new(streams_most),
             addresses,
@@ -125,9 +125,9 @@
     pub fn list(
         &mut self, version: u64, whole: bool, entries: Vec<(EndpointEntry, SocketAddr)>, now: Millis,
     ) {
-        let heard = self.world.list(version, whole, now);
-        self.behind = heard == Heard::Older && whole;
-        if heard == Heard::Older {
+        let heard = self.world.apply_endpoint_list(version, whole, now);
+        self.behind = heard == UpdateResult::Stale && whole;
+        if heard == UpdateResult::Stale {
             return;
         }
         if whole {
@@ -162,7 +162,7 @@
 
     /// A call for the list failed, or its watch broke.
     pub fn list_failed(&mut self) {
-        self.world.list_failed();
+        self.world.endpoint_list_failed();
         self.events.push(Event::EndpointUpdate {
             kind: UpdateKind::Failed,
             list_version: 0,
@@ -183,16 +183,18 @@
     /// The state of the newest version's rollout, as the platform tells it.
     pub fn stage(&mut self, news: RolloutState, now: Millis) {
         // The world alone remembers which build was found bad: of the next one nothing is known yet.
-        let condemned =
-            self.world.news().is_some_and(|known| known.build == news.version && known.way == Way::Condemned);
-        let taken = self.world.platform(&news, condemned, now);
+        let condemned = self
+            .world
+            .rollout()
+            .is_some_and(|known| known.version == news.version && known.status == RolloutStatus::Rejected);
+        let taken = self.world.apply_rollout_state(&news, condemned, now);
         self.events.extend(taken.map(Event::RolloutUpdate));
         self.hurry(now);
     }
 
     /// A tally of the platform: counts where proxies report nothing themselves.
     pub fn tally(&mut self, tally: Event, now: Millis) {
-        if self.gathered.platform_counts(now) {
+        if self.gathered.uses_platform_counts(now) {
             self.events.push(tally);
         }
     }
@@ -229,7 +231,7 @@
         let proxy = self.proxy(&node);
         proxy.open += 1;
         let number = proxy.number;
-        self.ledger.came(number);
+        self.ledger.connected(number);
         self.streams.insert(stream, (node, false));
     }
 
@@ -246,8 +248,8 @@
         let Some(proxy) = self.proxies.get_mut(&node) else { return };
         proxy.open = proxy.open.saturating_sub(1);
         if proxy.open == 0 {
-            self.ledger.left(proxy.number, now);
-            self.gathered.left(proxy.number);
+            self.ledger.disconnected(proxy.number, now);
+            self.gathered.disconnected(proxy.number);
         }
     }
 
@@ -257,7 +259,7 @@
         for said in said {
             match said {
                 Said::Holds { kind, label } => self.holds(number, kind, &label, now),
-                Said::Accepted(shares) => self.ledger.accepted(number, &shares),
+                Said::Accepted(shares) => self.ledger.acknowledged(number, &shares),
                 Said::Refused { kind, words } => {
                     let node = self.streams.get(&stream).map(|(node, _)| node);
                     tracing::warn!(
@@ -267,21 +269,25 @@
                         "a proxy refused what it was sent and keeps what it has"
                     );
                     if kind == Kind::Route {
-                        self.ledger.refused(number);
+                        self.ledger.rejected(number);
                     }
                 }
             }
         }
     }
 
-    fn holds(&mut self, number: u64, kind: Kind, label: &Label, now: Millis) {
+    fn holds(&mut self, number: u64, kind: Kind, label: &SignedVersion, now: Millis) {
         // It may go on by what it held, whoever told it: the cap of then bounds its share.
-        let news = label.basis.news;
-        let part = if matches!(news.way, Way::OnTrial | Way::GoingBack) { news.cap } else { 0 };
+        let news = label.version.rollout;
+        let part = if matches!(news.status, RolloutStatus::Canary | RolloutStatus::RollingBack) {
+            news.traffic_cap
+        } else {
+            0
+        };
         if kind == Kind::Route {
-            self.ledger.holds(number, vec![part; self.terms.products.len()]);
+            self.ledger.report_held(number, vec![part; self.terms.classes.len()]);
         }
-        let learnt = self.world.evidence(label, now);
+        let learnt = self.world.apply_proxy_version(label, now);
         if let Some(news) = learnt {
             self.events.push(Event::RolloutUpdate(news));
             self.hurry(now);
@@ -289,7 +295,7 @@
     }
 
     /// Routes go out on a stream.
-    pub fn sends(&mut self, stream: u64, trial: &Shares, now: Millis) {
+    pub fn sends(&mut self, stream: u64, trial: &CanaryShares, now: Millis) {
         if let Some(number) = self.number(stream) {
             self.ledger.sent(number, trial, now);
         }
@@ -299,14 +305,14 @@
     ///
     /// # Errors
     /// What cannot be in it.
-    pub fn report(&mut self, stream: u64, report: &Report, now: Millis) -> Result<(), String> {
+    pub fn report(&mut self, stream: u64, report: &ProxyReport, now: Millis) -> Result<(), String> {
         let Some(number) = self.number(stream).filter(|_| !self.known.is_empty()) else { return Ok(()) };
         let whose = |addr: &SocketAddr, build| {
             let known = self.known.get(addr).filter(|known| known.builds.contains(&build));
             known.map(|known| known.instance.as_str())
         };
-        let rates = self.gathered.report(number, report, whose, now)?;
-        self.ledger.carries(number, rates);
+        let rates = self.gathered.add_report(number, report, whose, now)?;
+        self.ledger.set_request_rate(number, rates);
         Ok(())
     }
 
@@ -325,7 +331,7 @@
             return doings;
         }
         let mut events = std::mem::take(&mut self.events);
-        events.extend(self.gathered.take(now));
+        events.extend(self.gathered.drain_events(now));
         if self.wake <= now {
             events.push(Event::TimerFired { token: "look".to_string() });
         }
@@ -339,7 +345,7 @@
         if self.wake == f64::INFINITY {
             self.wake = now + ANEW;
         }
-        if (self.behind || self.world.list_behind()) && now - self.asked >= ASK_BEHIND {
+        if (self.behind || self.world.is_endpoint_list_stale()) && now - self.asked >= ASK_BEHIND {
             self.asked = now;
             doings.actions.push(Action::FetchEndpoints);
         }
@@ -351,16 +357,16 @@
     }
 
     fn hand(&mut self, now: Millis) -> Option<(Arc<Snapshot>, Kept)> {
-        self.ledger.forget(now);
+        self.ledger.forget_disconnected(now);
         let Core { proxies, ledger, .. } = self;
         if proxies.len() > 2 * ledger.len() + 64 {
             proxies.retain(|_, proxy| proxy.open > 0);
         }
         let mut outlook = self.choice.snapshot(now);
         if outlook.is_canary_rejected {
-            self.world.condemn();
+            self.world.reject_canary();
         }
-        let basis = match self.world.basis() {
+        let basis = match self.world.config_version() {
             Ok(basis) => basis,
             Err(why) => {
                 if self.waiting_for.replace(why) != Some(why) {
@@ -369,22 +375,23 @@
                 return None;
             }
         };
-        if basis.news.way == Way::Condemned && outlook.canary_share < 1.0 {
+        if basis.rollout.status == RolloutStatus::Rejected && outlook.canary_share < 1.0 {
             // Found bad by another service.
             outlook.canary_share = 0.0;
         }
-        let (addresses, withdrawn) = (&self.addresses, self.world.withdrawn());
-        let made = handout::make(&outlook, &self.terms, withdrawn, addresses, &self.ledger, now);
+        let (addresses, withdrawn) = (&self.addresses, self.world.rolled_back_versions());
+        let made =
+            proxy_config::build_proxy_config(&outlook, &self.terms, withdrawn, addresses, &self.ledger, now);
         let earlier = self.snapshot.as_deref();
         let snapshot = Snapshot::make(&made, basis, &self.made_of, &self.labels, earlier);
         self.waiting_for = None;
         if earlier.is_some_and(|earlier| earlier.basis == basis && snapshot.same(earlier)) {
             return None;
         }
-        let moved = earlier.is_none_or(|earlier| earlier.basis.news != basis.news);
+        let moved = earlier.is_none_or(|earlier| earlier.basis.rollout != basis.rollout);
         if moved {
-            let Basis { news, list } = basis;
-            tracing::info!(?news, list = list.version, trial = ?made.trial, "handed out");
+            let ConfigVersion { rollout: news, endpoints: list } = basis;
+            tracing::info!(?news, list = list.version, trial = ?made.canary_shares, "handed out");
         }
         let snapshot = Arc::new(snapshot);
         self.snapshot = Some(snapshot.clone());
--- a/crates/control-plane/src/driver.rs
+++ b/crates/control-plane/src/driver.rs
@@ -8,8 +8,8 @@
 use latchhaven_gateway::net::{NOTES_HELD, Note, VOTES_HELD, list, platform};
 use latchhaven_operator_config::{Evidence, Plan};
 use latchhaven_policy::{Action, Event, OutcomeReport, VoteOutcome};
-use latchhaven_proxy_config::handout;
-use latchhaven_proxy_config::order::Labels;
+use latchhaven_proxy_config::proxy_config;
+use latchhaven_proxy_config::version::VersionSigner;
 use latchhaven_simulator_protocol::WireFault;
 use latchhaven_simulator_protocol::terms::{self, Terms};
 use latchhaven_xds::resources::Front;
@@ -63,12 +63,12 @@
     let key = key.transpose()?;
     let given = settings(&plan).map_err(io::Error::other)?.asking();
     let (connections, (exposure, cold, submissions)) = (given.connections(), given.bounds());
-    let terms = handout::Terms {
-        products: given.products(),
+    let terms = proxy_config::ProxyConfigSettings {
+        classes: given.products(),
         exposure,
-        cold,
-        submissions,
-        in_flight_per_host: plan.xds.in_flight_per_host,
+        slow_start: cold,
+        max_attempts: submissions,
+        max_in_flight_per_endpoint: plan.xds.in_flight_per_host,
     };
     let front = Front {
         listener: plan.xds.listener,
@@ -78,9 +78,8 @@
         hosts_apart: plan.xds.hosts_apart,
     };
     let (keeper, kept) = keep::open(plan.state.as_deref());
-    let labels = Labels::new(key);
-    let products: Arc<Vec<String>> =
-        Arc::new(terms.products.iter().map(|known| known.name.clone()).collect());
+    let labels = VersionSigner::new(key);
+    let products: Arc<Vec<String>> = Arc::new(terms.classes.iter().map(|known| known.name.clone()).collect());
     let platform_only = plan.xds.evidence == Evidence::Platform;
     let choice = given.start(plan.seed);
     let core = Core::new(choice, terms, front, labels.clone(), plan.xds.streams_most, platform_only, kept);
--- a/crates/control-plane/src/keep.rs
+++ b/crates/control-plane/src/keep.rs
@@ -3,7 +3,7 @@
 //! one line, and the service goes on without it.
 
 use latchhaven_policy::Version;
-use latchhaven_proxy_config::order::Basis;
+use latchhaven_proxy_config::version::ConfigVersion;
 use redb::{Database, ReadableDatabase, TableDefinition};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -23,7 +23,7 @@
 /// The record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Kept {
-    pub basis: Basis,
+    pub basis: ConfigVersion,
     pub withdrawn: BTreeSet<Version>,
 }
 
@@ -152,12 +152,18 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use latchhaven_proxy_config::order::{ListMark, NewsMark, Way};
+    use latchhaven_proxy_config::version::{EndpointListVersion, RolloutStatus, RolloutVersion};
 
     fn kept(version: u64) -> Kept {
-        let news = NewsMark { build: 7, way: Way::Withdrawn, stage: 1, cap: 0, since: 5 };
+        let news = RolloutVersion {
+            version: 7,
+            status: RolloutStatus::RolledBack,
+            stage: 1,
+            traffic_cap: 0,
+            since: 5,
+        };
         Kept {
-            basis: Basis { news, list: ListMark { epoch: 0, version } },
+            basis: ConfigVersion { rollout: news, endpoints: EndpointListVersion { epoch: 0, version } },
             withdrawn: BTreeSet::from([6, 7]),
         }
     }
--- a/crates/control-plane/tests/cases.rs
+++ b/crates/control-plane/tests/cases.rs
@@ -4,9 +4,9 @@
 use latchhaven_control_plane::core::Core;
 use latchhaven_control_plane::keep::Kept;
 use latchhaven_policy::*;
-use latchhaven_proxy_config::evidence::{ClusterReport, Figures, Report};
-use latchhaven_proxy_config::handout::Terms;
-use latchhaven_proxy_config::order::Labels;
+use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, ProxyReport};
+use latchhaven_proxy_config::proxy_config::ProxyConfigSettings;
+use latchhaven_proxy_config::version::VersionSigner;
 use latchhaven_simulator_protocol::terms;
 use latchhaven_test_support::cache::{Cache, Wanted};
 use latchhaven_xds::resources::{Front, Kind, Snapshot};
@@ -30,7 +30,7 @@
     now: Millis,
     snapshot: Option<Arc<Snapshot>>,
     kept: Option<Kept>,
-    labels: Labels,
+    labels: VersionSigner,
     streams: u64,
     votes: Vec<(Version, Verdict)>,
 }
@@ -44,7 +44,13 @@
         let settings = || terms::read(SETTINGS).unwrap();
         let (exposure, cold, submissions) = settings().bounds();
         let products = settings().products();
-        let terms = Terms { products, exposure, cold, submissions, in_flight_per_host: 64 };
+        let terms = ProxyConfigSettings {
+            classes: products,
+            exposure,
+            slow_start: cold,
+            max_attempts: submissions,
+            max_in_flight_per_endpoint: 64,
+        };
         let front = Front {
             listener: SocketAddr::from(([127, 0, 0, 1], 10_000)),
             product_header: "x-product".to_string(),
@@ -52,7 +58,7 @@
             connect_within: 250.0,
             hosts_apart,
         };
-        let labels = Labels::new(Some(key.as_bytes().to_vec()));
+        let labels = VersionSigner::new(Some(key.as_bytes().to_vec()));
         let core = Core::new(settings().start(7), terms, front, labels.clone(), 100, false, kept);
         Service { core, now, snapshot: None, kept: None, labels, streams: 0, votes: Vec::new() }
     }
@@ -108,10 +114,14 @@
     fn traffic(&mut self, proxies: &[&Proxy]) {
         for proxy in proxies {
             let Some((stream, ..)) = proxy.stream else { continue };
-            let figures = Figures { issued: 4000, settled: 4000, ..Figures::default() };
-            let cluster =
-                |product| ClusterReport { build: 1, product, hosts: vec![(addr(1), figures)], dropped: 0 };
-            let report = Report { interval: 1000.0, clusters: vec![cluster(0), cluster(1)] };
+            let figures = EndpointCounts { started: 4000, succeeded: 4000, ..EndpointCounts::default() };
+            let cluster = |product| ClusterReport {
+                version: 1,
+                class: product,
+                endpoints: vec![(addr(1), figures)],
+                dropped: 0,
+            };
+            let report = ProxyReport { interval: 1000.0, clusters: vec![cluster(0), cluster(1)] };
             self.core.report(stream, &report, self.now).unwrap();
         }
         self.pass(300.0);
@@ -301,7 +311,7 @@
     let mut other = Proxy::new("other", false);
     other.connect(&mut foreign);
     other.talk(&mut foreign);
-    let basis = |proxy: &Proxy| proxy.cache.basis(Kind::Route).map(|basis| basis.news.way);
+    let basis = |proxy: &Proxy| proxy.cache.basis(Kind::Route).map(|basis| basis.rollout.status);
     assert_ne!(basis(&other), basis(&proxies[1]), "and moves nobody else");
 }
 
@@ -392,7 +402,7 @@
     }
     service.pass(60.0);
     assert!(service.snapshot.as_ref().unwrap().number <= before + 3);
-    assert_eq!(service.snapshot.as_ref().unwrap().basis.list.version, 130, "the newest");
+    assert_eq!(service.snapshot.as_ref().unwrap().basis.endpoints.version, 130, "the newest");
 }
 
 #[test]
@@ -496,8 +506,12 @@
     // Late counts of its earlier life are taken, those of a host that never was are refused.
     let stream = proxies[0].stream.as_ref().unwrap().0;
     let of = |host: u16| {
-        let hosts = vec![(addr(host), Figures { settled: 1, issued: 1, ..Figures::default() })];
-        Report { interval: 1000.0, clusters: vec![ClusterReport { build: 1, product: 0, hosts, dropped: 0 }] }
+        let hosts =
+            vec![(addr(host), EndpointCounts { succeeded: 1, started: 1, ..EndpointCounts::default() })];
+        ProxyReport {
+            interval: 1000.0,
+            clusters: vec![ClusterReport { version: 1, class: 0, endpoints: hosts, dropped: 0 }],
+        }
     };
     assert!(service.core.report(stream, &of(2), service.now).is_ok());
     assert!(service.core.report(stream, &of(9), service.now).unwrap_err().contains("no host of its cluster"));
@@ -508,17 +522,22 @@
     let (mut service, mut proxies) = settled(3);
     let report =
         |service: &mut Service, proxy: &Proxy, build: Version, host: u16, settled: u64, failed: u64| {
-            let figures = Figures { issued: settled + failed, settled, failed, ..Figures::default() };
+            let figures = EndpointCounts {
+                started: settled + failed,
+                succeeded: settled,
+                failed,
+                ..EndpointCounts::default()
+            };
             let cluster = |build, host, figures| ClusterReport {
-                build,
-                product: 0,
-                hosts: vec![(addr(host), figures)],
+                version: build,
+                class: 0,
+                endpoints: vec![(addr(host), figures)],
                 dropped: 0,
             };
-            let fine = Figures { issued: 500, settled: 500, ..Figures::default() };
+            let fine = EndpointCounts { started: 500, succeeded: 500, ..EndpointCounts::default() };
             let clusters = vec![cluster(1, 1, fine), cluster(build, host, figures)];
             let stream = proxy.stream.as_ref().unwrap().0;
-            service.core.report(stream, &Report { interval: 1000.0, clusters }, service.now).unwrap();
+            service.core.report(stream, &ProxyReport { interval: 1000.0, clusters }, service.now).unwrap();
         };
     for _ in 0..20 {
         proxies.iter().for_each(|proxy| report(&mut service, proxy, 2, 3, 150, 150));
@@ -550,13 +569,25 @@
                     let failed = (count * fails) as u64;
                     let settled = count as u64 - failed;
                     let (took, timed) = (20.0 * settled as f64, settled);
-                    let figures = Figures { issued: settled + failed, settled, failed, out: 0, took, timed };
-                    ClusterReport { build, product: 0, hosts: vec![(addr(host), figures)], dropped: 0 }
+                    let figures = EndpointCounts {
+                        started: settled + failed,
+                        succeeded: settled,
+                        failed,
+                        in_flight: 0,
+                        total_latency: took,
+                        latency_samples: timed,
+                    };
+                    ClusterReport {
+                        version: build,
+                        class: 0,
+                        endpoints: vec![(addr(host), figures)],
+                        dropped: 0,
+                    }
                 };
                 let clusters = vec![cluster(1, 500.0, 0.002, 1), cluster(2, 300.0, fails, 3)];
                 let stream = proxy.stream.as_ref().unwrap().0;
                 let now = service.now;
-                service.core.report(stream, &Report { interval: 1000.0, clusters }, now).unwrap();
+                service.core.report(stream, &ProxyReport { interval: 1000.0, clusters }, now).unwrap();
             }
             service.pass(1_000.0);
             talk_all(&mut proxies, &mut service);
--- a/crates/control-plane/tests/stored_record.rs
+++ b/crates/control-plane/tests/stored_record.rs
@@ -1,7 +1,7 @@
 //! The record on disk stays readable: its bytes here are those that version 0.2.0 wrote at 45d1a44.
 
 use latchhaven_control_plane::keep::{Kept, decode, encode, open};
-use latchhaven_proxy_config::order::{Basis, ListMark, NewsMark, Way};
+use latchhaven_proxy_config::version::{ConfigVersion, EndpointListVersion, RolloutStatus, RolloutVersion};
 use redb::{Database, TableDefinition};
 use std::collections::BTreeSet;
 
@@ -9,33 +9,34 @@
 const RECORD: &str = "last";
 
 /// Each way a build can stand, as it was written.
-const WRITTEN: [(Way, &str); 5] = [
+const WRITTEN: [(RolloutStatus, &str); 5] = [
     (
-        Way::OnTrial,
+        RolloutStatus::Canary,
         r#"{"schema":1,"basis":{"list":{"epoch":2,"version":41},"news":{"build":7,"cap":125000,"since":1733100000123,"stage":3,"way":"OnTrial"}},"withdrawn":[4,6]}"#,
     ),
     (
-        Way::Condemned,
+        RolloutStatus::Rejected,
         r#"{"schema":1,"basis":{"list":{"epoch":2,"version":41},"news":{"build":7,"cap":125000,"since":1733100000123,"stage":3,"way":"Condemned"}},"withdrawn":[4,6]}"#,
     ),
     (
-        Way::Released,
+        RolloutStatus::Promoted,
         r#"{"schema":1,"basis":{"list":{"epoch":2,"version":41},"news":{"build":7,"cap":125000,"since":1733100000123,"stage":3,"way":"Released"}},"withdrawn":[4,6]}"#,
     ),
     (
-        Way::GoingBack,
+        RolloutStatus::RollingBack,
         r#"{"schema":1,"basis":{"list":{"epoch":2,"version":41},"news":{"build":7,"cap":125000,"since":1733100000123,"stage":3,"way":"GoingBack"}},"withdrawn":[4,6]}"#,
     ),
     (
-        Way::Withdrawn,
+        RolloutStatus::RolledBack,
         r#"{"schema":1,"basis":{"list":{"epoch":2,"version":41},"news":{"build":7,"cap":125000,"since":1733100000123,"stage":3,"way":"Withdrawn"}},"withdrawn":[4,6]}"#,
     ),
 ];
 
-fn record(way: Way) -> Kept {
-    let news = NewsMark { build: 7, way, stage: 3, cap: 125_000, since: 1_733_100_000_123 };
+fn record(way: RolloutStatus) -> Kept {
+    let news =
+        RolloutVersion { version: 7, status: way, stage: 3, traffic_cap: 125_000, since: 1_733_100_000_123 };
     Kept {
-        basis: Basis { news, list: ListMark { epoch: 2, version: 41 } },
+        basis: ConfigVersion { rollout: news, endpoints: EndpointListVersion { epoch: 2, version: 41 } },
         withdrawn: BTreeSet::from([4, 6]),
     }
 }
--- a/crates/experiments/src/day.rs
+++ b/crates/experiments/src/day.rs
@@ -7,9 +7,9 @@
 use latchhaven_control_plane::core::Core;
 use latchhaven_policy::Policy;
 use latchhaven_policy::*;
-use latchhaven_proxy_config::evidence::{ClusterReport, Figures, Report};
-use latchhaven_proxy_config::handout::Terms;
-use latchhaven_proxy_config::order::Labels;
+use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, ProxyReport};
+use latchhaven_proxy_config::proxy_config::ProxyConfigSettings;
+use latchhaven_proxy_config::version::VersionSigner;
 use latchhaven_simulator_protocol::terms;
 use latchhaven_test_support::cache::{Cache, Wanted};
 use latchhaven_xds::resources::{Front, Snapshot, cluster_of};
@@ -164,7 +164,7 @@
     stream: Stream,
     asks: Vec<Wanted>,
     in_flight: Vec<u32>,
-    reported: BTreeMap<(String, usize), Figures>,
+    reported: BTreeMap<(String, usize), EndpointCounts>,
 }
 
 struct Day {
@@ -251,10 +251,16 @@
             count: Count::default(),
         };
         if mode == Mode::Handout {
-            let labels = Labels::new(Some(b"lab".to_vec()));
+            let labels = VersionSigner::new(Some(b"lab".to_vec()));
             let (exposure, cold, submissions) = read(0, 1).bounds();
             let products = read(0, 1).products();
-            let terms = Terms { products, exposure, cold, submissions, in_flight_per_host: 64 };
+            let terms = ProxyConfigSettings {
+                classes: products,
+                exposure,
+                slow_start: cold,
+                max_attempts: submissions,
+                max_in_flight_per_endpoint: 64,
+            };
             let front = Front {
                 listener: addr(0),
                 product_header: "x-product".to_string(),
@@ -565,11 +571,12 @@
                 let proxy = &mut self.proxies[front];
                 proxy.in_flight[host] = proxy.in_flight[host].saturating_sub(1);
                 let figures = proxy.reported.entry((self.txns[&id].cluster.clone(), host)).or_default();
-                figures.issued += 1;
+                figures.started += 1;
                 match ending {
                     AttemptOutcome::Success => {
-                        (figures.settled, figures.timed) = (figures.settled + 1, figures.timed + 1);
-                        figures.took += took;
+                        (figures.succeeded, figures.latency_samples) =
+                            (figures.succeeded + 1, figures.latency_samples + 1);
+                        figures.total_latency += took;
                     }
                     _ => figures.failed += 1,
                 }
@@ -683,12 +690,16 @@
             for ((cluster, host), figures) in std::mem::take(&mut proxy.reported) {
                 let Some((build, product)) = cluster_of(&cluster, &names) else { continue };
                 let report = clusters.entry((build, product));
-                let report =
-                    report.or_insert_with(|| ClusterReport { build, product, hosts: Vec::new(), dropped: 0 });
-                report.hosts.push((addr(host), figures));
+                let report = report.or_insert_with(|| ClusterReport {
+                    version: build,
+                    class: product,
+                    endpoints: Vec::new(),
+                    dropped: 0,
+                });
+                report.endpoints.push((addr(host), figures));
             }
             let clusters = clusters.into_values().collect();
-            core.report(n as u64, &Report { interval: 1000.0, clusters }, now).expect("sound reports");
+            core.report(n as u64, &ProxyReport { interval: 1000.0, clusters }, now).expect("sound reports");
         }
         let doings = core.turn(now);
         for action in doings.actions {
--- a/crates/experiments/src/xds.rs
+++ b/crates/experiments/src/xds.rs
@@ -3,7 +3,7 @@
 
 use clap::Args;
 use hdrhistogram::Histogram;
-use latchhaven_proxy_config::order::{NewsMark, Way};
+use latchhaven_proxy_config::version::{RolloutStatus, RolloutVersion};
 use latchhaven_test_support::machine::Machine;
 use latchhaven_test_support::proxy::{Goes, Orders, Proxy, Seen};
 use latchhaven_test_support::site::{Site, plan};
@@ -69,16 +69,16 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Mark {
-    News { build: u32, way: Way, stage: u32 },
+    News { build: u32, way: RolloutStatus, stage: u32 },
     List(u64),
 }
 
 impl Mark {
-    fn used(&self, news: Option<NewsMark>, list: u64) -> bool {
+    fn used(&self, news: Option<RolloutVersion>, list: u64) -> bool {
         match self {
             Mark::List(version) => list >= *version,
             Mark::News { build, way, stage } => {
-                news.is_some_and(|held| (held.build, held.way, held.stage) >= (*build, *way, *stage))
+                news.is_some_and(|held| (held.version, held.status, held.stage) >= (*build, *way, *stage))
             }
         }
     }
@@ -87,7 +87,7 @@
 /// What a proxy uses, and since when: the steps of its state.
 #[derive(Clone, Debug, Default)]
 struct Track {
-    steps: Vec<(Instant, Option<NewsMark>, u64)>,
+    steps: Vec<(Instant, Option<RolloutVersion>, u64)>,
 }
 
 /// The site's story: a build comes, goes on, and is taken back or released; hosts drain and return between.
@@ -140,12 +140,12 @@
             (false, 0) => {
                 self.stage = 1;
                 self.tell(site, "IN_PROGRESS", 1, CAPS[1]);
-                Mark::News { build, way: Way::OnTrial, stage: 1 }
+                Mark::News { build, way: RolloutStatus::Canary, stage: 1 }
             }
             (false, 1) => {
                 self.stage = 2;
                 self.tell(site, "ROLLING_BACK", 1, 0.0);
-                Mark::News { build, way: Way::GoingBack, stage: 1 }
+                Mark::News { build, way: RolloutStatus::RollingBack, stage: 1 }
             }
             _ => {
                 self.tell(site, "ROLLED_BACK", 1, 0.0);
@@ -203,9 +203,9 @@
     let tracks: Arc<Vec<Mutex<Track>>> = Arc::new((0..sizes.proxies).map(|_| Mutex::default()).collect());
     let noted = tracks.clone();
     let seen: Seen = Arc::new(move |number, cache, at| {
-        let news = cache.basis(Kind::Route).map(|basis| basis.news);
-        let list =
-            [Kind::Endpoint, Kind::Host].map(|kind| cache.basis(kind).map_or(0, |basis| basis.list.version));
+        let news = cache.basis(Kind::Route).map(|basis| basis.rollout);
+        let list = [Kind::Endpoint, Kind::Host]
+            .map(|kind| cache.basis(kind).map_or(0, |basis| basis.endpoints.version));
         let mut track = noted[number].lock().unwrap_or_else(PoisonError::into_inner);
         let list = list[0].max(list[1]);
         if track.steps.last().is_none_or(|last| last.1 != news || last.2 != list) {
@@ -251,7 +251,7 @@
         }
         None
     };
-    let released = Mark::News { build: 1, way: Way::Released, stage: 0 };
+    let released = Mark::News { build: 1, way: RolloutStatus::Promoted, stage: 0 };
     let first = all_hold(released, SETTLES);
     let connected = millis(began.elapsed());
 
--- a/crates/proxy-config/src/shares.rs
+++ b/crates/proxy-config/src/canary_share.rs
@@ -10,7 +10,7 @@
 
 /// The largest safe share where a window brings at least `least` txns. By Bernstein's bound
 /// P(X >= ns + t) <= exp(-t^2 / (2 (ns + t/3))); it is taken at the number of txns at which it is weakest.
-pub fn safe_share(cap: f64, free: f64, least: f64) -> f64 {
+pub fn max_safe_share(cap: f64, free: f64, least: f64) -> f64 {
     if cap >= 1.0 {
         return 1.0;
     }
@@ -32,13 +32,13 @@
 }
 
 /// Parts of a million, never above the share.
-pub fn parts(share: f64) -> u32 {
+pub fn to_parts_per_million(share: f64) -> u32 {
     (share.clamp(0.0, 1.0) * f64::from(MILLION)).floor() as u32
 }
 
 /// What a cold trial may carry: at most so much of all txns that each unit of its present capacity gets no more than
 /// half the told multiple of what each unit of all capacity gets.
-pub fn cold_share(multiple: f64, trial: f64, all: f64) -> f64 {
+pub fn max_warmup_share(multiple: f64, trial: f64, all: f64) -> f64 {
     /// Half: the load may double before proxies are told anew.
     const COLD_PART: f64 = 0.5;
     (COLD_PART * multiple * trial / all.max(f64::MIN_POSITIVE)).clamp(0.0, 1.0)
@@ -58,11 +58,11 @@
         fn it_grows_with_cap_free_and_traffic_and_stays_below_the_cap(
             cap in 0.001f64..0.999, free in 0.0f64..20.0, least in 0.0f64..1e6
         ) {
-            let share = safe_share(cap, free, least);
+            let share = max_safe_share(cap, free, least);
             prop_assert!((0.0..=cap).contains(&share));
-            prop_assert!(safe_share(cap, free + 1.0, least) >= share - 1e-9);
-            prop_assert!(safe_share(cap, free, least * 2.0 + 1.0) >= share - 1e-9);
-            prop_assert!(safe_share((cap + 0.001).min(0.999), free, least) >= share - 1e-9);
+            prop_assert!(max_safe_share(cap, free + 1.0, least) >= share - 1e-9);
+            prop_assert!(max_safe_share(cap, free, least * 2.0 + 1.0) >= share - 1e-9);
+            prop_assert!(max_safe_share((cap + 0.001).min(0.999), free, least) >= share - 1e-9);
         }
     }
 
@@ -76,7 +76,7 @@
         };
         let mut at_cap = 0;
         for (cap, free, least) in [(0.04, 2.0, 500), (0.15, 1.0, 200), (0.5, 0.0, 2000), (0.04, 2.0, 0)] {
-            let share = safe_share(cap, free, f64::from(least));
+            let share = max_safe_share(cap, free, f64::from(least));
             for _ in 0..3000 {
                 for txns in [least, least + 40, 2 * least + 7] {
                     assert!(!over(share, cap, free, txns));
@@ -85,7 +85,7 @@
             }
         }
         assert!(at_cap > 2000, "{at_cap}");
-        assert!(safe_share(0.5, 0.0, 4000.0) > 0.4 && safe_share(0.04, 2.0, 4000.0) > 0.018);
+        assert!(max_safe_share(0.5, 0.0, 4000.0) > 0.4 && max_safe_share(0.04, 2.0, 4000.0) > 0.018);
     }
 
     #[test]
@@ -93,9 +93,9 @@
         for (cap, free, least) in
             [(0.0, 1.0, 1.0), (f64::NAN, 1.0, 1.0), (0.5, -1.0, 1.0), (0.5, 1.0, f64::NAN)]
         {
-            assert_eq!(safe_share(cap, free, least), 0.0);
+            assert_eq!(max_safe_share(cap, free, least), 0.0);
         }
-        assert_eq!(safe_share(1.0, 0.0, 0.0), 1.0);
-        assert_eq!(parts(0.25), 250_000);
+        assert_eq!(max_safe_share(1.0, 0.0, 0.0), 1.0);
+        assert_eq!(to_parts_per_million(0.25), 250_000);
     }
 }
--- a/crates/proxy-config/src/lib.rs
+++ b/crates/proxy-config/src/lib.rs
@@ -1,15 +1,15 @@
 //! What proxies are told of the decisions. All modules are pure: no I/O, no clock, no chance.
 //!
-//! - [`order`]: what a handout is based on, how two such states compare, how a label tells it.
-//! - [`world`]: how far the world is known to be, and whether anything may be handed out at all.
-//! - [`shares`]: the share of a build on trial that keeps the cap though each proxy draws by chance.
-//! - [`ledger`]: which shares each proxy may still be using, and what that leaves to the others.
-//! - [`evidence`]: load reports of proxies, checked and turned into tallies and figures on instances.
-//! - [`handout`]: the outlook of the decisions turned into clusters, endpoints and routes.
+//! - [`version`]: what a handout is based on, how two such states compare, how a label tells it.
+//! - [`freshness`]: how far the world is known to be, and whether anything may be handed out at all.
+//! - [`canary_share`]: the share of a build on trial that keeps the cap though each proxy draws by chance.
+//! - [`share_ledger`]: which shares each proxy may still be using, and what that leaves to the others.
+//! - [`load_reports`]: load reports of proxies, checked and turned into tallies and figures on instances.
+//! - [`proxy_config`]: the outlook of the decisions turned into clusters, endpoints and routes.
 
-pub mod evidence;
-pub mod handout;
-pub mod ledger;
-pub mod order;
-pub mod shares;
-pub mod world;
+pub mod canary_share;
+pub mod freshness;
+pub mod load_reports;
+pub mod proxy_config;
+pub mod share_ledger;
+pub mod version;
--- a/crates/proxy-config/src/evidence.rs
+++ b/crates/proxy-config/src/load_reports.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 /// Reports are gathered for so many ms before the decisions hear of them: news of a period, not of each proxy.
-pub const PERIOD: Millis = 1_000.0;
+pub const REPORT_PERIOD: Millis = 1_000.0;
 /// Without a report for so many ms the platform's tallies count instead.
 const SILENT: Millis = 5_000.0;
 /// Times the mean of all reporting proxies that one of them counts at most, where at least so many report: one that
@@ -26,30 +26,30 @@
 
 /// What a proxy counted at one host since its last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct EndpointCounts {
     /// Submissions begun; 0 where the proxy doesn't count them.
-    pub issued: u64,
-    pub settled: u64,
+    pub started: u64,
+    pub succeeded: u64,
     pub failed: u64,
     /// Still out when the report was made.
-    pub out: u64,
+    pub in_flight: u64,
     /// Sum of the times in ms of so many settled ones.
-    pub took: f64,
-    pub timed: u64,
+    pub total_latency: f64,
+    pub latency_samples: u64,
 }
 
 /// What a proxy counted in one cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClusterReport {
-    pub build: Version,
-    pub product: usize,
-    pub hosts: Vec<(SocketAddr, Figures)>,
+    pub version: Version,
+    pub class: usize,
+    pub endpoints: Vec<(SocketAddr, EndpointCounts)>,
     pub dropped: u64,
 }
 
 /// One report of one proxy; `interval`: ms that it covers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Report {
+pub struct ProxyReport {
     pub interval: Millis,
     pub clusters: Vec<ClusterReport>,
 }
@@ -63,9 +63,9 @@
 }
 
 impl Sum {
-    fn of(figures: &Figures) -> Sum {
-        let (count, failed) = ((figures.settled + figures.failed) as f64, figures.failed as f64);
-        Sum { count, failed, took: figures.took, timed: figures.timed as f64 }
+    fn of(figures: &EndpointCounts) -> Sum {
+        let (count, failed) = ((figures.succeeded + figures.failed) as f64, figures.failed as f64);
+        Sum { count, failed, took: figures.total_latency, timed: figures.latency_samples as f64 }
     }
 
     /// Adds another sum, weighed down to so many submissions.
@@ -94,7 +94,7 @@
 
 /// All reports since they were last taken.
 #[derive(Clone, Debug)]
-pub struct Gathered {
+pub struct LoadReportAggregator {
     products: Vec<String>,
     /// By build and product, then proxy.
     tallies: BTreeMap<(Version, usize), BTreeMap<u64, Sum>>,
@@ -105,11 +105,11 @@
     platform_only: bool,
 }
 
-impl Gathered {
+impl LoadReportAggregator {
     /// Gathers by these products; `platform_only`: proxies' counts judge no build.
     pub fn new(products: Vec<String>, platform_only: bool) -> Self {
         let (tallies, hosts, reporters) = Default::default();
-        Gathered { products, tallies, hosts, reporters, heard: None, taken: 0.0, platform_only }
+        LoadReportAggregator { products, tallies, hosts, reporters, heard: None, taken: 0.0, platform_only }
     }
 
     /// Takes a report over, whole or not at all; `whose` tells the instance at an address that has, or lately had, a
@@ -117,8 +117,8 @@
     ///
     /// # Errors
     /// What cannot be in it: figures that contradict, times that are none, hosts that are not in their cluster.
-    pub fn report<'a>(
-        &mut self, proxy: u64, report: &Report, whose: impl Fn(&SocketAddr, Version) -> Option<&'a str>,
+    pub fn add_report<'a>(
+        &mut self, proxy: u64, report: &ProxyReport, whose: impl Fn(&SocketAddr, Version) -> Option<&'a str>,
         now: Millis,
     ) -> Result<Vec<f64>, String> {
         if !INTERVAL.contains(&report.interval) {
@@ -127,13 +127,20 @@
         let before = self.reporters.get(&proxy);
         let mut seen = BTreeSet::new();
         for cluster in &report.clusters {
-            let at = (cluster.build, cluster.product);
-            if cluster.product >= self.products.len() || !seen.insert(at) {
+            let at = (cluster.version, cluster.class);
+            if cluster.class >= self.products.len() || !seen.insert(at) {
                 return Err("cluster_stats: a cluster that is unknown, or there twice".to_string());
             }
             let (mut begun, mut ended) = (0u64, 0u64);
-            for (host, figures) in &cluster.hosts {
-                let Figures { issued, settled, failed, out, took, timed } = *figures;
+            for (host, figures) in &cluster.endpoints {
+                let EndpointCounts {
+                    started: issued,
+                    succeeded: settled,
+                    failed,
+                    in_flight: out,
+                    total_latency: took,
+                    latency_samples: timed,
+                } = *figures;
                 if [issued, settled, failed, out, timed, cluster.dropped]
                     .iter()
                     .any(|count| *count > COUNT_MOST)
@@ -144,7 +151,7 @@
                 if !(0.0..=TOOK_MOST).contains(&mean) || (timed == 0 && took != 0.0) {
                     return Err(format!("{host}: times that cannot be"));
                 }
-                if whose(host, cluster.build).is_none() {
+                if whose(host, cluster.version).is_none() {
                     return Err(format!("{host}: no host of its cluster"));
                 }
                 (begun, ended) = (begun + issued, ended + settled + failed);
@@ -159,19 +166,19 @@
         let mut rate = vec![0.0; self.products.len()];
         let mut out = BTreeMap::new();
         for cluster in &report.clusters {
-            let at = (cluster.build, cluster.product);
+            let at = (cluster.version, cluster.class);
             let sum = self.tallies.entry(at).or_default().entry(proxy).or_default();
-            for (host, figures) in &cluster.hosts {
+            for (host, figures) in &cluster.endpoints {
                 let ended = Sum::of(figures);
                 sum.add(&ended, f64::INFINITY);
-                if let Some(instance) = whose(host, cluster.build) {
-                    let sum = self.hosts.entry((instance.to_string(), cluster.product)).or_default();
+                if let Some(instance) = whose(host, cluster.version) {
+                    let sum = self.hosts.entry((instance.to_string(), cluster.class)).or_default();
                     sum.add(&ended, HOST_CLIP);
                 }
-                rate[cluster.product] += ended.count.max(figures.issued as f64) / report.interval;
-                *out.entry(at).or_default() += figures.out;
+                rate[cluster.class] += ended.count.max(figures.started as f64) / report.interval;
+                *out.entry(at).or_default() += figures.in_flight;
             }
-            rate[cluster.product] += cluster.dropped as f64 / report.interval;
+            rate[cluster.class] += cluster.dropped as f64 / report.interval;
         }
         let reporter = self.reporters.entry(proxy).or_default();
         if reporter.rate.is_empty() {
@@ -184,18 +191,18 @@
     }
 
     /// A proxy went away.
-    pub fn left(&mut self, proxy: u64) {
+    pub fn disconnected(&mut self, proxy: u64) {
         self.reporters.remove(&proxy);
     }
 
     /// Whether the platform's tallies count now: never both its and the proxies', which saw the same submissions.
-    pub fn platform_counts(&self, now: Millis) -> bool {
+    pub fn uses_platform_counts(&self, now: Millis) -> bool {
         self.platform_only || self.heard.is_none_or(|heard| now - heard > SILENT)
     }
 
     /// What a period brought, for the decisions; nothing before it is over.
-    pub fn take(&mut self, now: Millis) -> Vec<Event> {
-        if now - self.taken < PERIOD {
+    pub fn drain_events(&mut self, now: Millis) -> Vec<Event> {
+        if now - self.taken < REPORT_PERIOD {
             return Vec::new();
         }
         let age = (now - self.taken) / 2.0;
@@ -244,35 +251,38 @@
         names.get(usize::from(host.port().wrapping_sub(1))).copied().filter(|_| build == 1)
     }
 
-    fn report(build: Version, host: u16, figures: Figures) -> Report {
+    fn report(build: Version, host: u16, figures: EndpointCounts) -> ProxyReport {
         let hosts = vec![(SocketAddr::from(([127, 0, 0, 1], host)), figures)];
-        Report { interval: 1000.0, clusters: vec![ClusterReport { build, product: 0, hosts, dropped: 0 }] }
+        ProxyReport {
+            interval: 1000.0,
+            clusters: vec![ClusterReport { version: build, class: 0, endpoints: hosts, dropped: 0 }],
+        }
     }
 
-    fn ok(settled: u64, failed: u64) -> Figures {
-        Figures { settled, failed, issued: settled + failed, ..Figures::default() }
+    fn ok(settled: u64, failed: u64) -> EndpointCounts {
+        EndpointCounts { succeeded: settled, failed, started: settled + failed, ..EndpointCounts::default() }
     }
 
     #[test]
     fn what_cannot_be_is_refused_whole() {
-        let mut all = Gathered::new(vec!["look".to_string()], false);
-        let mut refused = |report: Report| all.report(1, &report, known, 0.0).is_err();
-        assert!(!refused(report(1, 1, Figures { out: 2, ..ok(5, 1) })));
+        let mut all = LoadReportAggregator::new(vec!["look".to_string()], false);
+        let mut refused = |report: ProxyReport| all.add_report(1, &report, known, 0.0).is_err();
+        assert!(!refused(report(1, 1, EndpointCounts { in_flight: 2, ..ok(5, 1) })));
         for bad in [
             report(1, 9, ok(1, 0)),
             report(2, 1, ok(1, 0)),
             report(1, 1, ok(COUNT_MOST + 1, 0)),
-            report(1, 1, Figures { took: f64::INFINITY, timed: 1, ..ok(1, 0) }),
-            report(1, 1, Figures { took: f64::NAN, timed: 1, ..ok(1, 0) }),
-            report(1, 1, Figures { took: -3.0, timed: 1, ..ok(1, 0) }),
-            report(1, 1, Figures { took: 3.0, timed: 0, ..ok(1, 0) }),
-            report(1, 1, Figures { issued: 1, settled: 9, ..Figures::default() }),
-            Report { interval: f64::NAN, ..report(1, 1, ok(1, 0)) },
-            Report { interval: 0.0, ..report(1, 1, ok(1, 0)) },
+            report(1, 1, EndpointCounts { total_latency: f64::INFINITY, latency_samples: 1, ..ok(1, 0) }),
+            report(1, 1, EndpointCounts { total_latency: f64::NAN, latency_samples: 1, ..ok(1, 0) }),
+            report(1, 1, EndpointCounts { total_latency: -3.0, latency_samples: 1, ..ok(1, 0) }),
+            report(1, 1, EndpointCounts { total_latency: 3.0, latency_samples: 0, ..ok(1, 0) }),
+            report(1, 1, EndpointCounts { started: 1, succeeded: 9, ..EndpointCounts::default() }),
+            ProxyReport { interval: f64::NAN, ..report(1, 1, ok(1, 0)) },
+            ProxyReport { interval: 0.0, ..report(1, 1, ok(1, 0)) },
         ] {
             assert!(refused(bad.clone()), "{bad:?}");
         }
-        let events = all.take(2000.0);
+        let events = all.drain_events(2000.0);
         let tallied = events.iter().find_map(|event| match event {
             Event::OutcomesReported(OutcomeReport { attempts: count, failures: failed, .. }) => {
                 Some((*count, *failed))
@@ -284,13 +294,13 @@
 
     #[test]
     fn one_proxy_condemns_neither_a_build_nor_a_host() {
-        let mut all = Gathered::new(vec!["look".to_string()], false);
+        let mut all = LoadReportAggregator::new(vec!["look".to_string()], false);
         for proxy in 0..9 {
-            all.report(proxy, &report(1, 1, ok(100, 0)), known, 0.0).unwrap();
+            all.add_report(proxy, &report(1, 1, ok(100, 0)), known, 0.0).unwrap();
         }
-        all.report(9, &report(1, 1, ok(0, 1_000_000)), known, 0.0).unwrap();
+        all.add_report(9, &report(1, 1, ok(0, 1_000_000)), known, 0.0).unwrap();
         let mut failing = Vec::new();
-        for event in all.take(2000.0) {
+        for event in all.drain_events(2000.0) {
             match event {
                 Event::OutcomesReported(OutcomeReport { attempts: count, failures: failed, .. })
                 | Event::EndpointOutcomesReported(EndpointOutcomes {
@@ -309,15 +319,15 @@
 
     #[test]
     fn submissions_are_never_counted_by_both() {
-        let mut all = Gathered::new(vec!["look".to_string()], false);
-        assert!(all.platform_counts(0.0));
-        all.report(1, &report(1, 1, ok(5, 0)), known, 0.0).unwrap();
-        assert!(!all.platform_counts(4_000.0) && all.platform_counts(6_000.0));
-        let mut all = Gathered::new(vec!["look".to_string()], true);
-        all.report(1, &report(1, 1, ok(5, 0)), known, 0.0).unwrap();
-        assert!(all.platform_counts(1.0));
+        let mut all = LoadReportAggregator::new(vec!["look".to_string()], false);
+        assert!(all.uses_platform_counts(0.0));
+        all.add_report(1, &report(1, 1, ok(5, 0)), known, 0.0).unwrap();
+        assert!(!all.uses_platform_counts(4_000.0) && all.uses_platform_counts(6_000.0));
+        let mut all = LoadReportAggregator::new(vec!["look".to_string()], true);
+        all.add_report(1, &report(1, 1, ok(5, 0)), known, 0.0).unwrap();
+        assert!(all.uses_platform_counts(1.0));
         assert!(
-            all.take(2000.0)
+            all.drain_events(2000.0)
                 .iter()
                 .all(|event| matches!(event, Event::EndpointOutcomesReported(EndpointOutcomes { .. })))
         );
@@ -331,14 +341,14 @@
             reports in prop::collection::vec(
                 (0u64..5, 0u16..5, any::<u64>(), any::<u64>(), any::<u64>(), any::<f64>(), any::<u64>()), 0..40)
         ) {
-            let mut all = Gathered::new(vec!["look".to_string()], false);
+            let mut all = LoadReportAggregator::new(vec!["look".to_string()], false);
             for (proxy, host, issued, settled, failed, took, timed) in reports {
                 let cut = |count: u64| count >> (count % 64);
                 let (issued, settled, failed) = (cut(issued), cut(settled), cut(failed));
-                let figures = Figures { issued, settled, failed, out: 0, took, timed: cut(timed) };
-                let _ = all.report(proxy, &report(1, host, figures), known, 0.0);
+                let figures = EndpointCounts { started: issued, succeeded: settled, failed, in_flight: 0, total_latency: took, latency_samples: cut(timed) };
+                let _ = all.add_report(proxy, &report(1, host, figures), known, 0.0);
             }
-            for event in all.take(1500.0) {
+            for event in all.drain_events(1500.0) {
                 if let Event::OutcomesReported(OutcomeReport { attempts: count, failures: failed, mean_latency: took, .. }) | Event::EndpointOutcomesReported(EndpointOutcomes { attempts: count, failures: failed, mean_latency: took, .. }) = event {
                     prop_assert!(failed <= count);
                     prop_assert!(took.is_none_or(|took| took.is_finite() && took >= 0.0));
--- a/crates/proxy-config/src/handout.rs
+++ b/crates/proxy-config/src/proxy_config.rs
@@ -1,8 +1,8 @@
 //! The outlook of the decisions as proxies are told it: clusters by build and product, hosts by build, a route by
 //! product. What the five rules demand of a front that is not asked for each txn is seen to here.
 
-use crate::ledger::{Ledger, Shares};
-use crate::shares::{MILLION, cold_share, parts, safe_share};
+use crate::canary_share::{MILLION, max_safe_share, max_warmup_share, to_parts_per_million};
+use crate::share_ledger::{CanaryShares, ShareLedger};
 use latchhaven_policy::{
     DedupScope, EndpointSnapshot, ExposureConfig, Idempotency, Millis, PolicySnapshot, RequestClass,
     SlowStartConfig, Version,
@@ -25,41 +25,41 @@
 
 /// What stays the same from handout to handout.
 #[derive(Clone, Debug)]
-pub struct Terms {
-    pub products: Vec<RequestClass>,
+pub struct ProxyConfigSettings {
+    pub classes: Vec<RequestClass>,
     pub exposure: ExposureConfig,
-    pub cold: SlowStartConfig,
+    pub slow_start: SlowStartConfig,
     /// Submissions of a txn at most.
-    pub submissions: usize,
+    pub max_attempts: usize,
     /// In flight that a warm host of weight 1 can hold, over all proxies.
-    pub in_flight_per_host: u32,
+    pub max_in_flight_per_endpoint: u32,
 }
 
 /// Everything that proxies are told.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Handout {
+pub struct ProxyConfig {
     pub clusters: Vec<Cluster>,
-    pub hosts: BTreeMap<Version, Vec<Host>>,
+    pub endpoints: BTreeMap<Version, Vec<ConfiguredEndpoint>>,
     /// In parts of a million, to be declined at once.
-    pub dropped: u32,
+    pub shed_share: u32,
     pub routes: Vec<Route>,
     /// The trial's share by product.
-    pub trial: Shares,
+    pub canary_shares: CanaryShares,
 }
 
 /// One product's way to one build.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cluster {
-    pub build: Version,
-    pub product: usize,
+    pub version: Version,
+    pub class: usize,
     /// In flight at most, at each proxy.
-    pub in_flight: u32,
+    pub max_in_flight: u32,
     /// Repeats may go there: not while a cap counts every submission.
-    pub repeats: bool,
+    pub allows_retries: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Health {
+pub enum EndpointHealth {
     Healthy,
     /// Left aside for now.
     Unhealthy,
@@ -69,27 +69,27 @@
 
 /// One host of a build.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Host {
-    pub instance: String,
-    pub addr: SocketAddr,
+pub struct ConfiguredEndpoint {
+    pub endpoint: String,
+    pub address: SocketAddr,
     pub zone: String,
     pub weight: u32,
-    pub health: Health,
+    pub health: EndpointHealth,
 }
 
 /// Where a part of a product's txns goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Target {
-    Build(Version),
+pub enum RouteTarget {
+    Version(Version),
     /// Nowhere: declined at once.
-    Decline,
+    Reject,
 }
 
 /// Which failed submissions a proxy may repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryScope {
     /// Those that provably never ran: no connection, or refused unprocessed.
-    NeverRan,
+    NotExecuted,
     /// Any.
     Any,
 }
@@ -97,15 +97,15 @@
 /// How one product's txns go.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    pub product: usize,
+    pub class: usize,
     /// In parts of a million, one whole in all.
-    pub shares: Vec<(Target, u32)>,
+    pub shares: Vec<(RouteTarget, u32)>,
     /// The same for txns with a key, where keys may not go back.
-    pub keyed: Option<Vec<(Target, u32)>>,
+    pub sticky_shares: Option<Vec<(RouteTarget, u32)>>,
     pub timeout: Millis,
-    pub try_timeout: Option<Millis>,
-    pub repeats: u32,
-    pub repeat: Repeat,
+    pub attempt_timeout: Option<Millis>,
+    pub max_retries: u32,
+    pub retry_scope: RetryScope,
 }
 
 /// Builds whose ready hosts are all left aside: that is no choice left, they are tried rather than none.
@@ -129,10 +129,10 @@
 }
 
 /// Makes a handout of what the decisions look like at one moment.
-pub fn make(
-    outlook: &PolicySnapshot, terms: &Terms, withdrawn: &BTreeSet<Version>,
-    addresses: &BTreeMap<String, SocketAddr>, ledger: &Ledger, now: Millis,
-) -> Handout {
+pub fn build_proxy_config(
+    outlook: &PolicySnapshot, terms: &ProxyConfigSettings, withdrawn: &BTreeSet<Version>,
+    addresses: &BTreeMap<String, SocketAddr>, ledger: &ShareLedger, now: Millis,
+) -> ProxyConfig {
     let tried = all_aside(outlook);
     let (capacities, hosts) = (capacities(outlook, &tried), hosts(outlook, &tried, addresses));
     let trial_builds: BTreeSet<Version> = outlook.canaries.iter().map(|trial| trial.version).collect();
@@ -143,8 +143,8 @@
         })
         .map(|(build, capacity)| (*build, *capacity))
         .collect();
-    let mut trial = Shares::new();
-    let routes = terms.products.iter().enumerate().map(|(product, known)| {
+    let mut trial = CanaryShares::new();
+    let routes = terms.classes.iter().enumerate().map(|(product, known)| {
         let parts = trial_parts(outlook, terms, &capacities, !earlier.is_empty(), product, ledger, now);
         trial.push(parts.iter().map(|(_, part)| part).sum());
         let keyed = terms.exposure.sticky_keys.then(|| {
@@ -152,49 +152,68 @@
             let stays = if earlier.is_empty() { parts.clone() } else { Vec::new() };
             whole(stays, &earlier)
         });
-        let (repeat, repeats, try_timeout) = repeats(known, terms.submissions);
+        let (repeat, repeats, try_timeout) = repeats(known, terms.max_attempts);
         let shares = whole(parts, &earlier);
-        Route { product, shares, keyed, timeout: known.timeout, try_timeout, repeats, repeat }
+        Route {
+            class: product,
+            shares,
+            sticky_shares: keyed,
+            timeout: known.timeout,
+            attempt_timeout: try_timeout,
+            max_retries: repeats,
+            retry_scope: repeat,
+        }
     });
     let routes: Vec<Route> = routes.collect();
     let proxies = ledger.len().max(1) as f64;
     let clusters = hosts.keys().flat_map(|build| {
         let capacity = capacities.get(build).copied().unwrap_or(0.0);
-        let room = f64::from(terms.in_flight_per_host) * capacity * UNEVEN / proxies;
+        let room = f64::from(terms.max_in_flight_per_endpoint) * capacity * UNEVEN / proxies;
         // Powers of two: a proxy more or less, or a host, does not tell all of them anew.
         let in_flight = (room.ceil() as u32).max(IN_FLIGHT_LEAST).next_power_of_two();
         let capped = outlook.canaries.iter().any(|trial| trial.version == *build && trial.traffic_cap < 1.0);
-        let cluster = move |product| Cluster { build: *build, product, in_flight, repeats: !capped };
-        (0..terms.products.len()).map(cluster)
+        let cluster = move |product| Cluster {
+            version: *build,
+            class: product,
+            max_in_flight: in_flight,
+            allows_retries: !capped,
+        };
+        (0..terms.classes.len()).map(cluster)
     });
     let clusters = clusters.collect();
-    let dropped = parts(outlook.shed_probability) / STEP * STEP;
-    Handout { clusters, hosts, dropped, routes, trial }
+    let dropped = to_parts_per_million(outlook.shed_probability) / STEP * STEP;
+    ProxyConfig { clusters, endpoints: hosts, shed_share: dropped, routes, canary_shares: trial }
 }
 
 fn hosts(
     outlook: &PolicySnapshot, tried: &BTreeSet<Version>, addresses: &BTreeMap<String, SocketAddr>,
-) -> BTreeMap<Version, Vec<Host>> {
-    let mut hosts: BTreeMap<Version, Vec<Host>> = BTreeMap::new();
+) -> BTreeMap<Version, Vec<ConfiguredEndpoint>> {
+    let mut hosts: BTreeMap<Version, Vec<ConfiguredEndpoint>> = BTreeMap::new();
     for host in &outlook.endpoints {
         let Some(addr) = addresses.get(&host.endpoint) else { continue };
         let health = match (host.is_ready, host.is_ejected) {
-            (false, _) => Health::Draining,
-            (true, true) if !tried.contains(&host.version) => Health::Unhealthy,
-            (true, _) => Health::Healthy,
+            (false, _) => EndpointHealth::Draining,
+            (true, true) if !tried.contains(&host.version) => EndpointHealth::Unhealthy,
+            (true, _) => EndpointHealth::Healthy,
         };
         let weight = ((host.capacity * WEIGHT_STEPS).floor().clamp(1.0, 1e6)) as u32;
         let (instance, zone) = (host.endpoint.clone(), host.zone.clone());
-        hosts.entry(host.version).or_default().push(Host { instance, addr: *addr, zone, weight, health });
+        hosts.entry(host.version).or_default().push(ConfiguredEndpoint {
+            endpoint: instance,
+            address: *addr,
+            zone,
+            weight,
+            health,
+        });
     }
-    hosts.values_mut().for_each(|hosts| hosts.sort_by(|a, b| a.instance.cmp(&b.instance)));
+    hosts.values_mut().for_each(|hosts| hosts.sort_by(|a, b| a.endpoint.cmp(&b.endpoint)));
     hosts
 }
 
 /// What each build on trial gets of a product's txns.
 fn trial_parts(
-    outlook: &PolicySnapshot, terms: &Terms, capacities: &BTreeMap<Version, f64>, beside: bool,
-    product: usize, ledger: &Ledger, now: Millis,
+    outlook: &PolicySnapshot, terms: &ProxyConfigSettings, capacities: &BTreeMap<Version, f64>, beside: bool,
+    product: usize, ledger: &ShareLedger, now: Millis,
 ) -> Vec<(Version, u32)> {
     let capacity = |build: Version| capacities.get(&build).copied().unwrap_or(0.0);
     let (all, on_trial) = (
@@ -205,32 +224,37 @@
         outlook.endpoints.iter().any(|host| host.version == build && host.is_ready && host.is_warming_up)
     };
     let any_cold = outlook.canaries.iter().any(|trial| cold(trial.version));
-    let bound =
-        if any_cold && beside { cold_share(terms.cold.overload_multiple, on_trial, all) } else { 1.0 };
+    let bound = if any_cold && beside {
+        max_warmup_share(terms.slow_start.overload_multiple, on_trial, all)
+    } else {
+        1.0
+    };
     let wanted = outlook.canary_share.min(bound);
     let rate: f64 = match terms.exposure.per_class {
-        true => ledger.rate(product),
-        false => (0..terms.products.len()).map(|product| ledger.rate(product)).sum(),
+        true => ledger.request_rate(product),
+        false => (0..terms.classes.len()).map(|product| ledger.request_rate(product)).sum(),
     };
     let least = rate * terms.exposure.window * LEAST_OF_LATE;
     let mut found = Vec::new();
     for trial in outlook.canaries.iter().filter(|trial| capacity(trial.version) > 0.0) {
         let open = trial.stage >= terms.exposure.closed_stages
-            || terms.products[product].idempotency == Idempotency::Idempotent;
-        let safe = if open { safe_share(trial.traffic_cap, terms.exposure.allowance, least) } else { 0.0 };
-        let rest = ledger.rest(product, safe, now);
+            || terms.classes[product].idempotency == Idempotency::Idempotent;
+        let safe =
+            if open { max_safe_share(trial.traffic_cap, terms.exposure.allowance, least) } else { 0.0 };
+        let rest = ledger.remaining_share(product, safe, now);
         let part = (wanted * capacity(trial.version) / on_trial).min(rest);
         // Coarse steps downwards, so that a change of traffic does not tell all anew.
-        let (part, step) = (parts(part), if trial.traffic_cap < 1.0 { STEP / 10 } else { STEP });
+        let (part, step) =
+            (to_parts_per_million(part), if trial.traffic_cap < 1.0 { STEP / 10 } else { STEP });
         found.push((trial.version, part / step * step));
     }
     found
 }
 
 /// The parts of a trial and what is left of one whole, by capacity among the earlier builds.
-fn whole(trial: Vec<(Version, u32)>, earlier: &[(Version, f64)]) -> Vec<(Target, u32)> {
-    let mut shares: Vec<(Target, u32)> =
-        trial.into_iter().map(|(build, part)| (Target::Build(build), part)).collect();
+fn whole(trial: Vec<(Version, u32)>, earlier: &[(Version, f64)]) -> Vec<(RouteTarget, u32)> {
+    let mut shares: Vec<(RouteTarget, u32)> =
+        trial.into_iter().map(|(build, part)| (RouteTarget::Version(build), part)).collect();
     let left = MILLION - shares.iter().map(|(_, part)| *part).sum::<u32>().min(MILLION);
     let all: f64 = earlier.iter().map(|(_, capacity)| capacity).sum();
     let mut given = 0;
@@ -239,28 +263,28 @@
         let part = f64::from(left) * capacity / all.max(f64::MIN_POSITIVE);
         let part = if last { left - given } else { (part as u32 / STEP * STEP).min(left - given) };
         given += part;
-        shares.push((Target::Build(*build), part));
+        shares.push((RouteTarget::Version(*build), part));
     }
     if earlier.is_empty() {
-        shares.push((Target::Decline, left));
+        shares.push((RouteTarget::Reject, left));
     }
-    shares.retain(|(target, part)| *part > 0 || matches!(target, Target::Build(_)));
+    shares.retain(|(target, part)| *part > 0 || matches!(target, RouteTarget::Version(_)));
     shares
 }
 
 /// Which submissions of a product a proxy may repeat, how often, and how long it waits for each.
-fn repeats(product: &RequestClass, submissions: usize) -> (Repeat, u32, Option<Millis>) {
+fn repeats(product: &RequestClass, submissions: usize) -> (RetryScope, u32, Option<Millis>) {
     let most = submissions.saturating_sub(1) as u32;
     match product.idempotency {
-        Idempotency::Idempotent => (Repeat::Any, most, Some(product.latency_objective)),
+        Idempotency::Idempotent => (RetryScope::Any, most, Some(product.latency_objective)),
         // A proxy chooses the host of a repeat by itself: it may leave the group that drops repeats.
         Idempotency::IdempotencyKey if product.dedup_scope == DedupScope::All => {
             // Each try takes its time at most; the last has to begin while repeats are still dropped.
             let span = (product.dedup_window - BACK_OFF).max(0.0);
             let fit = (span / (product.latency_objective + BACK_OFF)).floor() as u32;
-            (Repeat::Any, most.min(fit), Some(product.latency_objective))
+            (RetryScope::Any, most.min(fit), Some(product.latency_objective))
         }
-        Idempotency::IdempotencyKey | Idempotency::NonIdempotent => (Repeat::NeverRan, most, None),
+        Idempotency::IdempotencyKey | Idempotency::NonIdempotent => (RetryScope::NotExecuted, most, None),
     }
 }
 
@@ -287,7 +311,7 @@
         }
     }
 
-    fn terms() -> Terms {
+    fn terms() -> ProxyConfigSettings {
         let products = vec![
             product(Idempotency::Idempotent, DedupScope::All, 0.0),
             product(Idempotency::IdempotencyKey, DedupScope::All, 1500.0),
@@ -308,7 +332,13 @@
             overload_multiple: 3.0,
             overload_window: 1500.0,
         };
-        Terms { products, exposure, cold, submissions: 3, in_flight_per_host: 64 }
+        ProxyConfigSettings {
+            classes: products,
+            exposure,
+            slow_start: cold,
+            max_attempts: 3,
+            max_in_flight_per_endpoint: 64,
+        }
     }
 
     fn host(n: usize, build: Version, ready: bool, aside: bool, cold: bool) -> EndpointSnapshot {
@@ -328,10 +358,10 @@
         (0..n).map(|n| (format!("s{n}"), SocketAddr::from(([127, 0, 0, 1], 1000 + n as u16)))).collect()
     }
 
-    fn busy(rate: f64) -> Ledger {
-        let mut ledger = Ledger::new(10);
-        ledger.came(1);
-        ledger.carries(1, vec![rate; 4]);
+    fn busy(rate: f64) -> ShareLedger {
+        let mut ledger = ShareLedger::new(10);
+        ledger.connected(1);
+        ledger.set_request_rate(1, vec![rate; 4]);
         ledger
     }
 
@@ -345,12 +375,16 @@
             endpoints: hosts,
             ..PolicySnapshot::default()
         };
-        let made = make(&outlook, &terms(), &BTreeSet::new(), &addresses(2), &busy(1.0), 0.0);
-        assert!(made.trial[0] > 30_000 && made.trial[0] < 100_000, "{:?}", made.trial);
-        assert_eq!(made.trial[1..], [0, 0, 0]);
-        let earlier_only = vec![(Target::Build(1), MILLION)];
-        assert!(made.routes.iter().all(|route| route.keyed.as_ref() == Some(&earlier_only)));
-        assert!(made.clusters.iter().all(|cluster| cluster.repeats == (cluster.build == 1)));
+        let made = build_proxy_config(&outlook, &terms(), &BTreeSet::new(), &addresses(2), &busy(1.0), 0.0);
+        assert!(
+            made.canary_shares[0] > 30_000 && made.canary_shares[0] < 100_000,
+            "{:?}",
+            made.canary_shares
+        );
+        assert_eq!(made.canary_shares[1..], [0, 0, 0]);
+        let earlier_only = vec![(RouteTarget::Version(1), MILLION)];
+        assert!(made.routes.iter().all(|route| route.sticky_shares.as_ref() == Some(&earlier_only)));
+        assert!(made.clusters.iter().all(|cluster| cluster.allows_retries == (cluster.version == 1)));
     }
 
     #[test]
@@ -367,30 +401,35 @@
             endpoints: hosts,
             ..PolicySnapshot::default()
         };
-        let made = make(&outlook, &terms(), &BTreeSet::from([2]), &addresses(3), &busy(1.0), 0.0);
+        let made =
+            build_proxy_config(&outlook, &terms(), &BTreeSet::from([2]), &addresses(3), &busy(1.0), 0.0);
         let given = |target| {
             made.routes.iter().any(|route| {
                 route
                     .shares
                     .iter()
-                    .chain(route.keyed.iter().flatten())
+                    .chain(route.sticky_shares.iter().flatten())
                     .any(|share| share.0 == target && share.1 > 0)
             })
         };
-        assert!(given(Target::Build(1)) && given(Target::Build(3)) && !given(Target::Build(2)));
+        assert!(
+            given(RouteTarget::Version(1))
+                && given(RouteTarget::Version(3))
+                && !given(RouteTarget::Version(2))
+        );
     }
 
     #[test]
     fn repeats_follow_what_a_product_allows() {
         let made = repeats(&product(Idempotency::NonIdempotent, DedupScope::All, 9000.0), 3);
-        assert_eq!(made, (Repeat::NeverRan, 2, None));
+        assert_eq!(made, (RetryScope::NotExecuted, 2, None));
         assert_eq!(
             repeats(&product(Idempotency::IdempotencyKey, DedupScope::Cell, 9000.0), 3).0,
-            Repeat::NeverRan
+            RetryScope::NotExecuted
         );
         assert_eq!(
             repeats(&product(Idempotency::IdempotencyKey, DedupScope::All, 9000.0), 3),
-            (Repeat::Any, 2, Some(600.0))
+            (RetryScope::Any, 2, Some(600.0))
         );
         // Only one repeat begins before the window is over, or none.
         assert_eq!(repeats(&product(Idempotency::IdempotencyKey, DedupScope::All, 900.0), 3).1, 1);
@@ -418,28 +457,28 @@
             let trials: Vec<Canary> = on.iter().map(|build| Canary { version: *build, traffic_cap: cap, stage }).collect();
             let outlook = PolicySnapshot { canaries: trials, canary_share: share, shed_probability: shed, endpoints: instances, ..PolicySnapshot::default() };
             let terms = terms();
-            let made = make(&outlook, &terms, &withdrawn, &addresses(12), &busy(rate), 0.0);
-            let safe = parts(safe_share(cap, 2.0, rate * 4.0 * 2000.0 * LEAST_OF_LATE));
+            let made = build_proxy_config(&outlook, &terms, &withdrawn, &addresses(12), &busy(rate), 0.0);
+            let safe = to_parts_per_million(max_safe_share(cap, 2.0, rate * 4.0 * 2000.0 * LEAST_OF_LATE));
             for route in &made.routes {
-                for shares in [Some(&route.shares), route.keyed.as_ref()].into_iter().flatten() {
+                for shares in [Some(&route.shares), route.sticky_shares.as_ref()].into_iter().flatten() {
                     prop_assert_eq!(shares.iter().map(|(_, part)| *part).sum::<u32>(), MILLION);
                     for (target, part) in shares {
-                        let Target::Build(build) = target else { continue };
+                        let RouteTarget::Version(build) = target else { continue };
                         prop_assert!(*part == 0 || !withdrawn.contains(build) || on.contains(build));
-                        let closed = stage < 1 && terms.products[route.product].idempotency != Idempotency::Idempotent;
+                        let closed = stage < 1 && terms.classes[route.class].idempotency != Idempotency::Idempotent;
                         prop_assert!(!on.contains(build) || (*part <= safe && (*part == 0 || !closed)));
-                        prop_assert!(made.hosts.contains_key(build), "no reference dangles");
+                        prop_assert!(made.endpoints.contains_key(build), "no reference dangles");
                     }
                 }
             }
             for cluster in &made.clusters {
-                prop_assert!(made.hosts.contains_key(&cluster.build));
-                prop_assert!(!cluster.repeats || cap >= 1.0 || !on.contains(&cluster.build));
+                prop_assert!(made.endpoints.contains_key(&cluster.version));
+                prop_assert!(!cluster.allows_retries || cap >= 1.0 || !on.contains(&cluster.version));
             }
-            for (build, hosts) in &made.hosts {
+            for (build, hosts) in &made.endpoints {
                 for host in hosts {
-                    let listed = &outlook.endpoints[host.instance[1..].parse::<usize>().unwrap()];
-                    prop_assert!(listed.is_ready || host.health == Health::Draining);
+                    let listed = &outlook.endpoints[host.endpoint[1..].parse::<usize>().unwrap()];
+                    prop_assert!(listed.is_ready || host.health == EndpointHealth::Draining);
                     prop_assert_eq!(listed.version, *build);
                 }
             }
--- a/crates/proxy-config/src/ledger.rs
+++ b/crates/proxy-config/src/share_ledger.rs
@@ -7,18 +7,18 @@
 
 /// A proxy that has not accepted what it was sent within this many ms counts as not having got it. Half a drain
 /// grace of 2 s is left for the others to be told.
-pub const LATE: Millis = 500.0;
+pub const ACKNOWLEDGE_TIMEOUT: Millis = 500.0;
 /// A proxy that has been away for so many ms no longer counts: it was shut down, or its site is lost.
-pub const AWAY_COUNTS: Millis = 600_000.0;
+pub const DISCONNECTED_RETENTION: Millis = 600_000.0;
 
 /// A share of the trial by product, in parts of a million.
-pub type Shares = Vec<u32>;
+pub type CanaryShares = Vec<u32>;
 
 #[derive(Clone, Debug, Default)]
 struct Holding {
-    accepted: Shares,
+    accepted: CanaryShares,
     /// Sent since and not accepted: when first, and the highest by product.
-    sent: Option<(Millis, Shares)>,
+    sent: Option<(Millis, CanaryShares)>,
     /// Txns in ms, by product.
     rate: Vec<f64>,
     /// Since when it has been away.
@@ -27,19 +27,19 @@
 
 /// All proxies, by a number that the caller gives each of them.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct ShareLedger {
     held: BTreeMap<u64, Holding>,
     most: usize,
 }
 
-impl Ledger {
+impl ShareLedger {
     /// Keeps so many proxies at most.
     pub fn new(most: usize) -> Self {
-        Ledger { held: BTreeMap::new(), most }
+        ShareLedger { held: BTreeMap::new(), most }
     }
 
     /// A proxy is there, again or for the first time.
-    pub fn came(&mut self, proxy: u64) {
+    pub fn connected(&mut self, proxy: u64) {
         if self.held.len() >= self.most && !self.held.contains_key(&proxy) {
             let oldest = self.held.iter().filter(|(_, held)| held.away.is_some());
             let oldest = oldest.min_by(|a, b| a.1.away.unwrap_or(0.0).total_cmp(&b.1.away.unwrap_or(0.0)));
@@ -50,12 +50,12 @@
     }
 
     /// A proxy reports that it holds shares that this service did not send in its present life.
-    pub fn holds(&mut self, proxy: u64, shares: Shares) {
+    pub fn report_held(&mut self, proxy: u64, shares: CanaryShares) {
         self.held.entry(proxy).or_default().accepted = shares;
     }
 
     /// Shares went out; until they are accepted it may use these or what it had.
-    pub fn sent(&mut self, proxy: u64, shares: &Shares, now: Millis) {
+    pub fn sent(&mut self, proxy: u64, shares: &CanaryShares, now: Millis) {
         let Some(held) = self.held.get_mut(&proxy) else { return };
         match &mut held.sent {
             Some((_, highest)) => {
@@ -67,14 +67,14 @@
     }
 
     /// The last that was sent was accepted: it uses nothing else any more.
-    pub fn accepted(&mut self, proxy: u64, shares: &Shares) {
+    pub fn acknowledged(&mut self, proxy: u64, shares: &CanaryShares) {
         if let Some(held) = self.held.get_mut(&proxy) {
             (held.accepted, held.sent) = (shares.clone(), None);
         }
     }
 
     /// The last that was sent was turned down: it stays with what it had.
-    pub fn refused(&mut self, proxy: u64) {
+    pub fn rejected(&mut self, proxy: u64) {
         if let Some(held) = self.held.get_mut(&proxy) {
             // Kept as late from the beginning: what it holds counts at once.
             held.sent = Some((f64::NEG_INFINITY, held.accepted.clone()));
@@ -82,21 +82,21 @@
     }
 
     /// A proxy went away; it goes on with what it holds.
-    pub fn left(&mut self, proxy: u64, now: Millis) {
+    pub fn disconnected(&mut self, proxy: u64, now: Millis) {
         if let Some(held) = self.held.get_mut(&proxy) {
             held.away = Some(now);
         }
     }
 
     /// What a proxy carries, in txns a ms by product.
-    pub fn carries(&mut self, proxy: u64, rate: Vec<f64>) {
+    pub fn set_request_rate(&mut self, proxy: u64, rate: Vec<f64>) {
         if let Some(held) = self.held.get_mut(&proxy) {
             held.rate = rate;
         }
     }
 
     /// Txns a ms of one product over all proxies that are there, as last reported.
-    pub fn rate(&self, product: usize) -> f64 {
+    pub fn request_rate(&self, product: usize) -> f64 {
         let there = self.held.values().filter(|held| held.away.is_none());
         there.filter_map(|held| held.rate.get(product)).sum()
     }
@@ -110,12 +110,12 @@
     }
 
     /// Forgets those that have been away for long.
-    pub fn forget(&mut self, now: Millis) {
-        self.held.retain(|_, held| held.away.is_none_or(|since| now - since < AWAY_COUNTS));
+    pub fn forget_disconnected(&mut self, now: Millis) {
+        self.held.retain(|_, held| held.away.is_none_or(|since| now - since < DISCONNECTED_RETENTION));
     }
 
     /// The share that those who can be told may have, so that the sum over all is at most `whole` of the txns.
-    pub fn rest(&self, product: usize, whole: f64, now: Millis) -> f64 {
+    pub fn remaining_share(&self, product: usize, whole: f64, now: Millis) -> f64 {
         let rate = |held: &Holding| held.rate.get(product).copied();
         // One that never reported may carry as much as any other.
         let busiest = self.held.values().filter_map(rate).fold(0.0, f64::max);
@@ -124,13 +124,13 @@
         for held in self.held.values() {
             let weight = rate(held).unwrap_or(even).max(even * LEAST_WEIGHT);
             all += weight;
-            let late = held.sent.as_ref().is_some_and(|(since, _)| now - since >= LATE);
+            let late = held.sent.as_ref().is_some_and(|(since, _)| now - since >= ACKNOWLEDGE_TIMEOUT);
             if late || held.away.is_some() {
-                let part = |shares: &Shares| shares.get(product).copied().unwrap_or(0);
+                let part = |shares: &CanaryShares| shares.get(product).copied().unwrap_or(0);
                 let sent = held.sent.as_ref().map_or(0, |(_, highest)| part(highest));
                 stuck += weight;
-                used +=
-                    weight * f64::from(part(&held.accepted).max(sent)) / f64::from(crate::shares::MILLION);
+                used += weight * f64::from(part(&held.accepted).max(sent))
+                    / f64::from(crate::canary_share::MILLION);
             }
         }
         // Those who hold less than they might leave nothing to the others: they may be told at any moment.
@@ -154,22 +154,22 @@
 
     #[test]
     fn the_others_get_less_while_some_hold_more() {
-        let mut ledger = Ledger::new(100);
+        let mut ledger = ShareLedger::new(100);
         for proxy in 0..10 {
-            ledger.came(proxy);
+            ledger.connected(proxy);
             ledger.sent(proxy, &vec![400_000], 0.0);
-            ledger.accepted(proxy, &vec![400_000]);
+            ledger.acknowledged(proxy, &vec![400_000]);
         }
-        ledger.left(3, 100.0);
-        assert!((ledger.rest(0, 0.1, 200.0) - 0.06 / 0.9).abs() < 1e-9);
-        assert_eq!(ledger.rest(0, 0.4, 200.0), 0.4);
-        assert_eq!(ledger.rest(0, 0.02, 200.0), 0.0, "what is out there is more than the cap");
+        ledger.disconnected(3, 100.0);
+        assert!((ledger.remaining_share(0, 0.1, 200.0) - 0.06 / 0.9).abs() < 1e-9);
+        assert_eq!(ledger.remaining_share(0, 0.4, 200.0), 0.4);
+        assert_eq!(ledger.remaining_share(0, 0.02, 200.0), 0.0, "what is out there is more than the cap");
         // Nine were told less; one of them does not accept it.
         (0..10).filter(|proxy| *proxy != 3).for_each(|proxy| ledger.sent(proxy, &vec![66_000], 300.0));
-        (0..9).filter(|proxy| *proxy != 3).for_each(|proxy| ledger.accepted(proxy, &vec![66_000]));
-        assert!((ledger.rest(0, 0.1, 300.0) - 0.06 / 0.9).abs() < 1e-9);
-        assert!((ledger.rest(0, 0.1, 300.0 + LATE) - 0.02 / 0.8).abs() < 1e-9);
-        ledger.forget(100.0 + AWAY_COUNTS);
+        (0..9).filter(|proxy| *proxy != 3).for_each(|proxy| ledger.acknowledged(proxy, &vec![66_000]));
+        assert!((ledger.remaining_share(0, 0.1, 300.0) - 0.06 / 0.9).abs() < 1e-9);
+        assert!((ledger.remaining_share(0, 0.1, 300.0 + ACKNOWLEDGE_TIMEOUT) - 0.02 / 0.8).abs() < 1e-9);
+        ledger.forget_disconnected(100.0 + DISCONNECTED_RETENTION);
         assert_eq!(ledger.len(), 9);
     }
 
@@ -182,21 +182,21 @@
         fn the_sum_stays_within_the_whole(
             steps in prop::collection::vec((0u64..6, 0u8..5, 0u32..=1_000_000), 0..60), whole in 0.0f64..1.0
         ) {
-            let mut ledger = Ledger::new(10);
+            let mut ledger = ShareLedger::new(10);
             let mut now = 0.0;
-            (0..6).for_each(|proxy| ledger.came(proxy));
+            (0..6).for_each(|proxy| ledger.connected(proxy));
             for (proxy, kind, share) in steps {
                 now += 100.0;
                 match kind {
                     0 => ledger.sent(proxy, &vec![share], now),
-                    1 => ledger.accepted(proxy, &vec![share]),
-                    2 => ledger.refused(proxy),
-                    3 => ledger.left(proxy, now),
-                    _ => ledger.came(proxy),
+                    1 => ledger.acknowledged(proxy, &vec![share]),
+                    2 => ledger.rejected(proxy),
+                    3 => ledger.disconnected(proxy, now),
+                    _ => ledger.connected(proxy),
                 }
             }
-            let late = |held: &Holding| held.sent.as_ref().is_some_and(|(since, _)| now - since >= LATE);
-            let rest = ledger.rest(0, whole, now);
+            let late = |held: &Holding| held.sent.as_ref().is_some_and(|(since, _)| now - since >= ACKNOWLEDGE_TIMEOUT);
+            let rest = ledger.remaining_share(0, whole, now);
             let (mut stuck, mut sum) = (0.0, 0.0);
             for held in ledger.held.values() {
                 let used = held.accepted.first().copied().unwrap_or(0);
--- a/crates/test-support/src/cache.rs
+++ b/crates/test-support/src/cache.rs
@@ -1,7 +1,7 @@
 //! What a proxy that speaks xDS holds: answers taken in, requests made, and where a txn would go. It checks on the
 //! way what must never happen: a state that goes back, a reference that dangles. Pure: no socket, no clock.
 
-use latchhaven_proxy_config::order::{Basis, Labels};
+use latchhaven_proxy_config::version::{ConfigVersion, VersionSigner};
 use latchhaven_xds::loads::socket;
 use latchhaven_xds::pb::envoy::config::cluster::v3::Cluster;
 use latchhaven_xds::pb::envoy::config::core::v3::{HealthStatus, Node};
@@ -75,18 +75,18 @@
     nonce: BTreeMap<Kind, String>,
     names: BTreeMap<Kind, BTreeSet<String>>,
     /// The furthest basis of any label taken in, by type.
-    furthest: BTreeMap<Kind, Basis>,
+    furthest: BTreeMap<Kind, ConfigVersion>,
     /// States that went back, and references that dangled: none, ever.
     pub regressions: u64,
     pub dangling: u64,
     pub refused: u64,
-    labels: Labels,
+    labels: VersionSigner,
 }
 
 impl Cache {
     pub fn new(node: &str, incremental: bool) -> Self {
         let (held, version, nonce, names, furthest) = Default::default();
-        let labels = Labels::default();
+        let labels = VersionSigner::default();
         Cache {
             node: node.to_string(),
             incremental,
@@ -214,20 +214,20 @@
 
     /// A label of a whole answer: never older than one before.
     fn note(&mut self, kind: Kind, label: &str) {
-        let Some(label) = self.labels.read(label) else { return };
+        let Some(label) = self.labels.parse_label(label) else { return };
         let furthest = self.furthest.get(&kind).copied();
-        self.regressions += u64::from(furthest.is_some_and(|furthest| !label.basis.covers(&furthest)));
-        self.furthest.insert(kind, furthest.map_or(label.basis, |furthest| furthest.join(&label.basis)));
+        self.regressions += u64::from(furthest.is_some_and(|furthest| !label.version.dominates(&furthest)));
+        self.furthest.insert(kind, furthest.map_or(label.version, |furthest| furthest.join(&label.version)));
     }
 
     /// A label of one resource: never older than the one it replaces.
     fn note_apart(&mut self, kind: Kind, name: &str, label: &str) {
         let held = self.held.get(&kind).and_then(|held| held.get(name));
-        let before = held.and_then(|held| self.labels.read(&held.label));
-        let Some(label) = self.labels.read(label) else { return };
-        self.regressions += u64::from(before.is_some_and(|before| !label.basis.covers(&before.basis)));
+        let before = held.and_then(|held| self.labels.parse_label(&held.label));
+        let Some(label) = self.labels.parse_label(label) else { return };
+        self.regressions += u64::from(before.is_some_and(|before| !label.version.dominates(&before.version)));
         let furthest = self.furthest.get(&kind).copied();
-        self.furthest.insert(kind, furthest.map_or(label.basis, |furthest| furthest.join(&label.basis)));
+        self.furthest.insert(kind, furthest.map_or(label.version, |furthest| furthest.join(&label.version)));
     }
 
     /// Accepts, and asks for what the new state refers to.
@@ -281,7 +281,7 @@
     }
 
     /// What the routes that are held are based on.
-    pub fn basis(&self, kind: Kind) -> Option<Basis> {
+    pub fn basis(&self, kind: Kind) -> Option<ConfigVersion> {
         self.furthest.get(&kind).copied()
     }
 
--- a/crates/xds/src/loads.rs
+++ b/crates/xds/src/loads.rs
@@ -5,7 +5,7 @@
 use crate::pb::envoy::service::load_stats::v3::LoadStatsRequest;
 use crate::resources::{DECLINE, cluster_of};
 use latchhaven_policy::Millis;
-use latchhaven_proxy_config::evidence::{ClusterReport, Figures, Report};
+use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, ProxyReport};
 use std::net::SocketAddr;
 
 /// The named metric in which proxies and hosts report times: milliseconds of one answer.
@@ -18,7 +18,7 @@
 ///
 /// # Errors
 /// The field that cannot be.
-pub fn read(request: &LoadStatsRequest, products: &[String]) -> Result<Report, String> {
+pub fn read(request: &LoadStatsRequest, products: &[String]) -> Result<ProxyReport, String> {
     if request.cluster_stats.len() > CLUSTERS_MOST {
         return Err(format!("cluster_stats: more than {CLUSTERS_MOST}"));
     }
@@ -49,9 +49,14 @@
         if found.windows(2).any(|pair| pair[0].0 == pair[1].0) {
             return Err("upstream_endpoint_stats: a host twice".to_string());
         }
-        clusters.push(ClusterReport { build, product, hosts: found, dropped: dropped(stats)? });
+        clusters.push(ClusterReport {
+            version: build,
+            class: product,
+            endpoints: found,
+            dropped: dropped(stats)?,
+        });
     }
-    Ok(Report { interval: interval.unwrap_or(1.0), clusters })
+    Ok(ProxyReport { interval: interval.unwrap_or(1.0), clusters })
 }
 
 /// The sum of drops by category cannot be more than all drops.
@@ -63,20 +68,23 @@
     }
 }
 
-fn endpoints(stats: &UpstreamLocalityStats, found: &mut Vec<(SocketAddr, Figures)>) -> Result<(), String> {
+fn endpoints(
+    stats: &UpstreamLocalityStats, found: &mut Vec<(SocketAddr, EndpointCounts)>,
+) -> Result<(), String> {
     for one in &stats.upstream_endpoint_stats {
         let addr = one.address.as_ref().and_then(socket).ok_or("upstream_endpoint_stats: no address")?;
-        let mut figures = Figures {
-            issued: one.total_issued_requests,
-            settled: one.total_successful_requests,
+        let mut figures = EndpointCounts {
+            started: one.total_issued_requests,
+            succeeded: one.total_successful_requests,
             failed: one.total_error_requests,
-            out: one.total_requests_in_progress,
-            took: 0.0,
-            timed: 0,
+            in_flight: one.total_requests_in_progress,
+            total_latency: 0.0,
+            latency_samples: 0,
         };
         for metric in one.load_metric_stats.iter().filter(|metric| metric.metric_name == TOOK) {
-            figures.took += metric.total_metric_value;
-            figures.timed = figures.timed.saturating_add(metric.num_requests_finished_with_metric);
+            figures.total_latency += metric.total_metric_value;
+            figures.latency_samples =
+                figures.latency_samples.saturating_add(metric.num_requests_finished_with_metric);
         }
         found.push((addr, figures));
     }
--- a/crates/xds/src/resources.rs
+++ b/crates/xds/src/resources.rs
@@ -12,10 +12,12 @@
 use crate::pb::google::protobuf::{Any, Duration, UInt32Value};
 use bytes::{BufMut, Bytes, BytesMut};
 use latchhaven_policy::{Idempotency, Millis, RequestClass, Version};
-use latchhaven_proxy_config::handout::{Cluster, Handout, Health, Host, Repeat, Route, Target};
-use latchhaven_proxy_config::ledger::Shares;
-use latchhaven_proxy_config::order::{Basis, Labels, label};
-use latchhaven_proxy_config::shares::MILLION;
+use latchhaven_proxy_config::canary_share::MILLION;
+use latchhaven_proxy_config::proxy_config::{
+    Cluster, ConfiguredEndpoint, EndpointHealth, ProxyConfig, RetryScope, Route, RouteTarget,
+};
+use latchhaven_proxy_config::share_ledger::CanaryShares;
+use latchhaven_proxy_config::version::{ConfigVersion, VersionSigner, join_label};
 use prost::Message;
 use prost::encoding::{WireType, encode_key, encode_varint};
 use std::collections::{BTreeMap, BTreeSet};
@@ -83,10 +85,10 @@
 /// What all proxies are to hold, at one moment.
 #[derive(Debug)]
 pub struct Snapshot {
-    pub basis: Basis,
+    pub basis: ConfigVersion,
     /// Counts the snapshots of this process.
     pub number: u64,
-    pub trial: Shares,
+    pub trial: CanaryShares,
     /// What labels of this snapshot begin with: whatever goes out is labelled with what it is based on now, however
     /// long it has not changed.
     stamp: String,
@@ -116,7 +118,7 @@
 
     /// The label of a content that goes out now.
     pub fn label(&self, content: u64) -> String {
-        label(&self.stamp, content)
+        join_label(&self.stamp, content)
     }
 
     /// The clusters of a build that is gone, under the name of its endpoints: a proxy that comes back may still route
@@ -126,7 +128,12 @@
         let Some(build) = build.filter(|build| endpoints_name(*build) == service) else { return Vec::new() };
         let (products, front) = &*self.made_of;
         let made = (0..products.len()).map(|product| {
-            let cluster = Cluster { build, product, in_flight: GONE_IN_FLIGHT, repeats: false };
+            let cluster = Cluster {
+                version: build,
+                class: product,
+                max_in_flight: GONE_IN_FLIGHT,
+                allows_retries: false,
+            };
             let raw = one_cluster(&cluster, products, front);
             let hash = hash(raw.bytes.iter().copied());
             Arc::new(encode(Kind::Cluster, raw, hash))
@@ -136,8 +143,8 @@
 
     /// The snapshot of a handout; what has not changed since an earlier one stays as it was.
     pub fn make(
-        handout: &Handout, basis: Basis, made_of: &Arc<(Vec<RequestClass>, Front)>, labels: &Labels,
-        earlier: Option<&Snapshot>,
+        handout: &ProxyConfig, basis: ConfigVersion, made_of: &Arc<(Vec<RequestClass>, Front)>,
+        labels: &VersionSigner, earlier: Option<&Snapshot>,
     ) -> Snapshot {
         let (products, front) = (made_of.0.as_slice(), &made_of.1);
         let mut made: Vec<((Kind, bool), Vec<Raw>)> = vec![
@@ -170,8 +177,8 @@
         Snapshot {
             basis,
             number,
-            trial: handout.trial.clone(),
-            stamp: labels.stamp(&basis),
+            trial: handout.canary_shares.clone(),
+            stamp: labels.prefix(&basis),
             made_of: made_of.clone(),
             sets,
         }
@@ -267,7 +274,7 @@
     core::Address { address: Some(core::address::Address::SocketAddress(socket)) }
 }
 
-fn clusters(handout: &Handout, products: &[RequestClass], front: &Front) -> Vec<Raw> {
+fn clusters(handout: &ProxyConfig, products: &[RequestClass], front: &Front) -> Vec<Raw> {
     let made = handout.clusters.iter().map(|cluster| one_cluster(cluster, products, front));
     let decline = cluster::Cluster {
         name: DECLINE.to_string(),
@@ -283,12 +290,12 @@
 
 fn one_cluster(told: &Cluster, products: &[RequestClass], front: &Front) -> Raw {
     let (name, service) =
-        (cluster_name(told.build, &products[told.product].name), endpoints_name(told.build));
+        (cluster_name(told.version, &products[told.class].name), endpoints_name(told.version));
     let thresholds = cluster::circuit_breakers::Thresholds {
-        max_requests: number(told.in_flight),
-        max_pending_requests: number(told.in_flight),
+        max_requests: number(told.max_in_flight),
+        max_pending_requests: number(told.max_in_flight),
         // While a cap counts every submission nothing is repeated there; else repeats are a part of what is out.
-        max_retries: if told.repeats { number((told.in_flight / 8).max(1)) } else { number(0) },
+        max_retries: if told.allows_retries { number((told.max_in_flight / 8).max(1)) } else { number(0) },
         ..Default::default()
     };
     let made = cluster::Cluster {
@@ -316,26 +323,26 @@
     Raw { name, refers: BTreeSet::from([service]), bytes: made.encode_to_vec() }
 }
 
-fn one_host(host: &Host) -> endpoint::LbEndpoint {
+fn one_host(host: &ConfiguredEndpoint) -> endpoint::LbEndpoint {
     let health = match host.health {
-        Health::Healthy => core::HealthStatus::Healthy,
-        Health::Unhealthy => core::HealthStatus::Unhealthy,
-        Health::Draining => core::HealthStatus::Draining,
+        EndpointHealth::Healthy => core::HealthStatus::Healthy,
+        EndpointHealth::Unhealthy => core::HealthStatus::Unhealthy,
+        EndpointHealth::Draining => core::HealthStatus::Draining,
     };
     endpoint::LbEndpoint {
         health_status: health as i32,
         load_balancing_weight: number(host.weight),
         host_identifier: Some(endpoint::lb_endpoint::HostIdentifier::Endpoint(endpoint::Endpoint {
-            address: Some(address(host.addr)),
-            observability_name: host.instance.clone(),
+            address: Some(address(host.address)),
+            observability_name: host.endpoint.clone(),
             ..endpoint::Endpoint::default()
         })),
         ..endpoint::LbEndpoint::default()
     }
 }
 
-fn by_zone(hosts: &[Host]) -> BTreeMap<&str, Vec<&Host>> {
-    let mut zones: BTreeMap<&str, Vec<&Host>> = BTreeMap::new();
+fn by_zone(hosts: &[ConfiguredEndpoint]) -> BTreeMap<&str, Vec<&ConfiguredEndpoint>> {
+    let mut zones: BTreeMap<&str, Vec<&ConfiguredEndpoint>> = BTreeMap::new();
     hosts.iter().for_each(|host| zones.entry(&host.zone).or_default().push(host));
     zones
 }
@@ -345,8 +352,8 @@
     format!("{COLLECTION}b{build}/z{}/", plain(zone))
 }
 
-fn endpoints(handout: &Handout, apart: bool) -> Vec<Raw> {
-    let made = handout.hosts.iter().map(|(build, hosts)| {
+fn endpoints(handout: &ProxyConfig, apart: bool) -> Vec<Raw> {
+    let made = handout.endpoints.iter().map(|(build, hosts)| {
         let (name, mut refers) = (endpoints_name(*build), BTreeSet::new());
         let zones = by_zone(hosts).into_iter().map(|(zone, hosts)| {
             let weight = hosts.iter().map(|host| host.weight).sum();
@@ -371,12 +378,12 @@
         let drop = endpoint::cluster_load_assignment::policy::DropOverload {
             category: "shed".to_string(),
             drop_percentage: Some(kinds::FractionalPercent {
-                numerator: handout.dropped,
+                numerator: handout.shed_share,
                 denominator: kinds::fractional_percent::DenominatorType::Million as i32,
             }),
         };
         let policy = endpoint::cluster_load_assignment::Policy {
-            drop_overloads: if handout.dropped > 0 { vec![drop] } else { Vec::new() },
+            drop_overloads: if handout.shed_share > 0 { vec![drop] } else { Vec::new() },
             ..Default::default()
         };
         let made = endpoint::ClusterLoadAssignment {
@@ -390,11 +397,11 @@
     made.collect()
 }
 
-fn hosts_apart(handout: &Handout) -> Vec<Raw> {
-    let made = handout.hosts.iter().flat_map(|(build, hosts)| {
+fn hosts_apart(handout: &ProxyConfig) -> Vec<Raw> {
+    let made = handout.endpoints.iter().flat_map(|(build, hosts)| {
         hosts.iter().map(|host| {
             // Ids that differ only in what names cannot hold stay two.
-            let (id, apart) = (plain(&host.instance), hash(host.instance.bytes()) as u32);
+            let (id, apart) = (plain(&host.endpoint), hash(host.endpoint.bytes()) as u32);
             let name = format!("{}{id}-{apart:x}", collection(*build, &host.zone));
             Raw { name, refers: BTreeSet::new(), bytes: one_host(host).encode_to_vec() }
         })
@@ -439,12 +446,12 @@
     }
 }
 
-fn routes(handout: &Handout, products: &[RequestClass], front: &Front) -> Raw {
+fn routes(handout: &ProxyConfig, products: &[RequestClass], front: &Front) -> Raw {
     let mut refers = BTreeSet::new();
     let mut list = Vec::new();
     for told in &handout.routes {
         // The one for txns with a key goes first: proxies take the first that matches.
-        if let Some(keyed) = &told.keyed {
+        if let Some(keyed) = &told.sticky_shares {
             list.push(one_route(told, keyed, true, products, front, &mut refers));
         }
         list.push(one_route(told, &told.shares, false, products, front, &mut refers));
@@ -464,14 +471,14 @@
 }
 
 fn one_route(
-    told: &Route, shares: &[(Target, u32)], keyed: bool, products: &[RequestClass], front: &Front,
+    told: &Route, shares: &[(RouteTarget, u32)], keyed: bool, products: &[RequestClass], front: &Front,
     refers: &mut BTreeSet<String>,
 ) -> route::Route {
-    let product = &products[told.product];
+    let product = &products[told.class];
     let weighted = shares.iter().map(|(target, part)| {
         let name = match target {
-            Target::Build(build) => cluster_name(*build, &product.name),
-            Target::Decline => DECLINE.to_string(),
+            RouteTarget::Version(build) => cluster_name(*build, &product.name),
+            RouteTarget::Reject => DECLINE.to_string(),
         };
         refers.insert(name.clone());
         route::weighted_cluster::ClusterWeight { name, weight: number(*part), ..Default::default() }
@@ -499,21 +506,23 @@
             .push(header(&front.key_header, route::header_matcher::HeaderMatchSpecifier::PresentMatch(true)));
     }
     // A once-only txn is repeated only where the proxy knows that it never reached the host.
-    let retry_on = match told.repeat {
-        Repeat::NeverRan => "connect-failure,refused-stream",
-        Repeat::Any if product.idempotency == Idempotency::NonIdempotent => "connect-failure,refused-stream",
-        Repeat::Any => "connect-failure,refused-stream,reset,5xx",
+    let retry_on = match told.retry_scope {
+        RetryScope::NotExecuted => "connect-failure,refused-stream",
+        RetryScope::Any if product.idempotency == Idempotency::NonIdempotent => {
+            "connect-failure,refused-stream"
+        }
+        RetryScope::Any => "connect-failure,refused-stream,reset,5xx",
     };
     let retry = route::RetryPolicy {
         retry_on: retry_on.to_string(),
-        num_retries: number(told.repeats),
-        per_try_timeout: told.try_timeout.and_then(span),
+        num_retries: number(told.max_retries),
+        per_try_timeout: told.attempt_timeout.and_then(span),
         ..route::RetryPolicy::default()
     };
     let action = route::RouteAction {
         timeout: span(told.timeout),
         cluster_specifier: Some(route::route_action::ClusterSpecifier::WeightedClusters(weighted)),
-        retry_policy: (told.repeats > 0).then_some(retry),
+        retry_policy: (told.max_retries > 0).then_some(retry),
         ..route::RouteAction::default()
     };
     route::Route {
--- a/crates/xds/src/server.rs
+++ b/crates/xds/src/server.rs
@@ -11,9 +11,9 @@
 use crate::stream::{Ask, Fault, NODE_MOST, Said, Stream};
 use bytes::Bytes;
 use ipnet::IpNet;
-use latchhaven_proxy_config::evidence::Report;
-use latchhaven_proxy_config::ledger::Shares;
-use latchhaven_proxy_config::order::Labels;
+use latchhaven_proxy_config::load_reports::ProxyReport;
+use latchhaven_proxy_config::share_ledger::CanaryShares;
+use latchhaven_proxy_config::version::VersionSigner;
 use prost::Message;
 use std::convert::Infallible;
 use std::future::Future;
@@ -62,9 +62,9 @@
     /// What a stream has learnt.
     Said { stream: u64, said: Vec<Said> },
     /// Routes with these shares of the trial go out.
-    Sends { stream: u64, trial: Shares },
+    Sends { stream: u64, trial: CanaryShares },
     /// A load report; answered with what is wrong with it.
-    Report { stream: u64, report: Report, sound: oneshot::Sender<Result<(), String>> },
+    Report { stream: u64, report: ProxyReport, sound: oneshot::Sender<Result<(), String>> },
     /// A stream ended.
     Over { stream: u64 },
 }
@@ -83,7 +83,7 @@
 pub struct Ground {
     pub snapshots: watch::Receiver<Option<Arc<Snapshot>>>,
     pub told: mpsc::Sender<Told>,
-    pub labels: Labels,
+    pub labels: VersionSigner,
     pub products: Arc<Vec<String>>,
     pub sent: Arc<Sent>,
 }
--- a/crates/xds/src/stream.rs
+++ b/crates/xds/src/stream.rs
@@ -9,8 +9,8 @@
 
 use crate::resources::{Kind, Resource, Set, Snapshot, field, hash};
 use bytes::{BufMut, Bytes, BytesMut};
-use latchhaven_proxy_config::ledger::Shares;
-use latchhaven_proxy_config::order::{Basis, Label, Labels, halves};
+use latchhaven_proxy_config::share_ledger::CanaryShares;
+use latchhaven_proxy_config::version::{ConfigVersion, SignedVersion, VersionSigner, split_label};
 use prost::encoding::{WireType, encode_key, encode_varint};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -65,9 +65,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Said {
     /// It holds something of this type from before, as far as this label tells.
-    Holds { kind: Kind, label: Label },
+    Holds { kind: Kind, label: SignedVersion },
     /// It accepted routes with these shares of the trial.
-    Accepted(Shares),
+    Accepted(CanaryShares),
     /// It refused what it was sent; the first time, with its words.
     Refused { kind: Kind, words: String },
 }
@@ -78,7 +78,7 @@
     pub kind: Kind,
     pub pieces: Vec<Bytes>,
     /// The shares of the trial in it, where it holds routes.
-    pub trial: Option<Shares>,
+    pub trial: Option<CanaryShares>,
 }
 
 /// What a proxy holds under a name; the resource itself where it was sent on this stream.
@@ -94,7 +94,7 @@
     removed: Vec<String>,
     /// It replaces all that was held.
     all: bool,
-    trial: Option<Shares>,
+    trial: Option<CanaryShares>,
     content: u64,
 }
 
@@ -106,7 +106,7 @@
     names: BTreeSet<String>,
     held: BTreeMap<String, Held>,
     /// Nothing older than this may be sent: the proxy held it when it came.
-    guard: Option<Basis>,
+    guard: Option<ConfigVersion>,
     pending: Option<Pending>,
     /// The nonce of the last answer.
     nonce: String,
@@ -126,7 +126,7 @@
     /// Hosts come as resources of their own, where operators allow it.
     apart: bool,
     only: Option<Kind>,
-    labels: Labels,
+    labels: VersionSigner,
     node: Option<String>,
     kinds: BTreeMap<Kind, Per>,
     given: u64,
@@ -159,7 +159,7 @@
 
 impl Stream {
     /// A stream that nothing was heard on yet; `only`: it carries this one type.
-    pub fn new(incremental: bool, only: Option<Kind>, labels: Labels) -> Self {
+    pub fn new(incremental: bool, only: Option<Kind>, labels: VersionSigner) -> Self {
         let (node, kinds, said) = (None, BTreeMap::new(), Vec::new());
         Stream {
             incremental,
@@ -266,13 +266,13 @@
     /// What a proxy holds from before guards its stream: nothing older is sent to it.
     fn hear_held(&mut self, kind: Kind, ask: &Ask) {
         // Hundreds of labels have a few stamps: each of these is read once.
-        let mut stamps: BTreeMap<&str, Option<(Basis, bool)>> = BTreeMap::new();
+        let mut stamps: BTreeMap<&str, Option<(ConfigVersion, bool)>> = BTreeMap::new();
         let mut held = Vec::new();
         for (name, label) in
             ask.held.iter().map(|(name, label)| (Some(name), label)).chain([(None, &ask.version)])
         {
-            let Some((stamp, content)) = halves(label) else { continue };
-            let told = *stamps.entry(stamp).or_insert_with(|| self.labels.read_stamp(stamp));
+            let Some((stamp, content)) = split_label(label) else { continue };
+            let told = *stamps.entry(stamp).or_insert_with(|| self.labels.parse_prefix(stamp));
             held.extend(told.and(name).map(|name| (name.clone(), Held { hash: content, resource: None })));
         }
         let joined = |signed: bool| {
@@ -285,7 +285,8 @@
         per.held.extend(held);
         // One label for all: what is signed tells of the world, the rest of this proxy only.
         for (basis, signed) in [(all, false), (signed, true)] {
-            let label = basis.map(|basis| Label { basis, content: 0, signed });
+            let label =
+                basis.map(|basis| SignedVersion { version: basis, content_hash: 0, is_signed: signed });
             self.said.extend(label.map(|label| Said::Holds { kind, label }));
         }
     }
@@ -384,7 +385,9 @@
 
     fn next_of(&mut self, kind: Kind, snapshot: &Snapshot) -> Option<Answer> {
         let per = self.kinds.get(&kind)?;
-        if !per.asked || per.pending.is_some() || per.guard.is_some_and(|held| !snapshot.basis.covers(&held))
+        if !per.asked
+            || per.pending.is_some()
+            || per.guard.is_some_and(|held| !snapshot.basis.dominates(&held))
         {
             return None;
         }
--- a/crates/xds/tests/model.rs
+++ b/crates/xds/tests/model.rs
@@ -2,10 +2,10 @@
 //! state ever goes back, no reference dangles, and all converge once things are quiet.
 
 use latchhaven_policy::*;
-use latchhaven_proxy_config::handout::{self, Terms};
-use latchhaven_proxy_config::ledger::Ledger;
-use latchhaven_proxy_config::order::Labels;
-use latchhaven_proxy_config::world::World;
+use latchhaven_proxy_config::freshness::KnownState;
+use latchhaven_proxy_config::proxy_config::{self, ProxyConfigSettings};
+use latchhaven_proxy_config::share_ledger::ShareLedger;
+use latchhaven_proxy_config::version::VersionSigner;
 use latchhaven_test_support::cache::{Cache, Wanted};
 use latchhaven_xds::resources::{Front, Kind, Snapshot};
 use latchhaven_xds::stream::{Answer, Said, Stream};
@@ -85,7 +85,7 @@
 }
 
 struct Service {
-    world: World,
+    world: KnownState,
     snapshot: Option<Snapshot>,
     /// How far in the moments it has heard.
     heard: usize,
@@ -93,20 +93,20 @@
 
 impl Service {
     fn new() -> Self {
-        Service { world: World::default(), snapshot: None, heard: 0 }
+        Service { world: KnownState::default(), snapshot: None, heard: 0 }
     }
 
-    fn hear(&mut self, moment: &Moment, labels: &Labels, apart: bool) {
+    fn hear(&mut self, moment: &Moment, labels: &VersionSigner, apart: bool) {
         let news = RolloutState { age: moment.at - moment.since, ..moment.news };
-        self.world.platform(&news, false, moment.at);
-        self.world.list(moment.version, true, moment.at);
+        self.world.apply_rollout_state(&news, false, moment.at);
+        self.world.apply_endpoint_list(moment.version, true, moment.at);
         self.make(moment, labels, apart);
     }
 
-    fn make(&mut self, moment: &Moment, labels: &Labels, apart: bool) {
-        let Ok(basis) = self.world.basis() else { return };
+    fn make(&mut self, moment: &Moment, labels: &VersionSigner, apart: bool) {
+        let Ok(basis) = self.world.config_version() else { return };
         // What is known of the newest build may be ahead of this moment, by what proxies hold.
-        let news = basis.news.news(moment.at);
+        let news = basis.rollout.to_state(moment.at);
         let on =
             news.phase != RolloutPhase::Promoted && moment.hosts.iter().any(|host| host.0 == news.version);
         let trials = if on {
@@ -137,12 +137,25 @@
             ..ExposureConfig::default()
         };
         let cold = SlowStartConfig { overload_multiple: 3.0, ..SlowStartConfig::default() };
-        let terms = Terms { products: products(), exposure, cold, submissions: 3, in_flight_per_host: 64 };
+        let terms = ProxyConfigSettings {
+            classes: products(),
+            exposure,
+            slow_start: cold,
+            max_attempts: 3,
+            max_in_flight_per_endpoint: 64,
+        };
         let addresses: BTreeMap<_, _> = (0..moment.hosts.len()).map(|n| (format!("s{n}"), addr(n))).collect();
-        let mut ledger = Ledger::new(10);
-        ledger.came(1);
-        ledger.carries(1, vec![1.0, 1.0]);
-        let made = handout::make(&outlook, &terms, self.world.withdrawn(), &addresses, &ledger, moment.at);
+        let mut ledger = ShareLedger::new(10);
+        ledger.connected(1);
+        ledger.set_request_rate(1, vec![1.0, 1.0]);
+        let made = proxy_config::build_proxy_config(
+            &outlook,
+            &terms,
+            self.world.rolled_back_versions(),
+            &addresses,
+            &ledger,
+            moment.at,
+        );
         let front = Front {
             listener: addr(0),
             product_header: "x-product".to_string(),
@@ -150,7 +163,7 @@
             connect_within: 250.0,
             hosts_apart: apart,
         };
-        let made_of = std::sync::Arc::new((terms.products, front));
+        let made_of = std::sync::Arc::new((terms.classes, front));
         let snapshot = Snapshot::make(&made, basis, &made_of, labels, self.snapshot.as_ref());
         self.snapshot = Some(snapshot);
     }
@@ -163,7 +176,7 @@
 }
 
 impl Client {
-    fn connect(&mut self, to: usize, labels: &Labels) {
+    fn connect(&mut self, to: usize, labels: &VersionSigner) {
         let asks = self.cache.open().into();
         let stream = Stream::new(self.cache.incremental(), None, labels.clone());
         self.stream = Some((to, stream, asks, VecDeque::new()));
@@ -176,7 +189,7 @@
         stream.ask(ask.into()).expect("a sound proxy");
         for said in stream.said() {
             if let Said::Holds { label, .. } = said {
-                services[*to].world.evidence(&label, now);
+                services[*to].world.apply_proxy_version(&label, now);
             }
         }
     }
@@ -201,7 +214,7 @@
 }
 
 fn play(steps: Vec<(u8, u8, usize, bool)>, apart: bool) {
-    let labels = Labels::new(Some(b"site".to_vec()));
+    let labels = VersionSigner::new(Some(b"site".to_vec()));
     let news =
         RolloutState { version: 1, stage: 0, phase: RolloutPhase::Promoted, traffic_cap: 1.0, age: 0.0 };
     let mut moments =
