--- a/crates/cli/tests/control.rs
+++ b/crates/cli/tests/control.rs
@@ -6,13 +6,13 @@
 use latchhaven_test_support::proxy::{Orders, Proxy, dial, report};
 use latchhaven_test_support::site::{Site, plan};
 use latchhaven_test_support::wire::{host, program, state, until};
-use latchhaven_xds::codec::Pieces;
+use latchhaven_xds::codec::ChunkCodec;
 use latchhaven_xds::pb::envoy::config::core::v3::Node;
 use latchhaven_xds::pb::envoy::config::endpoint::v3::ClusterStats;
 use latchhaven_xds::pb::envoy::service::discovery::v3::{DiscoveryRequest, DiscoveryResponse};
 use latchhaven_xds::pb::envoy::service::load_stats::v3::LoadStatsRequest;
 use latchhaven_xds::pb::google::protobuf::Duration as Span;
-use latchhaven_xds::resources::Kind;
+use latchhaven_xds::resources::ResourceType;
 use prost::Message;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -91,7 +91,7 @@
                 asks.send(vec![request]).await.unwrap();
             }
             let stream = tonic::Request::new(ReceiverStream::new(asked));
-            let codec = Pieces::<DiscoveryResponse>::default();
+            let codec = ChunkCodec::<DiscoveryResponse>::default();
             let ended = async {
                 let mut answers = match grpc.streaming(stream, PathAndQuery::from_static(path), codec).await {
                     Ok(answers) => answers.into_inner(),
@@ -138,7 +138,7 @@
     let scene = Scene::plain("bad-input");
     let (proxy, _orders) = scene.proxy(0);
     scene.serves(&proxy);
-    let cluster = Kind::Cluster.url();
+    let cluster = ResourceType::Cluster.url();
     let unknown_nonce = DiscoveryRequest { response_nonce: "999".to_string(), ..ask("a", cluster, 0) };
     let cases: Vec<(&str, &'static str, Vec<Bytes>, Code, &str)> = vec![
         (
@@ -151,7 +151,7 @@
         (
             "10,000 names",
             ADS,
-            vec![bytes(&ask("a", Kind::Endpoint.url(), 10_000))],
+            vec![bytes(&ask("a", ResourceType::Endpoint.url(), 10_000))],
             Code::ResourceExhausted,
             "names",
         ),
@@ -182,7 +182,7 @@
         (
             "another type on a single stream",
             "/envoy.service.cluster.v3.ClusterDiscoveryService/StreamClusters",
-            vec![bytes(&ask("a", Kind::Route.url(), 0))],
+            vec![bytes(&ask("a", ResourceType::Route.url(), 0))],
             Code::InvalidArgument,
             "type_url",
         ),
@@ -262,8 +262,8 @@
             return false;
         }
         let (asks, asked) = mpsc::channel(1);
-        asks.send(vec![bytes(&ask("a", Kind::Cluster.url(), 0))]).await.unwrap();
-        let codec = Pieces::<DiscoveryResponse>::default();
+        asks.send(vec![bytes(&ask("a", ResourceType::Cluster.url(), 0))]).await.unwrap();
+        let codec = ChunkCodec::<DiscoveryResponse>::default();
         let stream = tonic::Request::new(ReceiverStream::new(asked));
         grpc.streaming(stream, PathAndQuery::from_static(ADS), codec).await.is_ok()
     });
--- a/crates/control-plane/src/core.rs
+++ b/crates/control-plane/src/core.rs
@@ -10,9 +10,9 @@
 use latchhaven_proxy_config::proxy_config::{self, ProxyConfigSettings};
 use latchhaven_proxy_config::share_ledger::{CanaryShares, ShareLedger};
 use latchhaven_proxy_config::version::{ConfigVersion, RolloutStatus, SignedVersion, VersionSigner};
-use latchhaven_xds::admission::{Admission, Knock};
-use latchhaven_xds::resources::{Front, Kind, Snapshot};
-use latchhaven_xds::stream::Said;
+use latchhaven_xds::admission::{Admission, AdmissionResult};
+use latchhaven_xds::resources::{ListenerConfig, ResourceSnapshot, ResourceType};
+use latchhaven_xds::stream::StreamEvent;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -49,12 +49,12 @@
     ledger: ShareLedger,
     labels: VersionSigner,
     terms: ProxyConfigSettings,
-    made_of: Arc<(Vec<RequestClass>, Front)>,
+    made_of: Arc<(Vec<RequestClass>, ListenerConfig)>,
     admission: Admission,
     addresses: BTreeMap<String, SocketAddr>,
     known: BTreeMap<SocketAddr, Known>,
     events: Vec<Event>,
-    snapshot: Option<Arc<Snapshot>>,
+    snapshot: Option<Arc<ResourceSnapshot>>,
     proxies: BTreeMap<String, Proxy>,
     numbers: u64,
     /// Streams that began: the proxy, and whether it reports loads.
@@ -75,7 +75,7 @@
     /// Of the decisions: votes, calls for the list, log lines.
     pub actions: Vec<Action>,
     /// A new snapshot, to be handed out; and what is to be kept.
-    pub handed: Option<(Arc<Snapshot>, Kept)>,
+    pub handed: Option<(Arc<ResourceSnapshot>, Kept)>,
     /// Streams whose turn it is.
     pub begin: Vec<u64>,
 }
@@ -83,8 +83,8 @@
 impl Core {
     /// A service that begins from what was kept.
     pub fn new(
-        choice: Policy, terms: ProxyConfigSettings, front: Front, labels: VersionSigner, streams_most: usize,
-        platform_only: bool, kept: Option<Kept>,
+        choice: Policy, terms: ProxyConfigSettings, front: ListenerConfig, labels: VersionSigner,
+        streams_most: usize, platform_only: bool, kept: Option<Kept>,
     ) -> Self {
         let names = terms.classes.iter().map(|product| product.name.clone()).collect();
         let (basis, withdrawn) =
@@ -201,7 +201,7 @@
 
     /// A stream that only reports loads wants to begin; false: there are too many.
     pub fn reports(&mut self, stream: u64, node: &str) -> bool {
-        let begins = self.admission.light(stream) == Knock::Waits;
+        let begins = self.admission.admit_load_reports(stream) == AdmissionResult::Queued;
         if begins {
             self.proxy(node);
             self.streams.insert(stream, (node.to_string(), true));
@@ -211,7 +211,7 @@
 
     /// A stream wants to begin; false: there are too many.
     pub fn knock(&mut self, stream: u64, node: String, now: Millis) -> bool {
-        let waits = self.admission.knock(stream, &node, now) == Knock::Waits;
+        let waits = self.admission.request_slot(stream, &node, now) == AdmissionResult::Queued;
         if waits {
             self.knocking.insert(stream, node);
         }
@@ -241,7 +241,7 @@
 
     /// A stream ended.
     pub fn over(&mut self, stream: u64, now: Millis) {
-        self.admission.over(stream);
+        self.admission.on_stream_closed(stream);
         self.knocking.remove(&stream);
         // Whether it reports loads or not, it goes on by what it holds.
         let Some((node, false)) = self.streams.remove(&stream) else { return };
@@ -254,13 +254,15 @@
     }
 
     /// What a stream has learnt.
-    pub fn said(&mut self, stream: u64, said: Vec<Said>, now: Millis) {
+    pub fn said(&mut self, stream: u64, said: Vec<StreamEvent>, now: Millis) {
         let Some(number) = self.number(stream) else { return };
         for said in said {
             match said {
-                Said::Holds { kind, label } => self.holds(number, kind, &label, now),
-                Said::Accepted(shares) => self.ledger.acknowledged(number, &shares),
-                Said::Refused { kind, words } => {
+                StreamEvent::Holds { resource_type: kind, version: label } => {
+                    self.holds(number, kind, &label, now)
+                }
+                StreamEvent::Acknowledged(shares) => self.ledger.acknowledged(number, &shares),
+                StreamEvent::Rejected { resource_type: kind, message: words } => {
                     let node = self.streams.get(&stream).map(|(node, _)| node);
                     tracing::warn!(
                         node,
@@ -268,7 +270,7 @@
                         words,
                         "a proxy refused what it was sent and keeps what it has"
                     );
-                    if kind == Kind::Route {
+                    if kind == ResourceType::Route {
                         self.ledger.rejected(number);
                     }
                 }
@@ -276,7 +278,7 @@
         }
     }
 
-    fn holds(&mut self, number: u64, kind: Kind, label: &SignedVersion, now: Millis) {
+    fn holds(&mut self, number: u64, kind: ResourceType, label: &SignedVersion, now: Millis) {
         // It may go on by what it held, whoever told it: the cap of then bounds its share.
         let news = label.version.rollout;
         let part = if matches!(news.status, RolloutStatus::Canary | RolloutStatus::RollingBack) {
@@ -284,7 +286,7 @@
         } else {
             0
         };
-        if kind == Kind::Route {
+        if kind == ResourceType::Route {
             self.ledger.report_held(number, vec![part; self.terms.classes.len()]);
         }
         let learnt = self.world.apply_proxy_version(label, now);
@@ -318,14 +320,14 @@
 
     /// When [`Core::turn`] is to be called next, at the latest.
     pub fn next(&self, now: Millis) -> Millis {
-        let door = if self.admission.waits() { now + 1.0 } else { f64::INFINITY };
+        let door = if self.admission.has_pending() { now + 1.0 } else { f64::INFINITY };
         let events = if self.events.is_empty() { f64::INFINITY } else { now + COALESCE };
         self.due.min(self.wake).min(door).min(events)
     }
 
     /// Decides on all that was taken in.
     pub fn turn(&mut self, now: Millis) -> Doings {
-        let mut doings = Doings { begin: self.admission.turn(now), ..Doings::default() };
+        let mut doings = Doings { begin: self.admission.poll(now), ..Doings::default() };
         doings.begin.iter().for_each(|stream| self.begin(*stream));
         if now < self.due && now < self.wake {
             return doings;
@@ -356,7 +358,7 @@
         doings
     }
 
-    fn hand(&mut self, now: Millis) -> Option<(Arc<Snapshot>, Kept)> {
+    fn hand(&mut self, now: Millis) -> Option<(Arc<ResourceSnapshot>, Kept)> {
         self.ledger.forget_disconnected(now);
         let Core { proxies, ledger, .. } = self;
         if proxies.len() > 2 * ledger.len() + 64 {
@@ -383,12 +385,12 @@
         let made =
             proxy_config::build_proxy_config(&outlook, &self.terms, withdrawn, addresses, &self.ledger, now);
         let earlier = self.snapshot.as_deref();
-        let snapshot = Snapshot::make(&made, basis, &self.made_of, &self.labels, earlier);
+        let snapshot = ResourceSnapshot::build(&made, basis, &self.made_of, &self.labels, earlier);
         self.waiting_for = None;
-        if earlier.is_some_and(|earlier| earlier.basis == basis && snapshot.same(earlier)) {
+        if earlier.is_some_and(|earlier| earlier.version == basis && snapshot.has_same_resources(earlier)) {
             return None;
         }
-        let moved = earlier.is_none_or(|earlier| earlier.basis.rollout != basis.rollout);
+        let moved = earlier.is_none_or(|earlier| earlier.version.rollout != basis.rollout);
         if moved {
             let ConfigVersion { rollout: news, endpoints: list } = basis;
             tracing::info!(?news, list = list.version, trial = ?made.canary_shares, "handed out");
--- a/crates/control-plane/src/driver.rs
+++ b/crates/control-plane/src/driver.rs
@@ -12,8 +12,8 @@
 use latchhaven_proxy_config::version::VersionSigner;
 use latchhaven_simulator_protocol::WireFault;
 use latchhaven_simulator_protocol::terms::{self, Terms};
-use latchhaven_xds::resources::Front;
-use latchhaven_xds::server::{self, Ground, Sent, Told};
+use latchhaven_xds::resources::ListenerConfig;
+use latchhaven_xds::server::{self, SentCounters, ServerContext, ServerEvent};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -70,12 +70,12 @@
         max_attempts: submissions,
         max_in_flight_per_endpoint: plan.xds.in_flight_per_host,
     };
-    let front = Front {
-        listener: plan.xds.listener,
-        product_header: plan.xds.product_header.clone(),
+    let front = ListenerConfig {
+        address: plan.xds.listener,
+        class_header: plan.xds.product_header.clone(),
         key_header: plan.xds.key_header.clone(),
-        connect_within: f64::from(plan.xds.connect_within_ms),
-        hosts_apart: plan.xds.hosts_apart,
+        connect_timeout: f64::from(plan.xds.connect_within_ms),
+        separate_endpoints: plan.xds.hosts_apart,
     };
     let (keeper, kept) = keep::open(plan.state.as_deref());
     let labels = VersionSigner::new(key);
@@ -97,8 +97,14 @@
     tokio::task::spawn_local(platform::votes(at, within, cast, notes.clone()));
     let (told, telling) = mpsc::channel(TOLD_HELD);
     let (snapshots, handed) = watch::channel(None);
-    let sent = Arc::new(Sent::default());
-    let ground = Ground { snapshots: handed, told, labels, products, sent: sent.clone() };
+    let sent = Arc::new(SentCounters::default());
+    let ground = ServerContext {
+        snapshots: handed,
+        events: told,
+        signer: labels,
+        classes: products,
+        counters: sent.clone(),
+    };
     let front = beside(listener, plan.xds.allowed_networks.clone(), plan.xds.streams_most, ground)?;
     tracing::info!(name = plan.name, %listening, "control service starts");
     let hub = Hub {
@@ -136,7 +142,7 @@
 /// Serves proxies on threads of their own: writing whole states to a crowd must not delay decisions, which one thread
 /// takes without locks. What crosses between them are two channels.
 fn beside(
-    listener: std::net::TcpListener, allowed: Vec<IpNet>, streams_most: usize, ground: Ground,
+    listener: std::net::TcpListener, allowed: Vec<IpNet>, streams_most: usize, ground: ServerContext,
 ) -> io::Result<oneshot::Receiver<io::Result<()>>> {
     let threads = std::thread::available_parallelism().map_or(1, usize::from).min(THREADS_MOST);
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(threads).enable_all().build()?;
@@ -163,11 +169,11 @@
     notes: mpsc::Sender<Note>,
     turns: BTreeMap<u64, oneshot::Sender<Result<(), Status>>>,
     keeper: Option<keep::Keeper>,
-    snapshots: watch::Sender<Option<Arc<latchhaven_xds::resources::Snapshot>>>,
+    snapshots: watch::Sender<Option<Arc<latchhaven_xds::resources::ResourceSnapshot>>>,
 }
 
 impl Hub {
-    async fn run(mut self, mut noted: mpsc::Receiver<Note>, mut telling: mpsc::Receiver<Told>) {
+    async fn run(mut self, mut noted: mpsc::Receiver<Note>, mut telling: mpsc::Receiver<ServerEvent>) {
         let (mut notes, mut told) = (Vec::new(), Vec::new());
         loop {
             let now = self.clock.now();
@@ -235,9 +241,9 @@
         }
     }
 
-    fn told(&mut self, told: Told, now: f64) {
+    fn told(&mut self, told: ServerEvent, now: f64) {
         match told {
-            Told::Knocks { stream, node, loads, turn } => {
+            ServerEvent::StreamOpened { stream, node, reports_loads: loads, admitted: turn } => {
                 let room = match loads {
                     true => self.core.reports(stream, &node),
                     false => self.core.knock(stream, node, now),
@@ -250,12 +256,12 @@
                     (true, true) => {}
                 }
             }
-            Told::Said { stream, said } => self.core.said(stream, said, now),
-            Told::Sends { stream, trial } => self.core.sends(stream, &trial, now),
-            Told::Report { stream, report, sound } => {
+            ServerEvent::StreamEvents { stream, events: said } => self.core.said(stream, said, now),
+            ServerEvent::RoutesSent { stream, canary_shares: trial } => self.core.sends(stream, &trial, now),
+            ServerEvent::LoadReport { stream, report, result: sound } => {
                 let _ = sound.send(self.core.report(stream, &report, now));
             }
-            Told::Over { stream } => {
+            ServerEvent::StreamClosed { stream } => {
                 self.turns.remove(&stream);
                 self.core.over(stream, now);
             }
--- a/crates/control-plane/tests/cases.rs
+++ b/crates/control-plane/tests/cases.rs
@@ -9,8 +9,8 @@
 use latchhaven_proxy_config::version::VersionSigner;
 use latchhaven_simulator_protocol::terms;
 use latchhaven_test_support::cache::{Cache, Wanted};
-use latchhaven_xds::resources::{Front, Kind, Snapshot};
-use latchhaven_xds::stream::{Ask, Stream};
+use latchhaven_xds::resources::{ListenerConfig, ResourceSnapshot, ResourceType};
+use latchhaven_xds::stream::{Stream, SubscriptionRequest};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -28,7 +28,7 @@
 struct Service {
     core: Core,
     now: Millis,
-    snapshot: Option<Arc<Snapshot>>,
+    snapshot: Option<Arc<ResourceSnapshot>>,
     kept: Option<Kept>,
     labels: VersionSigner,
     streams: u64,
@@ -51,12 +51,12 @@
             max_attempts: submissions,
             max_in_flight_per_endpoint: 64,
         };
-        let front = Front {
-            listener: SocketAddr::from(([127, 0, 0, 1], 10_000)),
-            product_header: "x-product".to_string(),
+        let front = ListenerConfig {
+            address: SocketAddr::from(([127, 0, 0, 1], 10_000)),
+            class_header: "x-product".to_string(),
             key_header: "x-key".to_string(),
-            connect_within: 250.0,
-            hosts_apart,
+            connect_timeout: 250.0,
+            separate_endpoints: hosts_apart,
         };
         let labels = VersionSigner::new(Some(key.as_bytes().to_vec()));
         let core = Core::new(settings().start(7), terms, front, labels.clone(), 100, false, kept);
@@ -171,22 +171,24 @@
 
     fn ask(&mut self, service: &mut Service) {
         let Some((number, stream, asks)) = &mut self.stream else { return };
-        asks.drain(..).for_each(|ask| stream.ask(ask.into()).unwrap());
-        let said = stream.said();
+        asks.drain(..).for_each(|ask| stream.on_request(ask.into()).unwrap());
+        let said = stream.take_events();
         service.core.said(*number, said, service.now);
     }
 
     fn step(&mut self, service: &mut Service) -> bool {
         self.ask(service);
         let Some((number, stream, asks)) = &mut self.stream else { return false };
-        let answer = service.snapshot.as_ref().and_then(|snapshot| stream.next(snapshot));
-        let said = stream.said();
+        let answer = service.snapshot.as_ref().and_then(|snapshot| stream.next_response(snapshot));
+        let said = stream.take_events();
         service.core.said(*number, said, service.now);
         let Some(answer) = answer else { return false };
-        if let Some(trial) = &answer.trial {
+        if let Some(trial) = &answer.canary_shares {
             service.core.sends(*number, trial, service.now);
         }
-        *asks = self.cache.take(&answer.pieces.concat(), self.refuses && answer.kind == Kind::Route);
+        *asks = self
+            .cache
+            .take(&answer.chunks.concat(), self.refuses && answer.resource_type == ResourceType::Route);
         true
     }
 
@@ -311,7 +313,7 @@
     let mut other = Proxy::new("other", false);
     other.connect(&mut foreign);
     other.talk(&mut foreign);
-    let basis = |proxy: &Proxy| proxy.cache.basis(Kind::Route).map(|basis| basis.rollout.status);
+    let basis = |proxy: &Proxy| proxy.cache.basis(ResourceType::Route).map(|basis| basis.rollout.status);
     assert_ne!(basis(&other), basis(&proxies[1]), "and moves nobody else");
 }
 
@@ -327,21 +329,29 @@
     proxy.ask(&mut service);
     let (_, stream, _) = proxy.stream.as_mut().unwrap();
     let snapshot = service.snapshot.clone().unwrap();
-    while stream.next(&snapshot).is_some_and(|answer| answer.kind != Kind::Route) {}
+    while stream.next_response(&snapshot).is_some_and(|answer| answer.resource_type != ResourceType::Route) {}
     for cap in [0.15, 0.1, 0.05] {
         service.news(2, 1, RolloutPhase::Canary, cap);
         service.pass(100.0);
-        assert!(stream.next(service.snapshot.as_ref().unwrap()).is_none(), "one pending answer a type");
+        assert!(
+            stream.next_response(service.snapshot.as_ref().unwrap()).is_none(),
+            "one pending answer a type"
+        );
     }
-    let routes = Kind::Route.url().to_string();
+    let routes = ResourceType::Route.url().to_string();
     let nonce = (1..100).map(|nonce| nonce.to_string());
     for nonce in nonce {
         let names = vec!["latchhaven".to_string()];
-        let _ = stream.ask(Ask { url: routes.clone(), names, nonce, ..Ask::default() });
+        let _ = stream.on_request(SubscriptionRequest {
+            type_url: routes.clone(),
+            names,
+            nonce,
+            ..SubscriptionRequest::default()
+        });
     }
-    let answer = stream.next(service.snapshot.as_ref().unwrap()).unwrap();
-    assert!(answer.trial.unwrap()[0] <= 50_000, "the newest, none between");
-    assert!(stream.next(service.snapshot.as_ref().unwrap()).is_none());
+    let answer = stream.next_response(service.snapshot.as_ref().unwrap()).unwrap();
+    assert!(answer.canary_shares.unwrap()[0] <= 50_000, "the newest, none between");
+    assert!(stream.next_response(service.snapshot.as_ref().unwrap()).is_none());
 }
 
 #[test]
@@ -402,7 +412,7 @@
     }
     service.pass(60.0);
     assert!(service.snapshot.as_ref().unwrap().number <= before + 3);
-    assert_eq!(service.snapshot.as_ref().unwrap().basis.endpoints.version, 130, "the newest");
+    assert_eq!(service.snapshot.as_ref().unwrap().version.endpoints.version, 130, "the newest");
 }
 
 #[test]
@@ -434,29 +444,51 @@
 fn streams_of_a_single_type_carry_that_type_alone() {
     let (service, _) = settled(1);
     let snapshot = service.snapshot.unwrap();
-    for (kind, name) in
-        [(Kind::Cluster, ""), (Kind::Endpoint, "b1"), (Kind::Listener, ""), (Kind::Route, "latchhaven")]
-    {
+    for (kind, name) in [
+        (ResourceType::Cluster, ""),
+        (ResourceType::Endpoint, "b1"),
+        (ResourceType::Listener, ""),
+        (ResourceType::Route, "latchhaven"),
+    ] {
         for incremental in [false, true] {
             let mut stream = Stream::new(incremental, Some(kind), service.labels.clone());
             let names: Vec<String> =
                 Some(name.to_string()).filter(|name| !name.is_empty()).into_iter().collect();
             let node = Some("single".to_string());
-            let ask = Ask { url: kind.url().to_string(), node, names: names.clone(), ..Ask::default() };
-            stream.ask(ask).unwrap();
-            let answer = stream.next(&snapshot).expect("its type");
-            assert!(answer.kind == kind && stream.next(&snapshot).is_none());
+            let ask = SubscriptionRequest {
+                type_url: kind.url().to_string(),
+                node,
+                names: names.clone(),
+                ..SubscriptionRequest::default()
+            };
+            stream.on_request(ask).unwrap();
+            let answer = stream.next_response(&snapshot).expect("its type");
+            assert!(answer.resource_type == kind && stream.next_response(&snapshot).is_none());
             // Let go and asked for again, it is sent again.
             let url = kind.url().to_string();
-            let ask =
-                Ask { url: url.clone(), nonce: "1".to_string(), names: names.clone(), ..Ask::default() };
-            stream.ask(ask).unwrap();
+            let ask = SubscriptionRequest {
+                type_url: url.clone(),
+                nonce: "1".to_string(),
+                names: names.clone(),
+                ..SubscriptionRequest::default()
+            };
+            stream.on_request(ask).unwrap();
             if incremental && !names.is_empty() {
-                let ask = Ask { url: url.clone(), without: names.clone(), ..Ask::default() };
-                stream.ask(ask).unwrap();
-                assert!(stream.next(&snapshot).is_none());
-                stream.ask(Ask { url, names, ..Ask::default() }).unwrap();
-                assert_eq!(stream.next(&snapshot).map(|answer| answer.kind), Some(kind));
+                let ask = SubscriptionRequest {
+                    type_url: url.clone(),
+                    unsubscribed: names.clone(),
+                    ..SubscriptionRequest::default()
+                };
+                stream.on_request(ask).unwrap();
+                assert!(stream.next_response(&snapshot).is_none());
+                stream
+                    .on_request(SubscriptionRequest {
+                        type_url: url,
+                        names,
+                        ..SubscriptionRequest::default()
+                    })
+                    .unwrap();
+                assert_eq!(stream.next_response(&snapshot).map(|answer| answer.resource_type), Some(kind));
             }
         }
     }
@@ -471,9 +503,17 @@
         let mut stream = Stream::new(true, None, service.labels.clone());
         let (node, features) = (Some("old".to_string()), vec![feature.to_string()]);
         let names = vec!["b1".to_string()];
-        let url = Kind::Endpoint.url().to_string();
-        stream.ask(Ask { url, node, features, names, ..Ask::default() }).unwrap();
-        let bytes = stream.next(&snapshot).unwrap().pieces.concat();
+        let url = ResourceType::Endpoint.url().to_string();
+        stream
+            .on_request(SubscriptionRequest {
+                type_url: url,
+                node,
+                features,
+                names,
+                ..SubscriptionRequest::default()
+            })
+            .unwrap();
+        let bytes = stream.next_response(&snapshot).unwrap().chunks.concat();
         let mut cache = Cache::new("old", true);
         cache.take(&bytes, false);
         assert_eq!(cache.inline("b1"), if within { 2 } else { 0 });
--- a/crates/experiments/src/day.rs
+++ b/crates/experiments/src/day.rs
@@ -12,7 +12,7 @@
 use latchhaven_proxy_config::version::VersionSigner;
 use latchhaven_simulator_protocol::terms;
 use latchhaven_test_support::cache::{Cache, Wanted};
-use latchhaven_xds::resources::{Front, Snapshot, cluster_of};
+use latchhaven_xds::resources::{ListenerConfig, ResourceSnapshot, parse_cluster_name};
 use latchhaven_xds::stream::Stream;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp1};
@@ -179,7 +179,7 @@
     fronts: usize,
     rate: f64,
     core: Option<Core>,
-    snapshot: Option<Arc<Snapshot>>,
+    snapshot: Option<Arc<ResourceSnapshot>>,
     proxies: Vec<ProxyState>,
     choices: Vec<Policy>,
     events: Vec<Vec<Event>>,
@@ -261,12 +261,12 @@
                 max_attempts: submissions,
                 max_in_flight_per_endpoint: 64,
             };
-            let front = Front {
-                listener: addr(0),
-                product_header: "x-product".to_string(),
+            let front = ListenerConfig {
+                address: addr(0),
+                class_header: "x-product".to_string(),
                 key_header: "x-key".to_string(),
-                connect_within: 250.0,
-                hosts_apart: true,
+                connect_timeout: 250.0,
+                separate_endpoints: true,
             };
             let mut core = Core::new(read(0, 1).start(seed), terms, front, labels.clone(), 1000, false, None);
             day.proxies = (0..sizes.fronts)
@@ -688,7 +688,7 @@
         for (n, proxy) in self.proxies.iter_mut().enumerate().filter(|_| second) {
             let mut clusters: BTreeMap<(Version, usize), ClusterReport> = BTreeMap::new();
             for ((cluster, host), figures) in std::mem::take(&mut proxy.reported) {
-                let Some((build, product)) = cluster_of(&cluster, &names) else { continue };
+                let Some((build, product)) = parse_cluster_name(&cluster, &names) else { continue };
                 let report = clusters.entry((build, product));
                 let report = report.or_insert_with(|| ClusterReport {
                     version: build,
@@ -714,12 +714,12 @@
         for (n, proxy) in self.proxies.iter_mut().enumerate() {
             loop {
                 let stream = &mut proxy.stream;
-                proxy.asks.drain(..).for_each(|ask| stream.ask(ask.into()).expect("sound requests"));
-                let answer = proxy.stream.next(snapshot);
-                core.said(n as u64, proxy.stream.said(), now);
+                proxy.asks.drain(..).for_each(|ask| stream.on_request(ask.into()).expect("sound requests"));
+                let answer = proxy.stream.next_response(snapshot);
+                core.said(n as u64, proxy.stream.take_events(), now);
                 let Some(answer) = answer else { break };
-                answer.trial.iter().for_each(|trial| core.sends(n as u64, trial, now));
-                proxy.asks = proxy.cache.take(&answer.pieces.concat(), false);
+                answer.canary_shares.iter().for_each(|trial| core.sends(n as u64, trial, now));
+                proxy.asks = proxy.cache.take(&answer.chunks.concat(), false);
             }
         }
     }
--- a/crates/experiments/src/xds.rs
+++ b/crates/experiments/src/xds.rs
@@ -8,7 +8,7 @@
 use latchhaven_test_support::proxy::{Goes, Orders, Proxy, Seen};
 use latchhaven_test_support::site::{Site, plan};
 use latchhaven_test_support::wire::{host, state};
-use latchhaven_xds::resources::Kind;
+use latchhaven_xds::resources::ResourceType;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::{Value, json};
@@ -203,8 +203,8 @@
     let tracks: Arc<Vec<Mutex<Track>>> = Arc::new((0..sizes.proxies).map(|_| Mutex::default()).collect());
     let noted = tracks.clone();
     let seen: Seen = Arc::new(move |number, cache, at| {
-        let news = cache.basis(Kind::Route).map(|basis| basis.rollout);
-        let list = [Kind::Endpoint, Kind::Host]
+        let news = cache.basis(ResourceType::Route).map(|basis| basis.rollout);
+        let list = [ResourceType::Endpoint, ResourceType::LbEndpoint]
             .map(|kind| cache.basis(kind).map_or(0, |basis| basis.endpoints.version));
         let mut track = noted[number].lock().unwrap_or_else(PoisonError::into_inner);
         let list = list[0].max(list[1]);
--- a/crates/test-support/src/cache.rs
+++ b/crates/test-support/src/cache.rs
@@ -2,7 +2,7 @@
 //! way what must never happen: a state that goes back, a reference that dangles. Pure: no socket, no clock.
 
 use latchhaven_proxy_config::version::{ConfigVersion, VersionSigner};
-use latchhaven_xds::loads::socket;
+use latchhaven_xds::load_stats::parse_address;
 use latchhaven_xds::pb::envoy::config::cluster::v3::Cluster;
 use latchhaven_xds::pb::envoy::config::core::v3::{HealthStatus, Node};
 use latchhaven_xds::pb::envoy::config::endpoint::v3::lb_endpoint::HostIdentifier;
@@ -17,8 +17,8 @@
 };
 use latchhaven_xds::pb::google::protobuf::Any;
 use latchhaven_xds::pb::google::rpc::Status;
-use latchhaven_xds::resources::{DECLINE, Kind};
-use latchhaven_xds::stream::Ask;
+use latchhaven_xds::resources::{REJECT_CLUSTER, ResourceType};
+use latchhaven_xds::stream::SubscriptionRequest;
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -56,8 +56,8 @@
     Apart(DeltaDiscoveryRequest),
 }
 
-impl From<Wanted> for Ask {
-    fn from(wanted: Wanted) -> Ask {
+impl From<Wanted> for SubscriptionRequest {
+    fn from(wanted: Wanted) -> SubscriptionRequest {
         match wanted {
             Wanted::Whole(ask) => ask.into(),
             Wanted::Apart(ask) => ask.into(),
@@ -70,12 +70,12 @@
 pub struct Cache {
     node: String,
     incremental: bool,
-    held: BTreeMap<Kind, BTreeMap<String, Held>>,
-    version: BTreeMap<Kind, String>,
-    nonce: BTreeMap<Kind, String>,
-    names: BTreeMap<Kind, BTreeSet<String>>,
+    held: BTreeMap<ResourceType, BTreeMap<String, Held>>,
+    version: BTreeMap<ResourceType, String>,
+    nonce: BTreeMap<ResourceType, String>,
+    names: BTreeMap<ResourceType, BTreeSet<String>>,
     /// The furthest basis of any label taken in, by type.
-    furthest: BTreeMap<Kind, ConfigVersion>,
+    furthest: BTreeMap<ResourceType, ConfigVersion>,
     /// States that went back, and references that dangled: none, ever.
     pub regressions: u64,
     pub dangling: u64,
@@ -113,24 +113,25 @@
     /// The first requests on a new stream: what it holds is told.
     pub fn open(&mut self) -> Vec<Wanted> {
         self.nonce.clear();
-        let kinds = Kind::ALL.into_iter().filter(|kind| kind.wild() || !self.wanted(*kind).is_empty());
-        let kinds: Vec<Kind> = kinds.collect();
+        let kinds =
+            ResourceType::ALL.into_iter().filter(|kind| kind.is_wildcard() || !self.wanted(*kind).is_empty());
+        let kinds: Vec<ResourceType> = kinds.collect();
         kinds.into_iter().map(|kind| self.ask(kind, true, None)).collect()
     }
 
     /// Names of a type that what is held refers to.
-    fn wanted(&self, kind: Kind) -> BTreeSet<String> {
+    fn wanted(&self, kind: ResourceType) -> BTreeSet<String> {
         let from = match kind {
-            Kind::Endpoint => Kind::Cluster,
-            Kind::Host => Kind::Endpoint,
-            Kind::Route => Kind::Listener,
-            Kind::Cluster | Kind::Listener => return BTreeSet::new(),
+            ResourceType::Endpoint => ResourceType::Cluster,
+            ResourceType::LbEndpoint => ResourceType::Endpoint,
+            ResourceType::Route => ResourceType::Listener,
+            ResourceType::Cluster | ResourceType::Listener => return BTreeSet::new(),
         };
         let held = self.held.get(&from).into_iter().flat_map(|held| held.values());
         held.flat_map(|held| held.refers.iter().cloned()).collect()
     }
 
-    fn ask(&mut self, kind: Kind, first: bool, error: Option<String>) -> Wanted {
+    fn ask(&mut self, kind: ResourceType, first: bool, error: Option<String>) -> Wanted {
         let names = self.wanted(kind);
         let before = self.names.insert(kind, names.clone()).unwrap_or_default();
         let nonce = self.nonce.get(&kind).cloned().unwrap_or_default();
@@ -174,7 +175,7 @@
 
     /// Takes a whole answer in, or refuses it; what is to be asked then.
     pub fn whole(&mut self, answer: &DiscoveryResponse, refuse: bool) -> Vec<Wanted> {
-        let Some(kind) = Kind::of(&answer.type_url) else { return Vec::new() };
+        let Some(kind) = ResourceType::from_url(&answer.type_url) else { return Vec::new() };
         self.nonce.insert(kind, answer.nonce.clone());
         if refuse {
             self.refused += 1;
@@ -184,7 +185,7 @@
         let read: Vec<(String, Held)> = read.collect();
         self.note(kind, &answer.version_info);
         let held = self.held.entry(kind).or_default();
-        if kind.wild() {
+        if kind.is_wildcard() {
             held.clear();
         }
         held.extend(read);
@@ -194,7 +195,7 @@
 
     /// The same for an incremental answer.
     pub fn apart(&mut self, answer: &DeltaDiscoveryResponse, refuse: bool) -> Vec<Wanted> {
-        let Some(kind) = Kind::of(&answer.type_url) else { return Vec::new() };
+        let Some(kind) = ResourceType::from_url(&answer.type_url) else { return Vec::new() };
         self.nonce.insert(kind, answer.nonce.clone());
         if refuse {
             self.refused += 1;
@@ -213,7 +214,7 @@
     }
 
     /// A label of a whole answer: never older than one before.
-    fn note(&mut self, kind: Kind, label: &str) {
+    fn note(&mut self, kind: ResourceType, label: &str) {
         let Some(label) = self.labels.parse_label(label) else { return };
         let furthest = self.furthest.get(&kind).copied();
         self.regressions += u64::from(furthest.is_some_and(|furthest| !label.version.dominates(&furthest)));
@@ -221,7 +222,7 @@
     }
 
     /// A label of one resource: never older than the one it replaces.
-    fn note_apart(&mut self, kind: Kind, name: &str, label: &str) {
+    fn note_apart(&mut self, kind: ResourceType, name: &str, label: &str) {
         let held = self.held.get(&kind).and_then(|held| held.get(name));
         let before = held.and_then(|held| self.labels.parse_label(&held.label));
         let Some(label) = self.labels.parse_label(label) else { return };
@@ -231,10 +232,10 @@
     }
 
     /// Accepts, and asks for what the new state refers to.
-    fn follow(&mut self, kind: Kind) -> Vec<Wanted> {
+    fn follow(&mut self, kind: ResourceType) -> Vec<Wanted> {
         // What nothing refers to any more is dropped, as its owner does.
-        for follower in [Kind::Endpoint, Kind::Host] {
-            if !self.held.contains_key(&Kind::Cluster) {
+        for follower in [ResourceType::Endpoint, ResourceType::LbEndpoint] {
+            if !self.held.contains_key(&ResourceType::Cluster) {
                 break;
             }
             let names = self.wanted(follower);
@@ -249,7 +250,7 @@
         }
         self.dangling += u64::from(self.dangles().is_some());
         let mut asks = vec![self.ask(kind, false, None)];
-        for follower in [Kind::Endpoint, Kind::Host, Kind::Route] {
+        for follower in [ResourceType::Endpoint, ResourceType::LbEndpoint, ResourceType::Route] {
             if follower != kind
                 && self.names.get(&follower).cloned().unwrap_or_default() != self.wanted(follower)
             {
@@ -262,9 +263,9 @@
 
     /// A reference of the routes that leads nowhere.
     pub fn dangles(&self) -> Option<String> {
-        let of = |kind: Kind| self.held.get(&kind);
-        let routes = of(Kind::Route)?;
-        let clusters = of(Kind::Cluster);
+        let of = |kind: ResourceType| self.held.get(&kind);
+        let routes = of(ResourceType::Route)?;
+        let clusters = of(ResourceType::Cluster);
         for name in routes.values().flat_map(|held| &held.refers) {
             let Some(cluster) = clusters.and_then(|clusters| clusters.get(name)) else {
                 return Some(name.clone());
@@ -272,7 +273,7 @@
             let missing = cluster
                 .refers
                 .iter()
-                .find(|name| !of(Kind::Endpoint).is_some_and(|held| held.contains_key(*name)));
+                .find(|name| !of(ResourceType::Endpoint).is_some_and(|held| held.contains_key(*name)));
             if let Some(missing) = missing {
                 return Some(missing.clone());
             }
@@ -281,31 +282,34 @@
     }
 
     /// What the routes that are held are based on.
-    pub fn basis(&self, kind: Kind) -> Option<ConfigVersion> {
+    pub fn basis(&self, kind: ResourceType) -> Option<ConfigVersion> {
         self.furthest.get(&kind).copied()
     }
 
     /// The ways of a product's txns: with a key, or without.
     pub fn way(&self, product: &str, keyed: bool) -> Option<&Way> {
-        let ways = self.held.get(&Kind::Route)?.values().next().map(|held| &held.ways)?;
+        let ways = self.held.get(&ResourceType::Route)?.values().next().map(|held| &held.ways)?;
         let with_key = ways.get(&format!("{product}/keyed")).filter(|_| keyed);
         with_key.or_else(|| ways.get(product))
     }
 
     /// The hosts of a cluster, and whether what fails there may be repeated there.
     pub fn hosts(&self, cluster: &str) -> (Vec<Host>, bool) {
-        let Some(held) = self.held.get(&Kind::Cluster).and_then(|held| held.get(cluster)) else {
+        let Some(held) = self.held.get(&ResourceType::Cluster).and_then(|held| held.get(cluster)) else {
             return (Vec::new(), false);
         };
-        let endpoints = self.held.get(&Kind::Endpoint);
+        let endpoints = self.held.get(&ResourceType::Endpoint);
         let mut hosts = Vec::new();
         for service in &held.refers {
             let Some(endpoints) = endpoints.and_then(|held| held.get(service)) else { continue };
             hosts.extend(endpoints.hosts.iter().cloned());
             for glob in &endpoints.refers {
                 let prefix = glob.trim_end_matches('*');
-                let apart =
-                    self.held.get(&Kind::Host).into_iter().flat_map(|held| held.range(prefix.to_string()..));
+                let apart = self
+                    .held
+                    .get(&ResourceType::LbEndpoint)
+                    .into_iter()
+                    .flat_map(|held| held.range(prefix.to_string()..));
                 let apart = apart.take_while(|(name, _)| name.starts_with(prefix));
                 hosts.extend(apart.flat_map(|(_, held)| held.hosts.iter().cloned()));
             }
@@ -315,7 +319,7 @@
 
     /// Hosts that came within the endpoints of this name.
     pub fn inline(&self, endpoints: &str) -> usize {
-        let held = self.held.get(&Kind::Endpoint).and_then(|held| held.get(endpoints));
+        let held = self.held.get(&ResourceType::Endpoint).and_then(|held| held.get(endpoints));
         held.map_or(0, |held| held.hosts.len())
     }
 
@@ -327,13 +331,13 @@
     }
 }
 
-fn read(kind: Kind, any: &Any, label: &str) -> Option<(String, Held)> {
+fn read(kind: ResourceType, any: &Any, label: &str) -> Option<(String, Held)> {
     let mut held = Held { label: label.to_string(), ..Held::default() };
     let bytes = any.value.as_slice();
     let name = match kind {
-        Kind::Cluster => {
+        ResourceType::Cluster => {
             let cluster = Cluster::decode(bytes).ok()?;
-            if cluster.name != DECLINE {
+            if cluster.name != REJECT_CLUSTER {
                 held.refers.insert(cluster.eds_cluster_config?.service_name);
             }
             let thresholds =
@@ -342,7 +346,7 @@
                 thresholds.and_then(|thresholds| thresholds.max_retries).map_or(3, |most| most.value);
             cluster.name
         }
-        Kind::Endpoint => {
+        ResourceType::Endpoint => {
             let told = ClusterLoadAssignment::decode(bytes).ok()?;
             for locality in told.endpoints {
                 held.hosts.extend(locality.lb_endpoints.iter().filter_map(host));
@@ -352,11 +356,11 @@
             }
             told.cluster_name
         }
-        Kind::Host => {
+        ResourceType::LbEndpoint => {
             held.hosts.extend(host(&LbEndpoint::decode(bytes).ok()?));
             String::new()
         }
-        Kind::Listener => {
+        ResourceType::Listener => {
             let told = Listener::decode(bytes).ok()?;
             let filters = told.filter_chains.into_iter().flat_map(|chain| chain.filters);
             for one in filters {
@@ -369,7 +373,7 @@
             }
             told.name
         }
-        Kind::Route => {
+        ResourceType::Route => {
             let told = RouteConfiguration::decode(bytes).ok()?;
             for one in told.virtual_hosts.into_iter().flat_map(|host| host.routes) {
                 let Some(route::Action::Route(action)) = one.action else { continue };
@@ -394,7 +398,7 @@
 
 fn host(told: &LbEndpoint) -> Option<Host> {
     let Some(HostIdentifier::Endpoint(endpoint)) = &told.host_identifier else { return None };
-    let addr = socket(endpoint.address.as_ref()?)?;
+    let addr = parse_address(endpoint.address.as_ref()?)?;
     let weight = told.load_balancing_weight.map_or(1, |weight| weight.value);
     Some(Host { addr, weight, healthy: told.health_status == HealthStatus::Healthy as i32 })
 }
--- a/crates/test-support/src/proxy.rs
+++ b/crates/test-support/src/proxy.rs
@@ -2,8 +2,8 @@
 
 use crate::cache::{Cache, Wanted};
 use bytes::Bytes;
-use latchhaven_xds::codec::Pieces;
-use latchhaven_xds::loads::TOOK;
+use latchhaven_xds::codec::ChunkCodec;
+use latchhaven_xds::load_stats::LATENCY_METRIC;
 use latchhaven_xds::pb::envoy::config::core::v3::Node;
 use latchhaven_xds::pb::envoy::config::endpoint::v3::{
     ClusterStats, EndpointLoadMetricStats, UpstreamEndpointStats, UpstreamLocalityStats,
@@ -11,7 +11,7 @@
 use latchhaven_xds::pb::envoy::service::discovery::v3::{DeltaDiscoveryResponse, DiscoveryResponse};
 use latchhaven_xds::pb::envoy::service::load_stats::v3::{LoadStatsRequest, LoadStatsResponse};
 use latchhaven_xds::pb::google::protobuf::Duration as Span;
-use latchhaven_xds::resources::address;
+use latchhaven_xds::resources::to_xds_address;
 use prost::Message;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -117,10 +117,10 @@
                 let _ = asks.send(encode(&ask)).await;
             }
         };
-        let routes = latchhaven_xds::resources::Kind::Route.url();
+        let routes = latchhaven_xds::resources::ResourceType::Route.url();
         if incremental {
             let path = "/envoy.service.discovery.v3.AggregatedDiscoveryService/DeltaAggregatedResources";
-            let codec = Pieces::<DeltaDiscoveryResponse>::default();
+            let codec = ChunkCodec::<DeltaDiscoveryResponse>::default();
             let mut answers =
                 grpc.streaming(requests, PathAndQuery::from_static(path), codec).await?.into_inner();
             while let Some(answer) = answers.message().await? {
@@ -130,7 +130,7 @@
             }
         } else {
             let path = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources";
-            let codec = Pieces::<DiscoveryResponse>::default();
+            let codec = ChunkCodec::<DiscoveryResponse>::default();
             let mut answers =
                 grpc.streaming(requests, PathAndQuery::from_static(path), codec).await?.into_inner();
             while let Some(answer) = answers.message().await? {
@@ -176,7 +176,7 @@
     let _ = sends.send(vec![Bytes::from(first.encode_to_vec())]).await;
     let path = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats";
     let requests = tonic::Request::new(ReceiverStream::new(sent));
-    let codec = Pieces::<LoadStatsResponse>::default();
+    let codec = ChunkCodec::<LoadStatsResponse>::default();
     let mut answers = grpc.streaming(requests, PathAndQuery::from_static(path), codec).await?.into_inner();
     loop {
         select! {
@@ -217,12 +217,12 @@
                 if rng.random::<f64>() < fails { sums.1 += 1 } else { sums.0 += 1 }
             }
             let stats = reported.into_iter().map(|(addr, (settled, failed))| UpstreamEndpointStats {
-                address: Some(address(addr)),
+                address: Some(to_xds_address(addr)),
                 total_successful_requests: settled,
                 total_error_requests: failed,
                 total_issued_requests: settled + failed,
                 load_metric_stats: vec![EndpointLoadMetricStats {
-                    metric_name: TOOK.to_string(),
+                    metric_name: LATENCY_METRIC.to_string(),
                     num_requests_finished_with_metric: settled,
                     total_metric_value: took * settled as f64,
                 }],
--- a/crates/xds/src/admission.rs
+++ b/crates/xds/src/admission.rs
@@ -15,9 +15,9 @@
 
 /// A beginning that was asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Knock {
+pub enum AdmissionResult {
     /// It waits for its turn.
-    Waits,
+    Queued,
     /// There are too many: come again later.
     Full,
 }
@@ -43,9 +43,9 @@
     }
 
     /// A stream of a proxy wants to begin.
-    pub fn knock(&mut self, stream: u64, proxy: &str, now: Millis) -> Knock {
+    pub fn request_slot(&mut self, stream: u64, proxy: &str, now: Millis) -> AdmissionResult {
         if self.full() {
-            return Knock::Full;
+            return AdmissionResult::Full;
         }
         let often = self.begun.get(proxy).is_some_and(|last| now - last < OFTEN);
         if often {
@@ -59,16 +59,16 @@
         if self.begun.len() < KEPT || self.begun.contains_key(proxy) {
             self.begun.insert(proxy.to_string(), now);
         }
-        Knock::Waits
+        AdmissionResult::Queued
     }
 
     /// A stream that is sent next to nothing begins at once, if there is room for it.
-    pub fn light(&mut self, stream: u64) -> Knock {
+    pub fn admit_load_reports(&mut self, stream: u64) -> AdmissionResult {
         if self.full() {
-            return Knock::Full;
+            return AdmissionResult::Full;
         }
         self.open.insert(stream);
-        Knock::Waits
+        AdmissionResult::Queued
     }
 
     fn full(&self) -> bool {
@@ -76,7 +76,7 @@
     }
 
     /// Those whose turn it is.
-    pub fn turn(&mut self, now: Millis) -> Vec<u64> {
+    pub fn poll(&mut self, now: Millis) -> Vec<u64> {
         let since = now - self.at.replace(now).unwrap_or(now);
         self.saved = (self.saved + RATE * since.max(0.0)).min(BURST);
         let mut begin = Vec::new();
@@ -90,12 +90,12 @@
     }
 
     /// Somebody waits.
-    pub fn waits(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         !self.waiting.is_empty() || !self.again.is_empty()
     }
 
     /// A stream ended, begun or not; one that never knocked, or was told of before, takes nobody's place.
-    pub fn over(&mut self, stream: u64) {
+    pub fn on_stream_closed(&mut self, stream: u64) {
         if !self.open.remove(&stream) {
             self.waiting.retain(|waiting| *waiting != stream);
             self.again.retain(|waiting| *waiting != stream);
@@ -113,9 +113,9 @@
         let mut door = Admission::new(10_000);
         for stream in 0..1000 {
             let proxy = if stream < 500 { "noisy".to_string() } else { format!("p{stream}") };
-            assert_eq!(door.knock(stream, &proxy, 0.0), Knock::Waits);
+            assert_eq!(door.request_slot(stream, &proxy, 0.0), AdmissionResult::Queued);
         }
-        let first: Vec<u64> = (0..=230).flat_map(|ms| door.turn(f64::from(ms))).collect();
+        let first: Vec<u64> = (0..=230).flat_map(|ms| door.poll(f64::from(ms))).collect();
         assert!(first.len() >= 505 && first.len() <= 512, "{}", first.len());
         assert!(first[1..500].iter().all(|stream| *stream >= 500), "one noisy proxy starves nobody");
     }
@@ -123,11 +123,17 @@
     #[test]
     fn a_stream_that_never_began_frees_no_place_when_it_ends() {
         let mut door = Admission::new(2);
-        assert_eq!((door.light(1), door.light(2), door.light(3)), (Knock::Waits, Knock::Waits, Knock::Full));
-        [3, 4, 5].into_iter().for_each(|stream| door.over(stream));
-        assert_eq!(door.knock(6, "p", 0.0), Knock::Full);
-        (0..2).for_each(|_| door.over(1));
-        assert_eq!((door.knock(6, "p", 0.0), door.light(7)), (Knock::Waits, Knock::Full));
+        assert_eq!(
+            (door.admit_load_reports(1), door.admit_load_reports(2), door.admit_load_reports(3)),
+            (AdmissionResult::Queued, AdmissionResult::Queued, AdmissionResult::Full)
+        );
+        [3, 4, 5].into_iter().for_each(|stream| door.on_stream_closed(stream));
+        assert_eq!(door.request_slot(6, "p", 0.0), AdmissionResult::Full);
+        (0..2).for_each(|_| door.on_stream_closed(1));
+        assert_eq!(
+            (door.request_slot(6, "p", 0.0), door.admit_load_reports(7)),
+            (AdmissionResult::Queued, AdmissionResult::Full)
+        );
     }
 
     proptest! {
@@ -143,15 +149,15 @@
                 match kind {
                     0 => {
                         next += 1;
-                        door.knock(next, &format!("p{proxy}"), now);
+                        door.request_slot(next, &format!("p{proxy}"), now);
                     }
                     1 => {
                         now += pick as f64;
-                        let new = door.turn(now);
+                        let new = door.poll(now);
                         total += new.len() as f64;
                         begun.extend(new);
                     }
-                    _ if !begun.is_empty() => door.over(begun.swap_remove(pick as usize % begun.len())),
+                    _ if !begun.is_empty() => door.on_stream_closed(begun.swap_remove(pick as usize % begun.len())),
                     _ => {}
                 }
                 let open = door.open.len();
--- a/crates/xds/src/codec.rs
+++ b/crates/xds/src/codec.rs
@@ -7,32 +7,32 @@
 use tonic::codec::{BufferSettings, Codec, DecodeBuf, Decoder, EncodeBuf, Encoder};
 
 /// Reads messages `T`; writes pieces of bytes that are one message together.
-pub struct Pieces<T>(PhantomData<T>);
+pub struct ChunkCodec<T>(PhantomData<T>);
 
-impl<T> Default for Pieces<T> {
+impl<T> Default for ChunkCodec<T> {
     fn default() -> Self {
-        Pieces(PhantomData)
+        ChunkCodec(PhantomData)
     }
 }
 
-impl<T: Message + Default + Send + 'static> Codec for Pieces<T> {
+impl<T: Message + Default + Send + 'static> Codec for ChunkCodec<T> {
     type Encode = Vec<Bytes>;
     type Decode = T;
-    type Encoder = Writer;
-    type Decoder = Reader<T>;
+    type Encoder = ChunkEncoder;
+    type Decoder = MessageDecoder<T>;
 
-    fn encoder(&mut self) -> Writer {
-        Writer
+    fn encoder(&mut self) -> ChunkEncoder {
+        ChunkEncoder
     }
 
-    fn decoder(&mut self) -> Reader<T> {
-        Reader(PhantomData)
+    fn decoder(&mut self) -> MessageDecoder<T> {
+        MessageDecoder(PhantomData)
     }
 }
 
-pub struct Writer;
+pub struct ChunkEncoder;
 
-impl Encoder for Writer {
+impl Encoder for ChunkEncoder {
     type Item = Vec<Bytes>;
     type Error = Status;
 
@@ -47,9 +47,9 @@
     }
 }
 
-pub struct Reader<T>(PhantomData<T>);
+pub struct MessageDecoder<T>(PhantomData<T>);
 
-impl<T: Message + Default> Decoder for Reader<T> {
+impl<T: Message + Default> Decoder for MessageDecoder<T> {
     type Item = T;
     type Error = Status;
 
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -3,12 +3,12 @@
 //! - [`resources`]: a handout as clusters, endpoints, listeners and routes, each encoded once a version.
 //! - [`stream`]: one stream of one proxy, pure: what it asks, what it holds, what it is sent next.
 //! - [`admission`]: when a stream may begin, pure: known proxies first, the rest at a bounded rate.
-//! - [`loads`]: load reports read into figures, pure.
+//! - [`load_stats`]: load reports read into figures, pure.
 //! - [`server`]: the gRPC driver. It decides nothing.
 
 pub mod admission;
 pub mod codec;
-pub mod loads;
+pub mod load_stats;
 pub mod resources;
 pub mod server;
 pub mod stream;
--- a/crates/xds/src/loads.rs
+++ b/crates/xds/src/load_stats.rs
@@ -3,13 +3,13 @@
 use crate::pb::envoy::config::core::v3::{Address, address, socket_address};
 use crate::pb::envoy::config::endpoint::v3::{ClusterStats, UpstreamLocalityStats};
 use crate::pb::envoy::service::load_stats::v3::LoadStatsRequest;
-use crate::resources::{DECLINE, cluster_of};
+use crate::resources::{REJECT_CLUSTER, parse_cluster_name};
 use latchhaven_policy::Millis;
 use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, ProxyReport};
 use std::net::SocketAddr;
 
 /// The named metric in which proxies and hosts report times: milliseconds of one answer.
-pub const TOOK: &str = "latency_ms";
+pub const LATENCY_METRIC: &str = "latency_ms";
 /// Clusters and hosts of one report at most.
 const CLUSTERS_MOST: usize = 1_024;
 const HOSTS_MOST: usize = 20_000;
@@ -18,7 +18,7 @@
 ///
 /// # Errors
 /// The field that cannot be.
-pub fn read(request: &LoadStatsRequest, products: &[String]) -> Result<ProxyReport, String> {
+pub fn parse_load_report(request: &LoadStatsRequest, products: &[String]) -> Result<ProxyReport, String> {
     if request.cluster_stats.len() > CLUSTERS_MOST {
         return Err(format!("cluster_stats: more than {CLUSTERS_MOST}"));
     }
@@ -32,11 +32,11 @@
             return Err("load_report_interval: not above 0".to_string());
         }
         interval = Some(interval.map_or(span, |longest| longest.max(span)));
-        if stats.cluster_name == DECLINE {
+        if stats.cluster_name == REJECT_CLUSTER {
             continue;
         }
         let (build, product) =
-            cluster_of(&stats.cluster_name, products).ok_or("cluster_name: no cluster of ours")?;
+            parse_cluster_name(&stats.cluster_name, products).ok_or("cluster_name: no cluster of ours")?;
         let mut found = Vec::new();
         for locality in &stats.upstream_locality_stats {
             hosts += locality.upstream_endpoint_stats.len();
@@ -72,7 +72,8 @@
     stats: &UpstreamLocalityStats, found: &mut Vec<(SocketAddr, EndpointCounts)>,
 ) -> Result<(), String> {
     for one in &stats.upstream_endpoint_stats {
-        let addr = one.address.as_ref().and_then(socket).ok_or("upstream_endpoint_stats: no address")?;
+        let addr =
+            one.address.as_ref().and_then(parse_address).ok_or("upstream_endpoint_stats: no address")?;
         let mut figures = EndpointCounts {
             started: one.total_issued_requests,
             succeeded: one.total_successful_requests,
@@ -81,7 +82,7 @@
             total_latency: 0.0,
             latency_samples: 0,
         };
-        for metric in one.load_metric_stats.iter().filter(|metric| metric.metric_name == TOOK) {
+        for metric in one.load_metric_stats.iter().filter(|metric| metric.metric_name == LATENCY_METRIC) {
             figures.total_latency += metric.total_metric_value;
             figures.latency_samples =
                 figures.latency_samples.saturating_add(metric.num_requests_finished_with_metric);
@@ -92,7 +93,7 @@
 }
 
 /// The address and port that an address tells, if it tells these.
-pub fn socket(told: &Address) -> Option<SocketAddr> {
+pub fn parse_address(told: &Address) -> Option<SocketAddr> {
     let Some(address::Address::SocketAddress(socket)) = &told.address else { return None };
     let Some(socket_address::PortSpecifier::PortValue(port)) = socket.port_specifier else { return None };
     Some(SocketAddr::new(socket.address.parse().ok()?, u16::try_from(port).ok()?))
--- a/crates/xds/src/resources.rs
+++ b/crates/xds/src/resources.rs
@@ -25,10 +25,10 @@
 use std::sync::Arc;
 
 /// Names that every proxy is given.
-pub const LISTENER: &str = "latchhaven";
-pub const ROUTES: &str = "latchhaven";
+pub const LISTENER_NAME: &str = "latchhaven";
+pub const ROUTES_NAME: &str = "latchhaven";
 /// The cluster without hosts: what goes there is declined at once, and never ran anywhere.
-pub const DECLINE: &str = "decline";
+pub const REJECT_CLUSTER: &str = "decline";
 /// In flight that a proxy may have at a build that is gone, until it has accepted new routes.
 const GONE_IN_FLIGHT: u32 = 64;
 /// The collection that a build's hosts of one zone are in, where hosts are resources of their own.
@@ -36,34 +36,40 @@
 
 /// A type of resource, in the order that makes before it breaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum ResourceType {
     Cluster,
     Endpoint,
-    Host,
+    LbEndpoint,
     Listener,
     Route,
 }
 
-impl Kind {
-    pub const ALL: [Kind; 5] = [Kind::Cluster, Kind::Endpoint, Kind::Host, Kind::Listener, Kind::Route];
+impl ResourceType {
+    pub const ALL: [ResourceType; 5] = [
+        ResourceType::Cluster,
+        ResourceType::Endpoint,
+        ResourceType::LbEndpoint,
+        ResourceType::Listener,
+        ResourceType::Route,
+    ];
 
     pub fn url(self) -> &'static str {
         match self {
-            Kind::Cluster => "type.googleapis.com/envoy.config.cluster.v3.Cluster",
-            Kind::Endpoint => "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
-            Kind::Host => "type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint",
-            Kind::Listener => "type.googleapis.com/envoy.config.listener.v3.Listener",
-            Kind::Route => "type.googleapis.com/envoy.config.route.v3.RouteConfiguration",
+            ResourceType::Cluster => "type.googleapis.com/envoy.config.cluster.v3.Cluster",
+            ResourceType::Endpoint => "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
+            ResourceType::LbEndpoint => "type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint",
+            ResourceType::Listener => "type.googleapis.com/envoy.config.listener.v3.Listener",
+            ResourceType::Route => "type.googleapis.com/envoy.config.route.v3.RouteConfiguration",
         }
     }
 
-    pub fn of(url: &str) -> Option<Kind> {
-        Kind::ALL.into_iter().find(|kind| kind.url() == url)
+    pub fn from_url(url: &str) -> Option<ResourceType> {
+        ResourceType::ALL.into_iter().find(|kind| kind.url() == url)
     }
 
     /// Clients that name nothing get all of these.
-    pub fn wild(self) -> bool {
-        matches!(self, Kind::Cluster | Kind::Listener)
+    pub fn is_wildcard(self) -> bool {
+        matches!(self, ResourceType::Cluster | ResourceType::Listener)
     }
 }
 
@@ -74,56 +80,56 @@
     /// Of its bytes: the same at every service.
     pub hash: u64,
     /// Names of what it refers to: a route its clusters, a cluster its endpoints.
-    pub refers: BTreeSet<String>,
+    pub references: BTreeSet<String>,
     /// The `Any` as field 2: `resources` of a whole answer, and `resource` of one in an incremental answer alike.
     pub any: Bytes,
 }
 
 /// The resources of one type, by name.
-pub type Set = BTreeMap<String, Arc<Resource>>;
+pub type ResourceSet = BTreeMap<String, Arc<Resource>>;
 
 /// What all proxies are to hold, at one moment.
 #[derive(Debug)]
-pub struct Snapshot {
-    pub basis: ConfigVersion,
+pub struct ResourceSnapshot {
+    pub version: ConfigVersion,
     /// Counts the snapshots of this process.
     pub number: u64,
-    pub trial: CanaryShares,
+    pub canary_shares: CanaryShares,
     /// What labels of this snapshot begin with: whatever goes out is labelled with what it is based on now, however
     /// long it has not changed.
     stamp: String,
     /// What clusters are made of, for those of builds that are gone.
-    made_of: Arc<(Vec<RequestClass>, Front)>,
-    sets: BTreeMap<(Kind, bool), (u64, Arc<Set>)>,
+    made_of: Arc<(Vec<RequestClass>, ListenerConfig)>,
+    sets: BTreeMap<(ResourceType, bool), (u64, Arc<ResourceSet>)>,
 }
 
 /// What proxies are told beside the handout.
 #[derive(Clone, Debug)]
-pub struct Front {
-    pub listener: SocketAddr,
-    pub product_header: String,
+pub struct ListenerConfig {
+    pub address: SocketAddr,
+    pub class_header: String,
     pub key_header: String,
-    pub connect_within: Millis,
+    pub connect_timeout: Millis,
     /// Incremental streams get each host as a resource of its own.
-    pub hosts_apart: bool,
+    pub separate_endpoints: bool,
 }
 
-impl Snapshot {
+impl ResourceSnapshot {
     /// The resources of a type, as incremental streams get them or others; and what tells their content.
-    pub fn set(&self, kind: Kind, incremental: bool) -> (u64, &Arc<Set>) {
+    pub fn resources(&self, kind: ResourceType, incremental: bool) -> (u64, &Arc<ResourceSet>) {
         let found = self.sets.get(&(kind, incremental)).or_else(|| self.sets.get(&(kind, false)));
         let (content, set) = found.expect("every type has its set");
         (*content, set)
     }
 
     /// The label of a content that goes out now.
-    pub fn label(&self, content: u64) -> String {
+    pub fn version_label(&self, content: u64) -> String {
         join_label(&self.stamp, content)
     }
 
     /// The clusters of a build that is gone, under the name of its endpoints: a proxy that comes back may still route
     /// to them until it has accepted new routes.
-    pub fn gone(&self, service: &str) -> Vec<Arc<Resource>> {
+    pub fn retired_clusters(&self, service: &str) -> Vec<Arc<Resource>> {
         let build = service.strip_prefix('b').and_then(|build| build.parse::<Version>().ok());
         let Some(build) = build.filter(|build| endpoints_name(*build) == service) else { return Vec::new() };
         let (products, front) = &*self.made_of;
@@ -136,31 +142,31 @@
             };
             let raw = one_cluster(&cluster, products, front);
             let hash = hash(raw.bytes.iter().copied());
-            Arc::new(encode(Kind::Cluster, raw, hash))
+            Arc::new(encode(ResourceType::Cluster, raw, hash))
         });
         made.collect()
     }
 
     /// The snapshot of a handout; what has not changed since an earlier one stays as it was.
-    pub fn make(
-        handout: &ProxyConfig, basis: ConfigVersion, made_of: &Arc<(Vec<RequestClass>, Front)>,
-        labels: &VersionSigner, earlier: Option<&Snapshot>,
-    ) -> Snapshot {
+    pub fn build(
+        handout: &ProxyConfig, basis: ConfigVersion, made_of: &Arc<(Vec<RequestClass>, ListenerConfig)>,
+        labels: &VersionSigner, earlier: Option<&ResourceSnapshot>,
+    ) -> ResourceSnapshot {
         let (products, front) = (made_of.0.as_slice(), &made_of.1);
-        let mut made: Vec<((Kind, bool), Vec<Raw>)> = vec![
-            ((Kind::Cluster, false), clusters(handout, products, front)),
-            ((Kind::Listener, false), vec![listener(front)]),
-            ((Kind::Route, false), vec![routes(handout, products, front)]),
-            ((Kind::Endpoint, false), endpoints(handout, false)),
-            ((Kind::Host, false), Vec::new()),
+        let mut made: Vec<((ResourceType, bool), Vec<Raw>)> = vec![
+            ((ResourceType::Cluster, false), clusters(handout, products, front)),
+            ((ResourceType::Listener, false), vec![listener(front)]),
+            ((ResourceType::Route, false), vec![routes(handout, products, front)]),
+            ((ResourceType::Endpoint, false), endpoints(handout, false)),
+            ((ResourceType::LbEndpoint, false), Vec::new()),
         ];
-        if front.hosts_apart {
-            made.push(((Kind::Endpoint, true), endpoints(handout, true)));
-            made.push(((Kind::Host, true), hosts_apart(handout)));
+        if front.separate_endpoints {
+            made.push(((ResourceType::Endpoint, true), endpoints(handout, true)));
+            made.push(((ResourceType::LbEndpoint, true), hosts_apart(handout)));
         }
         let sets = made.into_iter().map(|((kind, apart), raws)| {
             let before = earlier.and_then(|earlier| earlier.sets.get(&(kind, apart)));
-            let mut set = Set::new();
+            let mut set = ResourceSet::new();
             for raw in raws {
                 let hash = hash(raw.bytes.iter().copied());
                 let same = before.and_then(|(_, set)| set.get(&raw.name)).filter(|held| held.hash == hash);
@@ -174,10 +180,10 @@
         });
         let sets: BTreeMap<_, _> = sets.collect();
         let number = earlier.map_or(0, |earlier| earlier.number) + 1;
-        Snapshot {
-            basis,
+        ResourceSnapshot {
+            version: basis,
             number,
-            trial: handout.canary_shares.clone(),
+            canary_shares: handout.canary_shares.clone(),
             stamp: labels.prefix(&basis),
             made_of: made_of.clone(),
             sets,
@@ -185,7 +191,7 @@
     }
 
     /// True where nothing that a proxy holds would change.
-    pub fn same(&self, other: &Snapshot) -> bool {
+    pub fn has_same_resources(&self, other: &ResourceSnapshot) -> bool {
         self.sets
             .iter()
             .all(|(at, (content, _))| other.sets.get(at).is_some_and(|(other, _)| content == other))
@@ -217,12 +223,12 @@
     out.put_slice(bytes);
 }
 
-fn encode(kind: Kind, raw: Raw, hash: u64) -> Resource {
+fn encode(kind: ResourceType, raw: Raw, hash: u64) -> Resource {
     let any = Any { type_url: kind.url().to_string(), value: raw.bytes }.encode_to_vec();
     let mut wrapped = BytesMut::with_capacity(any.len() + 8);
     field(2, &any, &mut wrapped);
     let Raw { name, refers, .. } = raw;
-    Resource { name, hash, refers, any: wrapped.freeze() }
+    Resource { name, hash, references: refers, any: wrapped.freeze() }
 }
 
 /// The name of the cluster in which one product's txns go to one build.
@@ -236,7 +242,7 @@
 }
 
 /// The build and product that a cluster's name tells.
-pub fn cluster_of(name: &str, products: &[String]) -> Option<(Version, usize)> {
+pub fn parse_cluster_name(name: &str, products: &[String]) -> Option<(Version, usize)> {
     let (build, product) = name.strip_prefix('b')?.split_once('/')?;
     Some((build.parse().ok()?, products.iter().position(|known| known == product)?))
 }
@@ -264,7 +270,7 @@
 }
 
 /// An address as resources and load reports tell it.
-pub fn address(addr: SocketAddr) -> core::Address {
+pub fn to_xds_address(addr: SocketAddr) -> core::Address {
     let port = core::socket_address::PortSpecifier::PortValue(u32::from(addr.port()));
     let socket = core::SocketAddress {
         address: addr.ip().to_string(),
@@ -274,21 +280,22 @@
     core::Address { address: Some(core::address::Address::SocketAddress(socket)) }
 }
 
-fn clusters(handout: &ProxyConfig, products: &[RequestClass], front: &Front) -> Vec<Raw> {
+fn clusters(handout: &ProxyConfig, products: &[RequestClass], front: &ListenerConfig) -> Vec<Raw> {
     let made = handout.clusters.iter().map(|cluster| one_cluster(cluster, products, front));
     let decline = cluster::Cluster {
-        name: DECLINE.to_string(),
-        connect_timeout: span(front.connect_within),
+        name: REJECT_CLUSTER.to_string(),
+        connect_timeout: span(front.connect_timeout),
         cluster_discovery_type: Some(cluster::cluster::ClusterDiscoveryType::Type(
             cluster::cluster::DiscoveryType::Static as i32,
         )),
         ..cluster::Cluster::default()
     };
-    let decline = Raw { name: DECLINE.to_string(), refers: BTreeSet::new(), bytes: decline.encode_to_vec() };
+    let decline =
+        Raw { name: REJECT_CLUSTER.to_string(), refers: BTreeSet::new(), bytes: decline.encode_to_vec() };
     made.chain([decline]).collect()
 }
 
-fn one_cluster(told: &Cluster, products: &[RequestClass], front: &Front) -> Raw {
+fn one_cluster(told: &Cluster, products: &[RequestClass], front: &ListenerConfig) -> Raw {
     let (name, service) =
         (cluster_name(told.version, &products[told.class].name), endpoints_name(told.version));
     let thresholds = cluster::circuit_breakers::Thresholds {
@@ -300,7 +307,7 @@
     };
     let made = cluster::Cluster {
         name: name.clone(),
-        connect_timeout: span(front.connect_within),
+        connect_timeout: span(front.connect_timeout),
         cluster_discovery_type: Some(cluster::cluster::ClusterDiscoveryType::Type(
             cluster::cluster::DiscoveryType::Eds as i32,
         )),
@@ -333,7 +340,7 @@
         health_status: health as i32,
         load_balancing_weight: number(host.weight),
         host_identifier: Some(endpoint::lb_endpoint::HostIdentifier::Endpoint(endpoint::Endpoint {
-            address: Some(address(host.address)),
+            address: Some(to_xds_address(host.address)),
             observability_name: host.endpoint.clone(),
             ..endpoint::Endpoint::default()
         })),
@@ -409,7 +416,7 @@
     made.collect()
 }
 
-fn listener(front: &Front) -> Raw {
+fn listener(front: &ListenerConfig) -> Raw {
     let router = manager::HttpFilter {
         name: "envoy.filters.http.router".to_string(),
         config_type: Some(manager::http_filter::ConfigType::TypedConfig(any(
@@ -419,11 +426,11 @@
         ..manager::HttpFilter::default()
     };
     let made = manager::HttpConnectionManager {
-        stat_prefix: LISTENER.to_string(),
+        stat_prefix: LISTENER_NAME.to_string(),
         http_filters: vec![router],
         route_specifier: Some(manager::http_connection_manager::RouteSpecifier::Rds(manager::Rds {
             config_source: Some(ads()),
-            route_config_name: ROUTES.to_string(),
+            route_config_name: ROUTES_NAME.to_string(),
         })),
         ..manager::HttpConnectionManager::default()
     };
@@ -434,19 +441,19 @@
     };
     let chain = listener::FilterChain { filters: vec![filter], ..listener::FilterChain::default() };
     let made = listener::Listener {
-        name: LISTENER.to_string(),
-        address: Some(address(front.listener)),
+        name: LISTENER_NAME.to_string(),
+        address: Some(to_xds_address(front.address)),
         filter_chains: vec![chain],
         ..listener::Listener::default()
     };
     Raw {
-        name: LISTENER.to_string(),
-        refers: BTreeSet::from([ROUTES.to_string()]),
+        name: LISTENER_NAME.to_string(),
+        refers: BTreeSet::from([ROUTES_NAME.to_string()]),
         bytes: made.encode_to_vec(),
     }
 }
 
-fn routes(handout: &ProxyConfig, products: &[RequestClass], front: &Front) -> Raw {
+fn routes(handout: &ProxyConfig, products: &[RequestClass], front: &ListenerConfig) -> Raw {
     let mut refers = BTreeSet::new();
     let mut list = Vec::new();
     for told in &handout.routes {
@@ -457,28 +464,28 @@
         list.push(one_route(told, &told.shares, false, products, front, &mut refers));
     }
     let host = route::VirtualHost {
-        name: ROUTES.to_string(),
+        name: ROUTES_NAME.to_string(),
         domains: vec!["*".to_string()],
         routes: list,
         ..route::VirtualHost::default()
     };
     let made = route::RouteConfiguration {
-        name: ROUTES.to_string(),
+        name: ROUTES_NAME.to_string(),
         virtual_hosts: vec![host],
         ..route::RouteConfiguration::default()
     };
-    Raw { name: ROUTES.to_string(), refers, bytes: made.encode_to_vec() }
+    Raw { name: ROUTES_NAME.to_string(), refers, bytes: made.encode_to_vec() }
 }
 
 fn one_route(
-    told: &Route, shares: &[(RouteTarget, u32)], keyed: bool, products: &[RequestClass], front: &Front,
-    refers: &mut BTreeSet<String>,
+    told: &Route, shares: &[(RouteTarget, u32)], keyed: bool, products: &[RequestClass],
+    front: &ListenerConfig, refers: &mut BTreeSet<String>,
 ) -> route::Route {
     let product = &products[told.class];
     let weighted = shares.iter().map(|(target, part)| {
         let name = match target {
             RouteTarget::Version(build) => cluster_name(*build, &product.name),
-            RouteTarget::Reject => DECLINE.to_string(),
+            RouteTarget::Reject => REJECT_CLUSTER.to_string(),
         };
         refers.insert(name.clone());
         route::weighted_cluster::ClusterWeight { name, weight: number(*part), ..Default::default() }
@@ -497,10 +504,8 @@
         )),
         ..Default::default()
     };
-    let mut headers = vec![header(
-        &front.product_header,
-        route::header_matcher::HeaderMatchSpecifier::StringMatch(matched),
-    )];
+    let mut headers =
+        vec![header(&front.class_header, route::header_matcher::HeaderMatchSpecifier::StringMatch(matched))];
     if keyed {
         headers
             .push(header(&front.key_header, route::header_matcher::HeaderMatchSpecifier::PresentMatch(true)));
--- a/crates/xds/src/server.rs
+++ b/crates/xds/src/server.rs
@@ -1,14 +1,14 @@
 //! The gRPC driver: connections from allowed networks, one task for each stream. It decides nothing: streams are
 //! [`Stream`], their turn is told by whoever holds the other end of [`Told`].
 
-use crate::codec::Pieces;
-use crate::loads;
+use crate::codec::ChunkCodec;
+use crate::load_stats;
 use crate::pb::envoy::config::core::v3::Node;
 use crate::pb::envoy::service::discovery::v3::{DeltaDiscoveryRequest, DiscoveryRequest};
 use crate::pb::envoy::service::load_stats::v3::{LoadStatsRequest, LoadStatsResponse};
 use crate::pb::google::protobuf::Duration as Span;
-use crate::resources::{Kind, Snapshot};
-use crate::stream::{Ask, Fault, NODE_MOST, Said, Stream};
+use crate::resources::{ResourceSnapshot, ResourceType};
+use crate::stream::{MAX_NODE_ID_LENGTH, Stream, StreamError, StreamEvent, SubscriptionRequest};
 use bytes::Bytes;
 use ipnet::IpNet;
 use latchhaven_proxy_config::load_reports::ProxyReport;
@@ -56,22 +56,27 @@
 const WINDOW: u32 = 1 << 20;
 
 /// What the streams tell.
-pub enum Told {
+pub enum ServerEvent {
     /// A stream of a proxy wants to begin, one of discovery or of loads; answered when it is its turn.
-    Knocks { stream: u64, node: String, loads: bool, turn: oneshot::Sender<Result<(), Status>> },
+    StreamOpened {
+        stream: u64,
+        node: String,
+        reports_loads: bool,
+        admitted: oneshot::Sender<Result<(), Status>>,
+    },
     /// What a stream has learnt.
-    Said { stream: u64, said: Vec<Said> },
+    StreamEvents { stream: u64, events: Vec<StreamEvent> },
     /// Routes with these shares of the trial go out.
-    Sends { stream: u64, trial: CanaryShares },
+    RoutesSent { stream: u64, canary_shares: CanaryShares },
     /// A load report; answered with what is wrong with it.
-    Report { stream: u64, report: ProxyReport, sound: oneshot::Sender<Result<(), String>> },
+    LoadReport { stream: u64, report: ProxyReport, result: oneshot::Sender<Result<(), String>> },
     /// A stream ended.
-    Over { stream: u64 },
+    StreamClosed { stream: u64 },
 }
 
 /// Figures for operators.
 #[derive(Debug, Default)]
-pub struct Sent {
+pub struct SentCounters {
     pub messages: AtomicU64,
     pub bytes: AtomicU64,
     pub incremental_messages: AtomicU64,
@@ -80,12 +85,12 @@
 
 /// What every stream needs.
 #[derive(Clone)]
-pub struct Ground {
-    pub snapshots: watch::Receiver<Option<Arc<Snapshot>>>,
-    pub told: mpsc::Sender<Told>,
-    pub labels: VersionSigner,
-    pub products: Arc<Vec<String>>,
-    pub sent: Arc<Sent>,
+pub struct ServerContext {
+    pub snapshots: watch::Receiver<Option<Arc<ResourceSnapshot>>>,
+    pub events: mpsc::Sender<ServerEvent>,
+    pub signer: VersionSigner,
+    pub classes: Arc<Vec<String>>,
+    pub counters: Arc<SentCounters>,
 }
 
 /// Serves proxies until the listener fails for good.
@@ -93,7 +98,7 @@
 /// # Errors
 /// What ended it.
 pub async fn serve(
-    listener: TcpListener, allowed: Vec<IpNet>, streams_most: usize, ground: Ground,
+    listener: TcpListener, allowed: Vec<IpNet>, streams_most: usize, ground: ServerContext,
 ) -> io::Result<()> {
     let (accepted, incoming) = mpsc::channel(64);
     let open = Arc::new(AtomicUsize::new(0));
@@ -124,7 +129,7 @@
         .http2_keepalive_interval(Some(ALIVE))
         .http2_keepalive_timeout(Some(ALIVE_WITHIN))
         .initial_stream_window_size(WINDOW)
-        .serve_with_incoming(Front { ground, next: Arc::default() }, ReceiverStream::new(incoming));
+        .serve_with_incoming(ListenerConfig { ground, next: Arc::default() }, ReceiverStream::new(incoming));
     select! {
         () = accepting => Ok(()),
         served = server => served.map_err(io::Error::other),
@@ -190,21 +195,21 @@
 
 /// All services by their paths.
 #[derive(Clone)]
-struct Front {
-    ground: Ground,
+struct ListenerConfig {
+    ground: ServerContext,
     next: Arc<AtomicU64>,
 }
 
 /// What a path asks for: incremental, and which type alone.
-fn discovery(path: &str) -> Option<(bool, Option<Kind>)> {
+fn discovery(path: &str) -> Option<(bool, Option<ResourceType>)> {
     let (service, method) = path.strip_prefix("/envoy.service.")?.split_once('/')?;
     let kind = match service {
         "discovery.v3.AggregatedDiscoveryService" => None,
-        "cluster.v3.ClusterDiscoveryService" => Some(Kind::Cluster),
-        "endpoint.v3.EndpointDiscoveryService" => Some(Kind::Endpoint),
-        "endpoint.v3.LocalityEndpointDiscoveryService" => Some(Kind::Host),
-        "listener.v3.ListenerDiscoveryService" => Some(Kind::Listener),
-        "route.v3.RouteDiscoveryService" => Some(Kind::Route),
+        "cluster.v3.ClusterDiscoveryService" => Some(ResourceType::Cluster),
+        "endpoint.v3.EndpointDiscoveryService" => Some(ResourceType::Endpoint),
+        "endpoint.v3.LocalityEndpointDiscoveryService" => Some(ResourceType::LbEndpoint),
+        "listener.v3.ListenerDiscoveryService" => Some(ResourceType::Listener),
+        "route.v3.RouteDiscoveryService" => Some(ResourceType::Route),
         _ => return None,
     };
     match method {
@@ -212,7 +217,7 @@
         | "StreamClusters"
         | "StreamEndpoints"
         | "StreamListeners"
-        | "StreamRoutes" => (kind != Some(Kind::Host)).then_some((false, kind)),
+        | "StreamRoutes" => (kind != Some(ResourceType::LbEndpoint)).then_some((false, kind)),
         "DeltaAggregatedResources"
         | "DeltaClusters"
         | "DeltaEndpoints"
@@ -223,7 +228,7 @@
     }
 }
 
-impl Service<http::Request<Body>> for Front {
+impl Service<http::Request<Body>> for ListenerConfig {
     type Response = http::Response<Body>;
     type Error = Infallible;
     type Future = BoxFuture<Self::Response, Infallible>;
@@ -259,8 +264,8 @@
 type Answers = ReceiverStream<Result<Vec<Bytes>, Status>>;
 type Answering = Pin<Box<dyn Future<Output = Result<Response<Answers>, Status>> + Send>>;
 
-fn grpc<T: Message + Default + Send + 'static>() -> Grpc<Pieces<T>> {
-    Grpc::new(Pieces::default()).max_decoding_message_size(REQUEST_MOST)
+fn grpc<T: Message + Default + Send + 'static>() -> Grpc<ChunkCodec<T>> {
+    Grpc::new(ChunkCodec::default()).max_decoding_message_size(REQUEST_MOST)
 }
 
 /// A node's id, and what it says of what it can.
@@ -268,55 +273,55 @@
     node.map_or((None, Vec::new()), |node| (Some(node.id), node.client_features))
 }
 
-impl From<DiscoveryRequest> for Ask {
-    fn from(request: DiscoveryRequest) -> Ask {
+impl From<DiscoveryRequest> for SubscriptionRequest {
+    fn from(request: DiscoveryRequest) -> SubscriptionRequest {
         let (node, features) = told_of(request.node);
-        Ask {
-            url: request.type_url,
+        SubscriptionRequest {
+            type_url: request.type_url,
             node,
             features,
             names: request.resource_names,
             nonce: request.response_nonce,
             version: request.version_info,
             error: request.error_detail.map(|error| error.message),
-            ..Ask::default()
+            ..SubscriptionRequest::default()
         }
     }
 }
 
-impl From<DeltaDiscoveryRequest> for Ask {
-    fn from(request: DeltaDiscoveryRequest) -> Ask {
+impl From<DeltaDiscoveryRequest> for SubscriptionRequest {
+    fn from(request: DeltaDiscoveryRequest) -> SubscriptionRequest {
         let (node, features) = told_of(request.node);
-        Ask {
-            url: request.type_url,
+        SubscriptionRequest {
+            type_url: request.type_url,
             node,
             features,
             names: request.resource_names_subscribe,
-            without: request.resource_names_unsubscribe,
+            unsubscribed: request.resource_names_unsubscribe,
             nonce: request.response_nonce,
-            held: request.initial_resource_versions.into_iter().collect(),
+            initial_versions: request.initial_resource_versions.into_iter().collect(),
             error: request.error_detail.map(|error| error.message),
-            ..Ask::default()
+            ..SubscriptionRequest::default()
         }
     }
 }
 
 struct Discovery {
-    ground: Ground,
+    ground: ServerContext,
     stream: u64,
     incremental: bool,
-    only: Option<Kind>,
+    only: Option<ResourceType>,
 }
 
-impl<R: Into<Ask> + Send + 'static> StreamingService<R> for Discovery {
+impl<R: Into<SubscriptionRequest> + Send + 'static> StreamingService<R> for Discovery {
     type Response = Vec<Bytes>;
     type ResponseStream = Answers;
     type Future = Answering;
 
     fn call(&mut self, request: Request<Streaming<R>>) -> Answering {
         let (ground, number, incremental) = (self.ground.clone(), self.stream, self.incremental);
-        let stream = Stream::new(incremental, self.only, ground.labels.clone());
-        carry(ground.told.clone(), number, async move |answers| {
+        let stream = Stream::new(incremental, self.only, ground.signer.clone());
+        carry(ground.events.clone(), number, async move |answers| {
             discover(request.into_inner(), stream, number, incremental, ground, &answers).await
         })
     }
@@ -324,7 +329,7 @@
 
 /// Carries a stream until it ends, on a task of its own, and tells of its end.
 fn carry<F>(
-    told: mpsc::Sender<Told>, stream: u64, work: impl FnOnce(Sender) -> F + Send + 'static,
+    told: mpsc::Sender<ServerEvent>, stream: u64, work: impl FnOnce(Sender) -> F + Send + 'static,
 ) -> Answering
 where
     F: Future<Output = Result<(), Status>> + Send + 'static,
@@ -334,7 +339,7 @@
         let (answers, stream_of_answers) = mpsc::channel(1);
         tokio::spawn(async move {
             let ended = work(answers.clone()).await;
-            let _ = told.send(Told::Over { stream }).await;
+            let _ = told.send(ServerEvent::StreamClosed { stream }).await;
             if let Err(status) = ended {
                 let _ = answers.send(Err(status)).await;
             }
@@ -343,53 +348,57 @@
     })
 }
 
-fn status(fault: Fault) -> Status {
+fn status(fault: StreamError) -> Status {
     match fault {
-        Fault::Invalid(what) => Status::invalid_argument(what),
-        Fault::TooMuch(what) => Status::resource_exhausted(what),
+        StreamError::Invalid(what) => Status::invalid_argument(what),
+        StreamError::ResourceExhausted(what) => Status::resource_exhausted(what),
     }
 }
 
-async fn discover<R: Into<Ask>>(
-    mut asks: Streaming<R>, mut stream: Stream, number: u64, incremental: bool, mut ground: Ground,
+async fn discover<R: Into<SubscriptionRequest>>(
+    mut asks: Streaming<R>, mut stream: Stream, number: u64, incremental: bool, mut ground: ServerContext,
     answers: &Sender,
 ) -> Result<(), Status> {
     let Some(ask) = first(&mut asks).await? else { return Ok(()) };
-    stream.ask(ask.into()).map_err(status)?;
+    stream.on_request(ask.into()).map_err(status)?;
     let node = stream.node().unwrap_or_default().to_string();
-    knock(&ground.told, number, node, false).await?;
+    knock(&ground.events, number, node, false).await?;
     let (mut naming, mut named) = (std::pin::pin!(sleep(NAMING)), false);
     // Set where nothing is to be said until something is asked or decided.
     let mut quiet = false;
     loop {
-        let said = stream.said();
+        let said = stream.take_events();
         if !said.is_empty() {
-            ground.told.send(Told::Said { stream: number, said }).await.map_err(over)?;
+            ground
+                .events
+                .send(ServerEvent::StreamEvents { stream: number, events: said })
+                .await
+                .map_err(over)?;
         }
         select! {
             biased;
             ask = asks.message() => {
                 let Some(ask) = ask? else { return Ok(()) };
-                stream.ask(ask.into()).map_err(status)?;
+                stream.on_request(ask.into()).map_err(status)?;
                 quiet = false;
             }
             // An answer is chosen only once there is room for it: it is the newest then.
             room = answers.reserve(), if !quiet => {
                 let Ok(room) = room else { return Ok(()) };
                 let newest = ground.snapshots.borrow_and_update().clone();
-                let answer = newest.as_ref().and_then(|snapshot| stream.next(snapshot));
+                let answer = newest.as_ref().and_then(|snapshot| stream.next_response(snapshot));
                 quiet = answer.is_none();
                 let Some(answer) = answer else { continue };
-                if let Some(trial) = answer.trial {
-                    ground.told.send(Told::Sends { stream: number, trial }).await.map_err(over)?;
+                if let Some(trial) = answer.canary_shares {
+                    ground.events.send(ServerEvent::RoutesSent { stream: number, canary_shares: trial }).await.map_err(over)?;
                 }
                 let (messages, bytes) = match incremental {
-                    true => (&ground.sent.incremental_messages, &ground.sent.incremental_bytes),
-                    false => (&ground.sent.messages, &ground.sent.bytes),
+                    true => (&ground.counters.incremental_messages, &ground.counters.incremental_bytes),
+                    false => (&ground.counters.messages, &ground.counters.bytes),
                 };
                 messages.fetch_add(1, Ordering::Relaxed);
-                bytes.fetch_add(answer.pieces.iter().map(Bytes::len).sum::<usize>() as u64, Ordering::Relaxed);
-                room.send(Ok(answer.pieces));
+                bytes.fetch_add(answer.chunks.iter().map(Bytes::len).sum::<usize>() as u64, Ordering::Relaxed);
+                room.send(Ok(answer.chunks));
             }
             changed = ground.snapshots.changed() => {
                 changed.map_err(over)?;
@@ -397,7 +406,7 @@
             }
             () = &mut naming, if !named => {
                 (named, quiet) = (true, false);
-                stream.hasten();
+                stream.end_naming_grace();
             }
         }
     }
@@ -413,9 +422,13 @@
     timeout(FIRST, asks.message()).await.map_err(|_| Status::deadline_exceeded("nothing was asked"))?
 }
 
-async fn knock(told: &mpsc::Sender<Told>, stream: u64, node: String, loads: bool) -> Result<(), Status> {
+async fn knock(
+    told: &mpsc::Sender<ServerEvent>, stream: u64, node: String, loads: bool,
+) -> Result<(), Status> {
     let (turn, turned) = oneshot::channel();
-    told.send(Told::Knocks { stream, node, loads, turn }).await.map_err(over)?;
+    told.send(ServerEvent::StreamOpened { stream, node, reports_loads: loads, admitted: turn })
+        .await
+        .map_err(over)?;
     match timeout(TURN, turned).await {
         Ok(turn) => turn.map_err(over)?,
         Err(_) => Err(Status::resource_exhausted("too many begin at once: come again later")),
@@ -423,7 +436,7 @@
 }
 
 struct Loads {
-    ground: Ground,
+    ground: ServerContext,
     stream: u64,
 }
 
@@ -434,21 +447,21 @@
 
     fn call(&mut self, request: Request<Streaming<LoadStatsRequest>>) -> Answering {
         let (ground, number) = (self.ground.clone(), self.stream);
-        carry(ground.told.clone(), number, async move |answers| {
+        carry(ground.events.clone(), number, async move |answers| {
             report(request.into_inner(), number, ground, &answers).await
         })
     }
 }
 
 async fn report(
-    mut reports: Streaming<LoadStatsRequest>, number: u64, ground: Ground, answers: &Sender,
+    mut reports: Streaming<LoadStatsRequest>, number: u64, ground: ServerContext, answers: &Sender,
 ) -> Result<(), Status> {
     let Some(first) = first(&mut reports).await? else { return Ok(()) };
     let node = first.node.map(|node| node.id).unwrap_or_default();
-    if node.is_empty() || node.len() > NODE_MOST {
+    if node.is_empty() || node.len() > MAX_NODE_ID_LENGTH {
         return Err(Status::invalid_argument("node.id: missing or too long"));
     }
-    knock(&ground.told, number, node, true).await?;
+    knock(&ground.events, number, node, true).await?;
     let wanted = LoadStatsResponse {
         send_all_clusters: true,
         load_reporting_interval: Some(REPORT_EVERY),
@@ -459,9 +472,14 @@
         return Ok(());
     }
     while let Some(request) = reports.message().await? {
-        let report = loads::read(&request, &ground.products).map_err(Status::invalid_argument)?;
+        let report =
+            load_stats::parse_load_report(&request, &ground.classes).map_err(Status::invalid_argument)?;
         let (sound, heard) = oneshot::channel();
-        ground.told.send(Told::Report { stream: number, report, sound }).await.map_err(over)?;
+        ground
+            .events
+            .send(ServerEvent::LoadReport { stream: number, report, result: sound })
+            .await
+            .map_err(over)?;
         heard.await.map_err(over)?.map_err(Status::invalid_argument)?;
     }
     Ok(())
--- a/crates/xds/tests/model.rs
+++ b/crates/xds/tests/model.rs
@@ -7,8 +7,8 @@
 use latchhaven_proxy_config::share_ledger::ShareLedger;
 use latchhaven_proxy_config::version::VersionSigner;
 use latchhaven_test_support::cache::{Cache, Wanted};
-use latchhaven_xds::resources::{Front, Kind, Snapshot};
-use latchhaven_xds::stream::{Answer, Said, Stream};
+use latchhaven_xds::resources::{ListenerConfig, ResourceSnapshot, ResourceType};
+use latchhaven_xds::stream::{Stream, StreamEvent, StreamResponse};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -86,7 +86,7 @@
 
 struct Service {
     world: KnownState,
-    snapshot: Option<Snapshot>,
+    snapshot: Option<ResourceSnapshot>,
     /// How far in the moments it has heard.
     heard: usize,
 }
@@ -156,15 +156,15 @@
             &ledger,
             moment.at,
         );
-        let front = Front {
-            listener: addr(0),
-            product_header: "x-product".to_string(),
+        let front = ListenerConfig {
+            address: addr(0),
+            class_header: "x-product".to_string(),
             key_header: "x-key".to_string(),
-            connect_within: 250.0,
-            hosts_apart: apart,
+            connect_timeout: 250.0,
+            separate_endpoints: apart,
         };
         let made_of = std::sync::Arc::new((terms.classes, front));
-        let snapshot = Snapshot::make(&made, basis, &made_of, labels, self.snapshot.as_ref());
+        let snapshot = ResourceSnapshot::build(&made, basis, &made_of, labels, self.snapshot.as_ref());
         self.snapshot = Some(snapshot);
     }
 }
@@ -172,7 +172,7 @@
 struct Client {
     cache: Cache,
     /// Its stream: to which service, and what is under way in both directions.
-    stream: Option<(usize, Stream, VecDeque<Wanted>, VecDeque<Answer>)>,
+    stream: Option<(usize, Stream, VecDeque<Wanted>, VecDeque<StreamResponse>)>,
 }
 
 impl Client {
@@ -186,9 +186,9 @@
     fn ask(&mut self, services: &mut [Service], now: Millis) {
         let Some((to, stream, asks, _)) = &mut self.stream else { return };
         let Some(ask) = asks.pop_front() else { return };
-        stream.ask(ask.into()).expect("a sound proxy");
-        for said in stream.said() {
-            if let Said::Holds { label, .. } = said {
+        stream.on_request(ask.into()).expect("a sound proxy");
+        for said in stream.take_events() {
+            if let StreamEvent::Holds { version: label, .. } = said {
                 services[*to].world.apply_proxy_version(&label, now);
             }
         }
@@ -197,17 +197,19 @@
     /// The service has room for one answer.
     fn answer(&mut self, services: &[Service]) {
         let Some((to, stream, _, answers)) = &mut self.stream else { return };
-        if let Some(answer) = services[*to].snapshot.as_ref().and_then(|snapshot| stream.next(snapshot)) {
+        if let Some(answer) =
+            services[*to].snapshot.as_ref().and_then(|snapshot| stream.next_response(snapshot))
+        {
             answers.push_back(answer);
         }
-        assert!(answers.len() <= Kind::ALL.len(), "one pending answer a type");
+        assert!(answers.len() <= ResourceType::ALL.len(), "one pending answer a type");
     }
 
     /// One answer reaches the proxy.
     fn take(&mut self, refuse: bool) {
         let Some((_, _, asks, answers)) = &mut self.stream else { return };
         let Some(answer) = answers.pop_front() else { return };
-        asks.extend(self.cache.take(&answer.pieces.concat(), refuse));
+        asks.extend(self.cache.take(&answer.chunks.concat(), refuse));
         assert_eq!(self.cache.regressions, 0, "a state went back");
         assert_eq!(self.cache.dangling, 0, "{:?} dangles in {:?}", self.cache.dangles(), self.cache);
     }
@@ -276,7 +278,7 @@
     for round in 0..80 {
         for client in &mut clients {
             if round > 20 {
-                client.stream.iter_mut().for_each(|(_, stream, ..)| stream.hasten());
+                client.stream.iter_mut().for_each(|(_, stream, ..)| stream.end_naming_grace());
             }
             client.ask(&mut services, last.at);
             client.answer(&services);
@@ -291,12 +293,12 @@
         let (to, stream, ..) = client.stream.as_ref().unwrap();
         let snapshot = services[*to].snapshot.as_ref().expect("all was heard");
         assert_eq!(
-            stream.unsettled(snapshot),
+            stream.first_pending_type(snapshot),
             None,
             "it holds what the service has: {:?}\n {:?}\n{:?} {:?}",
             client.cache,
             services[*to].world,
-            snapshot.basis,
+            snapshot.version,
             last
         );
         assert!(client.cache.dangles().is_none() && client.cache.way("look", false).is_some());
