--- a/crates/control-plane/src/core.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -1,6 +1,6 @@
 //! The control service without its sockets: what is taken in, what the decisions make of it, and what follows.
 
-use crate::keep::Kept;
+use crate::state_store::PersistedState;
 use latchhaven_policy::Policy;
 use latchhaven_policy::{
     Action, EndpointEntry, EndpointStatus, Event, Millis, RequestClass, RolloutState, UpdateKind, VoteOutcome,
@@ -42,7 +42,7 @@
 }
 
 /// The service's state.
-pub struct Core {
+pub struct ControlPlane {
     choice: Policy,
     world: KnownState,
     gathered: LoadReportAggregator,
@@ -71,26 +71,26 @@
 
 /// What is to be done now.
 #[derive(Default)]
-pub struct Doings {
+pub struct Effects {
     /// Of the decisions: votes, calls for the list, log lines.
     pub actions: Vec<Action>,
     /// A new snapshot, to be handed out; and what is to be kept.
-    pub handed: Option<(Arc<ResourceSnapshot>, Kept)>,
+    pub published: Option<(Arc<ResourceSnapshot>, PersistedState)>,
     /// Streams whose turn it is.
-    pub begin: Vec<u64>,
+    pub admitted_streams: Vec<u64>,
 }
 
-impl Core {
+impl ControlPlane {
     /// A service that begins from what was kept.
     pub fn new(
         choice: Policy, terms: ProxyConfigSettings, front: ListenerConfig, labels: VersionSigner,
-        streams_most: usize, platform_only: bool, kept: Option<Kept>,
+        streams_most: usize, platform_only: bool, kept: Option<PersistedState>,
     ) -> Self {
         let names = terms.classes.iter().map(|product| product.name.clone()).collect();
         let (basis, withdrawn) =
-            kept.map_or((None, BTreeSet::new()), |kept| (Some(kept.basis), kept.withdrawn));
+            kept.map_or((None, BTreeSet::new()), |kept| (Some(kept.version), kept.rolled_back_versions));
         let (addresses, known, events) = Default::default();
-        Core {
+        ControlPlane {
             choice,
             world: KnownState::restore(basis, withdrawn),
             gathered: LoadReportAggregator::new(names, platform_only),
@@ -117,12 +117,12 @@
     }
 
     /// The first news of a burst is handed out at once, what follows it together a little later.
-    fn hurry(&mut self, now: Millis) {
+    fn schedule_publish(&mut self, now: Millis) {
         self.due = self.due.min(now.max(self.made + COALESCE));
     }
 
     /// A list, or changes to it.
-    pub fn list(
+    pub fn on_endpoint_list(
         &mut self, version: u64, whole: bool, entries: Vec<(EndpointEntry, SocketAddr)>, now: Millis,
     ) {
         let heard = self.world.apply_endpoint_list(version, whole, now);
@@ -157,11 +157,11 @@
         let kind = if whole { UpdateKind::Snapshot } else { UpdateKind::Delta };
         let entries = entries.into_iter().map(|(listing, _)| listing).collect();
         self.events.push(Event::EndpointUpdate { kind, list_version: version, entries });
-        self.hurry(now);
+        self.schedule_publish(now);
     }
 
     /// A call for the list failed, or its watch broke.
-    pub fn list_failed(&mut self) {
+    pub fn on_endpoint_list_failed(&mut self) {
         self.world.endpoint_list_failed();
         self.events.push(Event::EndpointUpdate {
             kind: UpdateKind::Failed,
@@ -171,9 +171,9 @@
     }
 
     /// A vote was answered, or will not be.
-    pub fn vote_completed(&mut self, outcome: VoteOutcome, now: Millis) {
+    pub fn on_vote_completed(&mut self, outcome: VoteOutcome, now: Millis) {
         match outcome {
-            VoteOutcome::Counted(rollout) => self.stage(rollout, now),
+            VoteOutcome::Counted(rollout) => self.on_rollout_state(rollout, now),
             VoteOutcome::NotCounted | VoteOutcome::Unknown => {
                 self.events.push(Event::VoteCompleted(outcome));
             }
@@ -181,7 +181,7 @@
     }
 
     /// The state of the newest version's rollout, as the platform tells it.
-    pub fn stage(&mut self, news: RolloutState, now: Millis) {
+    pub fn on_rollout_state(&mut self, news: RolloutState, now: Millis) {
         // The world alone remembers which build was found bad: of the next one nothing is known yet.
         let condemned = self
             .world
@@ -189,18 +189,18 @@
             .is_some_and(|known| known.version == news.version && known.status == RolloutStatus::Rejected);
         let taken = self.world.apply_rollout_state(&news, condemned, now);
         self.events.extend(taken.map(Event::RolloutUpdate));
-        self.hurry(now);
+        self.schedule_publish(now);
     }
 
     /// A tally of the platform: counts where proxies report nothing themselves.
-    pub fn tally(&mut self, tally: Event, now: Millis) {
+    pub fn on_outcome_report(&mut self, tally: Event, now: Millis) {
         if self.gathered.uses_platform_counts(now) {
             self.events.push(tally);
         }
     }
 
     /// A stream that only reports loads wants to begin; false: there are too many.
-    pub fn reports(&mut self, stream: u64, node: &str) -> bool {
+    pub fn open_load_stream(&mut self, stream: u64, node: &str) -> bool {
         let begins = self.admission.admit_load_reports(stream) == AdmissionResult::Queued;
         if begins {
             self.proxy(node);
@@ -210,7 +210,7 @@
     }
 
     /// A stream wants to begin; false: there are too many.
-    pub fn knock(&mut self, stream: u64, node: String, now: Millis) -> bool {
+    pub fn request_stream(&mut self, stream: u64, node: String, now: Millis) -> bool {
         let waits = self.admission.request_slot(stream, &node, now) == AdmissionResult::Queued;
         if waits {
             self.knocking.insert(stream, node);
@@ -240,7 +240,7 @@
     }
 
     /// A stream ended.
-    pub fn over(&mut self, stream: u64, now: Millis) {
+    pub fn on_stream_closed(&mut self, stream: u64, now: Millis) {
         self.admission.on_stream_closed(stream);
         self.knocking.remove(&stream);
         // Whether it reports loads or not, it goes on by what it holds.
@@ -254,7 +254,7 @@
     }
 
     /// What a stream has learnt.
-    pub fn said(&mut self, stream: u64, said: Vec<StreamEvent>, now: Millis) {
+    pub fn on_stream_events(&mut self, stream: u64, said: Vec<StreamEvent>, now: Millis) {
         let Some(number) = self.number(stream) else { return };
         for said in said {
             match said {
@@ -292,12 +292,12 @@
         let learnt = self.world.apply_proxy_version(label, now);
         if let Some(news) = learnt {
             self.events.push(Event::RolloutUpdate(news));
-            self.hurry(now);
+            self.schedule_publish(now);
         }
     }
 
     /// Routes go out on a stream.
-    pub fn sends(&mut self, stream: u64, trial: &CanaryShares, now: Millis) {
+    pub fn on_routes_sent(&mut self, stream: u64, trial: &CanaryShares, now: Millis) {
         if let Some(number) = self.number(stream) {
             self.ledger.sent(number, trial, now);
         }
@@ -307,7 +307,7 @@
     ///
     /// # Errors
     /// What cannot be in it.
-    pub fn report(&mut self, stream: u64, report: &ProxyReport, now: Millis) -> Result<(), String> {
+    pub fn on_load_report(&mut self, stream: u64, report: &ProxyReport, now: Millis) -> Result<(), String> {
         let Some(number) = self.number(stream).filter(|_| !self.known.is_empty()) else { return Ok(()) };
         let whose = |addr: &SocketAddr, build| {
             let known = self.known.get(addr).filter(|known| known.builds.contains(&build));
@@ -319,16 +319,16 @@
     }
 
     /// When [`Core::turn`] is to be called next, at the latest.
-    pub fn next(&self, now: Millis) -> Millis {
+    pub fn next_poll_at(&self, now: Millis) -> Millis {
         let door = if self.admission.has_pending() { now + 1.0 } else { f64::INFINITY };
         let events = if self.events.is_empty() { f64::INFINITY } else { now + COALESCE };
         self.due.min(self.wake).min(door).min(events)
     }
 
     /// Decides on all that was taken in.
-    pub fn turn(&mut self, now: Millis) -> Doings {
-        let mut doings = Doings { begin: self.admission.poll(now), ..Doings::default() };
-        doings.begin.iter().for_each(|stream| self.begin(*stream));
+    pub fn poll(&mut self, now: Millis) -> Effects {
+        let mut doings = Effects { admitted_streams: self.admission.poll(now), ..Effects::default() };
+        doings.admitted_streams.iter().for_each(|stream| self.begin(*stream));
         if now < self.due && now < self.wake {
             return doings;
         }
@@ -353,14 +353,14 @@
         }
         if now >= self.due {
             (self.due, self.made) = (now + ANEW, now);
-            doings.handed = self.hand(now);
+            doings.published = self.publish(now);
         }
         doings
     }
 
-    fn hand(&mut self, now: Millis) -> Option<(Arc<ResourceSnapshot>, Kept)> {
+    fn publish(&mut self, now: Millis) -> Option<(Arc<ResourceSnapshot>, PersistedState)> {
         self.ledger.forget_disconnected(now);
-        let Core { proxies, ledger, .. } = self;
+        let ControlPlane { proxies, ledger, .. } = self;
         if proxies.len() > 2 * ledger.len() + 64 {
             proxies.retain(|_, proxy| proxy.open > 0);
         }
@@ -397,6 +397,6 @@
         }
         let snapshot = Arc::new(snapshot);
         self.snapshot = Some(snapshot.clone());
-        Some((snapshot, Kept { basis, withdrawn: withdrawn.clone() }))
+        Some((snapshot, PersistedState { version: basis, rolled_back_versions: withdrawn.clone() }))
     }
 }
--- a/crates/control-plane/src/driver.rs
+++ b/crates/control-plane/src/driver.rs
@@ -1,7 +1,7 @@
 //! The driver round [`Core`]: sockets, disk, signals and the clock.
 
-use crate::core::Core;
-use crate::keep;
+use crate::control_plane::ControlPlane;
+use crate::state_store;
 use ipnet::IpNet;
 use latchhaven_gateway::gateway::Clock;
 use latchhaven_gateway::net::platform::Vote;
@@ -77,12 +77,13 @@
         connect_timeout: f64::from(plan.xds.connect_within_ms),
         separate_endpoints: plan.xds.hosts_apart,
     };
-    let (keeper, kept) = keep::open(plan.state.as_deref());
+    let (keeper, kept) = state_store::open(plan.state.as_deref());
     let labels = VersionSigner::new(key);
     let products: Arc<Vec<String>> = Arc::new(terms.classes.iter().map(|known| known.name.clone()).collect());
     let platform_only = plan.xds.evidence == Evidence::Platform;
     let choice = given.start(plan.seed);
-    let core = Core::new(choice, terms, front, labels.clone(), plan.xds.streams_most, platform_only, kept);
+    let core =
+        ControlPlane::new(choice, terms, front, labels.clone(), plan.xds.streams_most, platform_only, kept);
 
     let listener = std::net::TcpListener::bind(plan.xds.listen)
         .map_err(|fault| io::Error::new(fault.kind(), format!("xds.listen: {}: {fault}", plan.xds.listen)))?;
@@ -107,7 +108,7 @@
     };
     let front = beside(listener, plan.xds.allowed_networks.clone(), plan.xds.streams_most, ground)?;
     tracing::info!(name = plan.name, %listening, "control service starts");
-    let hub = Hub {
+    let hub = ControlPlaneDriver {
         core,
         clock,
         list_addr: plan.discovery,
@@ -157,8 +158,8 @@
     Ok(end)
 }
 
-struct Hub {
-    core: Core,
+struct ControlPlaneDriver {
+    core: ControlPlane,
     clock: Clock,
     list_addr: SocketAddr,
     version: u64,
@@ -168,16 +169,16 @@
     votes: mpsc::Sender<Vote>,
     notes: mpsc::Sender<Note>,
     turns: BTreeMap<u64, oneshot::Sender<Result<(), Status>>>,
-    keeper: Option<keep::Keeper>,
+    keeper: Option<state_store::StateWriter>,
     snapshots: watch::Sender<Option<Arc<latchhaven_xds::resources::ResourceSnapshot>>>,
 }
 
-impl Hub {
+impl ControlPlaneDriver {
     async fn run(mut self, mut noted: mpsc::Receiver<Note>, mut telling: mpsc::Receiver<ServerEvent>) {
         let (mut notes, mut told) = (Vec::new(), Vec::new());
         loop {
             let now = self.clock.now();
-            let wait = (self.core.next(now) - now).clamp(0.0, 1_000.0);
+            let wait = (self.core.next_poll_at(now) - now).clamp(0.0, 1_000.0);
             let until = Instant::now() + Duration::from_secs_f64(wait / 1000.0);
             select! {
                 biased;
@@ -188,16 +189,16 @@
             let now = self.clock.now();
             notes.drain(..).for_each(|note| self.note(note, now));
             told.drain(..).for_each(|told| self.told(told, now));
-            let doings = self.core.turn(now);
-            for stream in doings.begin {
+            let doings = self.core.poll(now);
+            for stream in doings.admitted_streams {
                 let begun = self.turns.remove(&stream).is_some_and(|turn| turn.send(Ok(())).is_ok());
                 if !begun {
-                    self.core.over(stream, now);
+                    self.core.on_stream_closed(stream, now);
                 }
             }
             doings.actions.into_iter().for_each(|action| self.act(action));
-            if let Some((snapshot, kept)) = doings.handed {
-                self.keeper.iter().for_each(|keeper| keeper.keep(kept.clone()));
+            if let Some((snapshot, kept)) = doings.published {
+                self.keeper.iter().for_each(|keeper| keeper.persist(kept.clone()));
                 self.snapshots.send_replace(Some(snapshot));
             }
         }
@@ -214,17 +215,17 @@
                         // Watched from here on, once it was heard whole.
                         let first = self.version == 0 && list.whole;
                         self.version = if list.whole || self.version > 0 { list.version } else { 0 };
-                        self.core.list(list.version, list.whole, list.entries, now);
+                        self.core.on_endpoint_list(list.version, list.whole, list.entries, now);
                         if first {
                             self.watch();
                         }
                     }
-                    None if is(&self.watch) || is(&self.fetching) => self.core.list_failed(),
+                    None if is(&self.watch) || is(&self.fetching) => self.core.on_endpoint_list_failed(),
                     _ => {}
                 }
             }
-            Note::Stage(news) => self.core.stage(news, now),
-            Note::VoteCompleted(outcome) => self.core.vote_completed(outcome, now),
+            Note::Stage(news) => self.core.on_rollout_state(news, now),
+            Note::VoteCompleted(outcome) => self.core.on_vote_completed(outcome, now),
             Note::Tally(tally) => {
                 let report = OutcomeReport {
                     version: tally.build,
@@ -234,7 +235,7 @@
                     mean_latency: tally.took,
                     age: tally.age,
                 };
-                self.core.tally(Event::OutcomesReported(report), now);
+                self.core.on_outcome_report(Event::OutcomesReported(report), now);
             }
             // Of gateways: there are no txns here.
             _ => {}
@@ -245,25 +246,29 @@
         match told {
             ServerEvent::StreamOpened { stream, node, reports_loads: loads, admitted: turn } => {
                 let room = match loads {
-                    true => self.core.reports(stream, &node),
-                    false => self.core.knock(stream, node, now),
+                    true => self.core.open_load_stream(stream, &node),
+                    false => self.core.request_stream(stream, node, now),
                 };
                 let full = || Status::resource_exhausted("too many streams: come again later");
                 match (room, loads) {
                     (false, _) => drop(turn.send(Err(full()))),
                     (true, false) => drop(self.turns.insert(stream, turn)),
-                    (true, true) if turn.send(Ok(())).is_err() => self.core.over(stream, now),
+                    (true, true) if turn.send(Ok(())).is_err() => self.core.on_stream_closed(stream, now),
                     (true, true) => {}
                 }
             }
-            ServerEvent::StreamEvents { stream, events: said } => self.core.said(stream, said, now),
-            ServerEvent::RoutesSent { stream, canary_shares: trial } => self.core.sends(stream, &trial, now),
+            ServerEvent::StreamEvents { stream, events: said } => {
+                self.core.on_stream_events(stream, said, now)
+            }
+            ServerEvent::RoutesSent { stream, canary_shares: trial } => {
+                self.core.on_routes_sent(stream, &trial, now)
+            }
             ServerEvent::LoadReport { stream, report, result: sound } => {
-                let _ = sound.send(self.core.report(stream, &report, now));
+                let _ = sound.send(self.core.on_load_report(stream, &report, now));
             }
             ServerEvent::StreamClosed { stream } => {
                 self.turns.remove(&stream);
-                self.core.over(stream, now);
+                self.core.on_stream_closed(stream, now);
             }
         }
     }
@@ -296,7 +301,7 @@
             Action::CastVote { version: build, stage, verdict } => {
                 let vote = Vote { build, stage, verdict, cast: Instant::now() };
                 if self.votes.try_send(vote).is_err() {
-                    self.core.vote_completed(VoteOutcome::NotCounted, self.clock.now());
+                    self.core.on_vote_completed(VoteOutcome::NotCounted, self.clock.now());
                 }
             }
             Action::Log(line) => tracing::info!("{line}"),
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,11 +1,11 @@
 //! The control service: one `Choice`, fed by the list, the platform and proxies' load reports, handed out over xDS.
 //!
-//! - [`core`]: what is taken in and what follows from it, without sockets, disk or clock.
-//! - [`keep`]: what is kept on disk, by a thread of its own.
+//! - [`control_plane`]: what is taken in and what follows from it, without sockets, disk or clock.
+//! - [`state_store`]: what is kept on disk, by a thread of its own.
 //! - [`serve`]: the driver round both.
 
-pub mod core;
+pub mod control_plane;
 mod driver;
-pub mod keep;
+pub mod state_store;
 
 pub use driver::{serve, settings};
--- a/crates/control-plane/src/keep.rs
+++ b/crates/control-plane/src/state_store.rs
@@ -22,9 +22,11 @@
 
 /// The record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
-    pub basis: ConfigVersion,
-    pub withdrawn: BTreeSet<Version>,
+pub struct PersistedState {
+    #[serde(rename = "basis")]
+    pub version: ConfigVersion,
+    #[serde(rename = "withdrawn")]
+    pub rolled_back_versions: BTreeSet<Version>,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -35,22 +37,22 @@
 }
 
 /// The newest that is to be written, whether no more will come, and what wakes the thread.
-type Shared = Arc<(Mutex<(Option<Kept>, bool)>, Condvar)>;
+type Shared = Arc<(Mutex<(Option<PersistedState>, bool)>, Condvar)>;
 
 /// Writes what was handed out last.
-pub struct Keeper {
+pub struct StateWriter {
     newest: Shared,
 }
 
 /// Opens a store and reads what is in it. Without a store, or with one that cannot be used, there is no keeper.
-pub fn open(path: Option<&Path>) -> (Option<Keeper>, Option<Kept>) {
+pub fn open(path: Option<&Path>) -> (Option<StateWriter>, Option<PersistedState>) {
     let Some(path) = path else { return (None, None) };
     // A foreign or torn file is the store's to refuse; one that makes it panic is refused here.
     let opened = catch_unwind(|| read(path)).unwrap_or_else(|_| Err("it cannot be read".to_string()));
     match opened {
         Ok((store, kept)) => {
             tracing::info!(path = %path.display(), found = kept.is_some(), "state: open");
-            (Some(Keeper::start(store, path.to_path_buf())), kept)
+            (Some(StateWriter::start(store, path.to_path_buf())), kept)
         }
         Err(why) => {
             tracing::warn!(path = %path.display(), why, "state: not used, nothing is kept");
@@ -59,7 +61,7 @@
     }
 }
 
-fn read(path: &Path) -> Result<(Database, Option<Kept>), String> {
+fn read(path: &Path) -> Result<(Database, Option<PersistedState>), String> {
     let text = |fault: redb::Error| fault.to_string();
     let store = Database::create(path).map_err(|fault| text(fault.into()))?;
     let reading = store.begin_read().map_err(|fault| text(fault.into()))?;
@@ -76,7 +78,7 @@
 }
 
 /// Reads a record; another form is an error that says so.
-pub fn decode(bytes: &[u8]) -> Result<Kept, String> {
+pub fn decode(bytes: &[u8]) -> Result<PersistedState, String> {
     let record: Record = serde_json::from_slice(bytes).map_err(|fault| fault.to_string())?;
     if record.schema != SCHEMA {
         return Err(format!("its form is {}, this program writes {SCHEMA}", record.schema));
@@ -85,14 +87,14 @@
 }
 
 /// A record as it is written.
-pub fn encode(kept: &Kept) -> Vec<u8> {
+pub fn encode(kept: &PersistedState) -> Vec<u8> {
     let kept = serde_json::to_value(kept).unwrap_or_default();
     serde_json::to_vec(&Record { schema: SCHEMA, kept }).unwrap_or_default()
 }
 
-impl Keeper {
+impl StateWriter {
     fn start(store: Database, path: PathBuf) -> Self {
-        let newest = Arc::new((Mutex::new((None::<Kept>, false)), Condvar::new()));
+        let newest = Arc::new((Mutex::new((None::<PersistedState>, false)), Condvar::new()));
         let (shared, mut failing, mut first) = (newest.clone(), false, true);
         thread::spawn(move || {
             loop {
@@ -123,18 +125,18 @@
                 thread::sleep(APART);
             }
         });
-        Keeper { newest }
+        StateWriter { newest }
     }
 
     /// Has this kept, unless something newer comes before it is written. Returns at once.
-    pub fn keep(&self, kept: Kept) {
+    pub fn persist(&self, kept: PersistedState) {
         let (lock, told) = &*self.newest;
         lock.lock().unwrap_or_else(PoisonError::into_inner).0 = Some(kept);
         told.notify_one();
     }
 }
 
-impl Drop for Keeper {
+impl Drop for StateWriter {
     fn drop(&mut self) {
         let (lock, told) = &*self.newest;
         lock.lock().unwrap_or_else(PoisonError::into_inner).1 = true;
@@ -142,7 +144,7 @@
     }
 }
 
-fn write(store: &Database, kept: &Kept) -> Result<(), redb::Error> {
+fn write(store: &Database, kept: &PersistedState) -> Result<(), redb::Error> {
     let writing = store.begin_write()?;
     writing.open_table(TABLE)?.insert(RECORD, encode(kept).as_slice())?;
     writing.commit()?;
@@ -154,7 +156,7 @@
     use super::*;
     use latchhaven_proxy_config::version::{EndpointListVersion, RolloutStatus, RolloutVersion};
 
-    fn kept(version: u64) -> Kept {
+    fn kept(version: u64) -> PersistedState {
         let news = RolloutVersion {
             version: 7,
             status: RolloutStatus::RolledBack,
@@ -162,9 +164,9 @@
             traffic_cap: 0,
             since: 5,
         };
-        Kept {
-            basis: ConfigVersion { rollout: news, endpoints: EndpointListVersion { epoch: 0, version } },
-            withdrawn: BTreeSet::from([6, 7]),
+        PersistedState {
+            version: ConfigVersion { rollout: news, endpoints: EndpointListVersion { epoch: 0, version } },
+            rolled_back_versions: BTreeSet::from([6, 7]),
         }
     }
 
@@ -182,7 +184,7 @@
         let (keeper, found) = open(Some(&path));
         assert!(found.is_none());
         let keeper = keeper.unwrap();
-        (0..50).for_each(|version| keeper.keep(kept(version)));
+        (0..50).for_each(|version| keeper.persist(kept(version)));
         assert!(open(Some(&path)).0.is_none(), "a second one goes without");
         drop(keeper);
         let mut found = None;
--- a/crates/control-plane/tests/cases.rs
+++ b/crates/control-plane/tests/cases.rs
@@ -1,8 +1,8 @@
 //! The hard cases, one by one, with the service's whole state and proxies that cache as real ones do, under a clock of
 //! the test's own.
 
-use latchhaven_control_plane::core::Core;
-use latchhaven_control_plane::keep::Kept;
+use latchhaven_control_plane::control_plane::ControlPlane;
+use latchhaven_control_plane::state_store::PersistedState;
 use latchhaven_policy::*;
 use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, ProxyReport};
 use latchhaven_proxy_config::proxy_config::ProxyConfigSettings;
@@ -26,21 +26,21 @@
 
 /// A service under the test's clock.
 struct Service {
-    core: Core,
+    core: ControlPlane,
     now: Millis,
     snapshot: Option<Arc<ResourceSnapshot>>,
-    kept: Option<Kept>,
+    kept: Option<PersistedState>,
     labels: VersionSigner,
     streams: u64,
     votes: Vec<(Version, Verdict)>,
 }
 
 impl Service {
-    fn start(now: Millis, key: &str, kept: Option<Kept>) -> Self {
+    fn start(now: Millis, key: &str, kept: Option<PersistedState>) -> Self {
         Service::start_with(now, key, kept, false)
     }
 
-    fn start_with(now: Millis, key: &str, kept: Option<Kept>, hosts_apart: bool) -> Self {
+    fn start_with(now: Millis, key: &str, kept: Option<PersistedState>, hosts_apart: bool) -> Self {
         let settings = || terms::read(SETTINGS).unwrap();
         let (exposure, cold, submissions) = settings().bounds();
         let products = settings().products();
@@ -59,7 +59,7 @@
             separate_endpoints: hosts_apart,
         };
         let labels = VersionSigner::new(Some(key.as_bytes().to_vec()));
-        let core = Core::new(settings().start(7), terms, front, labels.clone(), 100, false, kept);
+        let core = ControlPlane::new(settings().start(7), terms, front, labels.clone(), 100, false, kept);
         Service { core, now, snapshot: None, kept: None, labels, streams: 0, votes: Vec::new() }
     }
 
@@ -68,13 +68,13 @@
         let until = self.now + ms;
         while self.now < until {
             self.now = (self.now + 10.0).min(until);
-            let doings = self.core.turn(self.now);
+            let doings = self.core.poll(self.now);
             for action in doings.actions {
                 if let Action::CastVote { version: build, verdict, .. } = action {
                     self.votes.push((build, verdict));
                 }
             }
-            if let Some((snapshot, kept)) = doings.handed {
+            if let Some((snapshot, kept)) = doings.published {
                 (self.snapshot, self.kept) = (Some(snapshot), Some(kept));
             }
         }
@@ -82,7 +82,7 @@
 
     fn news(&mut self, build: Version, stage: u32, phase: RolloutPhase, cap: f64) {
         let news = RolloutState { version: build, stage, phase, traffic_cap: cap, age: 0.0 };
-        self.core.stage(news, self.now);
+        self.core.on_rollout_state(news, self.now);
     }
 
     /// A whole list: each host's build, and whether it is ready; host n is at port n.
@@ -100,7 +100,7 @@
             };
             (listing, addr(*n))
         });
-        self.core.list(version, true, entries.collect(), self.now);
+        self.core.on_endpoint_list(version, true, entries.collect(), self.now);
     }
 
     /// Two hosts of build 1, released, and build 2 beside them on trial.
@@ -122,7 +122,7 @@
                 dropped: 0,
             };
             let report = ProxyReport { interval: 1000.0, clusters: vec![cluster(0), cluster(1)] };
-            self.core.report(stream, &report, self.now).unwrap();
+            self.core.on_load_report(stream, &report, self.now).unwrap();
         }
         self.pass(300.0);
     }
@@ -147,7 +147,7 @@
     fn connect(&mut self, service: &mut Service) {
         service.streams += 1;
         let number = service.streams;
-        assert!(service.core.knock(number, self.node.clone(), service.now));
+        assert!(service.core.request_stream(number, self.node.clone(), service.now));
         service.pass(20.0);
         let stream = Stream::new(self.cache.incremental(), None, service.labels.clone());
         self.stream = Some((number, stream, self.cache.open()));
@@ -155,7 +155,7 @@
 
     fn leave(&mut self, service: &mut Service) {
         if let Some((number, ..)) = self.stream.take() {
-            service.core.over(number, service.now);
+            service.core.on_stream_closed(number, service.now);
         }
     }
 
@@ -173,7 +173,7 @@
         let Some((number, stream, asks)) = &mut self.stream else { return };
         asks.drain(..).for_each(|ask| stream.on_request(ask.into()).unwrap());
         let said = stream.take_events();
-        service.core.said(*number, said, service.now);
+        service.core.on_stream_events(*number, said, service.now);
     }
 
     fn step(&mut self, service: &mut Service) -> bool {
@@ -181,10 +181,10 @@
         let Some((number, stream, asks)) = &mut self.stream else { return false };
         let answer = service.snapshot.as_ref().and_then(|snapshot| stream.next_response(snapshot));
         let said = stream.take_events();
-        service.core.said(*number, said, service.now);
+        service.core.on_stream_events(*number, said, service.now);
         let Some(answer) = answer else { return false };
         if let Some(trial) = &answer.canary_shares {
-            service.core.sends(*number, trial, service.now);
+            service.core.on_routes_sent(*number, trial, service.now);
         }
         *asks = self
             .cache
@@ -408,7 +408,7 @@
     for n in 0..30u64 {
         service.list(101 + n, &[(1, 1, n % 2 == 0), (2, 1, true), (3, 2, n % 3 == 0), (4, 2, true)]);
         service.now += 1.0;
-        service.core.turn(service.now);
+        service.core.poll(service.now);
     }
     service.pass(60.0);
     assert!(service.snapshot.as_ref().unwrap().number <= before + 3);
@@ -553,8 +553,14 @@
             clusters: vec![ClusterReport { version: 1, class: 0, endpoints: hosts, dropped: 0 }],
         }
     };
-    assert!(service.core.report(stream, &of(2), service.now).is_ok());
-    assert!(service.core.report(stream, &of(9), service.now).unwrap_err().contains("no host of its cluster"));
+    assert!(service.core.on_load_report(stream, &of(2), service.now).is_ok());
+    assert!(
+        service
+            .core
+            .on_load_report(stream, &of(9), service.now)
+            .unwrap_err()
+            .contains("no host of its cluster")
+    );
 }
 
 #[test]
@@ -577,7 +583,10 @@
             let fine = EndpointCounts { started: 500, succeeded: 500, ..EndpointCounts::default() };
             let clusters = vec![cluster(1, 1, fine), cluster(build, host, figures)];
             let stream = proxy.stream.as_ref().unwrap().0;
-            service.core.report(stream, &ProxyReport { interval: 1000.0, clusters }, service.now).unwrap();
+            service
+                .core
+                .on_load_report(stream, &ProxyReport { interval: 1000.0, clusters }, service.now)
+                .unwrap();
         };
     for _ in 0..20 {
         proxies.iter().for_each(|proxy| report(&mut service, proxy, 2, 3, 150, 150));
@@ -627,7 +636,10 @@
                 let clusters = vec![cluster(1, 500.0, 0.002, 1), cluster(2, 300.0, fails, 3)];
                 let stream = proxy.stream.as_ref().unwrap().0;
                 let now = service.now;
-                service.core.report(stream, &ProxyReport { interval: 1000.0, clusters }, now).unwrap();
+                service
+                    .core
+                    .on_load_report(stream, &ProxyReport { interval: 1000.0, clusters }, now)
+                    .unwrap();
             }
             service.pass(1_000.0);
             talk_all(&mut proxies, &mut service);
--- a/crates/experiments/src/day.rs
+++ b/crates/experiments/src/day.rs
@@ -4,7 +4,7 @@
 
 use crate::agenda::Agenda;
 use clap::Args;
-use latchhaven_control_plane::core::Core;
+use latchhaven_control_plane::control_plane::ControlPlane;
 use latchhaven_policy::Policy;
 use latchhaven_policy::*;
 use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, ProxyReport};
@@ -178,7 +178,7 @@
     next_id: u32,
     fronts: usize,
     rate: f64,
-    core: Option<Core>,
+    core: Option<ControlPlane>,
     snapshot: Option<Arc<ResourceSnapshot>>,
     proxies: Vec<ProxyState>,
     choices: Vec<Policy>,
@@ -268,10 +268,11 @@
                 connect_timeout: 250.0,
                 separate_endpoints: true,
             };
-            let mut core = Core::new(read(0, 1).start(seed), terms, front, labels.clone(), 1000, false, None);
+            let mut core =
+                ControlPlane::new(read(0, 1).start(seed), terms, front, labels.clone(), 1000, false, None);
             day.proxies = (0..sizes.fronts)
                 .map(|n| {
-                    core.knock(n as u64, format!("p{n}"), 0.0);
+                    core.request_stream(n as u64, format!("p{n}"), 0.0);
                     let mut cache = Cache::new(&format!("p{n}"), n % 2 == 1);
                     let asks = cache.open();
                     let stream = Stream::new(n % 2 == 1, None, labels.clone());
@@ -304,7 +305,7 @@
         let entries: Vec<_> = self.hosts.iter().enumerate().map(|(n, host)| listing(n, host)).collect();
         let version = self.rollout.version;
         if let Some(core) = &mut self.core {
-            core.list(version, true, entries.clone(), self.now);
+            core.on_endpoint_list(version, true, entries.clone(), self.now);
         }
         let entries: Vec<EndpointEntry> = entries.into_iter().map(|(listing, _)| listing).collect();
         for events in &mut self.events {
@@ -320,7 +321,7 @@
     fn tell_news(&mut self) {
         let news = RolloutState { age: self.now - self.rollout.at, ..self.rollout.news };
         if let Some(core) = &mut self.core {
-            core.stage(news, self.now);
+            core.on_rollout_state(news, self.now);
         }
         self.events.iter_mut().for_each(|events| events.push(Event::RolloutUpdate(news)));
     }
@@ -658,7 +659,7 @@
                     age: 500.0,
                 });
                 if let Some(core) = &mut self.core {
-                    core.tally(tally.clone(), self.now);
+                    core.on_outcome_report(tally.clone(), self.now);
                 }
                 self.events.iter_mut().for_each(|events| events.push(tally.clone()));
             }
@@ -699,15 +700,16 @@
                 report.endpoints.push((addr(host), figures));
             }
             let clusters = clusters.into_values().collect();
-            core.report(n as u64, &ProxyReport { interval: 1000.0, clusters }, now).expect("sound reports");
+            core.on_load_report(n as u64, &ProxyReport { interval: 1000.0, clusters }, now)
+                .expect("sound reports");
         }
-        let doings = core.turn(now);
+        let doings = core.poll(now);
         for action in doings.actions {
             if let Action::CastVote { version: build, stage, verdict } = action {
                 self.votes.push((build, stage, verdict));
             }
         }
-        if let Some((snapshot, _)) = doings.handed {
+        if let Some((snapshot, _)) = doings.published {
             self.snapshot = Some(snapshot);
         }
         let Some(snapshot) = &self.snapshot else { return };
@@ -716,9 +718,9 @@
                 let stream = &mut proxy.stream;
                 proxy.asks.drain(..).for_each(|ask| stream.on_request(ask.into()).expect("sound requests"));
                 let answer = proxy.stream.next_response(snapshot);
-                core.said(n as u64, proxy.stream.take_events(), now);
+                core.on_stream_events(n as u64, proxy.stream.take_events(), now);
                 let Some(answer) = answer else { break };
-                answer.canary_shares.iter().for_each(|trial| core.sends(n as u64, trial, now));
+                answer.canary_shares.iter().for_each(|trial| core.on_routes_sent(n as u64, trial, now));
                 proxy.asks = proxy.cache.take(&answer.chunks.concat(), false);
             }
         }
