--- a/crates/cli/tests/stories.rs
+++ b/crates/cli/tests/stories.rs
@@ -4,6 +4,7 @@
 use latchhaven_gateway::net::list::read as read_list;
 use latchhaven_gateway::net::servers::{Errand, Pool, Stopped};
 use latchhaven_gateway::net::{Note, write_all};
+use latchhaven_policy::RequestId;
 use latchhaven_policy::{AttemptOutcome, EndpointEntry, LoadReporting, UpstreamConnectionConfig};
 use latchhaven_test_support::wire::*;
 use rstest::rstest;
@@ -214,8 +215,8 @@
     (Pool::new(most, connections, notes), noted)
 }
 
-const FIRST: Errand = Errand::Submission { id: 1, n: 0 };
-const SECOND: Errand = Errand::Submission { id: 2, n: 0 };
+const FIRST: Errand = Errand::Submission { id: RequestId(1), n: 0 };
+const SECOND: Errand = Errand::Submission { id: RequestId(2), n: 0 };
 
 /// A pool alone, with one connection to a server that idles; tasks go on only where a story waits.
 async fn idling(server: &Server) -> (Pool, mpsc::Receiver<Note>) {
--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -2,6 +2,7 @@
 
 use crate::state_store::PersistedState;
 use latchhaven_policy::Policy;
+use latchhaven_policy::Version;
 use latchhaven_policy::{
     Action, EndpointEntry, EndpointStatus, Event, Millis, RequestClass, RolloutState, UpdateKind, VoteOutcome,
 };
@@ -31,7 +32,7 @@
 /// One host's address: whose it is, with which builds, and when it was last on the list.
 struct Known {
     instance: String,
-    builds: BTreeSet<u32>,
+    builds: BTreeSet<Version>,
     seen: Millis,
 }
 
@@ -144,7 +145,7 @@
                 Known { instance, builds, seen: now }
             });
             known.instance.clone_from(&listing.endpoint);
-            known.builds.insert(listing.version);
+            known.builds.insert(Version(listing.version.0));
             while known.builds.len() > BUILDS_KEPT {
                 known.builds.pop_first();
             }
--- a/crates/control-plane/src/state_store.rs
+++ b/crates/control-plane/src/state_store.rs
@@ -158,7 +158,7 @@
 
     fn kept(version: u64) -> PersistedState {
         let news = RolloutVersion {
-            version: 7,
+            version: Version(7),
             status: RolloutStatus::RolledBack,
             stage: 1,
             traffic_cap: 0,
@@ -166,7 +166,7 @@
         };
         PersistedState {
             version: ConfigVersion { rollout: news, endpoints: EndpointListVersion { epoch: 0, version } },
-            rolled_back_versions: BTreeSet::from([6, 7]),
+            rolled_back_versions: BTreeSet::from([Version(6), Version(7)]),
         }
     }
 
--- a/crates/control-plane/tests/cases.rs
+++ b/crates/control-plane/tests/cases.rs
@@ -105,8 +105,11 @@
 
     /// Two hosts of build 1, released, and build 2 beside them on trial.
     fn on_trial(&mut self, stage: u32, cap: f64) {
-        self.list(5, &[(1, 1, true), (2, 1, true), (3, 2, true), (4, 2, true)]);
-        self.news(2, stage, RolloutPhase::Canary, cap);
+        self.list(
+            5,
+            &[(1, Version(1), true), (2, Version(1), true), (3, Version(2), true), (4, Version(2), true)],
+        );
+        self.news(Version(2), stage, RolloutPhase::Canary, cap);
         self.pass(20.0);
     }
 
@@ -116,7 +119,7 @@
             let Some((stream, ..)) = proxy.stream else { continue };
             let figures = EndpointCounts { started: 4000, succeeded: 4000, ..EndpointCounts::default() };
             let cluster = |product| ClusterReport {
-                version: 1,
+                version: Version(1),
                 class: product,
                 endpoints: vec![(addr(1), figures)],
                 dropped: 0,
@@ -193,7 +196,7 @@
     }
 
     fn part(&self, build: Version) -> f64 {
-        f64::from(self.cache.part("look", build)) / 1e6
+        f64::from(self.cache.part("look", build.0)) / 1e6
     }
 }
 
@@ -216,7 +219,7 @@
     service.traffic(&refs);
     service.pass(1_000.0);
     talk_all(&mut all, &mut service);
-    assert!(all.iter().all(|proxy| proxy.part(2) > 0.4), "{:?}", all[0].part(2));
+    assert!(all.iter().all(|proxy| proxy.part(Version(2)) > 0.4), "{:?}", all[0].part(Version(2)));
     (service, all)
 }
 
@@ -224,10 +227,10 @@
 fn nothing_is_handed_out_before_list_and_platform_are_known() {
     let mut service = Service::start(100_000.0, "site", None);
     service.pass(1_000.0);
-    service.list(5, &[(1, 1, true)]);
+    service.list(5, &[(1, Version(1), true)]);
     service.pass(1_000.0);
     assert!(service.snapshot.is_none(), "the platform has told nothing");
-    service.news(1, 0, RolloutPhase::Promoted, 1.0);
+    service.news(Version(1), 0, RolloutPhase::Promoted, 1.0);
     service.pass(20.0);
     assert!(service.snapshot.is_some());
 }
@@ -236,31 +239,37 @@
 fn a_proxy_that_comes_back_between_withdrawal_and_the_next_build_gets_neither() {
     let (mut service, mut proxies) = settled(2);
     proxies.iter_mut().for_each(|proxy| proxy.leave(&mut service));
-    service.news(2, 1, RolloutPhase::RollingBack, 0.0);
+    service.news(Version(2), 1, RolloutPhase::RollingBack, 0.0);
     service.pass(500.0);
-    service.news(2, 1, RolloutPhase::RolledBack, 0.0);
+    service.news(Version(2), 1, RolloutPhase::RolledBack, 0.0);
     service.pass(500.0);
     for proxy in &mut proxies {
         proxy.connect(&mut service);
         proxy.talk(&mut service);
-        assert_eq!(proxy.part(2), 0.0);
+        assert_eq!(proxy.part(Version(2)), 0.0);
     }
     // The next one is on trial while a host of the withdrawn one is still listed.
-    service.list(6, &[(1, 1, true), (2, 1, true), (3, 2, true), (4, 3, true)]);
-    service.news(3, 0, RolloutPhase::Canary, 0.1);
+    service.list(
+        6,
+        &[(1, Version(1), true), (2, Version(1), true), (3, Version(2), true), (4, Version(3), true)],
+    );
+    service.news(Version(3), 0, RolloutPhase::Canary, 0.1);
     service.pass(500.0);
     for proxy in &mut proxies {
         proxy.talk(&mut service);
-        assert_eq!(proxy.part(2), 0.0, "a withdrawn build is no earlier one");
-        assert!(proxy.part(1) > 0.8);
+        assert_eq!(proxy.part(Version(2)), 0.0, "a withdrawn build is no earlier one");
+        assert!(proxy.part(Version(1)) > 0.8);
     }
 }
 
 #[test]
 fn a_restarted_service_with_an_old_list_says_nothing_until_it_has_caught_up() {
     let (mut service, mut proxies) = settled(2);
-    service.list(40, &[(1, 1, true), (2, 1, false), (3, 2, true), (4, 2, true)]);
-    service.news(2, 1, RolloutPhase::RollingBack, 0.0);
+    service.list(
+        40,
+        &[(1, Version(1), true), (2, Version(1), false), (3, Version(2), true), (4, Version(2), true)],
+    );
+    service.news(Version(2), 1, RolloutPhase::RollingBack, 0.0);
     service.pass(100.0);
     talk_all(&mut proxies, &mut service);
     // With what was kept, and without it by what proxies hold.
@@ -270,16 +279,16 @@
         for proxy in &mut proxies {
             proxy.connect(&mut again);
             assert_eq!(proxy.talk(&mut again), 0, "nothing older");
-            assert_eq!(proxy.part(2), 0.0);
+            assert_eq!(proxy.part(Version(2)), 0.0);
         }
         again.pass(1_000.0);
         proxies.iter_mut().for_each(|proxy| assert_eq!(proxy.talk(&mut again), 0));
-        again.list(41, &[(1, 1, true), (3, 1, true)]);
-        again.news(2, 1, RolloutPhase::RolledBack, 0.0);
+        again.list(41, &[(1, Version(1), true), (3, Version(1), true)]);
+        again.news(Version(2), 1, RolloutPhase::RolledBack, 0.0);
         again.pass(100.0);
         for proxy in &mut proxies {
             proxy.talk(&mut again);
-            assert_eq!((proxy.part(2), proxy.part(1)), (0.0, 1.0));
+            assert_eq!((proxy.part(Version(2)), proxy.part(Version(1))), (0.0, 1.0));
             proxy.leave(&mut again);
         }
     }
@@ -290,7 +299,7 @@
     let (mut service, mut proxies) = settled(2);
     let mut cut_off = Service::start(service.now, "site", None);
     cut_off.on_trial(1, 0.5);
-    service.news(2, 1, RolloutPhase::RolledBack, 0.0);
+    service.news(Version(2), 1, RolloutPhase::RolledBack, 0.0);
     service.pass(100.0);
     talk_all(&mut proxies, &mut service);
     proxies[0].leave(&mut service);
@@ -298,18 +307,22 @@
     proxies[0].ask(&mut cut_off);
     cut_off.pass(100.0);
     proxies[0].talk(&mut cut_off);
-    assert_eq!(proxies[0].part(2), 0.0);
+    assert_eq!(proxies[0].part(Version(2)), 0.0);
     // One that knows nothing gets no share of it there either.
     let mut fresh = Proxy::new("fresh", false);
     fresh.connect(&mut cut_off);
     fresh.talk(&mut cut_off);
-    assert_eq!((fresh.part(2), fresh.part(1)), (0.0, 1.0));
+    assert_eq!((fresh.part(Version(2)), fresh.part(Version(1))), (0.0, 1.0));
     // What is not signed by the site moves nobody.
     let mut foreign = Service::start(service.now, "another", None);
     foreign.on_trial(1, 0.5);
     proxies[1].connect(&mut foreign);
     proxies[1].talk(&mut foreign);
-    assert_eq!((proxies[1].part(2), proxies[1].part(1)), (0.0, 1.0), "what it holds guards its own stream");
+    assert_eq!(
+        (proxies[1].part(Version(2)), proxies[1].part(Version(1))),
+        (0.0, 1.0),
+        "what it holds guards its own stream"
+    );
     let mut other = Proxy::new("other", false);
     other.connect(&mut foreign);
     other.talk(&mut foreign);
@@ -324,14 +337,14 @@
     // Endpoints tell the share declined: it has faded and is told before anything waits.
     service.pass(5_000.0);
     proxy.talk(&mut service);
-    service.news(2, 1, RolloutPhase::Canary, 0.2);
+    service.news(Version(2), 1, RolloutPhase::Canary, 0.2);
     service.pass(100.0);
     proxy.ask(&mut service);
     let (_, stream, _) = proxy.stream.as_mut().unwrap();
     let snapshot = service.snapshot.clone().unwrap();
     while stream.next_response(&snapshot).is_some_and(|answer| answer.resource_type != ResourceType::Route) {}
     for cap in [0.15, 0.1, 0.05] {
-        service.news(2, 1, RolloutPhase::Canary, cap);
+        service.news(Version(2), 1, RolloutPhase::Canary, cap);
         service.pass(100.0);
         assert!(
             stream.next_response(service.snapshot.as_ref().unwrap()).is_none(),
@@ -357,9 +370,9 @@
 #[test]
 fn proxies_that_refuse_stay_where_they_are_and_the_others_make_room() {
     let (mut service, mut proxies) = settled(4);
-    let held = proxies[0].part(2);
+    let held = proxies[0].part(Version(2));
     proxies.iter_mut().take(2).for_each(|proxy| proxy.refuses = true);
-    service.news(2, 1, RolloutPhase::Canary, 0.3);
+    service.news(Version(2), 1, RolloutPhase::Canary, 0.3);
     service.pass(20.0);
     for _ in 0..10 {
         let mut answers: Vec<usize> = proxies.iter_mut().map(|proxy| proxy.talk(&mut service)).collect();
@@ -367,34 +380,34 @@
         answers.retain(|answers| *answers > 3);
         assert!(answers.is_empty(), "what was refused is not sent in a loop");
     }
-    assert!(proxies[..2].iter().all(|proxy| proxy.part(2) == held && proxy.cache.refused >= 1));
-    let sum: f64 = proxies.iter().map(|proxy| proxy.part(2)).sum::<f64>() / 4.0;
+    assert!(proxies[..2].iter().all(|proxy| proxy.part(Version(2)) == held && proxy.cache.refused >= 1));
+    let sum: f64 = proxies.iter().map(|proxy| proxy.part(Version(2))).sum::<f64>() / 4.0;
     assert!(sum <= 0.3, "{sum}");
-    assert!(proxies[2].part(2) < 0.15 && proxies[3].part(2) < 0.15);
+    assert!(proxies[2].part(Version(2)) < 0.15 && proxies[3].part(Version(2)) < 0.15);
 }
 
 #[test]
 fn a_tenth_that_is_cut_off_keeps_its_share_and_the_sum_keeps_the_cap() {
     let (mut service, mut proxies) = settled(10);
-    let held = proxies[4].part(2);
+    let held = proxies[4].part(Version(2));
     proxies[4].leave(&mut service);
     for cap in [0.4, 0.2, 0.06] {
-        service.news(2, 1, RolloutPhase::Canary, cap);
+        service.news(Version(2), 1, RolloutPhase::Canary, cap);
         service.pass(60.0);
         talk_all(&mut proxies, &mut service);
-        let sum = proxies.iter().map(|proxy| proxy.part(2)).sum::<f64>() / 10.0;
-        assert!(sum <= cap && proxies[4].part(2) == held, "{sum} of {cap}");
+        let sum = proxies.iter().map(|proxy| proxy.part(Version(2))).sum::<f64>() / 10.0;
+        assert!(sum <= cap && proxies[4].part(Version(2)) == held, "{sum} of {cap}");
     }
-    service.news(2, 1, RolloutPhase::RollingBack, 0.0);
+    service.news(Version(2), 1, RolloutPhase::RollingBack, 0.0);
     service.pass(60.0);
     talk_all(&mut proxies, &mut service);
     assert!(
-        proxies.iter().enumerate().all(|(n, proxy)| n == 4 || proxy.part(2) == 0.0),
+        proxies.iter().enumerate().all(|(n, proxy)| n == 4 || proxy.part(Version(2)) == 0.0),
         "at once, to all who hear"
     );
     proxies[4].connect(&mut service);
     proxies[4].talk(&mut service);
-    assert_eq!(proxies[4].part(2), 0.0);
+    assert_eq!(proxies[4].part(Version(2)), 0.0);
 }
 
 #[test]
@@ -402,11 +415,22 @@
     let (mut service, _) = settled(1);
     service.pass(100.0);
     let before = service.snapshot.as_ref().unwrap().number;
-    service.list(100, &[(1, 1, false), (2, 1, true), (3, 2, true), (4, 2, true)]);
+    service.list(
+        100,
+        &[(1, Version(1), false), (2, Version(1), true), (3, Version(2), true), (4, Version(2), true)],
+    );
     service.pass(10.0);
     assert_eq!(service.snapshot.as_ref().unwrap().number, before + 1, "at once");
     for n in 0..30u64 {
-        service.list(101 + n, &[(1, 1, n % 2 == 0), (2, 1, true), (3, 2, n % 3 == 0), (4, 2, true)]);
+        service.list(
+            101 + n,
+            &[
+                (1, Version(1), n % 2 == 0),
+                (2, Version(1), true),
+                (3, Version(2), n % 3 == 0),
+                (4, Version(2), true),
+            ],
+        );
         service.now += 1.0;
         service.core.poll(service.now);
     }
@@ -428,13 +452,13 @@
             }
         }
         let mut again = Service::start(service.now, "site", service.kept.clone());
-        again.list(6, &[(1, 1, true), (2, 1, true), (5, 3, true)]);
-        again.news(3, 0, RolloutPhase::Canary, 0.1);
+        again.list(6, &[(1, Version(1), true), (2, Version(1), true), (5, Version(3), true)]);
+        again.news(Version(3), 0, RolloutPhase::Canary, 0.1);
         again.pass(20.0);
         for proxy in &mut proxies {
             proxy.connect(&mut again);
             proxy.talk(&mut again);
-            assert_eq!(proxy.part(2), 0.0);
+            assert_eq!(proxy.part(Version(2)), 0.0);
             assert!(proxy.cache.way("pay", false).is_some(), "after {steps} steps");
         }
     }
@@ -530,9 +554,17 @@
     assert_eq!(health(&proxies[0], "b1/pay"), Some(true));
     type Step<'a> = (&'a [(u16, Version, bool)], Option<bool>, Option<bool>);
     let steps: [Step; 3] = [
-        (&[(1, 1, true), (2, 1, false), (3, 2, true), (4, 2, true)], Some(false), None),
-        (&[(1, 1, true), (3, 2, true), (4, 2, true)], None, None),
-        (&[(1, 1, true), (2, 2, true), (3, 2, true), (4, 2, true)], None, Some(true)),
+        (
+            &[(1, Version(1), true), (2, Version(1), false), (3, Version(2), true), (4, Version(2), true)],
+            Some(false),
+            None,
+        ),
+        (&[(1, Version(1), true), (3, Version(2), true), (4, Version(2), true)], None, None),
+        (
+            &[(1, Version(1), true), (2, Version(2), true), (3, Version(2), true), (4, Version(2), true)],
+            None,
+            Some(true),
+        ),
     ];
     for (n, (hosts, earlier, trial)) in steps.into_iter().enumerate() {
         service.list(10 + n as u64, hosts);
@@ -550,7 +582,7 @@
             vec![(addr(host), EndpointCounts { succeeded: 1, started: 1, ..EndpointCounts::default() })];
         ProxyReport {
             interval: 1000.0,
-            clusters: vec![ClusterReport { version: 1, class: 0, endpoints: hosts, dropped: 0 }],
+            clusters: vec![ClusterReport { version: Version(1), class: 0, endpoints: hosts, dropped: 0 }],
         }
     };
     assert!(service.core.on_load_report(stream, &of(2), service.now).is_ok());
@@ -581,7 +613,7 @@
                 dropped: 0,
             };
             let fine = EndpointCounts { started: 500, succeeded: 500, ..EndpointCounts::default() };
-            let clusters = vec![cluster(1, 1, fine), cluster(build, host, figures)];
+            let clusters = vec![cluster(Version(1), 1, fine), cluster(build, host, figures)];
             let stream = proxy.stream.as_ref().unwrap().0;
             service
                 .core
@@ -589,23 +621,26 @@
                 .unwrap();
         };
     for _ in 0..20 {
-        proxies.iter().for_each(|proxy| report(&mut service, proxy, 2, 3, 150, 150));
+        proxies.iter().for_each(|proxy| report(&mut service, proxy, Version(2), 3, 150, 150));
         service.pass(1_000.0);
         talk_all(&mut proxies, &mut service);
     }
-    assert_eq!(service.votes.last(), Some(&(2, Verdict::RollBack)));
-    service.news(2, 1, RolloutPhase::RollingBack, 0.0);
+    assert_eq!(service.votes.last(), Some(&(Version(2), Verdict::RollBack)));
+    service.news(Version(2), 1, RolloutPhase::RollingBack, 0.0);
     service.pass(1_000.0);
-    service.news(2, 1, RolloutPhase::RolledBack, 0.0);
-    service.list(6, &[(1, 1, true), (2, 1, true), (3, 1, true), (4, 3, true)]);
+    service.news(Version(2), 1, RolloutPhase::RolledBack, 0.0);
+    service.list(
+        6,
+        &[(1, Version(1), true), (2, Version(1), true), (3, Version(1), true), (4, Version(3), true)],
+    );
     service.pass(1_000.0);
-    service.news(3, 1, RolloutPhase::Canary, 0.5);
+    service.news(Version(3), 1, RolloutPhase::Canary, 0.5);
     for _ in 0..4 {
-        proxies.iter().for_each(|proxy| report(&mut service, proxy, 3, 4, 100, 0));
+        proxies.iter().for_each(|proxy| report(&mut service, proxy, Version(3), 4, 100, 0));
         service.pass(1_000.0);
         talk_all(&mut proxies, &mut service);
     }
-    assert!(proxies.iter().all(|proxy| proxy.part(3) > 0.1), "{}", proxies[0].part(3));
+    assert!(proxies.iter().all(|proxy| proxy.part(Version(3)) > 0.1), "{}", proxies[0].part(Version(3)));
 }
 
 #[test]
@@ -633,7 +668,8 @@
                         dropped: 0,
                     }
                 };
-                let clusters = vec![cluster(1, 500.0, 0.002, 1), cluster(2, 300.0, fails, 3)];
+                let clusters =
+                    vec![cluster(Version(1), 500.0, 0.002, 1), cluster(Version(2), 300.0, fails, 3)];
                 let stream = proxy.stream.as_ref().unwrap().0;
                 let now = service.now;
                 service
@@ -644,7 +680,7 @@
             service.pass(1_000.0);
             talk_all(&mut proxies, &mut service);
         }
-        assert_eq!(service.votes.last(), Some(&(2, wanted)), "{:?}", service.votes);
-        assert_eq!(proxies[0].part(2) == 0.0, wanted == Verdict::RollBack);
+        assert_eq!(service.votes.last(), Some(&(Version(2), wanted)), "{:?}", service.votes);
+        assert_eq!(proxies[0].part(Version(2)) == 0.0, wanted == Verdict::RollBack);
     }
 }
--- a/crates/control-plane/tests/stored_record.rs
+++ b/crates/control-plane/tests/stored_record.rs
@@ -1,6 +1,7 @@
 //! The record on disk stays readable: its bytes here are those that version 0.2.0 wrote at 45d1a44.
 
 use latchhaven_control_plane::state_store::{PersistedState, decode, encode, open};
+use latchhaven_policy::Version;
 use latchhaven_proxy_config::version::{ConfigVersion, EndpointListVersion, RolloutStatus, RolloutVersion};
 use redb::{Database, TableDefinition};
 use std::collections::BTreeSet;
@@ -33,11 +34,16 @@
 ];
 
 fn record(way: RolloutStatus) -> PersistedState {
-    let news =
-        RolloutVersion { version: 7, status: way, stage: 3, traffic_cap: 125_000, since: 1_733_100_000_123 };
+    let news = RolloutVersion {
+        version: Version(7),
+        status: way,
+        stage: 3,
+        traffic_cap: 125_000,
+        since: 1_733_100_000_123,
+    };
     PersistedState {
         version: ConfigVersion { rollout: news, endpoints: EndpointListVersion { epoch: 2, version: 41 } },
-        rolled_back_versions: BTreeSet::from([4, 6]),
+        rolled_back_versions: BTreeSet::from([Version(4), Version(6)]),
     }
 }
 
--- a/crates/experiments/src/day.rs
+++ b/crates/experiments/src/day.rs
@@ -120,7 +120,7 @@
     Txn,
     /// A submission ends at its host.
     Done {
-        txn: u32,
+        txn: RequestId,
         n: u32,
     },
     Tick,
@@ -174,7 +174,7 @@
     agenda: Agenda<What>,
     hosts: Vec<Host>,
     rollout: Rollout,
-    txns: BTreeMap<u32, Txn>,
+    txns: BTreeMap<RequestId, Txn>,
     next_id: u32,
     fronts: usize,
     rate: f64,
@@ -219,11 +219,17 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         // One of the two builds is bad, in one of three ways.
         let (which, how) = (rng.random_range(0..2u32), rng.random_range(1..=3u8));
-        let hosts: Vec<Host> =
-            (0..sizes.hosts).map(|_| Host { build: 1, since: 0.0, free: vec![0.0; WORKERS] }).collect();
-        let news =
-            RolloutState { version: 1, stage: 0, phase: RolloutPhase::Promoted, traffic_cap: 1.0, age: 0.0 };
-        let bad = BTreeMap::from([(2 + which, how)]);
+        let hosts: Vec<Host> = (0..sizes.hosts)
+            .map(|_| Host { build: Version(1), since: 0.0, free: vec![0.0; WORKERS] })
+            .collect();
+        let news = RolloutState {
+            version: Version(1),
+            stage: 0,
+            phase: RolloutPhase::Promoted,
+            traffic_cap: 1.0,
+            age: 0.0,
+        };
+        let bad = BTreeMap::from([(Version(2 + which), how)]);
         let rollout = Rollout { news, at: 0.0, bad, next: 0, version: 1, caps: vec![(0.0, 1.0)] };
         let read = |me: usize, count: usize| terms::read(&settings(me, count)).expect("settings of the lab");
         let mut day = Day {
@@ -350,15 +356,19 @@
             RolloutPhase::Promoted | RolloutPhase::RolledBack => {
                 if self.rollout.next < COMES.len() && self.now >= COMES[self.rollout.next] {
                     self.rollout.next += 1;
-                    let build = 1 + self.rollout.next as Version;
+                    let build = Version(1 + self.rollout.next as u32);
                     self.stand(build, 0, RolloutPhase::Canary, CAPS[0]);
                     self.place(PLACES[0], build);
                 }
             }
             RolloutPhase::RollingBack => {
                 if stood >= BACK {
-                    let before = if build == 3 && !self.rollout.bad.contains_key(&2) { 2 } else { 1 };
-                    self.place(1.0, before);
+                    let before = if build == Version(3) && !self.rollout.bad.contains_key(&Version(2)) {
+                        2
+                    } else {
+                        1
+                    };
+                    self.place(1.0, Version(before));
                     self.stand(build, stage, RolloutPhase::RolledBack, 0.0);
                 }
             }
@@ -381,7 +391,7 @@
         // What was released and found bad goes back as well.
         if phase == RolloutPhase::Promoted
             && self.votes.contains(&(build, stage, Verdict::RollBack))
-            && build > 1
+            && build > Version(1)
         {
             self.stand(build, stage, RolloutPhase::RollingBack, 0.0);
         }
@@ -398,7 +408,7 @@
     }
 
     /// Sends a txn to a host; when and how it will end.
-    fn send(&mut self, id: u32, n: usize) {
+    fn send(&mut self, id: RequestId, n: usize) {
         let (product, now) = (self.txns[&id].product, self.now + WAY);
         let (build, since) = (self.hosts[n].build, self.hosts[n].since);
         let (fails, slower) = self.harm(build, product);
@@ -415,7 +425,7 @@
         };
         let on_trial = self.rollout.news.version == build
             && self.rollout.news.phase != RolloutPhase::Promoted
-            && build > 1;
+            && build > Version(1);
         if on_trial {
             self.trial_sends.push_back(self.now);
         }
@@ -432,7 +442,7 @@
         self.push(ends, What::Done { txn: id, n: number });
     }
 
-    fn close(&mut self, id: u32, settled: bool) {
+    fn close(&mut self, id: RequestId, settled: bool) {
         let Some(txn) = self.txns.get_mut(&id).filter(|txn| !txn.closed) else { return };
         txn.closed = true;
         let in_time = settled && self.now - txn.came <= SLA;
@@ -441,7 +451,7 @@
         self.count.met_bad += u64::from(txn.met_bad);
     }
 
-    fn forget(&mut self, id: u32) {
+    fn forget(&mut self, id: RequestId) {
         if self.txns.get(&id).is_some_and(|txn| txn.closed && txn.submissions.iter().all(|sub| sub.ended)) {
             self.txns.remove(&id);
         }
@@ -468,16 +478,16 @@
             repeats: 0,
             retry_on,
         };
-        self.txns.insert(id, txn);
+        self.txns.insert(RequestId(id), txn);
         match self.mode {
             Mode::Even => {
                 let n = self.rng.random_range(0..self.hosts.len());
-                self.send(id, n);
+                self.send(RequestId(id), n);
             }
-            Mode::Handout => self.route(id),
+            Mode::Handout => self.route(RequestId(id)),
             Mode::Gateways => {
                 let event = Event::RequestReceived(IncomingRequest {
-                    id,
+                    id: RequestId(id),
                     class: PRODUCTS[product].to_string(),
                     tenant: None,
                     sticky_key: None,
@@ -494,7 +504,7 @@
     }
 
     /// A proxy draws a cluster for a new txn.
-    fn route(&mut self, id: u32) {
+    fn route(&mut self, id: RequestId) {
         let (front, product) = (self.txns[&id].front, self.txns[&id].product);
         let Some(way) = self.proxies[front].cache.way(PRODUCTS[product], false).cloned() else {
             return self.close(id, false);
@@ -514,7 +524,7 @@
     }
 
     /// Two random choices among the healthy hosts of the cluster that was drawn.
-    fn pick(&mut self, id: u32) {
+    fn pick(&mut self, id: RequestId) {
         let (front, cluster) = (self.txns[&id].front, self.txns[&id].cluster.clone());
         let (hosts, _) = self.proxies[front].cache.hosts(&cluster);
         let healthy: Vec<_> = hosts.iter().filter(|host| host.healthy).collect();
@@ -532,7 +542,7 @@
         self.send(id, n);
     }
 
-    fn done(&mut self, id: u32, n: u32) {
+    fn done(&mut self, id: RequestId, n: u32) {
         let Some(txn) = self.txns.get_mut(&id) else { return };
         let sub = &mut txn.submissions[n as usize];
         if std::mem::replace(&mut sub.ended, true) {
@@ -736,7 +746,7 @@
             self.trial_sends.pop_front();
         }
         let news = &self.rollout.news;
-        if news.version == 1 || news.phase == RolloutPhase::Promoted {
+        if news.version == Version(1) || news.phase == RolloutPhase::Promoted {
             return;
         }
         // The highest cap that stood within the window, or within the grace before now.
@@ -767,8 +777,8 @@
         }
         // What is still open at the end is no answer in time, unless it is young.
         let ends = [2, 3].map(|build| {
-            let back = self.votes.iter().any(|vote| vote.0 == build && vote.2 == Verdict::RollBack);
-            let newer = self.rollout.news.version > build;
+            let back = self.votes.iter().any(|vote| vote.0 == Version(build) && vote.2 == Verdict::RollBack);
+            let newer = self.rollout.news.version > Version(build);
             let released = newer || self.rollout.news.phase == RolloutPhase::Promoted;
             let end = if back {
                 "back"
@@ -777,7 +787,7 @@
             } else {
                 "undecided"
             };
-            (build, end, self.rollout.bad.contains_key(&build))
+            (Version(build), end, self.rollout.bad.contains_key(&Version(build)))
         });
         (self.count, ends.to_vec())
     }
--- a/crates/experiments/src/xds.rs
+++ b/crates/experiments/src/xds.rs
@@ -3,6 +3,7 @@
 
 use clap::Args;
 use hdrhistogram::Histogram;
+use latchhaven_policy::Version;
 use latchhaven_proxy_config::version::{RolloutStatus, RolloutVersion};
 use latchhaven_test_support::machine::Machine;
 use latchhaven_test_support::proxy::{Goes, Orders, Proxy, Seen};
@@ -77,9 +78,9 @@
     fn used(&self, news: Option<RolloutVersion>, list: u64) -> bool {
         match self {
             Mark::List(version) => list >= *version,
-            Mark::News { build, way, stage } => {
-                news.is_some_and(|held| (held.version, held.status, held.stage) >= (*build, *way, *stage))
-            }
+            Mark::News { build, way, stage } => news.is_some_and(|held| {
+                (held.version, held.status, held.stage) >= (Version(*build), *way, *stage)
+            }),
         }
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -12,6 +12,7 @@
 use crate::proto::pg::{self, Statement};
 use bytes::Bytes;
 use latchhaven_policy::Policy;
+use latchhaven_policy::RequestId;
 use latchhaven_policy::{
     Action, AttemptOutcome, CompletedAttempt, Event, IncomingRequest, LoadReport, LoadReporting, Millis,
     OutcomeReport, RolloutState, UpdateKind, UpstreamConnectionConfig, VoteOutcome,
@@ -86,7 +87,7 @@
 pub struct Gateway {
     choice: Policy,
     clock: Clock,
-    open: BTreeMap<u32, Open>,
+    open: BTreeMap<RequestId, Open>,
     pool: Pool,
     /// By microsecond.
     timers: BinaryHeap<Reverse<(u64, Due)>>,
@@ -375,7 +376,7 @@
 
     /// A txn has its final answer, or its client has gone: what waits for a connection is sent no more,
     /// whether the decisions may recall or not.
-    fn closed(&mut self, id: u32) {
+    fn closed(&mut self, id: RequestId) {
         let count = self.open.get(&id).map_or(0, |open| open.submissions.len() as u32);
         let mut events = Vec::new();
         for n in 0..count {
@@ -386,7 +387,7 @@
     }
 
     /// A submission that has not ended.
-    fn sent(&mut self, id: u32, n: u32) -> Option<&mut Sent> {
+    fn sent(&mut self, id: RequestId, n: u32) -> Option<&mut Sent> {
         self.open.get_mut(&id)?.submissions.get_mut(n as usize).filter(|sent| !sent.ended)
     }
 
@@ -442,7 +443,7 @@
     }
 
     /// Drops a txn that is answered and has nothing out.
-    fn forget(&mut self, id: u32) {
+    fn forget(&mut self, id: RequestId) {
         let over = |open: &Open| open.reply.is_none() && open.submissions.iter().all(|sent| sent.ended);
         if self.open.get(&id).is_some_and(over) {
             self.open.remove(&id);
@@ -520,14 +521,16 @@
         }
     }
 
-    fn answer(&mut self, id: u32, answer: Answer, count: &Count) {
+    fn answer(&mut self, id: RequestId, answer: Answer, count: &Count) {
         let Some(reply) = self.open.get_mut(&id).and_then(|open| open.reply.take()) else { return };
         count.add();
         let _ = reply.send(answer);
         self.closed(id);
     }
 
-    fn submit(&mut self, id: u32, instance: String, limit: Option<Millis>, write_within: Option<Millis>) {
+    fn submit(
+        &mut self, id: RequestId, instance: String, limit: Option<Millis>, write_within: Option<Millis>,
+    ) {
         let now = self.clock.now();
         let by = write_within.map(|within| now + within);
         let Some(open) = self.open.get_mut(&id) else {
--- a/crates/gateway/src/net/clients.rs
+++ b/crates/gateway/src/net/clients.rs
@@ -12,6 +12,7 @@
 use crate::must;
 use crate::proto::pg::{self, Asked, Frontend, Statement};
 use bytes::{Bytes, BytesMut};
+use latchhaven_policy::RequestId;
 use latchhaven_policy::{Idempotency, Millis, RequestClass};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -349,11 +350,11 @@
         let (reply, answer) = oneshot::channel();
         let id = statement.id.clone();
         self.ids.borrow_mut().insert(id.clone());
-        let _ = self.notes.send(Note::Txn { id: number, statement, came, reply }).await;
-        let answered = self.answer(stream, seat, inbox, number, answer).await;
+        let _ = self.notes.send(Note::Txn { id: RequestId(number), statement, came, reply }).await;
+        let answered = self.answer(stream, seat, inbox, RequestId(number), answer).await;
         self.ids.borrow_mut().remove(&id);
         if answered.is_err() {
-            let _ = self.notes.send(Note::Gone { id: number }).await;
+            let _ = self.notes.send(Note::Gone { id: RequestId(number) }).await;
         }
         answered
     }
@@ -448,7 +449,7 @@
 
     /// Waits for the final answer and writes it; an error: the client has gone away.
     async fn answer(
-        &self, stream: &TcpStream, seat: &Seat, inbox: &mut Inbox, id: u32,
+        &self, stream: &TcpStream, seat: &Seat, inbox: &mut Inbox, id: RequestId,
         mut answer: oneshot::Receiver<Answer>,
     ) -> io::Result<()> {
         let mut given_up = false;
--- a/crates/gateway/src/net/mod.rs
+++ b/crates/gateway/src/net/mod.rs
@@ -6,6 +6,7 @@
 pub mod servers;
 
 use bytes::{Bytes, BytesMut};
+use latchhaven_policy::RequestId;
 use latchhaven_policy::{AttemptOutcome, LoadReport, Millis, RolloutState, UpdateKind, VoteOutcome};
 use socket2::SockRef;
 use std::io::{self, IoSlice};
@@ -109,11 +110,11 @@
 /// What a driver has seen, for the gateway.
 pub enum Note {
     /// A txn's last byte has come.
-    Txn { id: u32, statement: Rc<Statement>, came: Millis, reply: oneshot::Sender<Answer> },
+    Txn { id: RequestId, statement: Rc<Statement>, came: Millis, reply: oneshot::Sender<Answer> },
     /// The client of a txn has gone away.
-    Gone { id: u32 },
+    Gone { id: RequestId },
     /// The process ends, and others wait behind this txn.
-    GiveUp { id: u32 },
+    GiveUp { id: RequestId },
     /// A connection to a server is up, or ready again.
     Free { link: Rc<servers::Link>, first: bool },
     /// A connection to a server never came up.
--- a/crates/gateway/src/net/platform.rs
+++ b/crates/gateway/src/net/platform.rs
@@ -292,12 +292,17 @@
             }
             Outcome::NotCounted(why) => {
                 COUNTERS.votes_not_counted.add();
-                tracing::info!(why, build = vote.build, stage = vote.stage, "platform: vote not counted");
+                tracing::info!(why, build = vote.build.0, stage = vote.stage, "platform: vote not counted");
                 VoteOutcome::NotCounted
             }
             Outcome::Unsure(why) => {
                 COUNTERS.votes_unsure.add();
-                tracing::info!(why, build = vote.build, stage = vote.stage, "platform: vote without answer");
+                tracing::info!(
+                    why,
+                    build = vote.build.0,
+                    stage = vote.stage,
+                    "platform: vote without answer"
+                );
                 VoteOutcome::Unknown
             }
         };
--- a/crates/gateway/src/net/servers.rs
+++ b/crates/gateway/src/net/servers.rs
@@ -5,6 +5,7 @@
 use crate::must;
 use crate::proto::pg::{self, Backend, Statement, Told};
 use bytes::{Bytes, BytesMut};
+use latchhaven_policy::RequestId;
 use latchhaven_policy::{
     AttemptOutcome, EndpointEntry, EndpointStatus, LoadReport, LoadReporting, Millis,
     UpstreamConnectionConfig,
@@ -25,7 +26,7 @@
 /// What is sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Errand {
-    Submission { id: u32, n: u32 },
+    Submission { id: RequestId, n: u32 },
     Probe(u64),
 }
 
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -408,7 +408,7 @@
             s.relist(i, entry);
         }
         whole.then(|| self.leave_out(entries));
-        self.lowest = self.ready().map(|i| self.servers.build[i]).min().unwrap_or(0);
+        self.lowest = self.ready().map(|i| self.servers.build[i]).min().unwrap_or(Version(0));
     }
 
     /// Adds to what each cold instance may get: its part of this gateway's own rate per unit of capacity.
@@ -660,7 +660,7 @@
                 if self.permits.peer_messages {
                     self.desk
                         .out
-                        .push(Action::SendPeerMessage { to: None, data: build.to_be_bytes().to_vec() });
+                        .push(Action::SendPeerMessage { to: None, data: build.0.to_be_bytes().to_vec() });
                 }
             }
             Event::PeerMessage { data, .. } => self.judge.note_flag(build_told(&data)),
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -2,9 +2,27 @@
 
 use crate::Millis;
 use std::collections::BTreeMap;
+use std::fmt;
+use std::num::ParseIntError;
+use std::str::FromStr;
 
 /// Identifies a request for as long as the gateway knows of it. The adapter chooses it.
-pub type RequestId = u32;
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct RequestId(pub u32);
+
+impl fmt::Display for RequestId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(f)
+    }
+}
+
+impl FromStr for RequestId {
+    type Err = ParseIntError;
+
+    fn from_str(text: &str) -> Result<Self, ParseIntError> {
+        text.parse().map(RequestId)
+    }
+}
 
 /// What sending a request twice may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -1,9 +1,34 @@
 //! Versions of the endpoints' software, the state of a rollout, and votes on it.
 
 use crate::Millis;
+use serde::{Deserialize, Serialize};
+use std::fmt;
+use std::num::ParseIntError;
+use std::str::FromStr;
 
 /// A software version of the endpoints; a later one has a higher number.
-pub type Version = u32;
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct Version(pub u32);
+
+impl Version {
+    /// A number that no version has.
+    pub const INVALID: Version = Version(u32::MAX);
+}
+
+impl fmt::Display for Version {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(f)
+    }
+}
+
+impl FromStr for Version {
+    type Err = ParseIntError;
+
+    fn from_str(text: &str) -> Result<Self, ParseIntError> {
+        text.parse().map(Version)
+    }
+}
 
 /// How far the rollout of a version is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -231,7 +231,7 @@
         let i = (0..self.id.len()).find(|i| self.gone[*i] && self.in_flight[*i] == 0)?;
         (self.id[i], self.since[i]) = (entry.endpoint.clone(), entry.started_at);
         // No build has this number: whatever comes begins a life of its own.
-        self.build[i] = Version::MAX;
+        self.build[i] = Version::INVALID;
         Some(i)
     }
 
@@ -578,5 +578,5 @@
 
 /// The build that a gateway's message tells was flagged.
 pub fn build_told(data: &[u8]) -> Option<Version> {
-    <[u8; 4]>::try_from(data).ok().map(Version::from_be_bytes)
+    <[u8; 4]>::try_from(data).ok().map(|bytes| Version(u32::from_be_bytes(bytes)))
 }
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -36,9 +36,14 @@
             let terms = Terms { seed: seed ^ u64::from(me), gateways, ..Terms::default() };
             let mut host = Host::new(terms);
             for i in 0..instances {
-                host.list(&format!("{}{i}", ["a", "b", "c"][i % zones]), 1, EndpointStatus::Ready, 0.0);
+                host.list(
+                    &format!("{}{i}", ["a", "b", "c"][i % zones]),
+                    Version(1),
+                    EndpointStatus::Ready,
+                    0.0,
+                );
             }
-            host.stage(1, 2, RolloutPhase::Promoted, 1.0);
+            host.stage(Version(1), 2, RolloutPhase::Promoted, 1.0);
             host.step();
             hosts.push(host);
         }
@@ -88,7 +93,7 @@
         let mut fleet = Fleet::new(size);
         fleet.serve(3000.0);
         let start = fleet.now();
-        fleet.tell(|host| host.start(&["a999"], 1));
+        fleet.tell(|host| host.start(&["a999"], Version(1)));
         fleet.serve(2000.0);
         // The host's terms: twice what its capacity takes of the fleet's txns, within 1 s; 0.4 of it at first,
         // 0.55 after one of the four seconds, of which it warms up within each span.
@@ -109,18 +114,18 @@
         let mut fleet = Fleet::new(size);
         fleet.serve(500.0);
         for _ in 0..4 {
-            fleet.tell(|host| host.tally(1, 100, 1, 60.0));
+            fleet.tell(|host| host.tally(Version(1), 100, 1, 60.0));
             fleet.serve(250.0);
         }
         fleet.tell(|host| {
-            host.start(&["a998", "a999"], 2);
-            host.stage(2, 1, RolloutPhase::Canary, 0.5);
+            host.start(&["a998", "a999"], Version(2));
+            host.stage(Version(2), 1, RolloutPhase::Canary, 0.5);
         });
         fleet.serve(4000.0);
         for _ in 0..4 {
             fleet.tell(|host| {
-                host.tally(2, 60, 40, 60.0);
-                host.tally(1, 80, 1, 60.0);
+                host.tally(Version(2), 60, 40, 60.0);
+                host.tally(Version(1), 80, 1, 60.0);
             });
             fleet.serve(1000.0);
         }
@@ -145,8 +150,8 @@
             let (few, times) = (size.0.min(40), size.3.min(f64::from(size.0.min(40))));
             let mut fleet = Fleet::new((few, size.1, size.2, times, size.4));
             fleet.serve(1000.0);
-            fleet.tell(|host| host.start(&["a999"], 2));
-            fleet.tell(|host| host.stage(2, 1, RolloutPhase::Canary, 0.5));
+            fleet.tell(|host| host.start(&["a999"], Version(2)));
+            fleet.tell(|host| host.stage(Version(2), 1, RolloutPhase::Canary, 0.5));
             fleet.serve(1500.0);
             fleet.hosts.into_iter().map(|host| host.all).collect::<Vec<_>>()
         };
--- a/crates/policy/tests/host/mod.rs
+++ b/crates/policy/tests/host/mod.rs
@@ -132,7 +132,7 @@
             answers: BTreeMap::new(),
             settled: BTreeMap::new(),
             all: Vec::new(),
-            next: 0,
+            next: RequestId(0),
         };
         host.tell(Event::EndpointUpdate {
             kind: UpdateKind::CachedSnapshot,
@@ -151,7 +151,7 @@
         host.behave = Box::new(behave);
         let names: Vec<String> =
             (0..count).map(|i| format!("{}{i}", if i < count / 2 { "a" } else { "b" })).collect();
-        names.iter().for_each(|name| drop(host.list(name, 1, EndpointStatus::Ready, 0.0)));
+        names.iter().for_each(|name| drop(host.list(name, Version(1), EndpointStatus::Ready, 0.0)));
         host.step();
         host
     }
@@ -209,7 +209,7 @@
     fn take(
         &mut self, tenant: Option<&str>, product: &str, key: Option<&str>, repeat: bool, left: Millis,
     ) -> RequestId {
-        self.next += 1;
+        self.next.0 += 1;
         let id = self.next;
         let (product, key, tenant) =
             (product.to_string(), key.map(str::to_string), tenant.map(str::to_string));
--- a/crates/policy/tests/stories.rs
+++ b/crates/policy/tests/stories.rs
@@ -14,7 +14,7 @@
 
 /// Fails one in so many submissions of a build.
 fn every(n: u32, sent: &Sent, ending: AttemptOutcome) -> (AttemptOutcome, Millis) {
-    if sent.id.is_multiple_of(n) { (ending, 50.0) } else { (AttemptOutcome::Success, 50.0) }
+    if sent.id.0.is_multiple_of(n) { (ending, 50.0) } else { (AttemptOutcome::Success, 50.0) }
 }
 
 /// Four warm instances of build 1 and three of build 2, told to be on trial at this stage and cap.
@@ -23,8 +23,8 @@
 ) -> Host {
     let mut host = Host::with(terms, 4, behave);
     host.serve(4000.0, 2);
-    host.start(&["a7", "b8", "b9"], 2);
-    host.stage(2, stage, RolloutPhase::Canary, cap);
+    host.start(&["a7", "b8", "b9"], Version(2));
+    host.stage(Version(2), stage, RolloutPhase::Canary, cap);
     host
 }
 
@@ -111,14 +111,14 @@
 fn nothing_goes_to_a_draining_or_gone_instance(#[case] state: EndpointStatus) {
     let mut host = Host::with(Terms::default(), 4, well);
     host.serve(500.0, 1);
-    host.list("a0", 1, state, 0.0);
+    host.list("a0", Version(1), state, 0.0);
     let told = host.now;
     host.serve(1000.0, 1);
     assert!(host.sent.iter().any(|sent| sent.instance == "a0"));
     assert!(host.sent.iter().all(|sent| sent.instance != "a0" || sent.at < told));
     // The id comes back with another build: it counts as that build's, and as cold.
-    host.stage(2, 0, RolloutPhase::Canary, 0.0);
-    host.start(&["a0"], 2);
+    host.stage(Version(2), 0, RolloutPhase::Canary, 0.0);
+    host.start(&["a0"], Version(2));
     host.serve(1000.0, 1);
     assert!(host.sent.iter().all(|sent| sent.instance != "a0" || sent.at < told));
 }
@@ -152,7 +152,7 @@
 fn a_cold_instance_gets_its_part_and_no_burst() {
     let mut host = Host::with(Terms::default(), 4, well);
     host.serve(3000.0, 1);
-    host.start(&["a7"], 1);
+    host.start(&["a7"], Version(1));
     let started = host.now;
     (0..200).for_each(|_| {
         host.txn("look", None);
@@ -178,7 +178,7 @@
         came.push((host.now, host.txn(if rare { "rare" } else { "look" }, None), rare));
         host.step();
     }
-    let exposed: Vec<&Sent> = host.sent.iter().filter(|sent| sent.build == 2).collect();
+    let exposed: Vec<&Sent> = host.sent.iter().filter(|sent| sent.build == Version(2)).collect();
     assert!(exposed.len() > 20, "the trial gets its share: {}", exposed.len());
     let is_rare = |id: RequestId| came.iter().any(|(_, other, rare)| *other == id && *rare);
     for lane in if by_product { vec![Some(true), Some(false)] } else { vec![None] } {
@@ -203,7 +203,8 @@
         host.txn("look", None);
         host.step();
     });
-    let exposed: Vec<&Sent> = host.sent.iter().filter(|sent| sent.build == 2 && sent.at > from).collect();
+    let exposed: Vec<&Sent> =
+        host.sent.iter().filter(|sent| sent.build == Version(2) && sent.at > from).collect();
     assert!(!exposed.is_empty());
     for last in &exposed {
         let sent = exposed.iter().filter(|sent| sent.at > last.at - 2000.0 && sent.at <= last.at).count();
@@ -222,14 +223,14 @@
         host.txn(product, None);
         host.step();
     });
-    assert!(host.sent.iter().all(|sent| sent.build == 1));
+    assert!(host.sent.iter().all(|sent| sent.build == Version(1)));
     // Later builds than the one announced count as in the first stage.
-    host.start(&["b5"], 3);
+    host.start(&["b5"], Version(3));
     (0..200).for_each(|_| {
         host.txn("pay", None);
         host.step();
     });
-    assert!(host.sent.iter().all(|sent| sent.build == 1));
+    assert!(host.sent.iter().all(|sent| sent.build == Version(1)));
 }
 
 #[rstest]
@@ -242,31 +243,33 @@
         host.run(20.0);
     }
     // Ids run on one a txn, so the key follows from the id.
-    let first = host.sent.iter().find(|sent| sent.build == 2).expect("the trial gets some").id;
-    let start = host.sent.iter().map(|s| s.id).max().unwrap_or(0) - 399;
-    let key = |id: RequestId| (id - start) % 40;
-    for new in host.sent.iter().filter(|sent| sent.build == 2 && sent.id >= first) {
-        assert!(host.sent.iter().all(|s| s.id <= new.id || key(s.id) != key(new.id) || s.build == 2));
+    let first = host.sent.iter().find(|sent| sent.build == Version(2)).expect("the trial gets some").id;
+    let start = host.sent.iter().map(|s| s.id.0).max().unwrap_or(0) - 399;
+    let key = |id: RequestId| (id.0 - start) % 40;
+    for new in host.sent.iter().filter(|sent| sent.build == Version(2) && sent.id >= first) {
+        assert!(
+            host.sent.iter().all(|s| s.id <= new.id || key(s.id) != key(new.id) || s.build == Version(2))
+        );
     }
-    host.stage(2, 1, RolloutPhase::RollingBack, 0.0);
+    host.stage(Version(2), 1, RolloutPhase::RollingBack, 0.0);
     let freed = host.txn("look", Some(&format!("k{}", key(first))));
     host.run(100.0);
     assert!(host.settled.contains_key(&freed));
 }
 
 #[rstest]
-#[case::fails(|sent: &Sent| if sent.build == 2 { every(5, sent, AttemptOutcome::Error) } else { well(sent) }, true)]
-#[case::too_late(|sent: &Sent| (AttemptOutcome::Success, if sent.build == 2 { 700.0 } else { 50.0 }), true)]
-#[case::slow_but_in_time(|sent: &Sent| (AttemptOutcome::Success, if sent.build == 2 { 150.0 } else { 50.0 }), true)]
+#[case::fails(|sent: &Sent| if sent.build == Version(2) { every(5, sent, AttemptOutcome::Error) } else { well(sent) }, true)]
+#[case::too_late(|sent: &Sent| (AttemptOutcome::Success, if sent.build == Version(2) { 700.0 } else { 50.0 }), true)]
+#[case::slow_but_in_time(|sent: &Sent| (AttemptOutcome::Success, if sent.build == Version(2) { 150.0 } else { 50.0 }), true)]
 #[case::turns_bad_late(
-    |sent: &Sent| if sent.build == 2 && sent.at - sent.started > 6000.0 { every(3, sent, AttemptOutcome::Error) } else { well(sent) },
+    |sent: &Sent| if sent.build == Version(2) && sent.at - sent.started > 6000.0 { every(3, sent, AttemptOutcome::Error) } else { well(sent) },
     true
 )]
 #[case::slows_all(slowed, true)]
 #[case::good(well, false)]
 #[case::both_fail(|sent: &Sent| every(10, sent, AttemptOutcome::Error), false)]
 #[case::cold_machines(
-    |sent: &Sent| (AttemptOutcome::Success, if sent.build == 2 && sent.at - sent.started < 4000.0 { 110.0 } else { 50.0 }),
+    |sent: &Sent| (AttemptOutcome::Success, if sent.build == Version(2) && sent.at - sent.started < 4000.0 { 110.0 } else { 50.0 }),
     false
 )]
 #[case::one_sick_machine(
@@ -279,8 +282,8 @@
 ) {
     let mut host = trial(Terms::default(), 1, 0.5, behave);
     host.serve(15_000.0, 2);
-    assert_eq!(host.voted(2, Verdict::RollBack), bad, "{:?}", host.logged());
-    assert!(bad || host.voted(2, Verdict::Promote));
+    assert_eq!(host.voted(Version(2), Verdict::RollBack), bad, "{:?}", host.logged());
+    assert!(bad || host.voted(Version(2), Verdict::Promote));
 }
 
 /// All are slower from the time at which the trial's instances start.
@@ -294,23 +297,23 @@
 fn slower_under_more_load_is_no_builds_fault(#[case] every: usize, #[case] bad: bool) {
     let mut host = Host::with(Terms::default(), 4, slowed);
     host.serve(4000.0, 8);
-    host.start(&["a7", "b8", "b9"], 2);
-    host.stage(2, 1, RolloutPhase::Canary, 0.5);
+    host.start(&["a7", "b8", "b9"], Version(2));
+    host.stage(Version(2), 1, RolloutPhase::Canary, 0.5);
     host.serve(8000.0, every);
-    assert_eq!(host.voted(2, Verdict::RollBack), bad);
+    assert_eq!(host.voted(Version(2), Verdict::RollBack), bad);
 }
 
 /// A gateway of many, with 20 instances of build 1 and two of build 2 on trial at this cap.
 fn one_of_many(seed: u64, cap: f64, behave: impl Fn(&Sent) -> (AttemptOutcome, Millis) + 'static) -> Host {
     let mut host = Host::with(Terms { seed, gateways: 300, ..Terms::default() }, 20, behave);
-    host.stage(1, 2, RolloutPhase::Promoted, 1.0);
+    host.stage(Version(1), 2, RolloutPhase::Promoted, 1.0);
     host.serve(4000.0, 40);
     for _ in 0..4 {
-        host.tally(1, 100, 2, 60.0);
+        host.tally(Version(1), 100, 2, 60.0);
         host.serve(250.0, 40);
     }
-    host.start(&["a30", "b31"], 2);
-    host.stage(2, if cap < 1.0 { 1 } else { 2 }, RolloutPhase::Canary, cap);
+    host.start(&["a30", "b31"], Version(2));
+    host.stage(Version(2), if cap < 1.0 { 1 } else { 2 }, RolloutPhase::Canary, cap);
     host
 }
 
@@ -330,17 +333,17 @@
 ) {
     let mut host = one_of_many(7, cap, well);
     // While the machines are cold, failures do not compare.
-    host.tally(2, 40, 30, 300.0);
-    host.tally(1, 100, 2, 60.0);
+    host.tally(Version(2), 40, 30, 300.0);
+    host.tally(Version(1), 100, 2, 60.0);
     host.serve(4000.0, 40);
     for _ in 0..5 {
-        host.tally(2, new.0, new.1, new.2);
-        host.tally(1, old.0, old.1, old.2);
+        host.tally(Version(2), new.0, new.1, new.2);
+        host.tally(Version(1), old.0, old.1, old.2);
         host.serve(2000.0, 40);
     }
     // Few of many vote: give this one time to be drawn.
     host.run(20_000.0);
-    assert_eq!(host.voted(2, Verdict::RollBack), bad);
+    assert_eq!(host.voted(Version(2), Verdict::RollBack), bad);
 }
 
 /// Two machines of the trial are warm and carry its txns, a third has just started.
@@ -352,16 +355,16 @@
 ) {
     let mut host = one_of_many(7, 0.5, well);
     host.serve(4000.0, 40);
-    host.start(&["a32"], 2);
+    host.start(&["a32"], Version(2));
     host.serve(500.0, 40);
     for _ in 0..4 {
-        host.tally(2, new.0, new.1, new.2);
-        host.tally(1, 100, 2, 60.0);
+        host.tally(Version(2), new.0, new.1, new.2);
+        host.tally(Version(1), 100, 2, 60.0);
         host.serve(250.0, 40);
     }
     // Few of many vote: give this one time to be drawn.
     host.run(60_000.0);
-    assert_eq!(host.voted(2, Verdict::RollBack), bad);
+    assert_eq!(host.voted(Version(2), Verdict::RollBack), bad);
 }
 
 /// Failures of old and new alike, in tallies of all gateways; each period by the trial's and the others'
@@ -379,12 +382,12 @@
     let mut host = one_of_many(7, 0.5, well);
     host.serve(4000.0, 40);
     for (new, failed, old, old_failed) in periods {
-        host.tally(2, new, failed, 60.0);
-        host.tally(1, old, old_failed, 60.0);
+        host.tally(Version(2), new, failed, 60.0);
+        host.tally(Version(1), old, old_failed, 60.0);
         host.serve(2000.0, 40);
     }
     host.run(20_000.0);
-    assert_eq!(host.voted(2, Verdict::RollBack), bad, "{:?}", host.logged());
+    assert_eq!(host.voted(Version(2), Verdict::RollBack), bad, "{:?}", host.logged());
 }
 
 /// Two of four machines of the trial are sick, and this gateway happens to meet them.
@@ -400,42 +403,42 @@
         _ => well(sent),
     };
     let mut host = Host::with(Terms::default(), 8, behave);
-    host.stage(1, 2, RolloutPhase::Promoted, 1.0);
+    host.stage(Version(1), 2, RolloutPhase::Promoted, 1.0);
     host.serve(4000.0, 4);
-    host.start(&["a7", "b8", "a9", "b10"], 2);
-    host.stage(2, 1, RolloutPhase::Canary, 0.5);
+    host.start(&["a7", "b8", "a9", "b10"], Version(2));
+    host.stage(Version(2), 1, RolloutPhase::Canary, 0.5);
     for _ in 0..40 {
         if let Some(failed) = failed {
-            host.tally(2, 40, failed, 60.0);
-            host.tally(1, 80, 1, 60.0);
+            host.tally(Version(2), 40, failed, 60.0);
+            host.tally(Version(1), 80, 1, 60.0);
         }
         host.serve(250.0, 4);
     }
-    assert_eq!(host.voted(2, Verdict::RollBack), bad);
+    assert_eq!(host.voted(Version(2), Verdict::RollBack), bad);
 }
 
 #[rstest]
-#[case::told_of_the_trial(false, 2, true)]
-#[case::told_of_both(false, 1, false)]
-#[case::own(true, 2, true)]
+#[case::told_of_the_trial(false, Version(2), true)]
+#[case::told_of_both(false, Version(1), false)]
+#[case::own(true, Version(2), true)]
 fn flags_add_up(#[case] own: bool, #[case] other: Version, #[case] bad: bool) {
     let mut host = one_of_many(7, 0.5, well);
     host.serve(4000.0, 40);
     for k in 0..24u32 {
-        let build: Version = if k % 3 == 0 { 2 } else { other };
+        let build: Version = if k % 3 == 0 { Version(2) } else { other };
         let (instance, product) = ("a30".to_string(), "look".to_string());
-        let told = Event::PeerMessage { from: k, data: build.to_be_bytes().to_vec() };
+        let told = Event::PeerMessage { from: k, data: build.0.to_be_bytes().to_vec() };
         host.tell(if own {
             Event::WrongAnswerReported { endpoint: instance, class: product, age: 1000.0 }
         } else {
             told
         });
-        host.tally(2, 20, 0, 60.0);
-        host.tally(1, 60, 0, 60.0);
+        host.tally(Version(2), 20, 0, 60.0);
+        host.tally(Version(1), 60, 0, 60.0);
         host.serve(500.0, 40);
     }
     host.run(20_000.0);
-    assert_eq!(host.voted(2, Verdict::RollBack), bad);
+    assert_eq!(host.voted(Version(2), Verdict::RollBack), bad);
 }
 
 #[rstest]
@@ -443,10 +446,10 @@
     let votes = |seed: u64| {
         let mut host = one_of_many(seed, 0.5, well);
         host.serve(4000.0, 40);
-        host.tally(2, 40, 0, 60.0);
-        host.tally(1, 100, 2, 60.0);
+        host.tally(Version(2), 40, 0, 60.0);
+        host.tally(Version(1), 100, 2, 60.0);
         host.run(1000.0);
-        host.voted(2, Verdict::Promote)
+        host.voted(Version(2), Verdict::Promote)
     };
     let voted = (0..60).filter(|seed| votes(*seed)).count();
     // 8 of 300 a look: about a tenth in four looks.
@@ -459,7 +462,7 @@
         .map(|seed| {
             let mut host = Host::with(Terms { seed, gateways: 100, ..Terms::default() }, 19, well);
             host.serve(4000.0, 40);
-            host.start(&["b99"], 1);
+            host.start(&["b99"], Version(1));
             host.serve(1000.0, 40);
             host.sent.iter().filter(|sent| sent.instance == "b99").count()
         })
@@ -473,12 +476,12 @@
     let (mut new, mut all) = (0, 0);
     for seed in 0..20 {
         let mut host = one_of_many(seed, 1.0, well);
-        host.stage(2, 1, RolloutPhase::Canary, 0.5);
+        host.stage(Version(2), 1, RolloutPhase::Canary, 0.5);
         host.serve(5000.0, 40);
         let from = host.now;
         host.serve(10_000.0, 40);
         let late = |sent: &&Sent| sent.at >= from;
-        new += host.sent.iter().filter(late).filter(|sent| sent.build == 2).count();
+        new += host.sent.iter().filter(late).filter(|sent| sent.build == Version(2)).count();
         all += host.sent.iter().filter(late).count();
     }
     // Two of 22 instances.
@@ -503,7 +506,8 @@
 
 #[rstest]
 fn a_tenant_that_waits_everywhere_does_not_take_the_others_places() {
-    let slow = |sent: &Sent| (AttemptOutcome::Success, if sent.id.is_multiple_of(2) { 800.0 } else { 50.0 });
+    let slow =
+        |sent: &Sent| (AttemptOutcome::Success, if sent.id.0.is_multiple_of(2) { 800.0 } else { 50.0 });
     let mut host = Host::with(Terms::default(), 4, slow);
     let mut ids = Vec::new();
     for k in 0..2000 {
@@ -557,7 +561,7 @@
 }
 
 #[rstest]
-#[case::everywhere(|sent: &Sent| if sent.id.is_multiple_of(3) { (AttemptOutcome::ConnectFailed, 1.0) } else { well(sent) }, true)]
+#[case::everywhere(|sent: &Sent| if sent.id.0.is_multiple_of(3) { (AttemptOutcome::ConnectFailed, 1.0) } else { well(sent) }, true)]
 #[case::at_one_instance(|sent: &Sent| if sent.instance == "a0" { (AttemptOutcome::ConnectFailed, 1.0) } else { well(sent) }, false)]
 fn where_connections_are_scarce_none_is_kept_idle(
     #[case] behave: fn(&Sent) -> (AttemptOutcome, Millis), #[case] closes: bool,
@@ -586,12 +590,13 @@
 fn before_its_release_a_build_carries_nearly_all() {
     let mut host = trial(Terms::default(), 2, 1.0, well);
     host.serve(6000.0, 2);
-    assert!(!host.voted(2, Verdict::Promote), "only after the rehearsal");
+    assert!(!host.voted(Version(2), Verdict::Promote), "only after the rehearsal");
     let from = host.now;
     host.serve(4500.0, 2);
-    let (new, all): (Vec<_>, Vec<_>) = host.sent.iter().filter(|s| s.at >= from).partition(|s| s.build == 2);
+    let (new, all): (Vec<_>, Vec<_>) =
+        host.sent.iter().filter(|s| s.at >= from).partition(|s| s.build == Version(2));
     assert!(new.len() > 4 * all.len(), "{} against {}", new.len(), all.len());
-    assert!(host.voted(2, Verdict::Promote));
+    assert!(host.voted(Version(2), Verdict::Promote));
 }
 
 #[rstest]
@@ -603,12 +608,12 @@
     terms.votes.mode = mode;
     // Under a clock nothing is voted unless in doubt: a mild fault that is no certainty for a while.
     let fault = move |sent: &Sent| {
-        let doubtful = mode == VoteMode::Clocked && sent.build == 2;
+        let doubtful = mode == VoteMode::Clocked && sent.build == Version(2);
         if doubtful { every(9, sent, AttemptOutcome::Error) } else { well(sent) }
     };
     let mut host = trial(terms, 1, 0.5, fault);
     host.serve(12_000.0, 2);
-    assert!(host.voted(2, verdict));
+    assert!(host.voted(Version(2), verdict));
     if mode != VoteMode::Clocked {
         let votes =
             |host: &Host| host.all.iter().filter(|(_, a)| matches!(a, Action::CastVote { .. })).count();
@@ -668,7 +673,7 @@
         host.serve(6000.0, 10);
         let before = host.txn("look", None);
         host.serve(5000.0, 10);
-        came += host.txn("look", None) - before - 1;
+        came += host.txn("look", None).0 - before.0 - 1;
         sent += host.sent.iter().filter(|sent| sent.id > before && sent.n == 0).count() as u32;
     }
     assert!(sent * 4 < came, "{sent} of {came} are sent to where none is served");
@@ -678,7 +683,7 @@
 fn a_restarted_gateway_serves_from_its_old_list_and_asks_for_the_new() {
     let mut host = Host::new(Terms::default());
     let entries: Vec<EndpointEntry> =
-        (0..3).map(|i| host.list(&format!("a{i}"), 1, EndpointStatus::Ready, 0.0)).collect();
+        (0..3).map(|i| host.list(&format!("a{i}"), Version(1), EndpointStatus::Ready, 0.0)).collect();
     host.tell(Event::EndpointUpdate { kind: UpdateKind::CachedSnapshot, list_version: 1, entries });
     let id = host.txn("pay", None);
     host.run(2500.0);
@@ -706,7 +711,7 @@
     let instance = "nobody".to_string();
     let (ending, took) = (AttemptOutcome::Success, -5.0);
     host.tell(Event::AttemptCompleted(CompletedAttempt {
-        id: 9999,
+        id: RequestId(9999),
         attempt: 7,
         endpoint: instance,
         outcome: ending,
@@ -714,10 +719,10 @@
         elapsed: took,
         load: LoadReport::default(),
     }));
-    host.tell(Event::ClientDisconnected { id: 4242 });
+    host.tell(Event::ClientDisconnected { id: RequestId(4242) });
     host.tell(Event::WrongAnswerReported { endpoint: "nobody".into(), class: "none".into(), age: -1.0 });
     host.tell(Event::OutcomesReported(OutcomeReport {
-        version: 77,
+        version: Version(77),
         class: "none".into(),
         attempts: 0,
         failures: 5,
@@ -726,11 +731,11 @@
     }));
     host.tell(Event::PeerMessage { from: 99, data: vec![255; 256] });
     host.tell(Event::PeerMessage { from: 99, data: vec![255; 4] });
-    host.tally(2, u64::MAX, u64::MAX, 1.0);
-    host.tally(1, 3, 9, -4.0);
-    host.stage(9, 40, RolloutPhase::Canary, -3.0);
-    host.stage(2, 40, RolloutPhase::Canary, 7.0);
-    host.list("a0", 1, EndpointStatus::Ready, 1e12);
+    host.tally(Version(2), u64::MAX, u64::MAX, 1.0);
+    host.tally(Version(1), 3, 9, -4.0);
+    host.stage(Version(9), 40, RolloutPhase::Canary, -3.0);
+    host.stage(Version(2), 40, RolloutPhase::Canary, 7.0);
+    host.list("a0", Version(1), EndpointStatus::Ready, 1e12);
     let unknown = host.txn("unheard-of", None);
     let id = host.txn("pay", None);
     host.run(300.0);
@@ -742,10 +747,12 @@
 fn many_instances_tenants_and_builds_leave_nothing_behind() {
     let (mut fleet, mut desk) = (Fleet::default(), Desk::new(vec![50.0], 0.0));
     let mut exposure = Exposure::new(ExposureConfig::default(), 1);
-    let mut listing = Host::new(Terms::default()).list("a", 1, EndpointStatus::Ready, 0.0);
+    let mut listing = Host::new(Terms::default()).list("a", Version(1), EndpointStatus::Ready, 0.0);
     let stays = fleet.slot(&listing);
     for n in 0..5000 {
-        (listing.endpoint, listing.version, listing.status) = (format!("s{n}"), n, EndpointStatus::Ready);
+        listing.endpoint = format!("s{n}");
+        listing.version = Version(n);
+        listing.status = EndpointStatus::Ready;
         let i = fleet.slot(&listing);
         assert!(i != stays && fleet.servers.build[i] != fleet.servers.build[stays]);
         fleet.servers.begin_life(i, 2.0);
@@ -753,7 +760,7 @@
         listing.status = EndpointStatus::Removed;
         fleet.servers.relist(i, &listing);
         desk.services(&Some(format!("t{n}")))[1].at = f64::from(n);
-        exposure.note_send(n, 0, 100.0 * f64::from(n), 1000.0);
+        exposure.note_send(Version(n), 0, 100.0 * f64::from(n), 1000.0);
     }
     assert_eq!((fleet.servers.id.len(), fleet.index.len()), (2, 2));
     assert!(desk.service.len() <= 512 && exposure.sends.len() <= 12);
@@ -765,7 +772,7 @@
 }
 
 #[rstest]
-#[case::now_and_then(|sent: &Sent| sent.id.is_multiple_of(20) && sent.n == 0, false)]
+#[case::now_and_then(|sent: &Sent| sent.id.0.is_multiple_of(20) && sent.n == 0, false)]
 #[case::one_after_another(|sent: &Sent| sent.instance == "a0", true)]
 fn a_server_is_left_aside_for_two_lost_connections_in_a_row_and_not_for_one(
     #[case] loses: fn(&Sent) -> bool, #[case] aside: bool,
@@ -786,19 +793,21 @@
     #[case] one_in: u32, #[case] bad: bool,
 ) {
     let behave = move |sent: &Sent| match sent.build {
-        2 if sent.at > 117_000.0 => every(one_in, sent, AttemptOutcome::Error),
+        Version(2) if sent.at > 117_000.0 => every(one_in, sent, AttemptOutcome::Error),
         _ => well(sent),
     };
     let mut host = Host::with(Terms::default(), 4, behave);
-    host.stage(1, 2, RolloutPhase::Promoted, 1.0);
+    host.stage(Version(1), 2, RolloutPhase::Promoted, 1.0);
     host.serve(12_000.0, 2);
-    host.start(&["a7", "b8", "b9"], 2);
-    host.stage(2, 1, RolloutPhase::Canary, 0.5);
+    host.start(&["a7", "b8", "b9"], Version(2));
+    host.stage(Version(2), 1, RolloutPhase::Canary, 0.5);
     host.serve(4000.0, 2);
-    ["a0", "a1", "b2", "b3"].iter().for_each(|name| drop(host.list(name, 1, EndpointStatus::Removed, 0.0)));
-    host.stage(2, 2, RolloutPhase::Canary, 1.0);
+    ["a0", "a1", "b2", "b3"]
+        .iter()
+        .for_each(|name| drop(host.list(name, Version(1), EndpointStatus::Removed, 0.0)));
+    host.stage(Version(2), 2, RolloutPhase::Canary, 1.0);
     host.serve(10_000.0, 2);
-    assert_eq!(host.voted(2, Verdict::RollBack), bad);
+    assert_eq!(host.voted(Version(2), Verdict::RollBack), bad);
 }
 
 #[test]
@@ -810,12 +819,12 @@
     };
     let mut host =
         Host::with(Terms::default(), 4, move |sent: &Sent| (AttemptOutcome::Success, took(sent.at)));
-    host.stage(1, 2, RolloutPhase::Promoted, 1.0);
+    host.stage(Version(1), 2, RolloutPhase::Promoted, 1.0);
     host.serve(7000.0, 2);
-    host.start(&["a7", "b8", "b9"], 2);
-    host.stage(2, 0, RolloutPhase::Canary, 0.5);
+    host.start(&["a7", "b8", "b9"], Version(2));
+    host.stage(Version(2), 0, RolloutPhase::Canary, 0.5);
     host.serve(8000.0, 2);
-    assert!(!host.voted(2, Verdict::RollBack));
+    assert!(!host.voted(Version(2), Verdict::RollBack));
 }
 
 #[test]
--- a/crates/proxy-config/src/freshness.rs
+++ b/crates/proxy-config/src/freshness.rs
@@ -180,33 +180,39 @@
     #[test]
     fn nothing_goes_out_before_list_and_platform_are_as_far_as_what_was_kept() {
         let news = RolloutVersion {
-            version: 7,
+            version: Version(7),
             status: RolloutStatus::RolledBack,
             stage: 1,
             traffic_cap: 0,
             since: 5_000,
         };
         let kept = ConfigVersion { rollout: news, endpoints: EndpointListVersion { epoch: 0, version: 40 } };
-        let mut world = KnownState::restore(Some(kept), [7]);
+        let mut world = KnownState::restore(Some(kept), [Version(7)]);
         assert!(world.config_version().is_err());
         // The list is 30 s old, and the platform's replica too.
         assert_eq!(world.apply_endpoint_list(31, true, 9_000.0), UpdateResult::Applied);
-        assert!(world.apply_rollout_state(&state(7, 1, RolloutPhase::Canary, 0.5), false, 9_000.0).is_none());
+        assert!(
+            world
+                .apply_rollout_state(&state(Version(7), 1, RolloutPhase::Canary, 0.5), false, 9_000.0)
+                .is_none()
+        );
         assert!(world.config_version().is_err());
         assert!(
-            world.apply_rollout_state(&state(7, 1, RolloutPhase::RolledBack, 0.0), false, 9_500.0).is_some()
+            world
+                .apply_rollout_state(&state(Version(7), 1, RolloutPhase::RolledBack, 0.0), false, 9_500.0)
+                .is_some()
         );
         assert!(world.config_version().is_err());
         assert_eq!(world.apply_endpoint_list(41, false, 10_000.0), UpdateResult::Applied);
         assert_eq!(world.config_version().map(|basis| basis.endpoints.version), Ok(41));
-        assert!(world.rolled_back_versions().contains(&7));
+        assert!(world.rolled_back_versions().contains(&Version(7)));
     }
 
     #[test]
     fn a_peer_that_holds_more_tells_of_it_only_with_a_signature() {
         let labels = VersionSigner::new(Some(b"site".to_vec()));
         let news = RolloutVersion {
-            version: 9,
+            version: Version(9),
             status: RolloutStatus::RollingBack,
             stage: 2,
             traffic_cap: 0,
@@ -215,7 +221,7 @@
         let basis = ConfigVersion { rollout: news, endpoints: EndpointListVersion { epoch: 0, version: 12 } };
         let mut world = KnownState::default();
         world.apply_endpoint_list(11, true, 2_000.0);
-        world.apply_rollout_state(&state(9, 2, RolloutPhase::Canary, 0.5), false, 2_000.0);
+        world.apply_rollout_state(&state(Version(9), 2, RolloutPhase::Canary, 0.5), false, 2_000.0);
         assert!(world.config_version().is_ok());
         let plain = VersionSigner::default().parse_label(&VersionSigner::default().label(&basis, 0)).unwrap();
         assert!(world.apply_proxy_version(&plain, 2_000.0).is_none() && world.config_version().is_ok());
@@ -225,14 +231,18 @@
             Some(RolloutPhase::RollingBack)
         );
         assert!(world.config_version().is_err(), "its list is behind");
-        assert!(world.apply_rollout_state(&state(9, 2, RolloutPhase::Canary, 0.5), false, 2_100.0).is_none());
+        assert!(
+            world
+                .apply_rollout_state(&state(Version(9), 2, RolloutPhase::Canary, 0.5), false, 2_100.0)
+                .is_none()
+        );
     }
 
     #[test]
     fn a_list_that_stays_behind_while_discovery_answers_counts_anew() {
         let mut world = KnownState::default();
         world.apply_endpoint_list(500, true, 0.0);
-        world.apply_rollout_state(&state(1, 0, RolloutPhase::Promoted, 1.0), false, 0.0);
+        world.apply_rollout_state(&state(Version(1), 0, RolloutPhase::Promoted, 1.0), false, 0.0);
         assert_eq!(world.apply_endpoint_list(3, true, 1_000.0), UpdateResult::Stale);
         assert_eq!(world.apply_endpoint_list(4, true, 50_000.0), UpdateResult::Stale);
         world.endpoint_list_failed();
@@ -261,7 +271,7 @@
             for (kind, build, stage, phase, version, cap) in steps {
                 now += 700.0;
                 let phase = [RolloutPhase::Canary, RolloutPhase::Promoted, RolloutPhase::RollingBack, RolloutPhase::RolledBack][phase as usize];
-                let news = state(build, stage, phase, f64::from(cap) / 2.0);
+                let news = state(Version(build), stage, phase, f64::from(cap) / 2.0);
                 match kind {
                     0 => drop(world.apply_rollout_state(&news, false, now)),
                     1 => drop(world.apply_endpoint_list(version, true, now)),
--- a/crates/proxy-config/src/load_reports.rs
+++ b/crates/proxy-config/src/load_reports.rs
@@ -248,7 +248,7 @@
     /// Hosts 1 to 3 have build 1.
     fn known(host: &SocketAddr, build: Version) -> Option<&'static str> {
         let names = ["s1", "s2", "s3"];
-        names.get(usize::from(host.port().wrapping_sub(1))).copied().filter(|_| build == 1)
+        names.get(usize::from(host.port().wrapping_sub(1))).copied().filter(|_| build == Version(1))
     }
 
     fn report(build: Version, host: u16, figures: EndpointCounts) -> ProxyReport {
@@ -267,18 +267,22 @@
     fn what_cannot_be_is_refused_whole() {
         let mut all = LoadReportAggregator::new(vec!["look".to_string()], false);
         let mut refused = |report: ProxyReport| all.add_report(1, &report, known, 0.0).is_err();
-        assert!(!refused(report(1, 1, EndpointCounts { in_flight: 2, ..ok(5, 1) })));
+        assert!(!refused(report(Version(1), 1, EndpointCounts { in_flight: 2, ..ok(5, 1) })));
         for bad in [
-            report(1, 9, ok(1, 0)),
-            report(2, 1, ok(1, 0)),
-            report(1, 1, ok(COUNT_MOST + 1, 0)),
-            report(1, 1, EndpointCounts { total_latency: f64::INFINITY, latency_samples: 1, ..ok(1, 0) }),
-            report(1, 1, EndpointCounts { total_latency: f64::NAN, latency_samples: 1, ..ok(1, 0) }),
-            report(1, 1, EndpointCounts { total_latency: -3.0, latency_samples: 1, ..ok(1, 0) }),
-            report(1, 1, EndpointCounts { total_latency: 3.0, latency_samples: 0, ..ok(1, 0) }),
-            report(1, 1, EndpointCounts { started: 1, succeeded: 9, ..EndpointCounts::default() }),
-            ProxyReport { interval: f64::NAN, ..report(1, 1, ok(1, 0)) },
-            ProxyReport { interval: 0.0, ..report(1, 1, ok(1, 0)) },
+            report(Version(1), 9, ok(1, 0)),
+            report(Version(2), 1, ok(1, 0)),
+            report(Version(1), 1, ok(COUNT_MOST + 1, 0)),
+            report(
+                Version(1),
+                1,
+                EndpointCounts { total_latency: f64::INFINITY, latency_samples: 1, ..ok(1, 0) },
+            ),
+            report(Version(1), 1, EndpointCounts { total_latency: f64::NAN, latency_samples: 1, ..ok(1, 0) }),
+            report(Version(1), 1, EndpointCounts { total_latency: -3.0, latency_samples: 1, ..ok(1, 0) }),
+            report(Version(1), 1, EndpointCounts { total_latency: 3.0, latency_samples: 0, ..ok(1, 0) }),
+            report(Version(1), 1, EndpointCounts { started: 1, succeeded: 9, ..EndpointCounts::default() }),
+            ProxyReport { interval: f64::NAN, ..report(Version(1), 1, ok(1, 0)) },
+            ProxyReport { interval: 0.0, ..report(Version(1), 1, ok(1, 0)) },
         ] {
             assert!(refused(bad.clone()), "{bad:?}");
         }
@@ -296,9 +300,9 @@
     fn one_proxy_condemns_neither_a_build_nor_a_host() {
         let mut all = LoadReportAggregator::new(vec!["look".to_string()], false);
         for proxy in 0..9 {
-            all.add_report(proxy, &report(1, 1, ok(100, 0)), known, 0.0).unwrap();
+            all.add_report(proxy, &report(Version(1), 1, ok(100, 0)), known, 0.0).unwrap();
         }
-        all.add_report(9, &report(1, 1, ok(0, 1_000_000)), known, 0.0).unwrap();
+        all.add_report(9, &report(Version(1), 1, ok(0, 1_000_000)), known, 0.0).unwrap();
         let mut failing = Vec::new();
         for event in all.drain_events(2000.0) {
             match event {
@@ -321,10 +325,10 @@
     fn submissions_are_never_counted_by_both() {
         let mut all = LoadReportAggregator::new(vec!["look".to_string()], false);
         assert!(all.uses_platform_counts(0.0));
-        all.add_report(1, &report(1, 1, ok(5, 0)), known, 0.0).unwrap();
+        all.add_report(1, &report(Version(1), 1, ok(5, 0)), known, 0.0).unwrap();
         assert!(!all.uses_platform_counts(4_000.0) && all.uses_platform_counts(6_000.0));
         let mut all = LoadReportAggregator::new(vec!["look".to_string()], true);
-        all.add_report(1, &report(1, 1, ok(5, 0)), known, 0.0).unwrap();
+        all.add_report(1, &report(Version(1), 1, ok(5, 0)), known, 0.0).unwrap();
         assert!(all.uses_platform_counts(1.0));
         assert!(
             all.drain_events(2000.0)
@@ -346,7 +350,7 @@
                 let cut = |count: u64| count >> (count % 64);
                 let (issued, settled, failed) = (cut(issued), cut(settled), cut(failed));
                 let figures = EndpointCounts { started: issued, succeeded: settled, failed, in_flight: 0, total_latency: took, latency_samples: cut(timed) };
-                let _ = all.add_report(proxy, &report(1, host, figures), known, 0.0);
+                let _ = all.add_report(proxy, &report(Version(1), host, figures), known, 0.0);
             }
             for event in all.drain_events(1500.0) {
                 if let Event::OutcomesReported(OutcomeReport { attempts: count, failures: failed, mean_latency: took, .. }) | Event::EndpointOutcomesReported(EndpointOutcomes { attempts: count, failures: failed, mean_latency: took, .. }) = event {
--- a/crates/proxy-config/src/proxy_config.rs
+++ b/crates/proxy-config/src/proxy_config.rs
@@ -367,8 +367,8 @@
 
     #[test]
     fn closed_stages_and_keys_keep_all_but_inquiries_with_the_earlier_build() {
-        let hosts = vec![host(0, 1, true, false, false), host(1, 2, true, false, false)];
-        let trials = vec![Canary { version: 2, traffic_cap: 0.1, stage: 0 }];
+        let hosts = vec![host(0, Version(1), true, false, false), host(1, Version(2), true, false, false)];
+        let trials = vec![Canary { version: Version(2), traffic_cap: 0.1, stage: 0 }];
         let outlook = PolicySnapshot {
             canaries: trials,
             canary_share: 0.5,
@@ -382,27 +382,35 @@
             made.canary_shares
         );
         assert_eq!(made.canary_shares[1..], [0, 0, 0]);
-        let earlier_only = vec![(RouteTarget::Version(1), MILLION)];
+        let earlier_only = vec![(RouteTarget::Version(Version(1)), MILLION)];
         assert!(made.routes.iter().all(|route| route.sticky_shares.as_ref() == Some(&earlier_only)));
-        assert!(made.clusters.iter().all(|cluster| cluster.allows_retries == (cluster.version == 1)));
+        assert!(
+            made.clusters.iter().all(|cluster| cluster.allows_retries == (cluster.version == Version(1)))
+        );
     }
 
     #[test]
     fn a_withdrawn_build_gets_nothing_though_the_next_one_is_on_trial() {
         let hosts = vec![
-            host(0, 1, true, false, false),
-            host(1, 2, true, false, false),
-            host(2, 3, true, false, false),
+            host(0, Version(1), true, false, false),
+            host(1, Version(2), true, false, false),
+            host(2, Version(3), true, false, false),
         ];
-        let trials = vec![Canary { version: 3, traffic_cap: 0.1, stage: 1 }];
+        let trials = vec![Canary { version: Version(3), traffic_cap: 0.1, stage: 1 }];
         let outlook = PolicySnapshot {
             canaries: trials,
             canary_share: 0.3,
             endpoints: hosts,
             ..PolicySnapshot::default()
         };
-        let made =
-            build_proxy_config(&outlook, &terms(), &BTreeSet::from([2]), &addresses(3), &busy(1.0), 0.0);
+        let made = build_proxy_config(
+            &outlook,
+            &terms(),
+            &BTreeSet::from([Version(2)]),
+            &addresses(3),
+            &busy(1.0),
+            0.0,
+        );
         let given = |target| {
             made.routes.iter().any(|route| {
                 route
@@ -413,9 +421,9 @@
             })
         };
         assert!(
-            given(RouteTarget::Version(1))
-                && given(RouteTarget::Version(3))
-                && !given(RouteTarget::Version(2))
+            given(RouteTarget::Version(Version(1)))
+                && given(RouteTarget::Version(Version(3)))
+                && !given(RouteTarget::Version(Version(2)))
         );
     }
 
@@ -445,15 +453,15 @@
         fn every_handout_keeps_the_rules(
             fleet in prop::collection::vec((1u32..5, any::<bool>(), any::<bool>(), any::<bool>()), 0..12),
             cap in 0.0f64..=1.0, stage in 0u32..2, share in 0.0f64..=1.0, rate in 0.0f64..10.0,
-            withdrawn in prop::collection::btree_set(1u32..3, 0..2), shed in 0.0f64..=1.0
+            withdrawn in prop::collection::btree_set((1u32..3).prop_map(Version), 0..2), shed in 0.0f64..=1.0
         ) {
             let instances: Vec<EndpointSnapshot> = fleet
                 .iter()
                 .enumerate()
-                .map(|(n, (build, ready, aside, cold))| host(n, *build, *ready, *aside, *cold))
+                .map(|(n, (build, ready, aside, cold))| host(n, Version(*build), *ready, *aside, *cold))
                 .collect();
             let on: BTreeSet<Version> =
-                instances.iter().filter(|host| host.is_ready && host.version >= 3).map(|host| host.version).collect();
+                instances.iter().filter(|host| host.is_ready && host.version >= Version(3)).map(|host| host.version).collect();
             let trials: Vec<Canary> = on.iter().map(|build| Canary { version: *build, traffic_cap: cap, stage }).collect();
             let outlook = PolicySnapshot { canaries: trials, canary_share: share, shed_probability: shed, endpoints: instances, ..PolicySnapshot::default() };
             let terms = terms();
--- a/crates/proxy-config/src/version.rs
+++ b/crates/proxy-config/src/version.rs
@@ -263,7 +263,7 @@
         ];
         (0u32..4, ways, 0u32..4, 0u32..=1_000_000, 0u64..20_000).prop_map(
             |(build, way, stage, cap, since)| RolloutVersion {
-                version: build,
+                version: Version(build),
                 status: way,
                 stage,
                 traffic_cap: cap,
@@ -311,7 +311,7 @@
     #[test]
     fn later_ways_of_a_build_are_newer_however_old_their_beginning() {
         let on = RolloutVersion {
-            version: 4,
+            version: Version(4),
             status: RolloutStatus::Canary,
             stage: 3,
             traffic_cap: 1_000_000,
@@ -329,7 +329,10 @@
                 Ordering::Greater
             );
         }
-        assert_eq!(RolloutVersion { version: 5, stage: 0, since: 0, ..on }.compare(&on), Ordering::Greater);
+        assert_eq!(
+            RolloutVersion { version: Version(5), stage: 0, since: 0, ..on }.compare(&on),
+            Ordering::Greater
+        );
         // At the same stage: the cap fell, told a moment apart on two clocks; then rose again much later.
         let fell = RolloutVersion { traffic_cap: 0, since: 89_500, ..on };
         assert_eq!(fell.compare(&on), Ordering::Greater);
--- a/crates/simulator-protocol/src/lines.rs
+++ b/crates/simulator-protocol/src/lines.rs
@@ -147,7 +147,7 @@
             "deregistered" => Some(EndpointStatus::Removed),
             _ => None,
         })?,
-        version: build as Version,
+        version: Version(build as u32),
         zone: fields.maybe("az").unwrap_or("").to_string(),
         cell: fields.maybe_number("cluster")?.unwrap_or(0),
         machine_type: fields.maybe("model").unwrap_or("").to_string(),
--- a/crates/simulator-protocol/tests/wire.rs
+++ b/crates/simulator-protocol/tests/wire.rs
@@ -23,28 +23,28 @@
 
 #[rstest]
 #[case("REMINDER handle=tick", Event::TimerFired { token: "tick".into() })]
-#[case("ABORTED handle=7 unknown=1", Event::ClientDisconnected { id: 7 })]
+#[case("ABORTED handle=7 unknown=1", Event::ClientDisconnected { id: RequestId(7) })]
 #[case("STREAMING handle=7 go=1 instance=a:1 duration-s=0.25",
-    Event::ResponseStarted { id: 7, attempt: 1, endpoint: "a:1".into(), elapsed: 250.0 })]
+    Event::ResponseStarted { id: RequestId(7), attempt: 1, endpoint: "a:1".into(), elapsed: 250.0 })]
 #[case("RESOLVED handle=7 ending=turned_away go=1 duration-s=0.5 instance=a:1 metrics=rif:3,rate:2.5",
-    Event::AttemptCompleted(CompletedAttempt { id: 7, attempt: 1, endpoint: "a:1".into(), outcome: AttemptOutcome::Rejected, is_final: false,
+    Event::AttemptCompleted(CompletedAttempt { id: RequestId(7), attempt: 1, endpoint: "a:1".into(), outcome: AttemptOutcome::Rejected, is_final: false,
         elapsed: 500.0, load: LoadReport::from_iter([("rif".into(), 3.0), ("rate".into(), 2.5)]) }))]
 #[case("CHECK_RESULT duration-s=0.5 instance=a:1 ending=no_connection",
     Event::HealthCheckCompleted { endpoint: "a:1".into(), outcome: AttemptOutcome::ConnectFailed, elapsed: 500.0, load: LoadReport::default() })]
 #[case("PEER_DATA by=2 payload=aGk=", Event::PeerMessage { from: 2, data: b"hi".to_vec() })]
 #[case("PEER_DATA by=2 payload=-", Event::PeerMessage { from: 2, data: vec![] })]
 #[case("DIGEST rel=4 profile=pay count=8 errors=2 duration-s=0.5 age-s=1",
-    Event::OutcomesReported(OutcomeReport { version: 4, class: "pay".into(), attempts: 8, failures: 2, mean_latency: Some(500.0), age: 1000.0 }))]
+    Event::OutcomesReported(OutcomeReport { version: Version(4), class: "pay".into(), attempts: 8, failures: 2, mean_latency: Some(500.0), age: 1000.0 }))]
 #[case("REPORTED_WRONG instance=a:1 profile=pay age-s=2",
     Event::WrongAnswerReported { endpoint: "a:1".into(), class: "pay".into(), age: 2000.0 })]
 #[case("JOB_IN handle=7 profile=pay ttl-s=0.5 again-by-client=1 target-key=k:1 mutates=0 realm=0",
-    Event::RequestReceived(IncomingRequest { id: 7, class: "pay".into(), tenant: None, sticky_key: Some("k:1".into()), time_remaining: 500.0, queued_for: 0.0, expected_work: None,
+    Event::RequestReceived(IncomingRequest { id: RequestId(7), class: "pay".into(), tenant: None, sticky_key: Some("k:1".into()), time_remaining: 500.0, queued_for: 0.0, expected_work: None,
         is_retry: true, is_write: false }))]
 #[case("SHIP_STATE ending=served where-at=1 allowed=0.5 rel=4 wave=2 age-s=0.5 how=1",
-    Event::VoteCompleted(VoteOutcome::Counted(RolloutState { version: 4, stage: 2,
+    Event::VoteCompleted(VoteOutcome::Counted(RolloutState { version: Version(4), stage: 2,
         phase: RolloutPhase::RollingBack, traffic_cap: 0.5, age: 500.0 })))]
 #[case("SHIP_STATE ending=served where-at=1 allowed=0.5 rel=4 wave=2 age-s=0.5 how=0",
-    Event::RolloutUpdate(RolloutState { version: 4, stage: 2,
+    Event::RolloutUpdate(RolloutState { version: Version(4), stage: 2,
         phase: RolloutPhase::RollingBack, traffic_cap: 0.5, age: 500.0 }))]
 #[case("SHIP_STATE ending=no_answer how=1", Event::VoteCompleted(VoteOutcome::Unknown))]
 #[case("SHIP_STATE ending=turned_away how=1", Event::VoteCompleted(VoteOutcome::NotCounted))]
@@ -55,11 +55,11 @@
 }
 
 #[rstest]
-#[case(Action::SendAttempt { id: 7, endpoint: "a:1".into(), timeout: Some(80.0), write_within: None }, "PASS_ON handle=7 instance=a:1 max-wait-s=0.08")]
-#[case(Action::Reject { id: 7, retry_after: Some(500.0) }, "DENY handle=7 retry-after-s=0.5")]
-#[case(Action::Reject { id: 7, retry_after: None }, "DENY handle=7")]
-#[case(Action::Fail { id: 7 }, "FAIL handle=7")]
-#[case(Action::CancelAttempt { id: 7, attempt: 2 }, "ABANDON handle=7 go=2")]
+#[case(Action::SendAttempt { id: RequestId(7), endpoint: "a:1".into(), timeout: Some(80.0), write_within: None }, "PASS_ON handle=7 instance=a:1 max-wait-s=0.08")]
+#[case(Action::Reject { id: RequestId(7), retry_after: Some(500.0) }, "DENY handle=7 retry-after-s=0.5")]
+#[case(Action::Reject { id: RequestId(7), retry_after: None }, "DENY handle=7")]
+#[case(Action::Fail { id: RequestId(7) }, "FAIL handle=7")]
+#[case(Action::CancelAttempt { id: RequestId(7), attempt: 2 }, "ABANDON handle=7 go=2")]
 #[case(Action::SetTimer { after: 10.0, token: "t".into() }, "WAKE_ME delay-s=0.01 handle=t")]
 #[case(Action::HealthCheck { endpoint: "a:1".into() }, "SOUND_OUT instance=a:1")]
 #[case(Action::CloseIdleConnections { endpoint: "a:1".into() }, "CLOSE_IDLE instance=a:1")]
@@ -67,7 +67,7 @@
 #[case(Action::SendPeerMessage { to: Some(3), data: vec![] }, "WRITE_PEER target=3 payload=-")]
 #[case(Action::WatchEndpoints { enabled: true }, "SUBSCRIBE active=1")]
 #[case(Action::FetchEndpoints, "PULL")]
-#[case(Action::CastVote { version: 4, stage: 1, verdict: Verdict::RollBack }, "BALLOT rel=4 wave=1 how=3")]
+#[case(Action::CastVote { version: Version(4), stage: 1, verdict: Verdict::RollBack }, "BALLOT rel=4 wave=1 how=3")]
 #[case(Action::Log("two known".into()), "EMIT what=two known")]
 fn actions_are_printed(#[case] action: Action, #[case] line: &str) {
     let mut out = Vec::new();
--- a/crates/xds/tests/model.rs
+++ b/crates/xds/tests/model.rs
@@ -52,7 +52,7 @@
     let before = *news;
     match (kind % 6, news.phase) {
         (0, RolloutPhase::Promoted | RolloutPhase::RolledBack) => {
-            let (build, stage, phase, cap) = (news.version + 1, 0, RolloutPhase::Canary, 0.1);
+            let (build, stage, phase, cap) = (Version(news.version.0 + 1), 0, RolloutPhase::Canary, 0.1);
             *news = RolloutState { version: build, stage, phase, traffic_cap: cap, ..*news };
             let n = pick % next.hosts.len();
             next.hosts[n] = (build, true);
@@ -70,7 +70,7 @@
         }
         (3, RolloutPhase::RollingBack) => {
             news.phase = RolloutPhase::RolledBack;
-            let (bad, good) = (news.version, news.version - 1);
+            let (bad, good) = (news.version, Version(news.version.0 - 1));
             next.hosts.iter_mut().filter(|host| host.0 == bad).for_each(|host| host.0 = good);
             next.version += 1;
         }
@@ -217,10 +217,15 @@
 
 fn play(steps: Vec<(u8, u8, usize, bool)>, apart: bool) {
     let labels = VersionSigner::new(Some(b"site".to_vec()));
-    let news =
-        RolloutState { version: 1, stage: 0, phase: RolloutPhase::Promoted, traffic_cap: 1.0, age: 0.0 };
+    let news = RolloutState {
+        version: Version(1),
+        stage: 0,
+        phase: RolloutPhase::Promoted,
+        traffic_cap: 1.0,
+        age: 0.0,
+    };
     let mut moments =
-        vec![Moment { news, hosts: vec![(1, true); 4], version: 1, at: 10_000.0, since: 9_000.0 }];
+        vec![Moment { news, hosts: vec![(Version(1), true); 4], version: 1, at: 10_000.0, since: 9_000.0 }];
     let mut services = [Service::new(), Service::new()];
     let clients = (0..4).map(|n| Client { cache: Cache::new(&format!("p{n}"), n % 2 == 0), stream: None });
     let mut clients: Vec<Client> = clients.collect();
@@ -305,7 +310,7 @@
         let way = client.cache.way("pay", false).unwrap();
         assert!(way.retry_on == "connect-failure,refused-stream" || way.repeats == 0, "never a blind repeat");
         if last.news.phase == RolloutPhase::RolledBack || last.news.phase == RolloutPhase::RollingBack {
-            assert_eq!(client.cache.part("look", last.news.version), 0);
+            assert_eq!(client.cache.part("look", last.news.version.0), 0);
         }
     }
 }
