--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,5 +1,8 @@
 //! The program: what it is asked for on its command line, its log, and how it ends.
 
+// Until its turn: docs/ROADMAP.md.
+#![allow(unreachable_pub)]
+
 mod check;
 mod demo;
 
--- a/crates/cli/tests/control.rs
+++ b/crates/cli/tests/control.rs
@@ -1,5 +1,8 @@
 //! The control service as a process, on loopback: what bad peers cost, who may connect, what a death costs.
 
+// A test fails where it unwraps.
+#![allow(clippy::unwrap_used)]
+
 use bytes::Bytes;
 use latchhaven_test_support::cache::Cache;
 use latchhaven_test_support::machine::Machine;
--- a/crates/cli/tests/endings.rs
+++ b/crates/cli/tests/endings.rs
@@ -1,6 +1,9 @@
 //! Stories of how things end, over loopback: each brings about the one order of events in which an ending
 //! could go wrong, by holding sockets and signals, and bounds no wait by hope.
 
+// A test fails where it unwraps.
+#![allow(clippy::unwrap_used)]
+
 use latchhaven_test_support::wire::*;
 use rstest::rstest;
 use serde_json::{Value, json};
--- a/crates/cli/tests/stories.rs
+++ b/crates/cli/tests/stories.rs
@@ -1,5 +1,8 @@
 //! Stories over loopback: the gateway's program between stand-ins, one for each failure.
 
+// A test fails where it unwraps.
+#![allow(clippy::unwrap_used)]
+
 use bytes::Bytes;
 use latchhaven_gateway::net::list::read as read_list;
 use latchhaven_gateway::net::servers::{Errand, Pool, Stopped};
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -9,6 +9,9 @@
 //!
 //! [`client`] is the thin driver round them on tokio.
 
+// Until its turn: docs/ROADMAP.md.
+#![allow(missing_docs)]
+
 pub mod budget;
 pub mod call;
 pub mod client;
--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -319,7 +319,7 @@
         Ok(())
     }
 
-    /// When [`Core::turn`] is to be called next, at the latest.
+    /// When [`ControlPlane::poll`] is to be called next, at the latest.
     pub fn next_poll_at(&self, now: Millis) -> Millis {
         let door = if self.admission.has_pending() { now + 1.0 } else { f64::INFINITY };
         let events = if self.events.is_empty() { f64::INFINITY } else { now + COALESCE };
--- a/crates/control-plane/src/driver.rs
+++ b/crates/control-plane/src/driver.rs
@@ -1,4 +1,4 @@
-//! The driver round [`Core`]: sockets, disk, signals and the clock.
+//! The driver round [`ControlPlane`]: sockets, disk, signals and the clock.
 
 use crate::control_plane::ControlPlane;
 use crate::state_store;
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -4,6 +4,9 @@
 //! - [`state_store`]: what is kept on disk, by a thread of its own.
 //! - [`serve`]: the driver round both.
 
+// Until its turn: docs/ROADMAP.md.
+#![allow(clippy::missing_errors_doc, clippy::too_many_lines, missing_docs)]
+
 pub mod control_plane;
 mod driver;
 pub mod state_store;
--- a/crates/control-plane/tests/cases.rs
+++ b/crates/control-plane/tests/cases.rs
@@ -1,6 +1,9 @@
 //! The hard cases, one by one, with the service's whole state and proxies that cache as real ones do, under a clock of
 //! the test's own.
 
+// A test fails where it unwraps.
+#![allow(clippy::unwrap_used)]
+
 use latchhaven_control_plane::control_plane::ControlPlane;
 use latchhaven_control_plane::state_store::PersistedState;
 use latchhaven_policy::*;
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,6 +1,9 @@
 //! Experiments on loopback: seeded, sizes as flags. Each prints one JSON object of figures last and ends with 1 where
 //! anything that must hold did not.
 
+// Until its turn: docs/ROADMAP.md.
+#![allow(clippy::too_many_lines, clippy::wildcard_imports, unreachable_pub)]
+
 mod agenda;
 mod crowd;
 mod day;
--- a/crates/gateway/tests/parsers.rs
+++ b/crates/gateway/tests/parsers.rs
@@ -1,5 +1,8 @@
 //! Parsers at every split point, with malformed, oversized and truncated input.
 
+// Until its turn: docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 use bytes::{Bytes, BytesMut};
 use latchhaven_gateway::arrivals::Arrivals;
 use latchhaven_gateway::net::{list, platform};
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -2,6 +2,9 @@
 //! `control`, a dict. It is evaluated within bounds, without clock or chance, and read into [`Plan`], whose
 //! every key is checked. What the platform itself hands over stays JSON and is read elsewhere.
 
+// Until its turn: docs/ROADMAP.md.
+#![allow(missing_docs, unreachable_pub)]
+
 mod records;
 mod script;
 
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -1,6 +1,6 @@
 //! All decisions of a gateway: where each txn goes, what is given up, how builds are voted on.
-//! Callers build one [`Choice`] from the records of [`crate::api`], hand each batch of events with its clock
-//! to [`Choice::decide`] and carry out the actions in order. Chance comes from the seed; see docs/design.md.
+//! Callers build one [`Policy`] from a [`PolicyConfig`], hand each batch of events with its clock
+//! to [`Policy::handle_events`] and carry out the actions in order. Chance comes from the seed; see docs/design.md.
 
 use crate::state::*;
 use crate::*;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -4,6 +4,9 @@
 //! the order given. The crate is pure: it does no I/O, reads no clock and names no protocol. Times are milliseconds.
 //! docs/another-front.md says what an adapter owes.
 
+// Until its turn: docs/ROADMAP.md.
+#![allow(clippy::too_many_lines, clippy::wildcard_imports, missing_docs)]
+
 pub mod action;
 pub mod choice;
 pub mod config;
--- a/crates/policy/tests/stories.rs
+++ b/crates/policy/tests/stories.rs
@@ -1,5 +1,8 @@
 //! Short stories, one for each rule, trouble or failure met.
 
+// Until its turn: docs/ROADMAP.md.
+#![allow(unreachable_pub)]
+
 mod fleet;
 mod host;
 
--- a/crates/proxy-config/src/lib.rs
+++ b/crates/proxy-config/src/lib.rs
@@ -7,6 +7,9 @@
 //! - [`load_reports`]: load reports of proxies, checked and turned into tallies and figures on instances.
 //! - [`proxy_config`]: the outlook of the decisions turned into clusters, endpoints and routes.
 
+// Until its turn: docs/ROADMAP.md.
+#![allow(clippy::missing_errors_doc, clippy::too_many_lines, missing_docs)]
+
 pub mod canary_share;
 pub mod freshness;
 pub mod load_reports;
--- a/crates/simulator-protocol/src/lib.rs
+++ b/crates/simulator-protocol/src/lib.rs
@@ -1,6 +1,9 @@
 //! The bench's line protocol. [`Host`] serves many instances, [`lines`] reads and prints messages,
 //! [`terms`] reads the settings object.
 
+// Until its turn: docs/ROADMAP.md.
+#![allow(clippy::missing_errors_doc, clippy::too_many_lines, clippy::wildcard_imports, missing_docs)]
+
 pub mod lines;
 pub mod terms;
 
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -6,6 +6,15 @@
 //! - [`proxy`]: such a proxy on a socket.
 //! - [`machine`]: a control service as a child, and what it uses.
 
+// Until its turn: docs/ROADMAP.md.
+#![allow(
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc,
+    clippy::too_many_lines,
+    clippy::unwrap_used,
+    missing_docs
+)]
+
 pub mod cache;
 pub mod machine;
 pub mod proxy;
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -6,6 +6,9 @@
 //! - [`load_stats`]: load reports read into figures, pure.
 //! - [`server`]: the gRPC driver. It decides nothing.
 
+// Until its turn: docs/ROADMAP.md.
+#![allow(clippy::missing_panics_doc, clippy::too_many_lines, missing_docs)]
+
 pub mod admission;
 pub mod codec;
 pub mod load_stats;
--- a/crates/xds/src/server.rs
+++ b/crates/xds/src/server.rs
@@ -1,5 +1,5 @@
 //! The gRPC driver: connections from allowed networks, one task for each stream. It decides nothing: streams are
-//! [`Stream`], their turn is told by whoever holds the other end of [`Told`].
+//! [`Stream`], their turn is told by whoever holds the other end of [`ServerEvent`].
 
 use crate::codec::ChunkCodec;
 use crate::load_stats;
--- a/crates/xds/tests/model.rs
+++ b/crates/xds/tests/model.rs
@@ -1,6 +1,11 @@
 //! Proxies, two services and a world that moves on, over random news, lists, losses, refusals and restarts: no proxy's
 //! state ever goes back, no reference dangles, and all converge once things are quiet.
 
+// A test fails where it unwraps.
+#![allow(clippy::unwrap_used)]
+// Until its turn: docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 use latchhaven_policy::*;
 use latchhaven_proxy_config::freshness::KnownState;
 use latchhaven_proxy_config::proxy_config::{self, ProxyConfigSettings};
