--- /dev/null
+++ b/crates/policy/src/dispatch.rs
@@ -0,0 +1,256 @@
+//! A policy's parts, and the way of each event to the part that handles it. Nothing is decided here.
+
+use crate::config::{CostConfig, Permissions, PolicyConfig};
+use crate::event::{EndpointOutcomes, OutcomeReport};
+use crate::exposure::SAFETY_MARGIN;
+use crate::policy::{own_error_rate, vote_probability};
+use crate::state::canary::{decode_wrong_answer, encode_wrong_answer};
+use crate::state::timer::TickTimer;
+use crate::state::{
+    Attempt, CanaryAnalysis, EndpointIndex, EndpointRegistry, ExposureLimiter, Metric, OutcomeCounts,
+    RequestTable, Sides,
+};
+use crate::statistics::indicator;
+use crate::{
+    Action, EndpointEntry, Event, Millis, PolicySnapshot, RequestClass, RequestId, UpdateKind, Version,
+    VoteOutcome, admission, outlier, policy, retry,
+};
+use rand::SeedableRng;
+use rand_pcg::Pcg64Mcg;
+use std::collections::BTreeSet;
+
+/// The decisions of one gateway.
+pub struct Policy {
+    pub(crate) zone: String,
+    pub(crate) classes: Vec<RequestClass>,
+    pub(crate) permissions: Permissions,
+    pub(crate) costs: CostConfig,
+    pub(crate) rng: Pcg64Mcg,
+    pub(crate) registry: EndpointRegistry,
+    pub(crate) exposure: ExposureLimiter,
+    pub(crate) analysis: CanaryAnalysis,
+    pub(crate) requests: RequestTable,
+    pub(crate) actions: Vec<Action>,
+    pub(crate) timer: TickTimer,
+    /// What was sent before then tells nothing: this gateway stood still.
+    pub(crate) stalled_until: Millis,
+}
+
+fn initial_latency(class: &RequestClass) -> Millis {
+    class.latency_objective * admission::INITIAL_LATENCY_SHARE
+}
+
+impl Policy {
+    /// A policy that knows of no endpoint yet.
+    #[must_use]
+    pub fn new(config: PolicyConfig) -> Self {
+        let PolicyConfig { identity, classes, voting, discovery, .. } = config;
+        let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
+        let next_poll_at = policy::first_poll_at(&discovery, &mut rng);
+        let own_error_rate = own_error_rate(&identity, &voting);
+        let vote_probability = vote_probability(&identity, &voting);
+        let typical_latency = classes.iter().map(initial_latency).collect();
+        Policy {
+            registry: EndpointRegistry {
+                discovery,
+                slow_start: config.slow_start,
+                next_poll_at,
+                logs_ejections: f64::from(identity.index) < policy::VOTERS_PER_LOOK,
+                ..EndpointRegistry::default()
+            },
+            exposure: ExposureLimiter::new(config.exposure, classes.len()),
+            analysis: CanaryAnalysis::new(voting, own_error_rate, vote_probability, classes.len()),
+            requests: RequestTable::new(
+                typical_latency,
+                retry::MAX_RETRY_BUDGET,
+                admission::SERVICE_HALF_LIFE,
+            ),
+            zone: identity.zone,
+            classes,
+            permissions: config.permissions,
+            costs: config.costs,
+            rng,
+            actions: Vec::new(),
+            timer: TickTimer::default(),
+            stalled_until: f64::NEG_INFINITY,
+        }
+    }
+
+    pub(crate) fn on_event(&mut self, event: Event, now: Millis) {
+        match event {
+            Event::EndpointUpdate { kind, entries, .. } => self.on_endpoint_update(kind, &entries, now),
+            Event::RequestReceived(request) => self.on_request(request, now),
+            Event::ResponseStarted { id, .. } => {
+                if let Some(request) = self.requests.requests.get_mut(&id) {
+                    request.is_streaming = true;
+                }
+            }
+            Event::AttemptCompleted(attempt) => self.on_attempt_completed(&attempt, now),
+            Event::Abandon { id } => self.answer_unserved(id, now),
+            Event::ClientDisconnected { id } => self.close(id, 0.0, now),
+            Event::RolloutUpdate(rollout) | Event::VoteCompleted(VoteOutcome::Counted(rollout)) => {
+                self.exposure.apply_rollout(rollout);
+            }
+            Event::VoteCompleted(VoteOutcome::NotCounted) => self.analysis.vote_is_active = false,
+            Event::WrongAnswerReported { endpoint, .. } => self.on_wrong_answer(&endpoint),
+            Event::PeerMessage { data, .. } => {
+                if let Some(version) = decode_wrong_answer(&data) {
+                    self.analysis.record_wrong_answer(version);
+                }
+            }
+            Event::OutcomesReported(report) => self.on_outcomes_reported(&report),
+            Event::EndpointOutcomesReported(outcomes) => self.on_endpoint_outcomes(&outcomes, now),
+            Event::VoteCompleted(VoteOutcome::Unknown)
+            | Event::RolloutUnavailable
+            | Event::TimerFired { .. }
+            | Event::HealthCheckCompleted { .. } => {}
+        }
+    }
+
+    /// The number of a class.
+    pub(crate) fn class_named(&self, name: &str) -> Option<usize> {
+        self.classes.iter().position(|class| class.name == name)
+    }
+
+    fn on_endpoint_update(&mut self, kind: UpdateKind, entries: &[EndpointEntry], now: Millis) {
+        let registry = &mut self.registry;
+        let failures = if kind == UpdateKind::Failed { registry.consecutive_failures + 1 } else { 0 };
+        registry.consecutive_failures = failures;
+        match kind {
+            // The watch may stand or not: ask again.
+            UpdateKind::Failed => {
+                let delay = policy::poll_retry_delay(failures, &registry.discovery, &mut self.rng);
+                registry.next_poll_at = Some(now + delay);
+            }
+            UpdateKind::CachedSnapshot => {}
+            UpdateKind::Snapshot | UpdateKind::Delta => registry.next_poll_at = None,
+        }
+        let is_snapshot = matches!(kind, UpdateKind::Snapshot | UpdateKind::CachedSnapshot);
+        registry.apply(entries, is_snapshot, outlier::INITIAL_CONCURRENCY_LIMIT, &mut self.rng);
+    }
+
+    fn on_wrong_answer(&mut self, endpoint: &str) {
+        let Some(index) = self.registry.index_of(endpoint) else { return };
+        let endpoint = &mut self.registry.endpoints[index];
+        endpoint.metrics[Metric::Success].replace_one_by_zero();
+        endpoint.metrics[Metric::Correctness].replace_one_by_zero();
+        self.analysis.record_wrong_answer(endpoint.version);
+        // One report tells a gateway little, those of hundreds tell of the version.
+        if self.permissions.peer_messages {
+            let data = encode_wrong_answer(endpoint.version);
+            self.actions.push(Action::SendPeerMessage { to: None, data });
+        }
+    }
+
+    fn on_outcomes_reported(&mut self, report: &OutcomeReport) {
+        let Some(class) = self.class_named(&report.class) else { return };
+        if report.failures > report.attempts {
+            return;
+        }
+        let counts = OutcomeCounts {
+            attempts: report.attempts as f64,
+            failures: report.failures as f64,
+            mean_latency: report.mean_latency.unwrap_or(1.0),
+        };
+        self.analysis.record_reported(report.version, class, counts);
+    }
+
+    fn on_endpoint_outcomes(&mut self, outcomes: &EndpointOutcomes, now: Millis) {
+        let index = self.registry.index_of(&outcomes.endpoint);
+        let (Some(index), Some(class)) = (index, self.class_named(&outcomes.class)) else { return };
+        if outcomes.attempts == 0 || outcomes.failures > outcomes.attempts {
+            return;
+        }
+        let attempts = outcomes.attempts as f64;
+        let error_rate = outcomes.failures as f64 / attempts;
+        self.registry.record_reported_errors(index, attempts, error_rate, now, &mut self.actions);
+        let objective = self.classes[class].latency_objective;
+        let time_left = outcomes.mean_latency.map_or(0.0, |latency| 1.0 - latency / objective);
+        self.record_reported_service(attempts, error_rate, time_left, now);
+    }
+
+    /// The policy's view at this moment, for adapters that publish decisions instead of asking for each request.
+    pub fn snapshot(&mut self, now: Millis) -> PolicySnapshot {
+        let sides = self.partition(false);
+        let newest = self.exposure.rollout.map(|rollout| rollout.version);
+        let rejected = self.analysis.rejected_version;
+        let is_canary_rejected = rejected.is_some() && rejected == newest;
+        let endpoints = &self.registry.endpoints;
+        let versions: BTreeSet<_> = sides.canary.iter().map(|index| endpoints[*index].version).collect();
+        let lowest_version = self.registry.lowest_version;
+        let canaries =
+            versions.into_iter().filter_map(|version| self.exposure.canary(version, lowest_version));
+        PolicySnapshot {
+            canaries: canaries.collect(),
+            canary_share: self.canary_share(&sides, is_canary_rejected, now),
+            is_canary_rejected,
+            endpoints: self.registry.snapshot(now),
+            shed_probability: self.shed_probability(&None, now).clamp(0.0, 1.0),
+        }
+    }
+
+    /// Ready endpoints by side; all, or this gateway's subset alone.
+    pub(crate) fn partition(&self, is_subset: bool) -> Sides {
+        let lowest_version = self.registry.lowest_version;
+        self.registry.partition(is_subset, |version| self.exposure.canary(version, lowest_version).is_some())
+    }
+
+    /// Learns from a request that was served how long its class takes, and where its key stays.
+    pub(crate) fn record_success(&mut self, id: RequestId, version: Version, elapsed: Millis, weight: f64) {
+        let request = &self.requests.requests[&id];
+        let typical = &mut self.requests.typical_latency[request.class];
+        *typical += weight * (elapsed - *typical);
+        if let Some(key) = &request.sticky_key {
+            self.exposure.pin_key(key, version, self.registry.lowest_version);
+        }
+    }
+
+    /// Sends an attempt, if the rules admit it.
+    pub(crate) fn send_attempt(&mut self, id: RequestId, index: EndpointIndex, now: Millis) -> bool {
+        let request = &self.requests.requests[&id];
+        if !self.admits(request, index, now) {
+            return false;
+        }
+        let class = &self.classes[request.class];
+        let write_within = request.dedup_window_left(class, SAFETY_MARGIN, now);
+        // What is late helps nobody: a timeout lets endpoints drop it unexecuted.
+        let timeout = Some((request.objective_deadline - now).max(SAFETY_MARGIN));
+        let warmup_factor = self.registry.warmup_factor(index, now);
+        let endpoint = &mut self.registry.endpoints[index];
+        endpoint.in_flight += 1;
+        endpoint.slow_start_tokens -= indicator(warmup_factor < 1.0);
+        let attempt = Attempt::new(index, endpoint, warmup_factor, now);
+        self.exposure.record_attempt(attempt.version, request.class, now);
+        let endpoint = endpoint.id.clone();
+        self.actions.push(Action::SendAttempt { id, endpoint, timeout, write_within });
+        self.requests.requests.entry(id).and_modify(|request| request.attempts.push(attempt));
+        true
+    }
+
+    /// Cancels an attempt that is in flight; false where it was already, or may not be.
+    pub(crate) fn cancel(&mut self, id: RequestId, number: usize) -> bool {
+        let Some(attempt) = self.requests.attempt_mut(id, number) else { return false };
+        if !self.permissions.cancel || attempt.outcome.is_some() || attempt.is_cancelled {
+            return false;
+        }
+        attempt.is_cancelled = true;
+        self.actions.push(Action::CancelAttempt { id, attempt: number as u32 });
+        true
+    }
+
+    /// Nothing more is sent for this request; what is still in flight is cancelled.
+    pub(crate) fn close(&mut self, id: RequestId, quality: f64, now: Millis) {
+        let Some(request) = self.requests.requests.get_mut(&id) else { return };
+        let was_answered = std::mem::replace(&mut request.is_answered, true);
+        let (tenant, attempts) = (request.tenant.clone(), request.attempts.len());
+        if !was_answered && request.arrived_at >= self.stalled_until && attempts > 0 {
+            for service in self.requests.service_levels(&tenant) {
+                service.record(now, 1.0, quality);
+            }
+        }
+        for attempt in 0..attempts {
+            self.cancel(id, attempt);
+        }
+        self.requests.forget_if_finished(id);
+    }
+}
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -4,11 +4,18 @@
 //! the order given. The crate is pure: it does no I/O, reads no clock and names no protocol. Times are milliseconds.
 //! docs/another-front.md says what an adapter owes.
 
-// Until its turn: docs/ROADMAP.md.
-#![allow(clippy::too_many_lines, clippy::wildcard_imports, missing_docs)]
+mod admission;
+mod canary;
+mod dispatch;
+mod exposure;
+mod outlier;
+mod policy;
+mod retry;
+mod routing;
+mod slow_start;
+mod verdict;
 
 pub mod action;
-pub mod choice;
 pub mod config;
 pub mod endpoint;
 pub mod event;
@@ -16,13 +23,14 @@
 pub mod rollout;
 pub mod snapshot;
 pub mod state;
+pub mod statistics;
 
 pub use action::Action;
-pub use choice::Policy;
 pub use config::{
     CostConfig, DiscoveryConfig, ExposureConfig, GatewayIdentity, LoadReporting, Permissions, PolicyConfig,
     SlowStartConfig, UpstreamConnectionConfig, VoteMode, VotingConfig,
 };
+pub use dispatch::Policy;
 pub use endpoint::{EndpointEntry, EndpointStatus, UpdateKind};
 pub use event::{CompletedAttempt, EndpointOutcomes, Event, IncomingRequest, OutcomeReport};
 pub use request::{AttemptOutcome, DedupScope, Idempotency, LoadReport, RequestClass, RequestId};
--- /dev/null
+++ b/crates/policy/src/slow_start.rs
@@ -0,0 +1,34 @@
+//! How much endpoints get while they warm up: one budget over all gateways.
+
+use crate::Millis;
+use crate::policy::RATE_WINDOW;
+use crate::state::EndpointRegistry;
+
+/// Share of a warming endpoint's budget that is used: twice the capacity may come.
+const BUDGET_SHARE: f64 = 0.5;
+/// Times its usual rate that a burst may raise what warming endpoints get.
+const MAX_RATE_SURGE: f64 = 1.5;
+/// ms in which each endpoint of a gateway's subset is met: its state is known.
+const SUBSET_VISIT_INTERVAL: Millis = 4000.0;
+/// Endpoints of the smallest subset.
+const MIN_SUBSET: f64 = 8.0;
+
+impl EndpointRegistry {
+    /// Adds to what each warming endpoint may get: summed over all gateways, a fixed share of its budget.
+    pub(crate) fn refill_slow_start_tokens(&mut self, now: Millis) {
+        let elapsed = now - std::mem::replace(&mut self.tokens_refilled_at, now);
+        let capacity: f64 = self.endpoints.ready().map(|index| self.warmup_factor(index, now)).sum();
+        let rate = self.arrivals.count_since(now - RATE_WINDOW) as f64 / RATE_WINDOW / capacity.max(1.0);
+        self.usual_rate += (elapsed / RATE_WINDOW).min(1.0) * (rate - self.usual_rate);
+        let subset = (SUBSET_VISIT_INTERVAL * self.usual_rate * capacity).max(MIN_SUBSET);
+        self.subset_size = subset / self.endpoints.ready().count().max(1) as f64;
+        let rate = rate.min(MAX_RATE_SURGE * self.usual_rate);
+        let refill_rate = BUDGET_SHARE * self.slow_start.overload_multiple * rate;
+        for index in self.endpoints.indices() {
+            let gain = refill_rate * self.warmup_factor(index, now);
+            let max_tokens = 1.0 + gain * self.slow_start.overload_window / 2.0;
+            let tokens = &mut self.endpoints[index].slow_start_tokens;
+            *tokens = (*tokens + gain * elapsed).min(max_tokens);
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/state/canary.rs
@@ -0,0 +1,457 @@
+//! The evidence on a canary, and the votes cast on it.
+
+use crate::Millis;
+use crate::action::Action;
+use crate::config::VotingConfig;
+use crate::rollout::{RolloutPhase, RolloutState, Verdict, Version};
+use crate::state::endpoints::{EndpointIndex, EndpointRegistry, EndpointTable, MetricMoments, Sides};
+use crate::statistics::RunningMoments;
+
+/// Attempts that the platform counted.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct OutcomeCounts {
+    /// All of them.
+    pub attempts: f64,
+    /// Those that failed.
+    pub failures: f64,
+    /// Mean time of the others.
+    pub mean_latency: Millis,
+}
+
+impl OutcomeCounts {
+    /// Share of failures, one taken for granted.
+    #[must_use]
+    pub fn failure_rate(&self) -> f64 {
+        (self.failures + 1.0) / (self.attempts + 1.0)
+    }
+
+    /// Attempts that succeeded.
+    #[must_use]
+    pub fn successes(&self) -> f64 {
+        self.attempts - self.failures
+    }
+
+    /// Adds the counts of another period or side.
+    pub fn add(&mut self, other: OutcomeCounts) {
+        let latency = other.mean_latency.max(0.001);
+        let before = self.successes();
+        let added = other.successes();
+        self.mean_latency = (self.mean_latency * before + latency * added) / (before + added).max(1.0);
+        self.attempts += other.attempts;
+        self.failures += other.failures;
+    }
+}
+
+/// One value for the baseline, and one for the canary.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct BySide<T> {
+    /// All other versions.
+    pub baseline: T,
+    /// The watched version.
+    pub canary: T,
+}
+
+impl BySide<OutcomeCounts> {
+    /// Both sides as one.
+    #[must_use]
+    pub fn total(&self) -> OutcomeCounts {
+        let mut total = self.baseline;
+        total.add(self.canary);
+        total
+    }
+}
+
+/// What is known of one class of requests.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ClassEvidence {
+    /// Log of the speed of this gateway's own answers, while there was no canary.
+    pub usual_speed: RunningMoments,
+    /// What the platform counted and was not weighed yet.
+    pub reported: BySide<OutcomeCounts>,
+    /// Share of failures that the platform counted while there was no canary.
+    pub usual_failure_rate: RunningMoments,
+    /// Mean time of an answer that it counted then.
+    pub usual_latency: RunningMoments,
+    /// Attempts that it counted at each endpoint in a period then.
+    pub usual_load: RunningMoments,
+}
+
+impl ClassEvidence {
+    /// Learns what is usual from a period without a canary.
+    pub fn record_usual(&mut self, counts: &OutcomeCounts, ready_endpoints: f64, kept: f64) {
+        self.usual_failure_rate.follow(kept, counts.attempts, counts.failures / counts.attempts);
+        self.usual_latency.follow(kept, counts.successes(), counts.mean_latency);
+        self.usual_load.follow(kept, 1.0, counts.attempts / ready_endpoints);
+    }
+}
+
+/// The canary's reported outcomes, weighed against the baseline's.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct WeightedEvidence {
+    /// Its speed beside the baseline's.
+    pub speed: RunningMoments,
+    /// Its failures.
+    pub failures: f64,
+    /// Failures that were to be expected of the baseline.
+    pub expected_failures: f64,
+}
+
+impl WeightedEvidence {
+    /// Scales the weight of what came so far.
+    pub fn scale(&mut self, factor: f64) {
+        self.speed.scale(factor);
+        self.failures *= factor;
+        self.expected_failures *= factor;
+    }
+}
+
+/// Failures that old and new versions have in common.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct CommonFailures {
+    /// Those that were to be expected.
+    pub expected: f64,
+    /// Those that were counted.
+    pub counted: f64,
+}
+
+/// Reported counts of all classes, where the load was the usual one.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ComparableCounts {
+    /// Attempts at all versions; the latency is in multiples of the usual one.
+    pub total: OutcomeCounts,
+    /// Those of them at the canary.
+    pub canary_attempts: f64,
+    /// Failures of all versions.
+    pub failures: CommonFailures,
+}
+
+impl ComparableCounts {
+    /// Adds the counts of one class; `excess_rate`: the share of failures that is expected beyond the usual one.
+    pub fn add(&mut self, reported: &BySide<OutcomeCounts>, class: &ClassEvidence, excess_rate: f64) {
+        let total = reported.total();
+        let mean_latency = total.mean_latency / class.usual_latency.mean.max(1.0);
+        self.total.add(OutcomeCounts { mean_latency, ..total });
+        self.canary_attempts += reported.canary.attempts;
+        self.failures.expected += (class.usual_failure_rate.mean + excess_rate) * total.attempts;
+        self.failures.counted = self.total.failures;
+    }
+}
+
+/// A vote that was cast.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CastVote {
+    /// The version voted on.
+    pub version: Version,
+    /// Its stage then.
+    pub stage: u32,
+    /// The vote.
+    pub verdict: Verdict,
+}
+
+/// One test of a canary.
+#[derive(Clone, Copy, Debug)]
+pub struct Suspicion {
+    /// The probability that the canary is worse.
+    pub probability_worse: f64,
+    /// The chance of being wrong that the test may take.
+    pub error_rate: f64,
+    /// What was tested, for the log.
+    pub reason: &'static str,
+}
+
+impl Suspicion {
+    /// The test that is surest; of equals the last.
+    #[must_use]
+    pub fn strongest(suspicions: Vec<Suspicion>) -> Option<Suspicion> {
+        suspicions.into_iter().max_by(|a, b| a.probability_worse.total_cmp(&b.probability_worse))
+    }
+}
+
+/// What tests of a canary depend on.
+#[derive(Clone, Copy, Debug)]
+pub struct Standing {
+    /// The newest version is the canary, here and for the platform.
+    pub is_canary: bool,
+    /// It gets all requests, or no baseline is left: nothing compares.
+    pub is_alone: bool,
+    /// The platform counted enough of its answers.
+    pub is_reported: bool,
+}
+
+/// A version that was promoted, and since when that is known.
+#[derive(Clone, Copy, Debug)]
+pub struct Promotion {
+    /// The version.
+    pub version: Version,
+    /// When this gateway learnt of it.
+    pub seen_at: Millis,
+}
+
+/// The endpoints at the moment of an analysis.
+pub struct FleetView {
+    /// Ready endpoints of canaries.
+    pub canary: Vec<EndpointIndex>,
+    /// Ready endpoints of the baseline.
+    pub baseline: Vec<EndpointIndex>,
+    /// The least warm-up factor among the canary's endpoints.
+    pub min_canary_warmup: f64,
+    /// Their mean warm-up factor.
+    pub mean_canary_warmup: f64,
+    /// Requests of late for each endpoint that answered of late.
+    pub load: f64,
+    /// The time.
+    pub now: Millis,
+}
+
+/// Everything that a gateway knows for its verdict.
+#[derive(Default)]
+pub struct CanaryAnalysis {
+    /// How versions are voted on.
+    pub voting: VotingConfig,
+    /// The chance of a wrong rollback that this gateway may take.
+    pub own_error_rate: f64,
+    /// The probability of voting at a look, where a vote is due.
+    pub vote_probability: f64,
+    /// What is known of each class.
+    pub classes: Vec<ClassEvidence>,
+
+    /// When the last analysis was.
+    pub analysed_at: Millis,
+    /// The version that is a canary now.
+    pub canary: Option<Version>,
+    /// The version that is, or was last, a canary.
+    pub watched_version: Option<Version>,
+    /// The watched version was promoted a short while ago.
+    pub promotion: Option<Promotion>,
+    /// The version that was rejected: that verdict stays.
+    pub rejected_version: Option<Version>,
+    /// The version and stage that `reported_attempts` belongs to.
+    pub stage: (Version, u32),
+
+    /// The metrics of all endpoints as the canary came.
+    pub metrics_before_canary: MetricMoments,
+    /// The load of all endpoints as the canary came.
+    pub load_before_canary: f64,
+    /// No baseline endpoint takes requests any more.
+    pub is_without_baseline: bool,
+
+    /// The largest probability that the canary is worse.
+    pub probability_worse: f64,
+    /// Since when that is beyond doubt.
+    pub confident_since: Option<Millis>,
+    /// There are enough outcomes for a verdict.
+    pub has_enough_samples: bool,
+    /// All endpoints are probably slower than before the canary.
+    pub is_fleet_slower: bool,
+    /// Since when the canary gets nearly all requests before its promotion.
+    pub full_traffic_since: Option<Millis>,
+
+    /// Attempts at the canary that the platform counted in the present stage.
+    pub reported_attempts: f64,
+    /// What those tell.
+    pub evidence: WeightedEvidence,
+    /// Answers that the platform counted.
+    pub reported_answers: BySide<f64>,
+    /// Answers that clients reported wrong, at any gateway.
+    pub wrong_answers: BySide<f64>,
+    /// Failures of all in the newest counts that the canary is held responsible for.
+    pub common_failures: CommonFailures,
+    /// Failures of all were there before the canary carried much.
+    pub has_preexisting_failures: bool,
+    /// Log of how many times longer answers took just now than before the canary.
+    pub latency_ratio_log: f64,
+
+    /// The last vote.
+    pub last_vote: Option<CastVote>,
+    /// When it was cast.
+    pub last_vote_at: Millis,
+    /// It counts, for all that is known.
+    pub vote_is_active: bool,
+    /// Why the version was rejected, until the vote on it is cast.
+    pub rejection_log: Option<String>,
+}
+
+impl FleetView {
+    /// What is seen now; `load_window`: the time over which load is counted.
+    #[must_use]
+    pub fn new(registry: &EndpointRegistry, sides: Sides, load_window: Millis, now: Millis) -> Self {
+        let warmup = |index: &EndpointIndex| registry.warmup_factor(*index, now);
+        let warmup: Vec<f64> = sides.canary.iter().map(warmup).collect();
+        FleetView {
+            mean_canary_warmup: warmup.iter().sum::<f64>() / warmup.len().max(1) as f64,
+            min_canary_warmup: warmup.into_iter().fold(1.0, f64::min),
+            load: registry.arrivals_per_answering_endpoint(now - load_window),
+            canary: sides.canary,
+            baseline: sides.baseline,
+            now,
+        }
+    }
+
+    /// Endpoints on both sides, one at least.
+    #[must_use]
+    pub fn ready_count(&self) -> f64 {
+        (self.canary.len() + self.baseline.len()).max(1) as f64
+    }
+
+    /// Time since the newest endpoint of the canary started, if it has any.
+    #[must_use]
+    pub fn since_newest_start(&self, endpoints: &EndpointTable) -> Option<Millis> {
+        let starts = self.canary.iter().map(|index| endpoints[*index].started_at);
+        (!self.canary.is_empty()).then(|| self.now - starts.fold(0.0, f64::max))
+    }
+}
+
+impl CanaryAnalysis {
+    /// Nothing is known yet.
+    #[must_use]
+    pub fn new(voting: VotingConfig, own_error_rate: f64, vote_probability: f64, class_count: usize) -> Self {
+        CanaryAnalysis {
+            voting,
+            own_error_rate,
+            vote_probability,
+            classes: vec![ClassEvidence::default(); class_count],
+            ..CanaryAnalysis::default()
+        }
+    }
+
+    /// No version is a canary, nor was promoted a short while ago.
+    #[must_use]
+    pub fn is_idle(&self) -> bool {
+        self.canary.is_none() && self.promotion.is_none()
+    }
+
+    /// Begins anew where another version is the canary now, lest earlier trouble count against it.
+    pub fn begin(&mut self, canary: Option<Version>, endpoints: &mut EndpointTable, load: f64) {
+        if canary == self.canary {
+            return;
+        }
+        self.canary = canary;
+        self.confident_since = None;
+        self.full_traffic_since = None;
+        if canary.is_some() && canary != self.watched_version {
+            self.watched_version = canary;
+            self.wrong_answers = BySide::default();
+            self.reported_answers = BySide::default();
+            self.evidence = WeightedEvidence::default();
+            self.common_failures = CommonFailures::default();
+        }
+        self.metrics_before_canary = endpoints.pooled_metrics();
+        self.load_before_canary = load;
+        endpoints.iter_mut().for_each(|endpoint| endpoint.metrics = MetricMoments::default());
+    }
+
+    /// Counts attempts and answers that were reported.
+    pub fn count_reported(&mut self, reported: &BySide<OutcomeCounts>) {
+        self.reported_attempts += reported.canary.attempts;
+        self.reported_answers.baseline += reported.baseline.successes();
+        self.reported_answers.canary += reported.canary.successes();
+    }
+
+    /// Counts reports by stage; `kept`: the weight of an earlier stage's.
+    pub fn enter_stage(&mut self, rollout: &RolloutState, kept: f64) {
+        let stage = (rollout.version, rollout.stage);
+        if stage != self.stage {
+            self.stage = stage;
+            self.reported_attempts = 0.0;
+            self.evidence.scale(kept);
+        }
+    }
+
+    /// How the newest version stands; `min_answers`: reported answers of it that are enough.
+    #[must_use]
+    pub fn standing(&self, rollout: &RolloutState, min_answers: f64) -> Standing {
+        let is_canary = self.canary == Some(rollout.version) && rollout.phase == RolloutPhase::Canary;
+        Standing {
+            is_canary,
+            is_alone: is_canary && (rollout.traffic_cap >= 1.0 || self.is_without_baseline),
+            is_reported: self.reported_answers.canary >= min_answers,
+        }
+    }
+
+    /// Notes the time of an analysis, and remembers the promotion of the watched version for a while.
+    pub fn watch_promotion(&mut self, rollout: &RolloutState, view: &FleetView, duration: Millis) {
+        self.analysed_at = view.now;
+        self.is_without_baseline = view.baseline.is_empty();
+        let (version, now) = (rollout.version, view.now);
+        let known = self.promotion.filter(|promotion| promotion.version == version);
+        let seen_at = known.map_or(now, |promotion| promotion.seen_at);
+        let is_promoted = rollout.phase == RolloutPhase::Promoted && self.watched_version == Some(version);
+        let is_recent = is_promoted && now - seen_at < duration;
+        self.promotion = is_recent.then_some(Promotion { version, seen_at });
+    }
+
+    /// Rejects the newest version for good; the reason is logged with the vote on it.
+    pub fn reject(&mut self, rollout: &RolloutState, reason: &str) {
+        let RolloutState { version, stage, .. } = *rollout;
+        let probability = self.probability_worse;
+        let WeightedEvidence { failures, expected_failures, .. } = self.evidence;
+        self.rejected_version = Some(version);
+        self.rejection_log = Some(format!(
+            "canary rejected version={version} stage={stage} reason={reason:?} probability={probability:.3} \
+             failures={failures:.0} expected={expected_failures:.0}"
+        ));
+    }
+
+    /// Whether a vote is to be cast now: it is new, or its lease is half over, or it did not count.
+    #[must_use]
+    pub fn is_vote_due(&self, vote: CastVote, retry_interval: Millis, now: Millis) -> bool {
+        let lease = if self.vote_is_active { self.voting.vote_lease / 2.0 } else { retry_interval };
+        match self.last_vote_on(vote.version) {
+            None => vote.verdict != Verdict::Abstain,
+            Some(last) if last != vote => vote.verdict != Verdict::Abstain || last.stage == vote.stage,
+            Some(_) => vote.verdict != Verdict::Abstain && now - self.last_vote_at >= lease,
+        }
+    }
+
+    fn last_vote_on(&self, version: Version) -> Option<CastVote> {
+        self.last_vote.filter(|last| last.version == version)
+    }
+
+    /// Remembers a vote, and returns what is to be done about it.
+    pub fn record_vote(&mut self, vote: CastVote, now: Millis) -> Vec<Action> {
+        let CastVote { version, stage, verdict } = vote;
+        let is_new = self.last_vote_on(version) != Some(vote);
+        self.last_vote = Some(vote);
+        self.last_vote_at = now;
+        self.vote_is_active = true;
+        let mut actions = vec![Action::CastVote { version, stage, verdict }];
+        actions.extend(self.rejection_log.take().map(Action::Log));
+        if is_new && verdict != Verdict::Abstain {
+            let probability = self.probability_worse;
+            actions.push(Action::Log(format!(
+                "vote cast verdict={verdict:?} version={version} stage={stage} probability_worse={probability:.3}"
+            )));
+        }
+        actions
+    }
+
+    /// Counts a wrong answer of the watched version, or of an earlier one.
+    pub fn record_wrong_answer(&mut self, version: Version) {
+        match self.watched_version {
+            Some(watched) if version == watched => self.wrong_answers.canary += 1.0,
+            Some(watched) if version < watched => self.wrong_answers.baseline += 1.0,
+            _ => {}
+        }
+    }
+
+    /// Adds what the platform counted.
+    pub fn record_reported(&mut self, version: Version, class: usize, counts: OutcomeCounts) {
+        let reported = &mut self.classes[class].reported;
+        match self.watched_version == Some(version) {
+            true => reported.canary.add(counts),
+            false => reported.baseline.add(counts),
+        }
+    }
+}
+
+/// The message in which gateways tell each other of a wrong answer: the version, as four bytes.
+#[must_use]
+pub fn encode_wrong_answer(version: Version) -> Vec<u8> {
+    version.0.to_be_bytes().to_vec()
+}
+
+/// The version that such a message tells of.
+#[must_use]
+pub fn decode_wrong_answer(message: &[u8]) -> Option<Version> {
+    <[u8; 4]>::try_from(message).ok().map(|bytes| Version(u32::from_be_bytes(bytes)))
+}
--- /dev/null
+++ b/crates/policy/src/state/endpoints.rs
@@ -0,0 +1,471 @@
+//! The endpoints on the list, and what this gateway has learnt of each.
+
+use crate::Millis;
+use crate::action::Action;
+use crate::config::{DiscoveryConfig, SlowStartConfig};
+use crate::endpoint::{EndpointEntry, EndpointStatus};
+use crate::request::DedupScope;
+use crate::rollout::Version;
+use crate::snapshot::EndpointSnapshot;
+use crate::state::requests::Attempt;
+use crate::state::window::SlidingWindow;
+use crate::statistics::{RunningMoments, indicator};
+use rand::RngExt;
+use rand_pcg::Pcg64Mcg;
+use std::collections::{BTreeMap, BTreeSet};
+use std::ops::{Index, IndexMut};
+
+/// Doublings of an ejection's time that are told apart: far above any bound on that time.
+const MAX_DOUBLINGS: u32 = 8;
+
+/// Where an endpoint stands in the table. Indices of removed endpoints are used again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct EndpointIndex(usize);
+
+/// What is measured at each endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Metric {
+    /// 1 for an answer within the latency objective, else 0.
+    Success,
+    /// Log of the speed of an answer, relative to what is usual for its class.
+    Latency,
+    /// 1 for an answer that is neither an error nor reported wrong, else 0.
+    Correctness,
+}
+
+/// One value for each metric.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct MetricMoments {
+    success: RunningMoments,
+    latency: RunningMoments,
+    correctness: RunningMoments,
+}
+
+impl Index<Metric> for MetricMoments {
+    type Output = RunningMoments;
+
+    fn index(&self, metric: Metric) -> &RunningMoments {
+        match metric {
+            Metric::Success => &self.success,
+            Metric::Latency => &self.latency,
+            Metric::Correctness => &self.correctness,
+        }
+    }
+}
+
+impl IndexMut<Metric> for MetricMoments {
+    fn index_mut(&mut self, metric: Metric) -> &mut RunningMoments {
+        match metric {
+            Metric::Success => &mut self.success,
+            Metric::Latency => &mut self.latency,
+            Metric::Correctness => &mut self.correctness,
+        }
+    }
+}
+
+/// One endpoint.
+#[derive(Clone, Debug, Default)]
+pub struct Endpoint {
+    /// Its id.
+    pub id: String,
+    /// Its zone.
+    pub zone: String,
+    /// Its cell within the zone.
+    pub cell: u32,
+    /// The version that it runs.
+    pub version: Version,
+    /// Its capacity beside others'.
+    pub weight: f64,
+    /// Clock time of its last start; 0 for long ago.
+    pub started_at: Millis,
+    /// It takes new requests.
+    pub is_ready: bool,
+    /// It left the list: its index is free for another once nothing is out there.
+    pub is_removed: bool,
+    /// Counts the endpoints and restarts that had this index.
+    pub incarnation: u32,
+    /// Attempts that are out there.
+    pub in_flight: u32,
+    /// Attempts that may be out there.
+    pub concurrency_limit: f64,
+    /// When it last answered.
+    pub last_answer_at: Millis,
+    /// Share of its answers that are errors, of late.
+    pub error_rate: f64,
+    /// It gets nothing until then.
+    pub ejected_until: Millis,
+    /// How often it was ejected in a row.
+    pub ejection_count: u32,
+    /// What its answers tell of its version.
+    pub metrics: MetricMoments,
+    /// Attempts in a row that got no answer.
+    pub consecutive_timeouts: u32,
+    /// Log of how many times its usual time it took of late.
+    pub latency_bias: f64,
+    /// When that was learnt.
+    pub latency_bias_at: Millis,
+    /// Attempts that it may still get from this gateway while it warms up.
+    pub slow_start_tokens: f64,
+    /// It is in this gateway's subset where this is below the subset's size.
+    pub subset_position: f64,
+}
+
+impl Endpoint {
+    /// Takes over what the list says of it.
+    fn apply(&mut self, entry: &EndpointEntry) {
+        self.version = entry.version;
+        self.started_at = self.started_at.max(entry.started_at);
+        self.weight = if entry.weight > 0.0 { entry.weight } else { 1.0 };
+        self.zone.clone_from(&entry.zone);
+        self.cell = entry.cell;
+        self.is_ready = entry.status == EndpointStatus::Ready;
+        self.is_removed = entry.status == EndpointStatus::Removed;
+    }
+
+    /// It is not ejected.
+    #[must_use]
+    pub fn is_healthy(&self, now: Millis) -> bool {
+        self.ejected_until <= now
+    }
+
+    /// Learns that it answered; `weight`: that of the newest answer in its error rate.
+    pub fn record_answer(&mut self, is_error: bool, weight: f64, now: Millis) {
+        self.last_answer_at = now;
+        self.consecutive_timeouts = 0;
+        self.error_rate += weight * (indicator(is_error) - self.error_rate);
+    }
+
+    /// Learns how many attempts of others it answered, and which share of the answers were errors.
+    pub fn record_answers(&mut self, attempts: f64, error_rate: f64, weight: f64, now: Millis) {
+        let kept = (1.0 - weight).powf(attempts);
+        self.error_rate = kept * self.error_rate + (1.0 - kept) * error_rate;
+        if error_rate < 1.0 {
+            self.last_answer_at = now;
+        }
+    }
+
+    /// Learns of the speed of an answer beside the usual one; `weight`: that of the newest in its latency bias.
+    pub fn record_speed(&mut self, relative_speed: f64, weight: f64, answered_at: Millis) {
+        self.metrics[Metric::Latency].add(relative_speed);
+        self.latency_bias += weight * (-relative_speed - self.latency_bias);
+        self.latency_bias_at = answered_at;
+    }
+
+    /// It recognises the idempotency key of an earlier attempt.
+    #[must_use]
+    pub fn recognises_key_of(&self, attempt: &Attempt, scope: DedupScope) -> bool {
+        match scope {
+            DedupScope::All => true,
+            DedupScope::Zone => attempt.zone == self.zone,
+            DedupScope::Cell => attempt.cell == self.cell && attempt.zone == self.zone,
+        }
+    }
+
+    /// It has answered something, in its present incarnation, since an attempt was sent.
+    #[must_use]
+    pub fn has_answered_since(&self, attempt: &Attempt) -> bool {
+        self.incarnation == attempt.incarnation && self.last_answer_at >= attempt.sent_at
+    }
+
+    /// Takes back an attempt in flight; false where it was sent to an earlier incarnation.
+    pub fn release(&mut self, incarnation: u32) -> bool {
+        let is_same = self.incarnation == incarnation;
+        self.in_flight = self.in_flight.saturating_sub(u32::from(is_same));
+        is_same
+    }
+
+    /// Ejects it for a time that doubles with each ejection in a row, and leaves it one attempt in flight after that.
+    pub fn eject(&mut self, now: Millis, base_duration: Millis, max_duration: Millis) {
+        let factor = f64::from(1u32 << self.ejection_count.min(MAX_DOUBLINGS));
+        self.ejected_until = now + (base_duration * factor).min(max_duration);
+        self.ejection_count += 1;
+        self.concurrency_limit = 1.0;
+    }
+
+    /// Moves the concurrency limit; it stays from one to twice what is, or may be, in flight.
+    pub fn move_concurrency_limit(&mut self, step: f64) {
+        let max = 2.0 * f64::from(self.in_flight + 1).max(self.concurrency_limit / 2.0);
+        self.concurrency_limit = (self.concurrency_limit + step).clamp(1.0, max);
+    }
+
+    /// Forgets all that was learnt before a restart or another version.
+    fn begin_incarnation(&mut self, concurrency_limit: f64, rng: &mut Pcg64Mcg) {
+        self.incarnation += 1;
+        self.in_flight = 0;
+        self.concurrency_limit = concurrency_limit;
+        self.error_rate = 0.0;
+        self.ejected_until = 0.0;
+        self.ejection_count = 0;
+        self.metrics = MetricMoments::default();
+        self.consecutive_timeouts = 0;
+        self.latency_bias = 0.0;
+        // By chance: of hundreds of gateways few have an attempt to spare at once.
+        self.slow_start_tokens = rng.random();
+        self.subset_position = rng.random();
+    }
+}
+
+/// All endpoints, by index.
+#[derive(Clone, Debug, Default)]
+pub struct EndpointTable(Vec<Endpoint>);
+
+impl Index<EndpointIndex> for EndpointTable {
+    type Output = Endpoint;
+
+    fn index(&self, index: EndpointIndex) -> &Endpoint {
+        &self.0[index.0]
+    }
+}
+
+impl IndexMut<EndpointIndex> for EndpointTable {
+    fn index_mut(&mut self, index: EndpointIndex) -> &mut Endpoint {
+        &mut self.0[index.0]
+    }
+}
+
+impl EndpointTable {
+    /// All indices, lowest first.
+    pub fn indices(&self) -> impl Iterator<Item = EndpointIndex> + use<> {
+        (0..self.0.len()).map(EndpointIndex)
+    }
+
+    /// All endpoints, by index.
+    pub fn iter(&self) -> impl Iterator<Item = &Endpoint> {
+        self.0.iter()
+    }
+
+    /// All endpoints, by index.
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Endpoint> {
+        self.0.iter_mut()
+    }
+
+    /// Indices of those that take new requests.
+    pub fn ready(&self) -> impl Iterator<Item = EndpointIndex> + '_ {
+        self.indices().filter(|index| self[*index].is_ready)
+    }
+
+    /// One metric of some endpoints, each for itself.
+    #[must_use]
+    pub fn metric_of(&self, metric: Metric, members: &[EndpointIndex]) -> Vec<&RunningMoments> {
+        members.iter().map(|index| &self[*index].metrics[metric]).collect()
+    }
+
+    /// One metric of some endpoints as one.
+    #[must_use]
+    pub fn pooled_metric(&self, metric: Metric, members: &[EndpointIndex]) -> RunningMoments {
+        RunningMoments::pooled(self.metric_of(metric, members))
+    }
+
+    /// The metrics of all endpoints as one.
+    #[must_use]
+    pub fn pooled_metrics(&self) -> MetricMoments {
+        let pooled = |metric| RunningMoments::pooled(self.iter().map(|endpoint| &endpoint.metrics[metric]));
+        MetricMoments {
+            success: pooled(Metric::Success),
+            latency: pooled(Metric::Latency),
+            correctness: pooled(Metric::Correctness),
+        }
+    }
+
+    /// Scales the weight of one metric where it has more samples than these.
+    pub fn scale_metric(&mut self, metric: Metric, min_samples: f64, factor: f64) {
+        let moments = self.0.iter_mut().map(|endpoint| &mut endpoint.metrics[metric]);
+        moments.filter(|moments| moments.count > min_samples).for_each(|moments| moments.scale(factor));
+    }
+
+    /// The mean of this gateway's attempts in flight at each of some endpoints.
+    #[must_use]
+    pub fn mean_in_flight(&self, members: &[EndpointIndex]) -> f64 {
+        let in_flight = members.iter().map(|index| f64::from(self[*index].in_flight));
+        in_flight.sum::<f64>() / members.len().max(1) as f64
+    }
+
+    /// Gives an entry an index that nothing refers to, a new one if need be.
+    fn allocate(&mut self, entry: &EndpointEntry) -> EndpointIndex {
+        let is_free = |endpoint: &Endpoint| endpoint.is_removed && endpoint.in_flight == 0;
+        if let Some(free) = self.0.iter().position(is_free) {
+            let endpoint = &mut self.0[free];
+            endpoint.id.clone_from(&entry.endpoint);
+            endpoint.started_at = entry.started_at;
+            // Whatever comes begins an incarnation of its own.
+            endpoint.version = Version::INVALID;
+            return EndpointIndex(free);
+        }
+        self.0.push(Endpoint {
+            id: entry.endpoint.clone(),
+            zone: entry.zone.clone(),
+            cell: entry.cell,
+            version: entry.version,
+            weight: 1.0,
+            started_at: entry.started_at,
+            ..Endpoint::default()
+        });
+        EndpointIndex(self.0.len() - 1)
+    }
+}
+
+/// Ready endpoints, by whether their version is a canary.
+pub struct Sides {
+    /// Those of canaries.
+    pub canary: Vec<EndpointIndex>,
+    /// All others.
+    pub baseline: Vec<EndpointIndex>,
+}
+
+impl Sides {
+    /// The share of the endpoints that are canaries'.
+    #[must_use]
+    pub fn canary_share(&self) -> f64 {
+        self.canary.len() as f64 / (self.canary.len() + self.baseline.len()).max(1) as f64
+    }
+}
+
+/// The endpoint list and its arrivals.
+#[derive(Default)]
+pub struct EndpointRegistry {
+    /// How the list is obtained.
+    pub discovery: DiscoveryConfig,
+    /// How endpoints warm up.
+    pub slow_start: SlowStartConfig,
+    /// All endpoints.
+    pub endpoints: EndpointTable,
+    /// Where each listed endpoint stands in the table.
+    pub index_by_id: BTreeMap<String, EndpointIndex>,
+    /// When the list is to be asked for, if it is.
+    pub next_poll_at: Option<Millis>,
+    /// Calls for the list that failed in a row.
+    pub consecutive_failures: u32,
+    /// The lowest version that is ready.
+    pub lowest_version: Version,
+    /// Requests that came in, retries left out.
+    pub arrivals: SlidingWindow,
+    /// Running mean of arrivals per ms and unit of capacity.
+    pub usual_rate: f64,
+    /// The share of the endpoints that is this gateway's subset.
+    pub subset_size: f64,
+    /// When slow start tokens were last added.
+    pub tokens_refilled_at: Millis,
+    /// This gateway logs which endpoints it ejects.
+    pub logs_ejections: bool,
+}
+
+impl EndpointRegistry {
+    /// The index of a listed endpoint.
+    #[must_use]
+    pub fn index_of(&self, id: &str) -> Option<EndpointIndex> {
+        self.index_by_id.get(id).copied()
+    }
+
+    /// Ejects an endpoint for a time that doubles up to a bound; the first time in a row it may be logged.
+    pub fn eject_for(
+        &mut self, index: EndpointIndex, duration: Millis, max_duration: Millis, reason: &str, now: Millis,
+    ) -> Option<Action> {
+        let endpoint = &mut self.endpoints[index];
+        endpoint.eject(now, duration, max_duration);
+        let is_logged = endpoint.ejection_count == 1 && self.logs_ejections;
+        is_logged.then(|| Action::Log(format!("endpoint ejected endpoint={} reason={reason:?}", endpoint.id)))
+    }
+
+    /// The least share of its capacity that an endpoint has reached by now.
+    #[must_use]
+    pub fn warmup_factor(&self, index: EndpointIndex, now: Millis) -> f64 {
+        let started_at = self.endpoints[index].started_at;
+        let progress = match started_at <= 0.0 {
+            true => 1.0,
+            false => ((now - started_at) / self.slow_start.duration).clamp(0.0, 1.0),
+        };
+        self.slow_start.initial_capacity + (1.0 - self.slow_start.initial_capacity) * progress
+    }
+
+    /// Its weight, times the least share of its capacity that it has reached by now.
+    #[must_use]
+    pub fn capacity(&self, index: EndpointIndex, now: Millis) -> f64 {
+        self.endpoints[index].weight * self.warmup_factor(index, now)
+    }
+
+    /// What those of some endpoints can carry that are not ejected.
+    #[must_use]
+    pub fn healthy_capacity(&self, members: &[EndpointIndex], now: Millis) -> f64 {
+        let healthy = members.iter().filter(|index| self.endpoints[**index].is_healthy(now));
+        healthy.map(|index| self.capacity(*index, now)).sum()
+    }
+
+    /// Ready endpoints by side; all, or this gateway's subset alone.
+    pub fn partition(&self, is_subset: bool, is_canary: impl Fn(Version) -> bool) -> Sides {
+        let is_mine =
+            |index: &EndpointIndex| !is_subset || self.endpoints[*index].subset_position < self.subset_size;
+        let ready = self.endpoints.ready().filter(is_mine);
+        let (canary, baseline) = ready.partition(|index| is_canary(self.endpoints[*index].version));
+        Sides { canary, baseline }
+    }
+
+    /// All listed endpoints at one moment.
+    #[must_use]
+    pub fn snapshot(&self, now: Millis) -> Vec<EndpointSnapshot> {
+        let listed = self.endpoints.indices().filter(|index| !self.endpoints[*index].is_removed);
+        let snapshots = listed.map(|index| {
+            let endpoint = &self.endpoints[index];
+            EndpointSnapshot {
+                endpoint: endpoint.id.clone(),
+                version: endpoint.version,
+                zone: endpoint.zone.clone(),
+                is_ready: endpoint.is_ready,
+                is_ejected: !endpoint.is_healthy(now),
+                capacity: self.capacity(index, now),
+                is_warming_up: self.warmup_factor(index, now) < 1.0,
+            }
+        });
+        snapshots.collect()
+    }
+
+    /// Takes over entries of the list; `concurrency_limit` is what a new incarnation begins with.
+    pub fn apply(
+        &mut self, entries: &[EndpointEntry], is_snapshot: bool, concurrency_limit: f64, rng: &mut Pcg64Mcg,
+    ) {
+        if is_snapshot {
+            self.endpoints.iter_mut().for_each(|endpoint| endpoint.is_ready = false);
+        }
+        for entry in entries {
+            let index = self.index_for(entry);
+            let endpoint = &mut self.endpoints[index];
+            // An id may return with another version or after a restart: nothing learnt of it counts.
+            let is_restarted = entry.started_at > endpoint.started_at + 1.0;
+            if endpoint.incarnation == 0 || endpoint.version != entry.version || is_restarted {
+                endpoint.begin_incarnation(concurrency_limit, rng);
+            }
+            endpoint.apply(entry);
+        }
+        if is_snapshot {
+            self.remove_unlisted(entries);
+        }
+        let versions = self.endpoints.ready().map(|index| self.endpoints[index].version);
+        self.lowest_version = versions.min().unwrap_or_default();
+    }
+
+    fn index_for(&mut self, entry: &EndpointEntry) -> EndpointIndex {
+        if let Some(index) = self.index_of(&entry.endpoint) {
+            return index;
+        }
+        let index = self.endpoints.allocate(entry);
+        self.index_by_id.retain(|_, taken| *taken != index);
+        self.index_by_id.insert(entry.endpoint.clone(), index);
+        index
+    }
+
+    fn remove_unlisted(&mut self, entries: &[EndpointEntry]) {
+        let listed: BTreeSet<&str> = entries.iter().map(|entry| entry.endpoint.as_str()).collect();
+        for (id, index) in &self.index_by_id {
+            if !listed.contains(id.as_str()) {
+                self.endpoints[*index].is_removed = true;
+            }
+        }
+    }
+
+    /// Requests that arrived since a moment, for each endpoint that answered since.
+    #[must_use]
+    pub fn arrivals_per_answering_endpoint(&self, since: Millis) -> f64 {
+        let answers = |index: &EndpointIndex| self.endpoints[*index].last_answer_at > since;
+        let answering = self.endpoints.ready().filter(answers).count();
+        self.arrivals.count_since(since) as f64 / answering.max(1) as f64
+    }
+}
--- /dev/null
+++ b/crates/policy/src/verdict.rs
@@ -0,0 +1,201 @@
+//! The verdict on a canary, and the votes that follow from it.
+
+use crate::canary::{FAILURE_MARGIN, MAX_LOAD_RATIO, MIN_OUTCOMES, SPEED_MARGIN};
+use crate::policy::RETRY_INTERVAL;
+use crate::state::{CanaryAnalysis, CastVote, EndpointTable, FleetView, Metric, Standing, Suspicion};
+use crate::statistics::{MeanComparison, RunningMoments, poisson_probability_of_fewer};
+use crate::{Action, Millis, RolloutPhase, RolloutState, Verdict, VoteMode};
+use rand::RngExt;
+use rand_pcg::Pcg64Mcg;
+
+/// Draws per version (design page; more while the baseline wins all), samples and least variance of a comparison.
+const POSTERIOR: MeanComparison =
+    MeanComparison { min_draws: 200.0, max_draws: 4000.0, min_samples: MIN_OUTCOMES, min_variance: 0.01 };
+/// Chance of a wrong rollback, δ (design page), shared among all that may vote it alone.
+pub(crate) const ROLLBACK_ERROR_RATE: f64 = 0.05;
+/// Probability that the canary is worse above which nothing goes on (design page).
+const MAX_DOUBT: f64 = 0.8;
+/// ms that the probability must stay above 1 - δ (design page).
+const CONFIDENCE_DURATION: Millis = 1000.0;
+/// ms after the newest canary start before going on (design page).
+const SETTLING_TIME: Millis = 3000.0;
+/// ms per stage after that start in which too few outcomes make it wait.
+const FEW_OUTCOMES_PATIENCE: Millis = 4000.0;
+/// Own outcomes from which a slow time before the canary shows that going back is no cure.
+const MIN_OUTCOMES_BEFORE: f64 = 100.0;
+/// Failures in reports that come as one: in time, and on few faulty machines.
+const CLUSTER_SIZE: f64 = 3.0;
+/// Failures that are weighed at most: more tell nothing new.
+const MAX_FAILURES: f64 = 1e4;
+/// ms after a promotion in which a collapse is laid to the version.
+const PROMOTION_WATCH: Millis = 15000.0;
+/// ms that the canary carries nearly all before its promotion: costs little.
+const FULL_TRAFFIC_DURATION: Millis = 6000.0;
+/// Looks at new reports of one version, which share δ.
+const LOOKS: f64 = 10.0;
+
+impl CanaryAnalysis {
+    /// Analyses the canary, or the version just promoted, every so often, and votes.
+    pub(crate) fn analyse(
+        &mut self, rng: &mut Pcg64Mcg, endpoints: &mut EndpointTable, view: &FleetView,
+        rollout: &RolloutState, actions: &mut Vec<Action>,
+    ) {
+        self.refresh(endpoints, view, rollout);
+        self.watch_promotion(rollout, view, PROMOTION_WATCH);
+        let standing = self.standing(rollout, MIN_OUTCOMES);
+        let suspicions = self.suspicions(rng, endpoints, view, &standing);
+        let has_outcomes = |members| endpoints.pooled_metric(Metric::Success, members).count >= MIN_OUTCOMES;
+        let has_own = has_outcomes(&view.canary) && (standing.is_alone || has_outcomes(&view.baseline));
+        self.has_enough_samples = standing.is_canary && (has_own || self.reported_attempts >= MIN_OUTCOMES);
+        self.conclude(suspicions, rollout, view.now);
+        let since_start = view.since_newest_start(endpoints).filter(|_| standing.is_canary);
+        let verdict = self.verdict(rollout, since_start.unwrap_or(f64::NEG_INFINITY), view.now);
+        let vote = CastVote { version: rollout.version, stage: rollout.stage, verdict };
+        // One vote suffices where one is needed, and the platform takes few: gateways draw who votes.
+        if self.is_vote_due(vote, RETRY_INTERVAL, view.now) && rng.random::<f64>() < self.vote_probability {
+            actions.extend(self.record_vote(vote, view.now));
+        }
+    }
+
+    /// All tests that apply, in an order that decides which of equals is told.
+    fn suspicions(
+        &mut self, rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &FleetView, standing: &Standing,
+    ) -> Vec<Suspicion> {
+        // δ is shared among looks, and among gateways but for reports, which are the same for all.
+        let error_rate = self.own_error_rate / LOOKS;
+        let own = |probability_worse, reason| Suspicion { probability_worse, error_rate, reason };
+        let mut suspicions = vec![own(0.5, "nothing")];
+        // Some faulty machines are no bad version: own errors tell nothing where reports see no more than usual.
+        let is_vouched_for =
+            standing.is_reported && self.evidence.failures < FAILURE_MARGIN * self.evidence.expected_failures;
+        if standing.is_canary && !is_vouched_for {
+            suspicions.push(own(self.own_failures(endpoints, view), "own errors and wrong answers"));
+        }
+        let slowdown = self.fleet_slowdown(rng, endpoints, view, standing);
+        suspicions.extend(slowdown.map(|probability| own(probability, "fleet slowdown")));
+        if standing.is_canary && !standing.is_alone {
+            suspicions.push(own(compare(rng, endpoints, view, Metric::Success, 0.0), "success rate"));
+            let latency = compare(rng, endpoints, view, Metric::Latency, SPEED_MARGIN);
+            // A lone machine may well be slow by itself: only a second one can tell.
+            suspicions.extend((view.canary.len() > 1).then(|| own(latency, "latency")));
+        }
+        if standing.is_canary || self.promotion.is_some() {
+            suspicions.extend(self.reported_suspicions(rng));
+        }
+        suspicions
+    }
+
+    /// The probability of fewer own errors and wrong answers, were the canary as right as others: too rare for a Gaussian.
+    fn own_failures(&self, endpoints: &EndpointTable, view: &FleetView) -> f64 {
+        let wrong = |moments: &RunningMoments| moments.count * (1.0 - moments.mean);
+        let canary = endpoints.metric_of(Metric::Correctness, &view.canary);
+        let canary = RunningMoments::pooled_without_worst(&canary);
+        // Without a baseline the time before the canary compares.
+        let baseline = match view.baseline.is_empty() {
+            true => self.metrics_before_canary[Metric::Correctness],
+            false => endpoints.pooled_metric(Metric::Correctness, &view.baseline),
+        };
+        let expected = FAILURE_MARGIN * canary.count * (wrong(&baseline) + 1.0) / baseline.count.max(1.0);
+        poisson_probability_of_fewer(expected, wrong(&canary), MAX_FAILURES)
+    }
+
+    /// A canary may slow all endpoints, old and new: then only the time before it came compares.
+    fn fleet_slowdown(
+        &mut self, rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &FleetView, standing: &Standing,
+    ) -> Option<f64> {
+        let members = if view.baseline.is_empty() { &view.canary } else { &view.baseline };
+        let speed = endpoints.pooled_metric(Metric::Latency, members);
+        let before = self.metrics_before_canary[Metric::Latency];
+        // More requests for each that answers, by a burst or where some are lost, slow them all as well.
+        let is_comparable = standing.is_canary
+            && before.mean > -SPEED_MARGIN
+            && !view.canary.is_empty()
+            && view.load <= MAX_LOAD_RATIO * self.load_before_canary;
+        let mut slower = |margin| POSTERIOR.probability_first_is_higher(rng, &before, &speed, margin);
+        let clearly_slower = slower(SPEED_MARGIN);
+        self.is_fleet_slower = is_comparable && slower(SPEED_MARGIN / 2.0) > MAX_DOUBT;
+        let reports_deny = standing.is_reported && self.latency_ratio_log < SPEED_MARGIN / 2.0;
+        (is_comparable && !self.has_preexisting_failures && !reports_deny).then_some(clearly_slower)
+    }
+
+    /// What the reports tell, which are the same for all gateways.
+    fn reported_suspicions(&self, rng: &mut Pcg64Mcg) -> [Suspicion; 4] {
+        let error_rate = ROLLBACK_ERROR_RATE / LOOKS;
+        let test = |probability_worse, reason| Suspicion { probability_worse, error_rate, reason };
+        let rare = |expected, counted| poisson_probability_of_fewer(expected, counted, MAX_FAILURES);
+        let expected = FAILURE_MARGIN * self.evidence.expected_failures / CLUSTER_SIZE;
+        let failures = rare(expected, self.evidence.failures / CLUSTER_SIZE);
+        let expected = FAILURE_MARGIN * (self.common_failures.expected / CLUSTER_SIZE);
+        let common = rare(expected, self.common_failures.counted / CLUSTER_SIZE);
+        let even = RunningMoments { count: 1e6, ..RunningMoments::default() };
+        let speed = POSTERIOR.probability_first_is_higher(rng, &even, &self.evidence.speed, SPEED_MARGIN);
+        // Wrong answers that gateways told each other, against those of other versions per answer.
+        let baseline_answers = self.reported_answers.baseline.max(MIN_OUTCOMES);
+        let answers = self.reported_answers.canary.max(MIN_OUTCOMES);
+        let expected = FAILURE_MARGIN * (self.wrong_answers.baseline + 1.0) * answers / baseline_answers;
+        let wrong = rare(expected, self.wrong_answers.canary);
+        [
+            test(failures, "reported failures"),
+            test(common, "common failures"),
+            test(speed, "reported latency"),
+            test(wrong, "wrong answers"),
+        ]
+    }
+
+    /// Rejects the version once one test has been sure for long enough.
+    fn conclude(&mut self, suspicions: Vec<Suspicion>, rollout: &RolloutState, now: Millis) {
+        let is_confident = suspicions.iter().any(|test| test.probability_worse > 1.0 - test.error_rate);
+        self.confident_since = is_confident.then(|| self.confident_since.unwrap_or(now));
+        let Some(strongest) = Suspicion::strongest(suspicions) else { return };
+        self.probability_worse = strongest.probability_worse;
+        let is_sure = self.confident_since.is_some_and(|since| now - since >= CONFIDENCE_DURATION);
+        if is_sure && self.rejected_version != Some(rollout.version) {
+            self.reject(rollout, strongest.reason);
+        }
+    }
+
+    fn verdict(&mut self, rollout: &RolloutState, since_start: Millis, now: Millis) -> Verdict {
+        if self.rejected_version == Some(rollout.version) {
+            let is_over = matches!(rollout.phase, RolloutPhase::RollingBack | RolloutPhase::RolledBack);
+            return if is_over { Verdict::Abstain } else { Verdict::RollBack };
+        }
+        if self.voting.mode == VoteMode::Clocked {
+            let is_doubtful = self.has_enough_samples && self.probability_worse > MAX_DOUBT;
+            return if is_doubtful { Verdict::Pause } else { Verdict::Abstain };
+        }
+        let is_fit = self.is_fit(rollout, since_start);
+        // Nothing is capped any more: the canary carries nearly all for a while, unless too much fails then.
+        let is_known = self.has_enough_samples || self.full_traffic_since.is_some();
+        let carries_all = is_fit && rollout.traffic_cap >= 1.0 && is_known;
+        self.full_traffic_since = carries_all.then(|| self.full_traffic_since.unwrap_or(now));
+        let duration = if self.is_without_baseline { SETTLING_TIME } else { FULL_TRAFFIC_DURATION };
+        let patience = FEW_OUTCOMES_PATIENCE * f64::from(rollout.stage + 1);
+        let is_heard = match self.full_traffic_since {
+            Some(since) => self.has_enough_samples && now - since >= duration,
+            None => self.has_enough_samples || since_start >= patience,
+        };
+        if is_fit && is_heard { Verdict::Promote } else { Verdict::Abstain }
+    }
+
+    fn is_fit(&self, rollout: &RolloutState, since_start: Millis) -> bool {
+        let before = &self.metrics_before_canary[Metric::Latency];
+        let was_slow_before = before.count >= MIN_OUTCOMES_BEFORE && before.mean <= -SPEED_MARGIN;
+        let has_few_failures = self.evidence.failures <= self.evidence.expected_failures;
+        let is_calm = rollout.traffic_cap < 1.0 || was_slow_before || has_few_failures;
+        let has_settled = since_start >= SETTLING_TIME;
+        has_settled && self.probability_worse <= MAX_DOUBT && is_calm && !self.is_fleet_slower
+    }
+}
+
+/// The probability that the baseline is better in one metric, by all of the canary's endpoints and without the worst.
+fn compare(
+    rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &FleetView, metric: Metric, handicap: f64,
+) -> f64 {
+    let baseline = endpoints.pooled_metric(metric, &view.baseline);
+    let canary = endpoints.metric_of(metric, &view.canary);
+    let all = RunningMoments::pooled(canary.iter().copied());
+    let rest = RunningMoments::pooled_without_worst(&canary);
+    let rest = if rest.count < MIN_OUTCOMES { all } else { rest };
+    let by_all = POSTERIOR.probability_first_is_higher(rng, &baseline, &all, handicap);
+    by_all.min(POSTERIOR.probability_first_is_higher(rng, &baseline, &rest, handicap))
+}
--- a/crates/policy/tests/stories.rs
+++ b/crates/policy/tests/stories.rs
@@ -7,8 +7,10 @@
 mod host;
 
 use host::{Host, STEP, Sent, Terms, product};
-use latchhaven_policy::state::{Desk, Exposure, Fleet};
+use latchhaven_policy::state::{EndpointRegistry, ExposureLimiter, RequestTable};
 use latchhaven_policy::*;
+use rand::SeedableRng;
+use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 
 fn well(_: &Sent) -> (AttemptOutcome, Millis) {
@@ -748,30 +750,40 @@
 
 #[test]
 fn many_instances_tenants_and_builds_leave_nothing_behind() {
-    let (mut fleet, mut desk) = (Fleet::default(), Desk::new(vec![50.0], 0.0));
-    let mut exposure = Exposure::new(ExposureConfig::default(), 1);
-    let mut listing = Host::new(Terms::default()).list("a", Version(1), EndpointStatus::Ready, 0.0);
-    let stays = fleet.slot(&listing);
+    const MAX_TENANTS: usize = 512;
+    const MAX_VERSIONS: usize = 12;
+    let mut rng = Pcg64Mcg::seed_from_u64(1);
+    let mut registry = EndpointRegistry::default();
+    let mut requests = RequestTable::new(vec![50.0], 0.0, 1000.0);
+    let mut exposure = ExposureLimiter::new(ExposureConfig { window: 500.0, ..ExposureConfig::default() }, 1);
+    let mut entry = Host::new(Terms::default()).list("a", Version(1), EndpointStatus::Ready, 0.0);
+    registry.apply(std::slice::from_ref(&entry), false, 2.0, &mut rng);
+    let stays = registry.index_of("a").unwrap();
     for n in 0..5000 {
-        listing.endpoint = format!("s{n}");
-        listing.version = Version(n);
-        listing.status = EndpointStatus::Ready;
-        let i = fleet.slot(&listing);
-        assert!(i != stays && fleet.servers.build[i] != fleet.servers.build[stays]);
-        fleet.servers.begin_life(i, 2.0);
-        fleet.servers.relist(i, &listing);
-        listing.status = EndpointStatus::Removed;
-        fleet.servers.relist(i, &listing);
-        desk.services(&Some(format!("t{n}")))[1].at = f64::from(n);
-        exposure.note_send(Version(n), 0, 100.0 * f64::from(n), 1000.0);
+        entry.endpoint = format!("s{n}");
+        entry.version = Version(n);
+        entry.status = EndpointStatus::Ready;
+        registry.apply(std::slice::from_ref(&entry), false, 2.0, &mut rng);
+        let index = registry.index_of(&entry.endpoint).unwrap();
+        assert_ne!(index, stays);
+        assert_eq!(registry.endpoints[index].version, Version(n));
+        assert_eq!(registry.endpoints[stays].version, Version(1));
+        entry.status = EndpointStatus::Removed;
+        registry.apply(std::slice::from_ref(&entry), false, 2.0, &mut rng);
+        for service in requests.service_levels(&Some(format!("t{n}"))) {
+            service.record(f64::from(n), 1.0, 1.0);
+        }
+        exposure.record_attempt(Version(n), 0, 100.0 * f64::from(n));
     }
-    assert_eq!((fleet.servers.id.len(), fleet.index.len()), (2, 2));
-    assert!(desk.service.len() <= 512 && exposure.sends.len() <= 12);
-    // One that still carries a txn keeps its index.
-    let carries = fleet.slot(&listing);
-    fleet.servers.in_flight[carries] = 1;
-    listing.endpoint = "another".to_string();
-    assert_ne!(fleet.slot(&listing), carries);
+    assert_eq!((registry.endpoints.iter().count(), registry.index_by_id.len()), (2, 2));
+    assert!(requests.retained_tenants() <= MAX_TENANTS && exposure.retained_versions() <= MAX_VERSIONS);
+    // One that still carries a request keeps its index.
+    let carries = registry.index_of(&entry.endpoint).unwrap();
+    registry.endpoints[carries].in_flight = 1;
+    entry.endpoint = "another".to_string();
+    entry.status = EndpointStatus::Ready;
+    registry.apply(std::slice::from_ref(&entry), false, 2.0, &mut rng);
+    assert_ne!(registry.index_of("another"), Some(carries));
 }
 
 #[rstest]
@@ -784,7 +796,7 @@
     let behave = move |sent: &Sent| if loses(sent) { (how, 5.0) } else { well(sent) };
     let mut host = Host::with(Terms::default(), 4, behave);
     host.serve(3000.0, 5);
-    let told = |action: &Action| matches!(action, Action::Log(line) if line.contains("aside"));
+    let told = |action: &Action| matches!(action, Action::Log(line) if line.contains("endpoint ejected"));
     assert_eq!(host.all.iter().any(|(_, action)| told(action)), aside);
     assert!(host.settled.len() > 50);
 }
