--- a/crates/policy/src/canary.rs
+++ b/crates/policy/src/canary.rs
@@ -77,11 +77,11 @@
         &mut self, endpoints: &mut EndpointTable, view: &FleetView, rollout: &RolloutState,
     ) {
         let elapsed = view.now - self.analysed_at;
-        let kept = |half_life: Millis| half_life_decay(elapsed.min(half_life), half_life);
+        let decay = |half_life: Millis| half_life_decay(elapsed.min(half_life), half_life);
         for metric in [Metric::Success, Metric::Latency] {
-            endpoints.scale_metric(metric, MIN_DECAYING_OUTCOMES, kept(OUTCOME_HALF_LIFE));
+            endpoints.scale_metric(metric, MIN_DECAYING_OUTCOMES, decay(OUTCOME_HALF_LIFE));
         }
-        self.evidence.scale(kept(REPORT_HALF_LIFE));
+        self.evidence.scale(decay(REPORT_HALF_LIFE));
         let canary = view.canary.first().map(|index| endpoints[*index].version);
         self.begin(canary, endpoints, view.load);
         self.enter_stage(rollout, STAGE_WEIGHT);
@@ -105,14 +105,15 @@
             self.count_reported(&reported);
             self.weigh_class(class, reported, view, is_uncapped);
         }
-        // What fails old and new alike is a canary's doing once it carries much, unless it failed so before.
+        // Failures common to old and new are attributed to a canary that carries much, unless they were there before.
         if comparable.total.attempts >= MIN_OUTCOMES {
             self.latency_ratio_log = comparable.total.mean_latency.ln();
             let carries_little = comparable.canary_attempts < MIN_HARMFUL_SHARE * comparable.total.attempts;
             let is_failing = comparable.failures.counted > comparable.failures.expected;
             self.has_preexisting_failures = is_failing && (carries_little || self.has_preexisting_failures);
-            let is_blamed = is_failing && !self.has_preexisting_failures;
-            self.common_failures = if is_blamed { comparable.failures } else { CommonFailures::default() };
+            let is_attributed = is_failing && !self.has_preexisting_failures;
+            self.common_failures =
+                if is_attributed { comparable.failures } else { CommonFailures::default() };
         }
     }
 
--- a/crates/policy/src/exposure.rs
+++ b/crates/policy/src/exposure.rs
@@ -12,8 +12,7 @@
         &self, request: &Request, idempotency: Idempotency, version: Version, lowest_version: Version,
         now: Millis,
     ) -> bool {
-        let pinned = self.pinned_version(request.sticky_key.as_ref());
-        if pinned.is_some_and(|pinned| version < pinned) {
+        if self.pinned_version(request.sticky_key.as_ref()).is_some_and(|pinned| version < pinned) {
             return false;
         }
         let Some(canary) = self.canary(version, lowest_version) else { return true };
--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -1,16 +1,19 @@
 //! What the policy remembers. No decision is taken here.
 
 pub mod canary;
-pub mod endpoints;
+pub mod endpoint;
+pub mod evidence;
 pub mod exposure;
+pub mod registry;
 pub mod requests;
 pub mod timer;
 pub mod window;
 
-pub use canary::{
-    BySide, CanaryAnalysis, CastVote, CommonFailures, ComparableCounts, FleetView, OutcomeCounts, Standing,
-    Suspicion,
+pub use canary::{CanaryAnalysis, CanaryContext, CastVote, FleetView, Promotion, Suspicion};
+pub use endpoint::{Endpoint, EndpointIndex, Metric, MetricMoments};
+pub use evidence::{
+    BySide, ClassEvidence, CommonFailures, ComparableCounts, OutcomeCounts, WeightedEvidence,
 };
-pub use endpoints::{Endpoint, EndpointIndex, EndpointRegistry, EndpointTable, Metric, Sides};
 pub use exposure::ExposureLimiter;
-pub use requests::{Attempt, Request, RequestTable};
+pub use registry::{EndpointRegistry, EndpointTable, Sides};
+pub use requests::{Attempt, Request, RequestTable, ServiceLevel};
--- a/crates/policy/src/state/requests.rs
+++ b/crates/policy/src/state/requests.rs
@@ -4,7 +4,7 @@
 use crate::event::{CompletedAttempt, IncomingRequest};
 use crate::request::{AttemptOutcome, Idempotency, RequestClass, RequestId};
 use crate::rollout::Version;
-use crate::state::endpoints::{Endpoint, EndpointIndex};
+use crate::state::{Endpoint, EndpointIndex};
 use crate::statistics::half_life_decay;
 use std::collections::BTreeMap;
 
@@ -158,9 +158,9 @@
     }
 
     fn decay(&mut self, now: Millis) {
-        let kept = half_life_decay(now - self.updated_at, self.half_life);
-        self.requests *= kept;
-        self.served_well *= kept;
+        let decay = half_life_decay(now - self.updated_at, self.half_life);
+        self.requests *= decay;
+        self.served_well *= decay;
         self.updated_at = now;
     }
 
--- a/crates/policy/src/statistics.rs
+++ b/crates/policy/src/statistics.rs
@@ -125,8 +125,8 @@
             return None;
         }
         let freedom = moments.count - 2.0;
-        let squares = moments.sum_squared_deviations.max(self.min_variance * moments.count);
-        let scale = (squares / (moments.count * freedom)).sqrt();
+        let deviations = moments.sum_squared_deviations.max(self.min_variance * moments.count);
+        let scale = (deviations / (moments.count * freedom)).sqrt();
         let distribution = StudentT::new(freedom).ok()?;
         Some(Posterior { mean: moments.mean, scale, distribution })
     }
--- a/crates/policy/src/verdict.rs
+++ b/crates/policy/src/verdict.rs
@@ -2,7 +2,7 @@
 
 use crate::canary::{FAILURE_MARGIN, MAX_LOAD_RATIO, MIN_OUTCOMES, SPEED_MARGIN};
 use crate::policy::RETRY_INTERVAL;
-use crate::state::{CanaryAnalysis, CastVote, EndpointTable, FleetView, Metric, Standing, Suspicion};
+use crate::state::{CanaryAnalysis, CanaryContext, CastVote, EndpointTable, FleetView, Metric, Suspicion};
 use crate::statistics::{MeanComparison, RunningMoments, poisson_probability_of_fewer};
 use crate::{Action, Millis, RolloutPhase, RolloutState, Verdict, VoteMode};
 use rand::RngExt;
@@ -27,11 +27,11 @@
 const CLUSTER_SIZE: f64 = 3.0;
 /// Failures that are weighed at most: more tell nothing new.
 const MAX_FAILURES: f64 = 1e4;
-/// ms after a promotion in which a collapse is laid to the version.
+/// ms after a promotion in which a collapse is attributed to the version.
 const PROMOTION_WATCH: Millis = 15000.0;
 /// ms that the canary carries nearly all before its promotion: costs little.
 const FULL_TRAFFIC_DURATION: Millis = 6000.0;
-/// Looks at new reports of one version, which share δ.
+/// Analyses of new reports of one version, which share δ.
 const LOOKS: f64 = 10.0;
 
 impl CanaryAnalysis {
@@ -42,13 +42,13 @@
     ) {
         self.refresh(endpoints, view, rollout);
         self.watch_promotion(rollout, view, PROMOTION_WATCH);
-        let standing = self.standing(rollout, MIN_OUTCOMES);
-        let suspicions = self.suspicions(rng, endpoints, view, &standing);
+        let context = self.context(rollout, MIN_OUTCOMES);
+        let suspicions = self.suspicions(rng, endpoints, view, &context);
         let has_outcomes = |members| endpoints.pooled_metric(Metric::Success, members).count >= MIN_OUTCOMES;
-        let has_own = has_outcomes(&view.canary) && (standing.is_alone || has_outcomes(&view.baseline));
-        self.has_enough_samples = standing.is_canary && (has_own || self.reported_attempts >= MIN_OUTCOMES);
+        let has_own = has_outcomes(&view.canary) && (context.is_alone || has_outcomes(&view.baseline));
+        self.has_enough_samples = context.is_canary && (has_own || self.reported_attempts >= MIN_OUTCOMES);
         self.conclude(suspicions, rollout, view.now);
-        let since_start = view.since_newest_start(endpoints).filter(|_| standing.is_canary);
+        let since_start = view.since_newest_start(endpoints).filter(|_| context.is_canary);
         let verdict = self.verdict(rollout, since_start.unwrap_or(f64::NEG_INFINITY), view.now);
         let vote = CastVote { version: rollout.version, stage: rollout.stage, verdict };
         // One vote suffices where one is needed, and the platform takes few: gateways draw who votes.
@@ -57,9 +57,9 @@
         }
     }
 
-    /// All tests that apply, in an order that decides which of equals is told.
+    /// All tests that apply; of equally strong ones the last is logged.
     fn suspicions(
-        &mut self, rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &FleetView, standing: &Standing,
+        &mut self, rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &FleetView, context: &CanaryContext,
     ) -> Vec<Suspicion> {
         // δ is shared among looks, and among gateways but for reports, which are the same for all.
         let error_rate = self.own_error_rate / LOOKS;
@@ -67,19 +67,19 @@
         let mut suspicions = vec![own(0.5, "nothing")];
         // Some faulty machines are no bad version: own errors tell nothing where reports see no more than usual.
         let is_vouched_for =
-            standing.is_reported && self.evidence.failures < FAILURE_MARGIN * self.evidence.expected_failures;
-        if standing.is_canary && !is_vouched_for {
+            context.is_reported && self.evidence.failures < FAILURE_MARGIN * self.evidence.expected_failures;
+        if context.is_canary && !is_vouched_for {
             suspicions.push(own(self.own_failures(endpoints, view), "own errors and wrong answers"));
         }
-        let slowdown = self.fleet_slowdown(rng, endpoints, view, standing);
+        let slowdown = self.fleet_slowdown(rng, endpoints, view, context);
         suspicions.extend(slowdown.map(|probability| own(probability, "fleet slowdown")));
-        if standing.is_canary && !standing.is_alone {
+        if context.is_canary && !context.is_alone {
             suspicions.push(own(compare(rng, endpoints, view, Metric::Success, 0.0), "success rate"));
             let latency = compare(rng, endpoints, view, Metric::Latency, SPEED_MARGIN);
             // A lone machine may well be slow by itself: only a second one can tell.
             suspicions.extend((view.canary.len() > 1).then(|| own(latency, "latency")));
         }
-        if standing.is_canary || self.promotion.is_some() {
+        if context.is_canary || self.promotion.is_some() {
             suspicions.extend(self.reported_suspicions(rng));
         }
         suspicions
@@ -101,24 +101,24 @@
 
     /// A canary may slow all endpoints, old and new: then only the time before it came compares.
     fn fleet_slowdown(
-        &mut self, rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &FleetView, standing: &Standing,
+        &mut self, rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &FleetView, context: &CanaryContext,
     ) -> Option<f64> {
         let members = if view.baseline.is_empty() { &view.canary } else { &view.baseline };
         let speed = endpoints.pooled_metric(Metric::Latency, members);
         let before = self.metrics_before_canary[Metric::Latency];
         // More requests for each that answers, by a burst or where some are lost, slow them all as well.
-        let is_comparable = standing.is_canary
+        let is_comparable = context.is_canary
             && before.mean > -SPEED_MARGIN
             && !view.canary.is_empty()
             && view.load <= MAX_LOAD_RATIO * self.load_before_canary;
         let mut slower = |margin| POSTERIOR.probability_first_is_higher(rng, &before, &speed, margin);
         let clearly_slower = slower(SPEED_MARGIN);
         self.is_fleet_slower = is_comparable && slower(SPEED_MARGIN / 2.0) > MAX_DOUBT;
-        let reports_deny = standing.is_reported && self.latency_ratio_log < SPEED_MARGIN / 2.0;
+        let reports_deny = context.is_reported && self.latency_ratio_log < SPEED_MARGIN / 2.0;
         (is_comparable && !self.has_preexisting_failures && !reports_deny).then_some(clearly_slower)
     }
 
-    /// What the reports tell, which are the same for all gateways.
+    /// The tests of what the platform reported, which is the same for all gateways.
     fn reported_suspicions(&self, rng: &mut Pcg64Mcg) -> [Suspicion; 4] {
         let error_rate = ROLLBACK_ERROR_RATE / LOOKS;
         let test = |probability_worse, reason| Suspicion { probability_worse, error_rate, reason };
@@ -148,8 +148,8 @@
         self.confident_since = is_confident.then(|| self.confident_since.unwrap_or(now));
         let Some(strongest) = Suspicion::strongest(suspicions) else { return };
         self.probability_worse = strongest.probability_worse;
-        let is_sure = self.confident_since.is_some_and(|since| now - since >= CONFIDENCE_DURATION);
-        if is_sure && self.rejected_version != Some(rollout.version) {
+        let is_confirmed = self.confident_since.is_some_and(|since| now - since >= CONFIDENCE_DURATION);
+        if is_confirmed && self.rejected_version != Some(rollout.version) {
             self.reject(rollout, strongest.reason);
         }
     }
@@ -170,11 +170,11 @@
         self.full_traffic_since = carries_all.then(|| self.full_traffic_since.unwrap_or(now));
         let duration = if self.is_without_baseline { SETTLING_TIME } else { FULL_TRAFFIC_DURATION };
         let patience = FEW_OUTCOMES_PATIENCE * f64::from(rollout.stage + 1);
-        let is_heard = match self.full_traffic_since {
+        let has_evidence = match self.full_traffic_since {
             Some(since) => self.has_enough_samples && now - since >= duration,
             None => self.has_enough_samples || since_start >= patience,
         };
-        if is_fit && is_heard { Verdict::Promote } else { Verdict::Abstain }
+        if is_fit && has_evidence { Verdict::Promote } else { Verdict::Abstain }
     }
 
     fn is_fit(&self, rollout: &RolloutState, since_start: Millis) -> bool {
@@ -182,8 +182,8 @@
         let was_slow_before = before.count >= MIN_OUTCOMES_BEFORE && before.mean <= -SPEED_MARGIN;
         let has_few_failures = self.evidence.failures <= self.evidence.expected_failures;
         let is_calm = rollout.traffic_cap < 1.0 || was_slow_before || has_few_failures;
-        let has_settled = since_start >= SETTLING_TIME;
-        has_settled && self.probability_worse <= MAX_DOUBT && is_calm && !self.is_fleet_slower
+        let is_stable = since_start >= SETTLING_TIME;
+        is_stable && self.probability_worse <= MAX_DOUBT && is_calm && !self.is_fleet_slower
     }
 }
 
