--- /dev/null
+++ b/crates/policy/tests/policy/admission.rs
@@ -0,0 +1,108 @@
+//! Load shedding and the queue.
+
+use crate::support::{SentAttempt, TestConfig, TestGateway, succeed};
+use latchhaven_policy::{Action, AttemptOutcome, Millis};
+use rstest::rstest;
+
+#[rstest]
+fn slow_tenant_does_not_displace_others() {
+    let slow = |sent: &SentAttempt| {
+        (AttemptOutcome::Success, if sent.id.0.is_multiple_of(2) { 800.0 } else { 50.0 })
+    };
+    let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, slow);
+    let mut ids = Vec::new();
+    for k in 0..2000 {
+        let tenant = if (k + 1) % 2 == 0 { "waits" } else { "well" };
+        ids.push((gateway.request_from(Some(tenant), "look", false, 2000.0), tenant));
+        gateway.step();
+    }
+    let rejected = |of: &str| {
+        ids[1000..]
+            .iter()
+            .filter(|(id, tenant)| *tenant == of && gateway.endpoints_tried(*id).is_empty())
+            .count()
+    };
+    assert!(rejected("waits") > 250 && rejected("well") < 250, "{} {}", rejected("waits"), rejected("well"));
+}
+
+#[rstest]
+#[case::first_try(false, 2000.0, true)]
+#[case::early_repeat(true, 1900.0, true)]
+#[case::late_repeat(true, 1200.0, false)]
+fn retry_past_objective_of_first_attempt_is_rejected_at_once(
+    #[case] repeat: bool, #[case] left: Millis, #[case] sent: bool,
+) {
+    let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, succeed);
+    gateway.serve_for(100.0, 1);
+    let id = gateway.request_from(None, "look", repeat, left);
+    gateway.run_for(30.0);
+    assert_eq!((gateway.endpoints_tried(id).is_empty(), gateway.answers.contains_key(&id)), (!sent, !sent));
+    // And what is sent has until its SLA time, so that servers may drop it unbegun.
+    let beyond = |action: &Action| matches!(action, Action::SendAttempt { timeout: limit, .. } if limit.is_none_or(|l| l > 500.0));
+    assert!(!gateway.actions.iter().any(|(_, action)| beyond(action)));
+}
+
+#[rstest]
+fn overload_is_rejected_at_once_and_rest_is_in_time() {
+    // Each endpoint does one request at a time, in order.
+    let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, |sent| {
+        (AttemptOutcome::Success, 100.0 * (sent.in_flight + 1) as f64)
+    });
+    gateway.serve_for(8000.0, 1);
+    let mut rejected = 0;
+    for (id, answers) in &gateway.answers {
+        rejected += 1;
+        assert_eq!(answers.len(), 1);
+        assert!(!gateway.succeeded.contains_key(id));
+    }
+    assert!(rejected > 100, "twice what the fleet can do came: {rejected}");
+    let slow = gateway
+        .sent
+        .iter()
+        .filter(|s| gateway.succeeded.get(&s.id).is_some_and(|at| at - s.at > 500.0))
+        .count();
+    assert!(
+        gateway.succeeded.len() > 250 && slow * 10 < gateway.succeeded.len(),
+        "{slow} of {}",
+        gateway.succeeded.len()
+    );
+}
+
+#[rstest]
+#[case::a_gateway_of_little_traffic(10)]
+#[case::of_much(2)]
+fn load_shedding_ends_soon_after_a_jam(#[case] every: usize) {
+    // For four seconds nobody answers within the SLA time, then all as succeed as before.
+    let jammed = |sent: &SentAttempt| (103_000.0..107_000.0).contains(&sent.at);
+    let behavior =
+        move |sent: &SentAttempt| if jammed(sent) { (AttemptOutcome::Timeout, 500.0) } else { succeed(sent) };
+    let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, behavior);
+    gateway.serve_for(3000.0, every);
+    assert!(gateway.answers.is_empty(), "rejected with no cause");
+    gateway.serve_for(4000.0, every);
+    let rejected = |gateway: &TestGateway, from: Millis| {
+        gateway.answers.values().filter(|told| told[0].0 >= from).count()
+    };
+    assert!(rejected(&gateway, 105_000.0) * 2 * every > 100, "a jam is not fed");
+    gateway.serve_for(5000.0, every);
+    let still = rejected(&gateway, 109_500.0) * every;
+    assert!(still <= 10, "{still} of 250 are rejected 2.5 to 5 s after the jam");
+}
+
+#[test]
+fn lasting_jam_gets_few_attempts_from_gateway_with_little_traffic() {
+    let (mut came, mut sent) = (0, 0);
+    for seed in 0..10 {
+        let jammed = |sent: &SentAttempt| {
+            if sent.at > 103_000.0 { (AttemptOutcome::Timeout, 500.0) } else { succeed(sent) }
+        };
+        let mut gateway =
+            TestGateway::with_endpoints(TestConfig { seed, ..TestConfig::default() }, 4, jammed);
+        gateway.serve_for(6000.0, 10);
+        let before = gateway.request("look", None);
+        gateway.serve_for(5000.0, 10);
+        came += gateway.request("look", None).0 - before.0 - 1;
+        sent += gateway.sent.iter().filter(|sent| sent.id > before && sent.number == 0).count() as u32;
+    }
+    assert!(sent * 4 < came, "{sent} of {came} are sent to where none is served");
+}
--- /dev/null
+++ b/crates/policy/tests/policy/main.rs
@@ -0,0 +1,18 @@
+//! The decisions as an adapter meets them: events in, actions out, on an injected clock.
+
+// A test fails where it unwraps.
+#![allow(clippy::unwrap_used)]
+
+mod admission;
+mod canary;
+mod discovery;
+mod exposure;
+mod fleet;
+mod outliers;
+mod reports;
+mod retries;
+mod robustness;
+mod routing;
+mod slow_start;
+mod support;
+mod voting;
--- /dev/null
+++ b/crates/policy/tests/policy/outliers.rs
@@ -0,0 +1,59 @@
+//! Ejection and connections.
+
+use crate::support::{SentAttempt, TestConfig, TestGateway, succeed};
+use latchhaven_policy::{Action, AttemptOutcome, Millis};
+use rstest::rstest;
+
+#[rstest]
+#[case::everywhere(|sent: &SentAttempt| if sent.id.0.is_multiple_of(3) { (AttemptOutcome::ConnectFailed, 1.0) } else { succeed(sent) }, true)]
+#[case::at_one_instance(|sent: &SentAttempt| if sent.endpoint == "a0" { (AttemptOutcome::ConnectFailed, 1.0) } else { succeed(sent) }, false)]
+fn idle_connections_are_closed_where_connects_fail_everywhere(
+    #[case] behavior: fn(&SentAttempt) -> (AttemptOutcome, Millis), #[case] closes: bool,
+) {
+    let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 12, behavior);
+    gateway.serve_for(8000.0, 2);
+    let closed =
+        gateway.actions.iter().filter(|(_, a)| matches!(a, Action::CloseIdleConnections { .. })).count();
+    assert!(if closes { closed > 100 } else { closed < 200 }, "{closed}");
+}
+
+#[rstest]
+#[case::now_and_then(|sent: &SentAttempt| sent.id.0.is_multiple_of(20) && sent.number == 0, false)]
+#[case::one_after_another(|sent: &SentAttempt| sent.endpoint == "a0", true)]
+fn endpoint_is_ejected_after_two_lost_connections_in_a_row(
+    #[case] loses: fn(&SentAttempt) -> bool, #[case] aside: bool,
+    #[values(AttemptOutcome::ConnectionLost, AttemptOutcome::ConnectFailed)] how: AttemptOutcome,
+) {
+    let behavior = move |sent: &SentAttempt| if loses(sent) { (how, 5.0) } else { succeed(sent) };
+    let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, behavior);
+    gateway.serve_for(3000.0, 5);
+    let told = |action: &Action| matches!(action, Action::Log(line) if line.contains("endpoint ejected"));
+    assert_eq!(gateway.actions.iter().any(|(_, action)| told(action)), aside);
+    assert!(gateway.succeeded.len() > 50);
+}
+
+#[rstest]
+#[case::little_traffic(5, 4500.0)]
+#[case::much(1, 1500.0)]
+fn healthy_endpoints_go_on_while_others_pause(#[case] every: usize, #[case] longest: Millis) {
+    // Each of four stands still for a second in every two; what comes then waits for the end of it.
+    let pauses = |sent: &SentAttempt| ["a0", "a1", "b5", "b6"].contains(&sent.endpoint.as_str());
+    let behavior = move |sent: &SentAttempt| {
+        let into = sent.at % 2000.0;
+        let rest = if pauses(sent) && into < 1000.0 { 1000.0 - into } else { 0.0 };
+        (AttemptOutcome::Success, 50.0 + rest)
+    };
+    let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 10, behavior);
+    gateway.serve_for(12_000.0, every);
+    let mut of: std::collections::BTreeMap<&str, Vec<&SentAttempt>> = Default::default();
+    gateway.sent.iter().for_each(|sent| of.entry(&sent.endpoint).or_default().push(sent));
+    assert_eq!(of.len(), 10);
+    for (name, sent) in of.iter().filter(|(_, sent)| !pauses(sent[0])) {
+        let gap = sent.windows(2).map(|two| two[1].at - two[0].at).fold(0.0, f64::max);
+        assert!(gap <= longest, "{name} is ejected for {gap} ms");
+        let max = sent.iter().map(|sent| sent.in_flight).max().unwrap_or(0);
+        assert!(max <= 6, "{name} has {max} at once");
+    }
+    let served = gateway.succeeded.len() as f64 / (1200 / every) as f64;
+    assert!(served >= 0.85, "{served} served");
+}
--- /dev/null
+++ b/crates/policy/tests/policy/robustness.rs
@@ -0,0 +1,123 @@
+//! Stalls, absurd input, determinism and bounds of state.
+
+use crate::support::{TestConfig, TestGateway, fail_every, succeed, with_canary};
+use latchhaven_policy::state::{EndpointRegistry, ExposureLimiter, RequestTable};
+use latchhaven_policy::{
+    Action, AttemptOutcome, CompletedAttempt, EndpointStatus, Event, ExposureConfig, LoadReport,
+    OutcomeReport, RequestId, RolloutPhase, Version,
+};
+use rand::SeedableRng;
+use rand_pcg::Pcg64Mcg;
+use rstest::rstest;
+
+#[rstest]
+fn stalled_gateway_learns_nothing_from_its_own_stall() {
+    let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, succeed);
+    gateway.serve_for(2000.0, 2);
+    (0..20).for_each(|_| {
+        gateway.request("look", None);
+    });
+    gateway.step();
+    gateway.now += 900.0;
+    gateway.serve_for(1000.0, 2);
+    assert!(!gateway.actions.iter().any(|(_, action)| matches!(action, Action::Log(_))));
+    let after = gateway.now - 1000.0;
+    let late = gateway.answers.values().flatten().filter(|(at, _)| *at > after + 50.0).count();
+    assert_eq!(late, 0, "nothing is rejected for its own stall");
+}
+
+#[rstest]
+fn same_events_and_seed_give_same_actions() {
+    let day = || {
+        let mut gateway =
+            with_canary(TestConfig::default(), 1, 0.5, |sent| fail_every(7, sent, AttemptOutcome::Error));
+        gateway.serve_for(5000.0, 1);
+        gateway.actions
+    };
+    assert_eq!(day(), day());
+    let config = TestConfig { seed: 8, ..TestConfig::default() };
+    let mut other = with_canary(config, 1, 0.5, |sent| fail_every(7, sent, AttemptOutcome::Error));
+    other.serve_for(5000.0, 1);
+    assert_ne!(day(), other.actions);
+}
+
+#[rstest]
+fn absurd_events_stall_nothing() {
+    let mut gateway = with_canary(TestConfig::default(), 1, 0.5, succeed);
+    let endpoint = "nobody".to_string();
+    let (outcome, elapsed) = (AttemptOutcome::Success, -5.0);
+    gateway.deliver(Event::AttemptCompleted(CompletedAttempt {
+        id: RequestId(9999),
+        attempt: 7,
+        endpoint,
+        outcome,
+        is_final: false,
+        elapsed,
+        load: LoadReport::default(),
+    }));
+    gateway.deliver(Event::ClientDisconnected { id: RequestId(4242) });
+    gateway.deliver(Event::WrongAnswerReported {
+        endpoint: "nobody".into(),
+        class: "none".into(),
+        age: -1.0,
+    });
+    gateway.deliver(Event::OutcomesReported(OutcomeReport {
+        version: Version(77),
+        class: "none".into(),
+        attempts: 0,
+        failures: 5,
+        mean_latency: None,
+        age: 1e9,
+    }));
+    gateway.deliver(Event::PeerMessage { from: 99, data: vec![255; 256] });
+    gateway.deliver(Event::PeerMessage { from: 99, data: vec![255; 4] });
+    gateway.report_outcomes(Version(2), u64::MAX, u64::MAX, 1.0);
+    gateway.report_outcomes(Version(1), 3, 9, -4.0);
+    gateway.update_rollout(Version(9), 40, RolloutPhase::Canary, -3.0);
+    gateway.update_rollout(Version(2), 40, RolloutPhase::Canary, 7.0);
+    gateway.update_endpoint("a0", Version(1), EndpointStatus::Ready, 1e12);
+    let unknown = gateway.request("unheard-of", None);
+    let id = gateway.request("pay", None);
+    gateway.run_for(300.0);
+    assert!(matches!(gateway.answers[&unknown][..], [(_, Action::Fail { .. })]));
+    assert!(gateway.succeeded.contains_key(&id));
+}
+
+#[test]
+fn retained_state_is_bounded() {
+    const MAX_TENANTS: usize = 512;
+    const MAX_VERSIONS: usize = 12;
+    let mut rng = Pcg64Mcg::seed_from_u64(1);
+    let mut registry = EndpointRegistry::default();
+    let mut requests = RequestTable::new(vec![50.0], 0.0, 1000.0);
+    let mut exposure = ExposureLimiter::new(ExposureConfig { window: 500.0, ..ExposureConfig::default() }, 1);
+    let mut entry =
+        TestGateway::new(TestConfig::default()).update_endpoint("a", Version(1), EndpointStatus::Ready, 0.0);
+    registry.apply(std::slice::from_ref(&entry), false, 2.0, &mut rng);
+    let stays = registry.index_of("a").unwrap();
+    for n in 0..5000 {
+        entry.endpoint = format!("s{n}");
+        entry.version = Version(n);
+        entry.status = EndpointStatus::Ready;
+        registry.apply(std::slice::from_ref(&entry), false, 2.0, &mut rng);
+        let index = registry.index_of(&entry.endpoint).unwrap();
+        assert_ne!(index, stays);
+        assert_eq!(registry.endpoints[index].version, Version(n));
+        assert_eq!(registry.endpoints[stays].version, Version(1));
+        entry.status = EndpointStatus::Removed;
+        registry.apply(std::slice::from_ref(&entry), false, 2.0, &mut rng);
+        for service in requests.service_levels(&Some(format!("t{n}"))) {
+            service.record(f64::from(n), 1.0, 1.0);
+        }
+        exposure.record_attempt(Version(n), 0, 100.0 * f64::from(n));
+    }
+    assert_eq!((registry.endpoints.iter().count(), registry.index_by_id.len()), (2, 2));
+    assert!(requests.retained_tenants() <= MAX_TENANTS && exposure.retained_versions() <= MAX_VERSIONS);
+    // One that still carries a request keeps its index.
+    let carries = registry.index_of(&entry.endpoint).unwrap();
+    registry.endpoints[carries].in_flight = 1;
+    entry.endpoint = "another".to_string();
+    entry.status = EndpointStatus::Ready;
+    registry.apply(std::slice::from_ref(&entry), false, 2.0, &mut rng);
+    assert_ne!(registry.index_of("another"), Some(carries));
+}
--- /dev/null
+++ b/crates/policy/tests/policy/routing.rs
@@ -0,0 +1,65 @@
+//! Which endpoints get attempts.
+
+use crate::support::{SentAttempt, TestConfig, TestGateway, in_large_fleet, succeed};
+use latchhaven_policy::{Action, EndpointStatus, Event, RolloutPhase, UpdateKind, Version};
+use rstest::rstest;
+
+#[rstest]
+#[case(EndpointStatus::Draining)]
+#[case(EndpointStatus::Removed)]
+fn draining_or_removed_endpoint_gets_no_attempt(#[case] state: EndpointStatus) {
+    let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, succeed);
+    gateway.serve_for(500.0, 1);
+    gateway.update_endpoint("a0", Version(1), state, 0.0);
+    let told = gateway.now;
+    gateway.serve_for(1000.0, 1);
+    assert!(gateway.sent.iter().any(|sent| sent.endpoint == "a0"));
+    assert!(gateway.sent.iter().all(|sent| sent.endpoint != "a0" || sent.at < told));
+    // The id comes back with another version: it counts as that version's, and as cold.
+    gateway.update_rollout(Version(2), 0, RolloutPhase::Canary, 0.0);
+    gateway.start_endpoints(&["a0"], Version(2));
+    gateway.serve_for(1000.0, 1);
+    assert!(gateway.sent.iter().all(|sent| sent.endpoint != "a0" || sent.at < told));
+}
+
+#[rstest]
+fn endpoint_missing_from_snapshot_gets_no_attempt() {
+    let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, succeed);
+    gateway.deliver(Event::EndpointUpdate { kind: UpdateKind::Snapshot, list_version: 2, entries: vec![] });
+    let id = gateway.request("pay", None);
+    gateway.run_for(2000.0);
+    assert!(gateway.endpoints_tried(id).is_empty());
+    assert!(matches!(gateway.answers[&id][..], [(_, Action::Reject { .. })]));
+}
+
+#[rstest]
+fn canary_gets_its_share_where_little_is_in_flight() {
+    let (mut new, mut all) = (0, 0);
+    for seed in 0..20 {
+        let mut gateway = in_large_fleet(seed, 1.0, succeed);
+        gateway.update_rollout(Version(2), 1, RolloutPhase::Canary, 0.5);
+        gateway.serve_for(5000.0, 40);
+        let from = gateway.now;
+        gateway.serve_for(10_000.0, 40);
+        let late = |sent: &&SentAttempt| sent.at >= from;
+        new += gateway.sent.iter().filter(late).filter(|sent| sent.version == Version(2)).count();
+        all += gateway.sent.iter().filter(late).count();
+    }
+    // Two of 22 endpoints.
+    assert!((0.05..0.14).contains(&(new as f64 / all as f64)), "{new} of {all}");
+}
+
+#[rstest]
+fn gateway_with_little_traffic_keeps_to_its_subset() {
+    let met = |seed: u64, every: usize| {
+        let mut gateway =
+            TestGateway::with_endpoints(TestConfig { seed, ..TestConfig::default() }, 60, succeed);
+        gateway.serve_for(12_000.0, every);
+        let mut names: Vec<String> = gateway.sent.into_iter().map(|sent| sent.endpoint).collect();
+        names.sort();
+        names.dedup();
+        names
+    };
+    assert!(met(1, 40).len() < 20 && met(1, 1).len() > 40, "{} {}", met(1, 40).len(), met(1, 1).len());
+    assert_ne!(met(1, 40), met(2, 40), "another gateway, another part");
+}
--- /dev/null
+++ b/crates/policy/tests/policy/support/mod.rs
@@ -0,0 +1,304 @@
+//! A gateway on an injected clock: endpoints answer as a test wants, and every action is recorded.
+
+use latchhaven_policy::{
+    Action, AttemptOutcome, CompletedAttempt, EndpointEntry, EndpointStatus, Event, IncomingRequest,
+    LoadReport, Millis, OutcomeReport, Policy, RequestId, RolloutPhase, RolloutState, UpdateKind, Verdict,
+    Version,
+};
+use std::collections::BTreeMap;
+
+mod config;
+mod scenarios;
+
+pub(crate) use config::{TestConfig, class};
+pub(crate) use scenarios::{fail_every, in_large_fleet, slowed, succeed, with_canary};
+
+/// ms between two batches of events.
+pub(crate) const STEP: Millis = 10.0;
+
+/// How an endpoint answers an attempt, and after which time.
+pub(crate) type Behavior = Box<dyn Fn(&SentAttempt) -> (AttemptOutcome, Millis)>;
+
+/// One attempt, as an endpoint sees it.
+#[derive(Clone, Debug)]
+pub(crate) struct SentAttempt {
+    pub(crate) at: Millis,
+    pub(crate) id: RequestId,
+    /// 0 for the first attempt at a request.
+    pub(crate) number: u32,
+    pub(crate) endpoint: String,
+    pub(crate) version: Version,
+    /// When the endpoint started.
+    pub(crate) started_at: Millis,
+    /// Attempts at the endpoint that it has not answered yet.
+    pub(crate) in_flight: usize,
+}
+
+/// An attempt that ends at some time.
+struct ScheduledOutcome {
+    at: Millis,
+    attempt: SentAttempt,
+    outcome: AttemptOutcome,
+}
+
+/// One gateway's policy, its endpoints and all that it did.
+pub(crate) struct TestGateway {
+    policy: Policy,
+    pub(crate) now: Millis,
+    /// How long requests had been queued when they are told.
+    pub(crate) queued_for: Millis,
+    pub(crate) behavior: Behavior,
+    listed: BTreeMap<String, EndpointEntry>,
+    scheduled: Vec<ScheduledOutcome>,
+    deadlines: BTreeMap<RequestId, Millis>,
+    events: Vec<Event>,
+    pub(crate) sent: Vec<SentAttempt>,
+    /// Final answers without a result, with their time.
+    pub(crate) answers: BTreeMap<RequestId, Vec<(Millis, Action)>>,
+    /// When a request got its result.
+    pub(crate) succeeded: BTreeMap<RequestId, Millis>,
+    /// All actions, with their time.
+    pub(crate) actions: Vec<(Millis, Action)>,
+    last_id: RequestId,
+}
+
+impl TestGateway {
+    /// A gateway that knows of no endpoint.
+    pub(crate) fn new(config: TestConfig) -> Self {
+        let mut gateway = TestGateway {
+            policy: Policy::new(config.into()),
+            now: 100_000.0,
+            queued_for: 0.0,
+            behavior: Box::new(succeed),
+            listed: BTreeMap::new(),
+            scheduled: Vec::new(),
+            deadlines: BTreeMap::new(),
+            events: Vec::new(),
+            sent: Vec::new(),
+            answers: BTreeMap::new(),
+            succeeded: BTreeMap::new(),
+            actions: Vec::new(),
+            last_id: RequestId(0),
+        };
+        gateway.deliver(Event::EndpointUpdate {
+            kind: UpdateKind::CachedSnapshot,
+            list_version: 0,
+            entries: vec![],
+        });
+        gateway.step();
+        gateway
+    }
+
+    /// A gateway with warm endpoints of version 1, named a0, a1, b2, b3 ... by zone, that behave like this.
+    pub(crate) fn with_endpoints(
+        config: TestConfig, count: usize,
+        behavior: impl Fn(&SentAttempt) -> (AttemptOutcome, Millis) + 'static,
+    ) -> Self {
+        let mut gateway = TestGateway::new(config);
+        gateway.behavior = Box::new(behavior);
+        for number in 0..count {
+            let zone = if number < count / 2 { "a" } else { "b" };
+            gateway.update_endpoint(&format!("{zone}{number}"), Version(1), EndpointStatus::Ready, 0.0);
+        }
+        gateway.step();
+        gateway
+    }
+
+    /// Tells of one endpoint; its zone is the first letter of its name.
+    pub(crate) fn update_endpoint(
+        &mut self, name: &str, version: Version, status: EndpointStatus, started_at: Millis,
+    ) -> EndpointEntry {
+        let entry = EndpointEntry {
+            endpoint: name.to_string(),
+            status,
+            version,
+            zone: name[..1].to_string(),
+            cell: 0,
+            machine_type: "std".to_string(),
+            weight: 1.0,
+            started_at,
+        };
+        self.listed.insert(name.to_string(), entry.clone());
+        self.deliver(Event::EndpointUpdate {
+            kind: UpdateKind::Delta,
+            list_version: 1,
+            entries: vec![entry.clone()],
+        });
+        entry
+    }
+
+    /// Endpoints of a version that started just now.
+    pub(crate) fn start_endpoints(&mut self, names: &[&str], version: Version) {
+        for name in names {
+            self.update_endpoint(name, version, EndpointStatus::Ready, self.now);
+        }
+    }
+
+    /// Hands an event to the policy with the next batch.
+    pub(crate) fn deliver(&mut self, event: Event) {
+        self.events.push(event);
+    }
+
+    /// Tells the state of the rollout.
+    pub(crate) fn update_rollout(
+        &mut self, version: Version, stage: u32, phase: RolloutPhase, traffic_cap: f64,
+    ) {
+        let rollout = RolloutState { version, stage, phase, traffic_cap, age: 0.0 };
+        self.deliver(Event::RolloutUpdate(rollout));
+    }
+
+    /// A request of a class, perhaps with a sticky key.
+    pub(crate) fn request(&mut self, class: &str, key: Option<&str>) -> RequestId {
+        self.receive(None, class, key, false, 2000.0)
+    }
+
+    /// A request of a tenant, perhaps a retry, with so much time left.
+    pub(crate) fn request_from(
+        &mut self, tenant: Option<&str>, class: &str, is_retry: bool, time_remaining: Millis,
+    ) -> RequestId {
+        self.receive(tenant, class, None, is_retry, time_remaining)
+    }
+
+    fn receive(
+        &mut self, tenant: Option<&str>, class: &str, key: Option<&str>, is_retry: bool,
+        time_remaining: Millis,
+    ) -> RequestId {
+        self.last_id.0 += 1;
+        let id = self.last_id;
+        self.deadlines.insert(id, self.now + time_remaining);
+        self.deliver(Event::RequestReceived(IncomingRequest {
+            id,
+            class: class.to_string(),
+            tenant: tenant.map(str::to_string),
+            sticky_key: key.map(str::to_string),
+            time_remaining,
+            queued_for: self.queued_for,
+            expected_work: Some(50.0),
+            is_retry,
+            is_write: false,
+        }));
+        id
+    }
+
+    /// What the platform counted of the first class over all gateways.
+    pub(crate) fn report_outcomes(
+        &mut self, version: Version, attempts: u64, failures: u64, mean_latency: Millis,
+    ) {
+        self.deliver(Event::OutcomesReported(OutcomeReport {
+            version,
+            class: "look".to_string(),
+            attempts,
+            failures,
+            mean_latency: Some(mean_latency),
+            age: 500.0,
+        }));
+    }
+
+    /// One batch: what is due, what was delivered, and what is decided.
+    pub(crate) fn step(&mut self) {
+        let mut events = std::mem::take(&mut self.events);
+        let scheduled = std::mem::take(&mut self.scheduled);
+        let (due, later) = scheduled.into_iter().partition(|scheduled| scheduled.at <= self.now);
+        self.scheduled = later;
+        for ScheduledOutcome { attempt, outcome, .. } in due {
+            events.push(self.complete(attempt, outcome));
+        }
+        events.push(Event::TimerFired { token: "tick".to_string() });
+        for action in self.policy.handle_events(self.now, events) {
+            self.carry_out(&action);
+            self.actions.push((self.now, action));
+        }
+        self.now += STEP;
+    }
+
+    fn complete(&mut self, attempt: SentAttempt, outcome: AttemptOutcome) -> Event {
+        let id = attempt.id;
+        if outcome == AttemptOutcome::Success && !self.answers.contains_key(&id) {
+            self.succeeded.entry(id).or_insert(self.now);
+        }
+        Event::AttemptCompleted(CompletedAttempt {
+            id,
+            attempt: attempt.number,
+            endpoint: attempt.endpoint,
+            outcome,
+            is_final: self.succeeded.contains_key(&id) || self.answers.contains_key(&id),
+            elapsed: self.now - attempt.at,
+            load: LoadReport::default(),
+        })
+    }
+
+    fn carry_out(&mut self, action: &Action) {
+        match action {
+            Action::SendAttempt { id, endpoint, .. } => self.send(*id, endpoint),
+            Action::CancelAttempt { id, attempt } => {
+                let is_meant = |sent: &SentAttempt| sent.id == *id && sent.number == *attempt;
+                if let Some(found) = self.scheduled.iter_mut().find(|scheduled| is_meant(&scheduled.attempt))
+                {
+                    found.at = self.now + STEP;
+                    found.outcome = AttemptOutcome::Cancelled;
+                }
+            }
+            Action::Reject { id, .. } | Action::Fail { id } => {
+                self.answers.entry(*id).or_default().push((self.now, action.clone()));
+            }
+            _ => {}
+        }
+    }
+
+    fn send(&mut self, id: RequestId, endpoint: &str) {
+        let entry = &self.listed[endpoint];
+        let attempt = SentAttempt {
+            at: self.now,
+            id,
+            number: self.sent.iter().filter(|sent| sent.id == id).count() as u32,
+            endpoint: endpoint.to_string(),
+            version: entry.version,
+            started_at: entry.started_at,
+            in_flight: self.scheduled.iter().filter(|other| other.attempt.endpoint == endpoint).count(),
+        };
+        let (mut outcome, elapsed) = (self.behavior)(&attempt);
+        let mut at = self.now + elapsed;
+        if at > self.deadlines[&id] {
+            outcome = AttemptOutcome::Timeout;
+            at = self.deadlines[&id];
+        }
+        self.scheduled.push(ScheduledOutcome { at, attempt: attempt.clone(), outcome });
+        self.sent.push(attempt);
+    }
+
+    /// Runs for some time without requests.
+    pub(crate) fn run_for(&mut self, duration: Millis) {
+        for _ in 0..(duration / STEP) as usize {
+            self.step();
+        }
+    }
+
+    /// Runs for some time with a request of the first class every so many steps.
+    pub(crate) fn serve_for(&mut self, duration: Millis, every: usize) {
+        for step in 0..(duration / STEP) as usize {
+            if step % every == 0 {
+                self.request("look", None);
+            }
+            self.step();
+        }
+    }
+
+    /// The endpoints that a request was sent to, in order.
+    pub(crate) fn endpoints_tried(&self, id: RequestId) -> Vec<String> {
+        self.sent.iter().filter(|sent| sent.id == id).map(|sent| sent.endpoint.clone()).collect()
+    }
+
+    /// What it logged, with its time.
+    pub(crate) fn logs(&self) -> Vec<&(Millis, Action)> {
+        self.actions.iter().filter(|(_, action)| matches!(action, Action::Log(_))).collect()
+    }
+
+    /// Whether it ever voted so on a version.
+    pub(crate) fn has_voted(&self, version: Version, verdict: Verdict) -> bool {
+        let is_wanted = |action: &Action| match action {
+            Action::CastVote { version: of, verdict: cast, .. } => (*of, *cast) == (version, verdict),
+            _ => false,
+        };
+        self.actions.iter().any(|(_, action)| is_wanted(action))
+    }
+}
