--- a/crates/control-plane/src/driver.rs
+++ b/crates/control-plane/src/driver.rs
@@ -10,8 +10,7 @@
 use latchhaven_policy::{Action, Event, OutcomeReport, VoteOutcome};
 use latchhaven_proxy_config::proxy_config;
 use latchhaven_proxy_config::version::VersionSigner;
-use latchhaven_simulator_protocol::WireFault;
-use latchhaven_simulator_protocol::terms::{self, Terms};
+use latchhaven_simulator_protocol::{Settings, settings};
 use latchhaven_xds::resources::ListenerConfig;
 use latchhaven_xds::server::{self, SentCounters, ServerContext, ServerEvent};
 use rand::SeedableRng;
@@ -41,11 +40,8 @@
 ///
 /// # Errors
 /// What is wrong with them, beginning with the key.
-pub fn settings(plan: &Plan) -> Result<Terms, String> {
-    terms::read(&plan.settings.to_string()).map_err(|why| match why {
-        WireFault::Settings(why) => format!("settings.{why}"),
-        why => format!("settings: {why}"),
-    })
+pub fn settings(plan: &Plan) -> Result<Settings, String> {
+    settings::parse(&plan.settings.to_string()).map_err(|error| format!("settings.{error}"))
 }
 
 /// Serves as a plan says, until SIGTERM or SIGINT, within a `LocalSet` on a runtime of one thread.
@@ -61,13 +57,14 @@
         std::fs::read(path).map_err(unread)
     });
     let key = key.transpose()?;
-    let given = settings(&plan).map_err(io::Error::other)?.asking();
-    let (connections, (exposure, cold, submissions)) = (given.connections(), given.bounds());
+    let given = settings(&plan).map_err(io::Error::other)?.with_subscription();
+    let connections = given.upstream_connections();
+    let limits = given.publishing_limits();
     let terms = proxy_config::ProxyConfigSettings {
-        classes: given.products(),
-        exposure,
-        slow_start: cold,
-        max_attempts: submissions,
+        classes: given.classes(),
+        exposure: limits.exposure,
+        slow_start: limits.slow_start,
+        max_attempts: limits.max_attempts,
         max_in_flight_per_endpoint: plan.xds.in_flight_per_host,
     };
     let front = ListenerConfig {
@@ -81,7 +78,7 @@
     let labels = VersionSigner::new(key);
     let products: Arc<Vec<String>> = Arc::new(terms.classes.iter().map(|known| known.name.clone()).collect());
     let platform_only = plan.xds.evidence == Evidence::Platform;
-    let choice = given.start(plan.seed);
+    let choice = given.start_policy(plan.seed);
     let core =
         ControlPlane::new(choice, terms, front, labels.clone(), plan.xds.streams_most, platform_only, kept);
 
--- a/crates/control-plane/tests/cases.rs
+++ b/crates/control-plane/tests/cases.rs
@@ -10,7 +10,7 @@
 use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, ProxyReport};
 use latchhaven_proxy_config::proxy_config::ProxyConfigSettings;
 use latchhaven_proxy_config::version::VersionSigner;
-use latchhaven_simulator_protocol::terms;
+use latchhaven_simulator_protocol::settings as simulator_settings;
 use latchhaven_test_support::cache::{Cache, Wanted};
 use latchhaven_xds::resources::{ListenerConfig, ResourceSnapshot, ResourceType};
 use latchhaven_xds::stream::{Stream, SubscriptionRequest};
@@ -44,14 +44,13 @@
     }
 
     fn start_with(now: Millis, key: &str, kept: Option<PersistedState>, hosts_apart: bool) -> Self {
-        let settings = || terms::read(SETTINGS).unwrap();
-        let (exposure, cold, submissions) = settings().bounds();
-        let products = settings().products();
+        let settings = || simulator_settings::parse(SETTINGS).unwrap();
+        let limits = settings().publishing_limits();
         let terms = ProxyConfigSettings {
-            classes: products,
-            exposure,
-            slow_start: cold,
-            max_attempts: submissions,
+            classes: settings().classes(),
+            exposure: limits.exposure,
+            slow_start: limits.slow_start,
+            max_attempts: limits.max_attempts,
             max_in_flight_per_endpoint: 64,
         };
         let front = ListenerConfig {
@@ -62,7 +61,8 @@
             separate_endpoints: hosts_apart,
         };
         let labels = VersionSigner::new(Some(key.as_bytes().to_vec()));
-        let core = ControlPlane::new(settings().start(7), terms, front, labels.clone(), 100, false, kept);
+        let core =
+            ControlPlane::new(settings().start_policy(7), terms, front, labels.clone(), 100, false, kept);
         Service { core, now, snapshot: None, kept: None, labels, streams: 0, votes: Vec::new() }
     }
 
--- a/crates/experiments/src/day.rs
+++ b/crates/experiments/src/day.rs
@@ -10,7 +10,7 @@
 use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, ProxyReport};
 use latchhaven_proxy_config::proxy_config::ProxyConfigSettings;
 use latchhaven_proxy_config::version::VersionSigner;
-use latchhaven_simulator_protocol::terms;
+use latchhaven_simulator_protocol::settings as simulator_settings;
 use latchhaven_test_support::cache::{Cache, Wanted};
 use latchhaven_xds::resources::{ListenerConfig, ResourceSnapshot, parse_cluster_name};
 use latchhaven_xds::stream::Stream;
@@ -231,7 +231,9 @@
         };
         let bad = BTreeMap::from([(Version(2 + which), how)]);
         let rollout = Rollout { news, at: 0.0, bad, next: 0, version: 1, caps: vec![(0.0, 1.0)] };
-        let read = |me: usize, count: usize| terms::read(&settings(me, count)).expect("settings of the lab");
+        let read = |me: usize, count: usize| {
+            simulator_settings::parse(&settings(me, count)).expect("settings of the lab")
+        };
         let mut day = Day {
             mode,
             rng,
@@ -258,13 +260,12 @@
         };
         if mode == Mode::Handout {
             let labels = VersionSigner::new(Some(b"lab".to_vec()));
-            let (exposure, cold, submissions) = read(0, 1).bounds();
-            let products = read(0, 1).products();
+            let limits = read(0, 1).publishing_limits();
             let terms = ProxyConfigSettings {
-                classes: products,
-                exposure,
-                slow_start: cold,
-                max_attempts: submissions,
+                classes: read(0, 1).classes(),
+                exposure: limits.exposure,
+                slow_start: limits.slow_start,
+                max_attempts: limits.max_attempts,
                 max_in_flight_per_endpoint: 64,
             };
             let front = ListenerConfig {
@@ -274,8 +275,15 @@
                 connect_timeout: 250.0,
                 separate_endpoints: true,
             };
-            let mut core =
-                ControlPlane::new(read(0, 1).start(seed), terms, front, labels.clone(), 1000, false, None);
+            let mut core = ControlPlane::new(
+                read(0, 1).start_policy(seed),
+                terms,
+                front,
+                labels.clone(),
+                1000,
+                false,
+                None,
+            );
             day.proxies = (0..sizes.fronts)
                 .map(|n| {
                     core.request_stream(n as u64, format!("p{n}"), 0.0);
@@ -294,7 +302,8 @@
             day.core = Some(core);
         }
         if mode == Mode::Gateways {
-            day.choices = (0..sizes.fronts).map(|n| read(n, sizes.fronts).start(seed ^ n as u64)).collect();
+            day.choices =
+                (0..sizes.fronts).map(|n| read(n, sizes.fronts).start_policy(seed ^ n as u64)).collect();
         }
         day.tell_list();
         day.tell_news();
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -3,8 +3,7 @@
 use crate::net::list::{self, List};
 use crate::net::platform;
 use latchhaven_policy::RolloutState;
-use latchhaven_simulator_protocol::WireFault;
-use latchhaven_simulator_protocol::terms::{self, Terms};
+use latchhaven_simulator_protocol::{Settings, settings};
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -40,7 +39,7 @@
 }
 
 /// All that a file tells: addresses, descriptors, what was known, the seed, and the settings.
-pub type Told = (Addresses, usize, Known, u64, Terms);
+pub type Told = (Addresses, usize, Known, u64, Settings);
 
 /// Reads the file that `BALANCER_CONFIG` names; the other variables go before what stands in it.
 pub fn read(env: impl Fn(&str) -> Option<String>) -> Result<Told, Fault> {
@@ -103,11 +102,9 @@
     };
     let seed = seed.ok_or_else(|| fault("seed", "no hexadecimal number of up to 16 digits"))?;
     let settings = whole.get("settings").ok_or_else(|| fault("settings", "missing"))?;
-    let terms = terms::read(&settings.to_string()).map_err(|why| match why {
-        WireFault::Settings(why) => fault("settings", &why),
-        why => fault("settings", &why.to_string()),
-    })?;
-    Ok((addresses, sockets as usize, known, seed, terms))
+    let settings =
+        settings::parse(&settings.to_string()).map_err(|error| fault("settings", &error.to_string()))?;
+    Ok((addresses, sockets as usize, known, seed, settings))
 }
 
 fn fault(key: &str, why: &str) -> Fault {
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -60,13 +60,13 @@
     let (mut term, mut int) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
     let (mut asked, mut again) = (signal(SignalKind::user_defined1())?, signal(SignalKind::hangup())?);
     let env = |name: &str| std::env::var(name).ok();
-    let (addresses, sockets, known, seed, terms) = config::read(env).map_err(io::Error::other)?;
+    let (addresses, sockets, known, seed, settings) = config::read(env).map_err(io::Error::other)?;
     let listener = listen_soon(addresses.listen).await?;
 
     let (notes, noted) = mpsc::channel(NOTES_HELD);
     let (votes, cast) = mpsc::channel(VOTES_HELD);
     let to_clients = (sockets - KEPT) * CLIENTS_OF_EIGHT / 8;
-    let (connections, products) = (terms.connections(), terms.products());
+    let (connections, products) = (settings.upstream_connections(), settings.classes());
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let (platform, at) = watch::channel(addresses.platform);
     let within = Duration::from_secs_f64(connections.vote_timeout / 1000.0);
@@ -88,7 +88,7 @@
     });
     let pool = Pool::new(sockets - KEPT - to_clients, connections.clone(), notes.clone());
     let gateway = Gateway::new(
-        terms.asking().start(seed),
+        settings.with_subscription().start_policy(seed),
         clock,
         pool,
         connections,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -4,11 +4,11 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    let mut host = latchhaven_simulator_protocol::Host::default();
+    let mut host = latchhaven_simulator_protocol::InstanceHost::default();
     match host.serve(BufReader::new(io::stdin().lock()), BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("latchhaven-simhost: {fault}");
+        Err(error) => {
+            eprintln!("latchhaven-simhost: {error}");
             ExitCode::FAILURE
         }
     }
--- /dev/null
+++ b/crates/simulator-protocol/src/settings/mod.rs
@@ -0,0 +1,198 @@
+//! The settings object: parsed, checked, and turned into the policy's configuration.
+
+mod checks;
+mod schema;
+
+use crate::error::SettingsError;
+use latchhaven_policy::{
+    CostConfig, DedupScope, DiscoveryConfig, ExposureConfig, GatewayIdentity, Idempotency, LoadReporting,
+    Millis, Permissions, Policy, PolicyConfig, RequestClass, SlowStartConfig, UpstreamConnectionConfig,
+    VoteMode, VotingConfig,
+};
+use schema::SettingsSchema;
+
+const MS_PER_S: f64 = 1000.0;
+/// Time within which a gateway has to ask for the list, in seconds, where it is pushed elsewhere and no time is given.
+const DEFAULT_ASK_WITHIN_S: f64 = 10.0;
+
+fn ms(seconds: f64) -> Millis {
+    seconds * MS_PER_S
+}
+
+/// The settings that an instance is started with, checked.
+pub struct Settings(SettingsSchema);
+
+/// What bounds an adapter that publishes decisions instead of asking for each request.
+pub struct PublishingLimits {
+    /// The rule on exposure.
+    pub exposure: ExposureConfig,
+    /// How endpoints warm up.
+    pub slow_start: SlowStartConfig,
+    /// Attempts at one request at most.
+    pub max_attempts: usize,
+}
+
+/// Parses and checks the settings object.
+///
+/// # Errors
+/// The first key that is missing, has another form, or contradicts another one.
+pub fn parse(text: &str) -> Result<Settings, SettingsError> {
+    checks::units(text)?;
+    let mut reader = serde_json::Deserializer::from_str(text);
+    let schema: SettingsSchema = serde_path_to_error::deserialize(&mut reader)
+        .map_err(|error| SettingsError::Malformed(error.to_string()))?;
+    checks::consistency(&schema)?;
+    Ok(Settings(schema))
+}
+
+impl Settings {
+    /// What an adapter on sockets has to know beside the policy.
+    #[must_use]
+    pub fn upstream_connections(&self) -> UpstreamConnectionConfig {
+        let permissions = &self.0.permissions;
+        UpstreamConnectionConfig {
+            idle_timeout: ms(permissions.conn_idle),
+            connect_timeout: ms(permissions.dial_timeout),
+            vote_timeout: ms(self.0.domain.api_timeout),
+            health_checks: permissions.probes,
+            load_reporting: match self.0.load_report.via {
+                schema::Via::Silent => LoadReporting::Disabled,
+                schema::Via::Piggyback => LoadReporting::InResponses,
+                schema::Via::Pull => LoadReporting::InHealthChecks,
+            },
+        }
+    }
+
+    /// The same with a list that has to be asked for: on sockets nothing of it comes unasked, whatever the site does
+    /// elsewhere.
+    #[must_use]
+    pub fn with_subscription(mut self) -> Self {
+        if self.0.registry_mode == schema::RegistryMode::Automatic {
+            self.0.registry_mode = schema::RegistryMode::Subscribe;
+            if self.0.rules.ask_within <= 0.0 {
+                self.0.rules.ask_within = DEFAULT_ASK_WITHIN_S;
+            }
+        }
+        self
+    }
+
+    /// The classes that clients may name.
+    #[must_use]
+    pub fn classes(&self) -> Vec<RequestClass> {
+        self.0.classes.iter().map(request_class).collect()
+    }
+
+    /// What bounds an adapter that publishes decisions.
+    #[must_use]
+    pub fn publishing_limits(&self) -> PublishingLimits {
+        PublishingLimits {
+            exposure: self.exposure(),
+            slow_start: self.slow_start(),
+            max_attempts: self.0.permissions.try_limit,
+        }
+    }
+
+    /// Starts the policy of one instance; `seed` is that of its random generator.
+    #[must_use]
+    pub fn start_policy(self, seed: u64) -> Policy {
+        Policy::new(PolicyConfig {
+            seed,
+            identity: GatewayIdentity {
+                index: self.0.me,
+                gateway_count: self.0.replicas_of_me,
+                zone: self.0.locality.clone(),
+            },
+            classes: self.classes(),
+            permissions: self.permissions(),
+            discovery: self.discovery(),
+            slow_start: self.slow_start(),
+            exposure: self.exposure(),
+            voting: self.voting(),
+            costs: CostConfig { cross_zone: self.0.prices.cross_zone },
+        })
+    }
+
+    fn permissions(&self) -> Permissions {
+        let permissions = &self.0.permissions;
+        Permissions {
+            max_attempts: permissions.try_limit,
+            hedging: permissions.second_copies,
+            cancel: permissions.cancelling,
+            health_checks: permissions.probes,
+            peer_messages: permissions.peers,
+            max_retry_after: permissions.retry_after.then_some(ms(permissions.max_retry_after)),
+        }
+    }
+
+    fn discovery(&self) -> DiscoveryConfig {
+        DiscoveryConfig {
+            must_subscribe: self.0.registry_mode == schema::RegistryMode::Subscribe,
+            max_poll_interval: ms(self.0.rules.ask_within),
+            drain_grace: ms(self.0.rules.drain_grace),
+        }
+    }
+
+    fn slow_start(&self) -> SlowStartConfig {
+        let rules = &self.0.rules;
+        SlowStartConfig {
+            initial_capacity: rules.cold_from,
+            duration: ms(rules.warm_up),
+            overload_multiple: rules.tip_multiple,
+            overload_window: ms(rules.fall),
+        }
+    }
+
+    fn exposure(&self) -> ExposureConfig {
+        let domain = &self.0.domain;
+        ExposureConfig {
+            allowance: domain.allowance,
+            stage_caps: domain.caps.clone(),
+            window: ms(domain.window),
+            per_class: domain.counts == schema::Counts::PerLane,
+            closed_stages: domain.closed_stages,
+            sticky_keys: domain.no_return,
+        }
+    }
+
+    fn voting(&self) -> VotingConfig {
+        let domain = &self.0.domain;
+        VotingConfig {
+            mode: match domain.vote_mode {
+                schema::VoteMode::Single => VoteMode::Single,
+                schema::VoteMode::Majority => VoteMode::Majority,
+                schema::VoteMode::Clocked => VoteMode::Clocked,
+            },
+            promote_quorum: domain.votes_to_go,
+            pause_quorum: domain.to_pause,
+            rollback_quorum: domain.votes_to_revert,
+            vote_lease: ms(domain.vote_ttl),
+            min_stage_duration: ms(domain.soak),
+            auto_promote_after: ms(domain.auto_after),
+            answer_timeout: ms(domain.api_timeout),
+            keeps_baseline: domain.style == schema::Style::SideBySide,
+        }
+    }
+}
+
+fn request_class(class: &schema::Class) -> RequestClass {
+    RequestClass {
+        name: class.name.clone(),
+        idempotency: match class.effect {
+            schema::Effect::Idempotent => Idempotency::Idempotent,
+            schema::Effect::Deduplicated => Idempotency::IdempotencyKey,
+            schema::Effect::AtMostOnce => Idempotency::NonIdempotent,
+        },
+        dedup_scope: match class.group {
+            schema::Group::All => DedupScope::All,
+            schema::Group::Zone => DedupScope::Zone,
+            schema::Group::Cell => DedupScope::Cell,
+        },
+        dedup_window: ms(class.dedup_window),
+        latency_objective: ms(class.aim),
+        objective_per_work: class.aim_stretch,
+        timeout: ms(class.hard_limit),
+        priority_weight: class.gain,
+        late_value_share: class.late_share,
+        streamed: class.stream,
+    }
+}
--- a/crates/simulator-protocol/tests/wire.rs
+++ b/crates/simulator-protocol/tests/lines.rs
@@ -1,15 +1,17 @@
-//! The wire on good and malformed lines.
+//! Good and malformed lines of the simulator.
 
 use latchhaven_policy::*;
-use latchhaven_simulator_protocol::lines::{Fields, Incoming, incoming, listing, outgoing};
-use latchhaven_simulator_protocol::{Host, terms};
+use latchhaven_simulator_protocol::actions::write_action;
+use latchhaven_simulator_protocol::fields::Fields;
+use latchhaven_simulator_protocol::messages::{Message, parse_endpoint_entry, parse_message};
+use latchhaven_simulator_protocol::{InstanceHost, settings};
 use rstest::rstest;
 
 const SETTINGS: &str = r#"{"azs": ["x"], "classes": [{"aim-s": 0.5, "effect": "at_most_once", "gain": 1.0, "hard-limit-s": 2.0, "name": "pay"}], "domain": {"allowance": 1.0, "caps": [0.1, 1.0], "counts": "all", "style": "rolling", "vote-mode": "single", "vote-ttl-s": 4.0, "votes-to-go": 1, "votes-to-revert": 1, "window-s": 2.0}, "later-key": 1, "locality": "x", "me": 0, "permissions": {"cancelling": true, "second-copies": true, "try-limit": 3}, "registry-mode": "subscribe", "replicas-of-me": 2, "rules": {"ask-within-s": 10.0, "cold-from": 0.4, "drain-grace-s": 2.0, "fall-s": 1.5, "tip-multiple": 3.0, "warm-up-s": 4.0}}"#;
 
 fn serve(input: &str) -> (String, Option<String>) {
     let mut output = Vec::new();
-    let ended = Host::default().serve(input.as_bytes(), &mut output);
+    let ended = InstanceHost::default().serve(input.as_bytes(), &mut output);
     (String::from_utf8(output).expect("text"), ended.err().map(|fault| fault.to_string()))
 }
 
@@ -49,9 +51,9 @@
 #[case("SHIP_STATE ending=no_answer how=1", Event::VoteCompleted(VoteOutcome::Unknown))]
 #[case("SHIP_STATE ending=turned_away how=1", Event::VoteCompleted(VoteOutcome::NotCounted))]
 #[case("SHIP_STATE ending=no_answer", Event::RolloutUnavailable)]
-fn events_are_read(#[case] line: &str, #[case] event: Event) {
+fn message_is_parsed_as_event(#[case] line: &str, #[case] event: Event) {
     let (word, rest) = line.split_once(' ').expect("fields");
-    assert_eq!(incoming(word, &Fields::parse(rest).expect("pairs")), Ok(Incoming::Event(event)));
+    assert_eq!(parse_message(word, &Fields::parse(rest).expect("pairs")), Ok(Message::Event(event)));
 }
 
 #[rstest]
@@ -69,9 +71,9 @@
 #[case(Action::FetchEndpoints, "PULL")]
 #[case(Action::CastVote { version: Version(4), stage: 1, verdict: Verdict::RollBack }, "BALLOT rel=4 wave=1 how=3")]
 #[case(Action::Log("two known".into()), "EMIT what=two known")]
-fn actions_are_printed(#[case] action: Action, #[case] line: &str) {
+fn action_is_written_as_line(#[case] action: Action, #[case] line: &str) {
     let mut out = Vec::new();
-    outgoing(&action, &mut out).expect("written");
+    write_action(&action, &mut out).expect("written");
     assert_eq!(String::from_utf8(out).expect("text"), format!("{line}\n"));
 }
 
@@ -80,8 +82,8 @@
 #[case("instance=a:1 state=healthy build=4 online-since-s=6.1", Ok((EndpointStatus::Ready, 6100.0)))]
 #[case("instance=a:1 state=well build=4", Err("field 'state' cannot be read: 'well'"))]
 #[case("instance=a:1 state=healthy build=4.5", Err("field 'build' cannot be read: '4.5'"))]
-fn entries_are_read(#[case] line: &str, #[case] wanted: Result<(EndpointStatus, Millis), &str>) {
-    let entry = listing(&Fields::parse(line).expect("pairs"));
+fn list_entry_is_parsed(#[case] line: &str, #[case] wanted: Result<(EndpointStatus, Millis), &str>) {
+    let entry = parse_endpoint_entry(&Fields::parse(line).expect("pairs"));
     assert_eq!(
         entry.map(|entry| (entry.status, entry.started_at)).map_err(|fault| fault.to_string()),
         wanted.map_err(str::to_string)
@@ -89,7 +91,7 @@
 }
 
 #[rstest]
-fn a_batch_is_answered_in_order_and_a_stopped_instance_forgets() {
+fn batch_is_answered_in_order_and_stopped_instance_forgets() {
     let first = enlisted("JOB_IN handle=7 profile=pay ttl-s=0.5\nFLUSH\n\n");
     let (output, fault) = serve(&first);
     assert_eq!(fault, None);
@@ -101,7 +103,7 @@
 }
 
 #[rstest]
-fn a_list_number_means_the_list_sent_last_before_it() {
+fn list_number_refers_to_list_sent_last() {
     let second = "DIRECTORY bank=3 records=1\nENTRY instance=10.0.0.2:80 state=healthy build=4\n\
                   SYNC index=2 kind=F bank=3\nJOB_IN handle=7 profile=pay ttl-s=0.5\nFLUSH\n";
     let (output, fault) = serve(&enlisted(second));
@@ -126,7 +128,7 @@
 #[case("MARK sim-time-s=1\nENTRY instance=a\n", "line 2: ENTRY outside a list")]
 #[case("MARK sim-time-s=1\nWHAT now\n", "line 2: 'now' is no name=value pair")]
 #[case("MARK sim-time-s=1\n", "line 2: input ends inside a batch")]
-fn malformed_input_is_named(#[case] input: &str, #[case] wanted: &str) {
+fn malformed_line_is_named(#[case] input: &str, #[case] wanted: &str) {
     assert_eq!(serve(input).1.as_deref(), Some(wanted));
 }
 
@@ -138,7 +140,7 @@
     "field 'ending' cannot be read: 'great'"
 )]
 #[case("SYNC index=1 kind=F bank=9", "list 9 has not been sent")]
-fn malformed_events_are_named(#[case] line: &str, #[case] wanted: &str) {
+fn malformed_event_is_named(#[case] line: &str, #[case] wanted: &str) {
     let fault = serve(&enlisted(&format!("{line}\n"))).1.expect("a fault");
     assert!(fault.ends_with(wanted), "{fault}");
 }
@@ -151,8 +153,8 @@
 #[case(r#""hard-limit-s": 2.0"#, r#""hard-limit-s": 0.2"#, "hard-limit-s")]
 #[case(r#""at_most_once""#, r#""deduplicated""#, "dedup-window-s")]
 #[case(r#""single""#, r#""clocked""#, "domain.to-pause")]
-fn settings_that_leave_a_rule_open_are_rejected(#[case] was: &str, #[case] now: &str, #[case] named: &str) {
-    assert!(terms::read(SETTINGS).is_ok() && SETTINGS.contains(was));
-    let fault = terms::read(&SETTINGS.replace(was, now)).err().expect("a fault").to_string();
+fn settings_that_leave_a_rule_open_are_refused(#[case] was: &str, #[case] now: &str, #[case] named: &str) {
+    assert!(settings::parse(SETTINGS).is_ok() && SETTINGS.contains(was));
+    let fault = settings::parse(&SETTINGS.replace(was, now)).err().expect("a fault").to_string();
     assert!(fault.contains(named), "{fault}");
 }
