--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -6,8 +6,9 @@
 use latchhaven_policy::{
     Action, EndpointEntry, EndpointStatus, Event, Millis, RequestClass, RolloutState, UpdateKind, VoteOutcome,
 };
-use latchhaven_proxy_config::freshness::{KnownState, UpdateResult};
-use latchhaven_proxy_config::load_reports::{LoadReportAggregator, ProxyReport};
+use latchhaven_proxy_config::freshness::{KnownState, SnapshotUnavailable, UpdateResult};
+use latchhaven_proxy_config::load_reports::{LoadReportAggregator, ProxyReport, ReportError};
+use latchhaven_proxy_config::parts_per_million::PartsPerMillion;
 use latchhaven_proxy_config::proxy_config::{self, ProxyConfigSettings};
 use latchhaven_proxy_config::share_ledger::{CanaryShares, ShareLedger};
 use latchhaven_proxy_config::version::{ConfigVersion, RolloutStatus, SignedVersion, VersionSigner};
@@ -67,7 +68,7 @@
     wake: Millis,
     asked: Millis,
     behind: bool,
-    waiting_for: Option<&'static str>,
+    waiting_for: Option<SnapshotUnavailable>,
 }
 
 /// What is to be done now.
@@ -285,7 +286,7 @@
         let part = if matches!(news.status, RolloutStatus::Canary | RolloutStatus::RollingBack) {
             news.traffic_cap
         } else {
-            0
+            PartsPerMillion::ZERO
         };
         if kind == ResourceType::Route {
             self.ledger.report_held(number, vec![part; self.terms.classes.len()]);
@@ -308,7 +309,9 @@
     ///
     /// # Errors
     /// What cannot be in it.
-    pub fn on_load_report(&mut self, stream: u64, report: &ProxyReport, now: Millis) -> Result<(), String> {
+    pub fn on_load_report(
+        &mut self, stream: u64, report: &ProxyReport, now: Millis,
+    ) -> Result<(), ReportError> {
         let Some(number) = self.number(stream).filter(|_| !self.known.is_empty()) else { return Ok(()) };
         let whose = |addr: &SocketAddr, build| {
             let known = self.known.get(addr).filter(|known| known.builds.contains(&build));
@@ -373,7 +376,7 @@
             Ok(basis) => basis,
             Err(why) => {
                 if self.waiting_for.replace(why) != Some(why) {
-                    tracing::info!(why, "nothing is handed out");
+                    tracing::info!(why = why.to_string(), "nothing is handed out");
                 }
                 return None;
             }
--- a/crates/control-plane/src/driver.rs
+++ b/crates/control-plane/src/driver.rs
@@ -264,7 +264,8 @@
                 self.core.on_routes_sent(stream, &trial, now)
             }
             ServerEvent::LoadReport { stream, report, result: sound } => {
-                let _ = sound.send(self.core.on_load_report(stream, &report, now));
+                let taken = self.core.on_load_report(stream, &report, now);
+                let _ = sound.send(taken.map_err(|error| error.to_string()));
             }
             ServerEvent::StreamClosed { stream } => {
                 self.turns.remove(&stream);
--- a/crates/control-plane/src/state_store.rs
+++ b/crates/control-plane/src/state_store.rs
@@ -154,6 +154,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
+    use latchhaven_proxy_config::parts_per_million::PartsPerMillion;
     use latchhaven_proxy_config::version::{EndpointListVersion, RolloutStatus, RolloutVersion};
 
     fn kept(version: u64) -> PersistedState {
@@ -161,7 +162,7 @@
             version: Version(7),
             status: RolloutStatus::RolledBack,
             stage: 1,
-            traffic_cap: 0,
+            traffic_cap: PartsPerMillion::ZERO,
             since: 5,
         };
         PersistedState {
--- a/crates/control-plane/tests/cases.rs
+++ b/crates/control-plane/tests/cases.rs
@@ -366,7 +366,7 @@
         });
     }
     let answer = stream.next_response(service.snapshot.as_ref().unwrap()).unwrap();
-    assert!(answer.canary_shares.unwrap()[0] <= 50_000, "the newest, none between");
+    assert!(answer.canary_shares.unwrap()[0].get() <= 50_000, "the newest, none between");
     assert!(stream.next_response(service.snapshot.as_ref().unwrap()).is_none());
 }
 
@@ -594,6 +594,7 @@
             .core
             .on_load_report(stream, &of(9), service.now)
             .unwrap_err()
+            .to_string()
             .contains("no host of its cluster")
     );
 }
--- a/crates/control-plane/tests/stored_record.rs
+++ b/crates/control-plane/tests/stored_record.rs
@@ -2,6 +2,7 @@
 
 use latchhaven_control_plane::state_store::{PersistedState, decode, encode, open};
 use latchhaven_policy::Version;
+use latchhaven_proxy_config::parts_per_million::PartsPerMillion;
 use latchhaven_proxy_config::version::{ConfigVersion, EndpointListVersion, RolloutStatus, RolloutVersion};
 use redb::{Database, TableDefinition};
 use std::collections::BTreeSet;
@@ -38,7 +39,7 @@
         version: Version(7),
         status: way,
         stage: 3,
-        traffic_cap: 125_000,
+        traffic_cap: PartsPerMillion::new(125_000),
         since: 1_733_100_000_123,
     };
     PersistedState {
--- a/crates/proxy-config/src/freshness.rs
+++ b/crates/proxy-config/src/freshness.rs
@@ -1,293 +1,195 @@
-//! How far the world is known to be, and whether anything may be handed out at all.
+//! The newest rollout state and endpoint list known, and whether a configuration may be published at all.
 //!
-//! The list comes from discovery, states of the newest build from the platform, and both as evidence from what
-//! proxies hold and from what was kept on disk. No state that is older than one known is taken over, and nothing is
-//! handed out before the list was heard whole and the platform has told how the newest build stands, each at least
-//! as far as what is known to have been handed out.
+//! Endpoint lists come from discovery and states of the newest version from the platform. Versions that proxies hold,
+//! and the version in the state store, show how far both had got before. An older state never replaces a newer one.
+//! Nothing is published before a full endpoint list was received and the platform has reported the state of the newest
+//! version, each at least as new as the newest known to have been published.
 
 use crate::version::{ConfigVersion, EndpointListVersion, RolloutStatus, RolloutVersion, SignedVersion};
 use latchhaven_policy::{Millis, RolloutState, Version};
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
 
-/// Withdrawn builds that are remembered: instances of older ones have long been replaced.
-const WITHDRAWN_KEPT: usize = 64;
-/// A list that stays behind what is known for so many ms, while discovery answers, counts anew: discovery itself was
-/// restarted. A copy that lags catches up much sooner.
-const COUNTS_ANEW: Millis = 60_000.0;
-/// Evidence may be ahead of this service's own clock by so many ms at most: clocks differ, but not by more.
-const AHEAD: Millis = 60_000.0;
+/// Rolled-back versions that are remembered: endpoints of older ones have long been replaced.
+const MAX_ROLLED_BACK_VERSIONS: usize = 64;
+/// Time in ms for which lists must stay stale, while discovery answers, to begin a new epoch: discovery itself was
+/// restarted. A replica that lags catches up much sooner.
+const NEW_EPOCH_DELAY: Millis = 60_000.0;
+/// Time in ms by which a proxy's version may be ahead of the local clock: clocks do not differ by more.
+const MAX_CLOCK_SKEW: Millis = 60_000.0;
 
-/// What is known.
+/// The newest versions known, and where they were learnt.
 #[derive(Clone, Debug, Default)]
 pub struct KnownState {
-    news: Option<RolloutVersion>,
-    /// The platform itself has told, in this life, a state at least as far.
-    told: bool,
-    /// The list now held, if one was heard whole in this life.
-    list: Option<EndpointListVersion>,
-    /// The furthest list known of.
-    furthest: EndpointListVersion,
-    /// Since when whole lists were behind that, without a break.
-    behind: Option<Millis>,
-    withdrawn: BTreeSet<Version>,
+    rollout: Option<RolloutVersion>,
+    /// The platform itself has reported a state at least as new since this process began.
+    confirmed_by_platform: bool,
+    /// The list in use, once a full one was received.
+    endpoint_list: Option<EndpointListVersion>,
+    /// The newest list known of.
+    latest_seen: EndpointListVersion,
+    /// Since when all full lists were older than [`Self::latest_seen`].
+    stale_since: Option<Millis>,
+    rolled_back: BTreeSet<Version>,
 }
 
-/// What becomes of a list that was told.
+/// Whether an endpoint list was taken over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateResult {
-    /// It holds from now on.
+    /// It is in use from now on.
     Applied,
     /// It is older than what is known: the earlier one stays.
     Stale,
 }
 
+/// Why no configuration can be published yet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SnapshotUnavailable {
+    /// No full endpoint list was received.
+    #[error("the list was not heard whole yet")]
+    NoEndpointList,
+    /// The platform has not reported the state of the newest version.
+    #[error("the platform has not told the newest build's state")]
+    RolloutUnconfirmed,
+    /// A newer endpoint list was published before.
+    #[error("the list is older than one that was handed out")]
+    StaleEndpointList,
+}
+
 impl KnownState {
-    /// Begins from what was kept: nothing is handed out that is older.
-    pub fn restore(kept: Option<ConfigVersion>, withdrawn: impl IntoIterator<Item = Version>) -> Self {
-        let mut world = KnownState { withdrawn: withdrawn.into_iter().collect(), ..KnownState::default() };
-        if let Some(kept) = kept {
-            (world.news, world.furthest) = (Some(kept.rollout), kept.endpoints);
+    /// Begins from a stored version: nothing older is published.
+    pub fn restore(stored: Option<ConfigVersion>, rolled_back: impl IntoIterator<Item = Version>) -> Self {
+        let mut state =
+            KnownState { rolled_back: rolled_back.into_iter().collect(), ..KnownState::default() };
+        if let Some(stored) = stored {
+            state.rollout = Some(stored.rollout);
+            state.latest_seen = stored.endpoints;
         }
-        world
+        state
     }
 
-    /// What the platform tells. The state to go on with, if it is not older than the one known.
+    /// Takes over a state that the platform reported. Returns the state to use, unless a newer one is known.
     pub fn apply_rollout_state(
-        &mut self, news: &RolloutState, condemned: bool, now: Millis,
+        &mut self, state: &RolloutState, is_rejected: bool, now: Millis,
     ) -> Option<RolloutState> {
-        let mark = RolloutVersion::from_state(news, condemned, now);
-        match self.news {
-            Some(known) => match mark.compare(&known) {
-                Ordering::Less => return None,
-                // A beginning that was labelled once stays: labels of one state do not drift apart.
-                Ordering::Equal => self.told = true,
-                Ordering::Greater => self.take(mark),
-            },
-            None => self.take(mark),
+        let reported = RolloutVersion::from_state(state, is_rejected, now);
+        let order = self.rollout.map_or(Ordering::Greater, |known| reported.compare(&known));
+        match order {
+            Ordering::Less => return None,
+            // The begin that was labelled first stays: labels of one state do not drift apart.
+            Ordering::Equal => {}
+            Ordering::Greater => self.set_rollout(reported),
         }
-        self.told = true;
-        Some(*news)
+        self.confirmed_by_platform = true;
+        Some(*state)
     }
 
-    /// The newest build was found bad here: from now on it is so for all who are told.
+    /// The newest version was rejected by the canary analysis of this process; all proxies are told so from now on.
     pub fn reject_canary(&mut self) {
-        if let Some(known) = self.news {
-            let mark = RolloutVersion { status: known.status.max(RolloutStatus::Rejected), ..known };
-            self.news = Some(mark);
+        if let Some(known) = self.rollout {
+            let status = known.status.max(RolloutStatus::Rejected);
+            self.rollout = Some(RolloutVersion { status, ..known });
         }
     }
 
-    /// What a peer holds. A signed label tells how far the world is; the state to go on with, if it was not known.
+    /// Takes over the version that a proxy holds, if its label is signed. Returns the rollout state in it, if it is
+    /// newer than the one known.
     pub fn apply_proxy_version(&mut self, label: &SignedVersion, now: Millis) -> Option<RolloutState> {
-        let ConfigVersion { rollout: news, endpoints: list } = label.version;
-        // A state that has yet to begin cannot have been handed out.
-        if !label.is_signed || news.since as Millis > now + AHEAD {
+        let ConfigVersion { rollout, endpoints } = label.version;
+        // A state that has yet to begin cannot have been published.
+        let is_in_future = rollout.since as Millis > now + MAX_CLOCK_SKEW;
+        if !label.is_signed || is_in_future {
+            return None;
+        }
+        self.latest_seen = self.latest_seen.max(endpoints);
+        let is_newer = self.rollout.is_none_or(|known| rollout.compare(&known) == Ordering::Greater);
+        if !is_newer {
             return None;
         }
-        self.furthest = self.furthest.max(list);
-        let newer = self.news.is_none_or(|known| news.compare(&known) == Ordering::Greater);
-        newer.then(|| {
-            self.take(news);
-            news.to_state(now)
-        })
+        self.set_rollout(rollout);
+        Some(rollout.to_state(now))
     }
 
-    fn take(&mut self, mark: RolloutVersion) {
-        if mark.status == RolloutStatus::RolledBack {
-            self.withdrawn.insert(mark.version);
-            while self.withdrawn.len() > WITHDRAWN_KEPT {
-                self.withdrawn.pop_first();
+    fn set_rollout(&mut self, rollout: RolloutVersion) {
+        if rollout.status == RolloutStatus::RolledBack {
+            self.rolled_back.insert(rollout.version);
+            while self.rolled_back.len() > MAX_ROLLED_BACK_VERSIONS {
+                self.rolled_back.pop_first();
             }
         }
-        self.news = Some(mark);
+        self.rollout = Some(rollout);
     }
 
-    /// A list that discovery told. Changes build upon the list held; only a whole one begins.
-    pub fn apply_endpoint_list(&mut self, version: u64, whole: bool, now: Millis) -> UpdateResult {
-        let Some(held) = self.list.filter(|_| !whole) else {
-            return if whole { self.whole(version, now) } else { UpdateResult::Stale };
-        };
-        let mark = EndpointListVersion { version, ..held };
-        if mark < held {
+    /// Takes over an endpoint list of discovery. Changes apply to the list in use; only a full list can be the first.
+    pub fn apply_endpoint_list(&mut self, version: u64, is_full: bool, now: Millis) -> UpdateResult {
+        if is_full {
+            return self.apply_full_list(version, now);
+        }
+        let Some(current) = self.endpoint_list else { return UpdateResult::Stale };
+        let changed = EndpointListVersion { version, ..current };
+        if changed < current {
             return UpdateResult::Stale;
         }
-        (self.list, self.furthest) = (Some(mark), self.furthest.max(mark));
+        self.endpoint_list = Some(changed);
+        self.latest_seen = self.latest_seen.max(changed);
         UpdateResult::Applied
     }
 
-    fn whole(&mut self, version: u64, now: Millis) -> UpdateResult {
-        let here = EndpointListVersion { epoch: self.furthest.epoch, version };
-        if here >= self.furthest {
-            (self.list, self.furthest, self.behind) = (Some(here), here, None);
-            return UpdateResult::Applied;
+    fn apply_full_list(&mut self, version: u64, now: Millis) -> UpdateResult {
+        let received = EndpointListVersion { epoch: self.latest_seen.epoch, version };
+        if received >= self.latest_seen {
+            return self.use_full_list(received);
+        }
+        let stale_since = *self.stale_since.get_or_insert(now);
+        if now - stale_since >= NEW_EPOCH_DELAY {
+            return self.use_full_list(EndpointListVersion { epoch: received.epoch + 1, version });
         }
-        let since = *self.behind.get_or_insert(now);
-        if now - since < COUNTS_ANEW {
-            // Held all the same where nothing was: it may be watched until it has caught up.
-            let first = self.list.is_none();
-            self.list = self.list.or(Some(here));
-            return if first { UpdateResult::Applied } else { UpdateResult::Stale };
+        if self.endpoint_list.is_some() {
+            return UpdateResult::Stale;
         }
-        let anew = EndpointListVersion { epoch: here.epoch + 1, version };
-        (self.list, self.furthest, self.behind) = (Some(anew), anew, None);
+        // The first list is used although it is stale: changes may bring it up to date.
+        self.endpoint_list = Some(received);
         UpdateResult::Applied
     }
 
-    /// A watch or call failed: what was behind may have caught up unseen.
+    fn use_full_list(&mut self, list: EndpointListVersion) -> UpdateResult {
+        self.endpoint_list = Some(list);
+        self.latest_seen = list;
+        self.stale_since = None;
+        UpdateResult::Applied
+    }
+
+    /// A watch or fetch of the list failed: a stale list may have caught up unseen.
     pub fn endpoint_list_failed(&mut self) {
-        self.behind = None;
+        self.stale_since = None;
     }
 
-    /// The state that is known, told or not.
+    /// The newest rollout state known, confirmed by the platform or not.
     pub fn rollout(&self) -> Option<RolloutVersion> {
-        self.news
+        self.rollout
     }
 
-    /// Builds that were withdrawn.
+    /// Versions that were rolled back.
     pub fn rolled_back_versions(&self) -> &BTreeSet<Version> {
-        &self.withdrawn
+        &self.rolled_back
     }
 
-    /// The list that is held is older than one known of: it has to be asked for whole.
+    /// True where the list in use is older than the newest known of: a full one must be fetched.
     pub fn is_endpoint_list_stale(&self) -> bool {
-        self.list.is_some_and(|list| list < self.furthest)
-    }
-
-    /// What a handout made now is based on; none while none may be made, and why.
-    pub fn config_version(&self) -> Result<ConfigVersion, &'static str> {
-        let list = self.list.ok_or("the list was not heard whole yet")?;
-        let news =
-            self.news.filter(|_| self.told).ok_or("the platform has not told the newest build's state")?;
-        if list < self.furthest {
-            return Err("the list is older than one that was handed out");
-        }
-        Ok(ConfigVersion { rollout: news, endpoints: list })
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::version::VersionSigner;
-    use latchhaven_policy::RolloutPhase;
-    use proptest::prelude::*;
-
-    fn state(build: Version, stage: u32, phase: RolloutPhase, cap: f64) -> RolloutState {
-        RolloutState { version: build, stage, phase, traffic_cap: cap, age: 0.0 }
-    }
-
-    #[test]
-    fn nothing_goes_out_before_list_and_platform_are_as_far_as_what_was_kept() {
-        let news = RolloutVersion {
-            version: Version(7),
-            status: RolloutStatus::RolledBack,
-            stage: 1,
-            traffic_cap: 0,
-            since: 5_000,
-        };
-        let kept = ConfigVersion { rollout: news, endpoints: EndpointListVersion { epoch: 0, version: 40 } };
-        let mut world = KnownState::restore(Some(kept), [Version(7)]);
-        assert!(world.config_version().is_err());
-        // The list is 30 s old, and the platform's replica too.
-        assert_eq!(world.apply_endpoint_list(31, true, 9_000.0), UpdateResult::Applied);
-        assert!(
-            world
-                .apply_rollout_state(&state(Version(7), 1, RolloutPhase::Canary, 0.5), false, 9_000.0)
-                .is_none()
-        );
-        assert!(world.config_version().is_err());
-        assert!(
-            world
-                .apply_rollout_state(&state(Version(7), 1, RolloutPhase::RolledBack, 0.0), false, 9_500.0)
-                .is_some()
-        );
-        assert!(world.config_version().is_err());
-        assert_eq!(world.apply_endpoint_list(41, false, 10_000.0), UpdateResult::Applied);
-        assert_eq!(world.config_version().map(|basis| basis.endpoints.version), Ok(41));
-        assert!(world.rolled_back_versions().contains(&Version(7)));
-    }
-
-    #[test]
-    fn a_peer_that_holds_more_tells_of_it_only_with_a_signature() {
-        let labels = VersionSigner::new(Some(b"site".to_vec()));
-        let news = RolloutVersion {
-            version: Version(9),
-            status: RolloutStatus::RollingBack,
-            stage: 2,
-            traffic_cap: 0,
-            since: 1_000,
-        };
-        let basis = ConfigVersion { rollout: news, endpoints: EndpointListVersion { epoch: 0, version: 12 } };
-        let mut world = KnownState::default();
-        world.apply_endpoint_list(11, true, 2_000.0);
-        world.apply_rollout_state(&state(Version(9), 2, RolloutPhase::Canary, 0.5), false, 2_000.0);
-        assert!(world.config_version().is_ok());
-        let plain = VersionSigner::default().parse_label(&VersionSigner::default().label(&basis, 0)).unwrap();
-        assert!(world.apply_proxy_version(&plain, 2_000.0).is_none() && world.config_version().is_ok());
-        let signed = labels.parse_label(&labels.label(&basis, 0)).unwrap();
-        assert_eq!(
-            world.apply_proxy_version(&signed, 2_000.0).map(|news| news.phase),
-            Some(RolloutPhase::RollingBack)
-        );
-        assert!(world.config_version().is_err(), "its list is behind");
-        assert!(
-            world
-                .apply_rollout_state(&state(Version(9), 2, RolloutPhase::Canary, 0.5), false, 2_100.0)
-                .is_none()
-        );
-    }
-
-    #[test]
-    fn a_list_that_stays_behind_while_discovery_answers_counts_anew() {
-        let mut world = KnownState::default();
-        world.apply_endpoint_list(500, true, 0.0);
-        world.apply_rollout_state(&state(Version(1), 0, RolloutPhase::Promoted, 1.0), false, 0.0);
-        assert_eq!(world.apply_endpoint_list(3, true, 1_000.0), UpdateResult::Stale);
-        assert_eq!(world.apply_endpoint_list(4, true, 50_000.0), UpdateResult::Stale);
-        world.endpoint_list_failed();
-        assert_eq!(
-            world.apply_endpoint_list(4, true, 62_000.0),
-            UpdateResult::Stale,
-            "a break begins the count again"
-        );
-        assert_eq!(world.apply_endpoint_list(5, true, 122_001.0), UpdateResult::Applied);
-        assert_eq!(
-            world.config_version().map(|basis| basis.endpoints),
-            Ok(EndpointListVersion { epoch: 1, version: 5 })
-        );
-    }
-
-    proptest! {
-        #![proptest_config(latchhaven_proptest_config::deterministic())]
-
-        /// Over any news, lists and evidence the basis only ever moves on.
-        #[test]
-        fn no_basis_is_followed_by_one_that_does_not_cover_it(
-            steps in prop::collection::vec((0u8..4, 0u32..3, 0u32..3, 0u8..4, 0u64..6, 0u32..=2), 1..60)
-        ) {
-            let labels = VersionSigner::new(Some(b"k".to_vec()));
-            let (mut world, mut last, mut now): (KnownState, Option<ConfigVersion>, Millis) = (KnownState::default(), None, 10_000.0);
-            for (kind, build, stage, phase, version, cap) in steps {
-                now += 700.0;
-                let phase = [RolloutPhase::Canary, RolloutPhase::Promoted, RolloutPhase::RollingBack, RolloutPhase::RolledBack][phase as usize];
-                let news = state(Version(build), stage, phase, f64::from(cap) / 2.0);
-                match kind {
-                    0 => drop(world.apply_rollout_state(&news, false, now)),
-                    1 => drop(world.apply_endpoint_list(version, true, now)),
-                    2 => drop(world.apply_endpoint_list(version, false, now)),
-                    _ => {
-                        let list = EndpointListVersion { epoch: 0, version };
-                        let basis = ConfigVersion { rollout: RolloutVersion::from_state(&news, false, now), endpoints: list };
-                        let label = labels.parse_label(&labels.label(&basis, 1)).unwrap();
-                        world.apply_proxy_version(&label, now);
-                    }
-                }
-                if let Ok(basis) = world.config_version() {
-                    prop_assert!(last.is_none_or(|last| basis.dominates(&last)), "{basis:?} after {last:?}");
-                    last = Some(basis);
-                }
-            }
+        self.endpoint_list.is_some_and(|list| list < self.latest_seen)
+    }
+
+    /// The version of a configuration published now.
+    ///
+    /// # Errors
+    /// Why none may be published yet.
+    pub fn config_version(&self) -> Result<ConfigVersion, SnapshotUnavailable> {
+        let endpoints = self.endpoint_list.ok_or(SnapshotUnavailable::NoEndpointList)?;
+        let confirmed = self.rollout.filter(|_| self.confirmed_by_platform);
+        let rollout = confirmed.ok_or(SnapshotUnavailable::RolloutUnconfirmed)?;
+        if self.is_endpoint_list_stale() {
+            return Err(SnapshotUnavailable::StaleEndpointList);
         }
+        Ok(ConfigVersion { rollout, endpoints })
     }
 }
--- a/crates/proxy-config/src/share_ledger.rs
+++ b/crates/proxy-config/src/share_ledger.rs
@@ -1,213 +1,187 @@
-//! Which shares of the trial each proxy may still be using. A proxy that was told a lower share and has not accepted
-//! it, or that went away, goes on with what it holds for as long as it lasts: nothing calls it back. So that the sum
-//! over all stays within the cap, the others are given less.
+//! The canary shares that each proxy may still be using.
+//!
+//! A proxy that was sent a lower share and has not acknowledged it, or that disconnected, goes on with the share it
+//! holds: nothing can revoke it. The others get less, so that the sum over all proxies stays within the cap.
 
+use crate::parts_per_million::PartsPerMillion;
 use latchhaven_policy::Millis;
 use std::collections::BTreeMap;
 
-/// A proxy that has not accepted what it was sent within this many ms counts as not having got it. Half a drain
-/// grace of 2 s is left for the others to be told.
+/// Time in ms after which a proxy that has not acknowledged its shares counts as not having received them. Half of a
+/// drain grace of 2 s is left to update the others.
 pub const ACKNOWLEDGE_TIMEOUT: Millis = 500.0;
-/// A proxy that has been away for so many ms no longer counts: it was shut down, or its site is lost.
+/// Time in ms for which a disconnected proxy counts; after that it was shut down, or its site is lost.
 pub const DISCONNECTED_RETENTION: Millis = 600_000.0;
+/// The minimum weight of a proxy, as a part of the busiest one's: an idle proxy may get requests again.
+const MIN_RELATIVE_WEIGHT: f64 = 0.1;
+
+/// The canary's share of the requests of each class, by the index of the class.
+pub type CanaryShares = Vec<PartsPerMillion>;
+
+/// Shares that were sent and not yet acknowledged or rejected.
+#[derive(Clone, Debug)]
+struct PendingShares {
+    /// When the first of them was sent.
+    since: Millis,
+    /// The highest share of each class among them.
+    highest: CanaryShares,
+}
 
-/// A share of the trial by product, in parts of a million.
-pub type CanaryShares = Vec<u32>;
-
+/// The shares and the request rates of one proxy.
 #[derive(Clone, Debug, Default)]
-struct Holding {
-    accepted: CanaryShares,
-    /// Sent since and not accepted: when first, and the highest by product.
-    sent: Option<(Millis, CanaryShares)>,
-    /// Txns in ms, by product.
-    rate: Vec<f64>,
-    /// Since when it has been away.
-    away: Option<Millis>,
+struct ProxyShares {
+    acknowledged: CanaryShares,
+    pending: Option<PendingShares>,
+    /// Requests per ms, by class.
+    request_rate: Vec<f64>,
+    disconnected_at: Option<Millis>,
 }
 
-/// All proxies, by a number that the caller gives each of them.
+impl ProxyShares {
+    /// True where the proxy may go on with an outdated share.
+    fn is_unreachable(&self, now: Millis) -> bool {
+        let pending = self.pending.as_ref();
+        let is_overdue = pending.is_some_and(|pending| now - pending.since >= ACKNOWLEDGE_TIMEOUT);
+        is_overdue || self.disconnected_at.is_some()
+    }
+
+    /// The highest share of a class that the proxy may be using.
+    fn highest_possible_share(&self, class: usize) -> PartsPerMillion {
+        let share_of = |shares: &CanaryShares| shares.get(class).copied().unwrap_or_default();
+        let pending = self.pending.as_ref().map(|pending| share_of(&pending.highest));
+        share_of(&self.acknowledged).max(pending.unwrap_or_default())
+    }
+}
+
+/// The shares of all proxies, by a number that the caller assigns to each of them.
 #[derive(Clone, Debug, Default)]
 pub struct ShareLedger {
-    held: BTreeMap<u64, Holding>,
-    most: usize,
+    proxies: BTreeMap<u64, ProxyShares>,
+    max_proxies: usize,
 }
 
 impl ShareLedger {
-    /// Keeps so many proxies at most.
-    pub fn new(most: usize) -> Self {
-        ShareLedger { held: BTreeMap::new(), most }
+    /// An empty ledger. Beyond `max_proxies` a new proxy replaces the one that has been disconnected for longest.
+    pub fn new(max_proxies: usize) -> Self {
+        ShareLedger { proxies: BTreeMap::new(), max_proxies }
     }
 
-    /// A proxy is there, again or for the first time.
+    /// A proxy connected, again or for the first time.
     pub fn connected(&mut self, proxy: u64) {
-        if self.held.len() >= self.most && !self.held.contains_key(&proxy) {
-            let oldest = self.held.iter().filter(|(_, held)| held.away.is_some());
-            let oldest = oldest.min_by(|a, b| a.1.away.unwrap_or(0.0).total_cmp(&b.1.away.unwrap_or(0.0)));
-            let oldest = oldest.map(|(proxy, _)| *proxy);
-            oldest.map(|proxy| self.held.remove(&proxy));
+        if self.proxies.len() >= self.max_proxies && !self.proxies.contains_key(&proxy) {
+            self.remove_longest_disconnected();
         }
-        self.held.entry(proxy).or_default().away = None;
+        self.proxies.entry(proxy).or_default().disconnected_at = None;
     }
 
-    /// A proxy reports that it holds shares that this service did not send in its present life.
+    fn remove_longest_disconnected(&mut self) {
+        let disconnected = self.proxies.iter().filter_map(|(proxy, shares)| {
+            shares.disconnected_at.map(|disconnected_at| (*proxy, disconnected_at))
+        });
+        let longest = disconnected.min_by(|left, right| left.1.total_cmp(&right.1));
+        if let Some((proxy, _)) = longest {
+            self.proxies.remove(&proxy);
+        }
+    }
+
+    /// A proxy reported that it holds shares that this process did not send.
     pub fn report_held(&mut self, proxy: u64, shares: CanaryShares) {
-        self.held.entry(proxy).or_default().accepted = shares;
+        self.proxies.entry(proxy).or_default().acknowledged = shares;
     }
 
-    /// Shares went out; until they are accepted it may use these or what it had.
-    pub fn sent(&mut self, proxy: u64, shares: &CanaryShares, now: Millis) {
-        let Some(held) = self.held.get_mut(&proxy) else { return };
-        match &mut held.sent {
-            Some((_, highest)) => {
-                highest.resize(highest.len().max(shares.len()), 0);
-                highest.iter_mut().zip(shares).for_each(|(highest, share)| *highest = (*highest).max(*share));
+    /// Shares were sent; until they are acknowledged the proxy may use these or the ones before.
+    pub fn sent(&mut self, proxy: u64, shares: &[PartsPerMillion], now: Millis) {
+        let Some(held) = self.proxies.get_mut(&proxy) else { return };
+        match &mut held.pending {
+            Some(PendingShares { highest, .. }) => {
+                highest.resize(highest.len().max(shares.len()), PartsPerMillion::ZERO);
+                for (highest, share) in highest.iter_mut().zip(shares) {
+                    *highest = (*highest).max(*share);
+                }
             }
-            sent => *sent = Some((now, shares.clone())),
+            None => held.pending = Some(PendingShares { since: now, highest: shares.to_vec() }),
         }
     }
 
-    /// The last that was sent was accepted: it uses nothing else any more.
-    pub fn acknowledged(&mut self, proxy: u64, shares: &CanaryShares) {
-        if let Some(held) = self.held.get_mut(&proxy) {
-            (held.accepted, held.sent) = (shares.clone(), None);
+    /// The last shares that were sent were acknowledged: the proxy uses no others any more.
+    pub fn acknowledged(&mut self, proxy: u64, shares: &[PartsPerMillion]) {
+        if let Some(held) = self.proxies.get_mut(&proxy) {
+            held.acknowledged = shares.to_vec();
+            held.pending = None;
         }
     }
 
-    /// The last that was sent was turned down: it stays with what it had.
+    /// The last shares that were sent were rejected: the proxy stays with the ones before.
     pub fn rejected(&mut self, proxy: u64) {
-        if let Some(held) = self.held.get_mut(&proxy) {
-            // Kept as late from the beginning: what it holds counts at once.
-            held.sent = Some((f64::NEG_INFINITY, held.accepted.clone()));
+        if let Some(held) = self.proxies.get_mut(&proxy) {
+            // Overdue from the start: what it holds counts at once.
+            held.pending =
+                Some(PendingShares { since: f64::NEG_INFINITY, highest: held.acknowledged.clone() });
         }
     }
 
-    /// A proxy went away; it goes on with what it holds.
+    /// A proxy disconnected; it goes on with the shares it holds.
     pub fn disconnected(&mut self, proxy: u64, now: Millis) {
-        if let Some(held) = self.held.get_mut(&proxy) {
-            held.away = Some(now);
+        if let Some(held) = self.proxies.get_mut(&proxy) {
+            held.disconnected_at = Some(now);
         }
     }
 
-    /// What a proxy carries, in txns a ms by product.
-    pub fn set_request_rate(&mut self, proxy: u64, rate: Vec<f64>) {
-        if let Some(held) = self.held.get_mut(&proxy) {
-            held.rate = rate;
+    /// Sets the request rates of a proxy, in requests per ms by class.
+    pub fn set_request_rate(&mut self, proxy: u64, request_rate: Vec<f64>) {
+        if let Some(held) = self.proxies.get_mut(&proxy) {
+            held.request_rate = request_rate;
         }
     }
 
-    /// Txns a ms of one product over all proxies that are there, as last reported.
-    pub fn request_rate(&self, product: usize) -> f64 {
-        let there = self.held.values().filter(|held| held.away.is_none());
-        there.filter_map(|held| held.rate.get(product)).sum()
+    /// Requests per ms of one class over all connected proxies, as last reported.
+    pub fn request_rate(&self, class: usize) -> f64 {
+        let connected = self.proxies.values().filter(|held| held.disconnected_at.is_none());
+        connected.filter_map(|held| held.request_rate.get(class)).sum()
     }
 
+    /// The number of proxies, disconnected ones included.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.proxies.len()
     }
 
+    /// True where no proxy is known.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.proxies.is_empty()
     }
 
-    /// Forgets those that have been away for long.
+    /// Removes proxies that have been disconnected for [`DISCONNECTED_RETENTION`].
     pub fn forget_disconnected(&mut self, now: Millis) {
-        self.held.retain(|_, held| held.away.is_none_or(|since| now - since < DISCONNECTED_RETENTION));
-    }
-
-    /// The share that those who can be told may have, so that the sum over all is at most `whole` of the txns.
-    pub fn remaining_share(&self, product: usize, whole: f64, now: Millis) -> f64 {
-        let rate = |held: &Holding| held.rate.get(product).copied();
-        // One that never reported may carry as much as any other.
-        let busiest = self.held.values().filter_map(rate).fold(0.0, f64::max);
-        let even = if busiest > 0.0 { busiest } else { 1.0 };
-        let (mut stuck, mut used, mut all) = (0.0, 0.0, 0.0);
-        for held in self.held.values() {
-            let weight = rate(held).unwrap_or(even).max(even * LEAST_WEIGHT);
-            all += weight;
-            let late = held.sent.as_ref().is_some_and(|(since, _)| now - since >= ACKNOWLEDGE_TIMEOUT);
-            if late || held.away.is_some() {
-                let part = |shares: &CanaryShares| shares.get(product).copied().unwrap_or(0);
-                let sent = held.sent.as_ref().map_or(0, |(_, highest)| part(highest));
-                stuck += weight;
-                used += weight * f64::from(part(&held.accepted).max(sent))
-                    / f64::from(crate::canary_share::MILLION);
+        self.proxies
+            .retain(|_, held| held.disconnected_at.is_none_or(|since| now - since < DISCONNECTED_RETENTION));
+    }
+
+    /// The share of a class that every reachable proxy may use, so that the sum over all proxies is at most
+    /// `total_share` of the requests.
+    pub fn remaining_share(&self, class: usize, total_share: f64, now: Millis) -> f64 {
+        let rate_of = |held: &ProxyShares| held.request_rate.get(class).copied();
+        let busiest_rate = self.proxies.values().filter_map(rate_of).fold(0.0, f64::max);
+        // A proxy that never reported may carry as much as any other.
+        let assumed_rate = if busiest_rate > 0.0 { busiest_rate } else { 1.0 };
+        let mut unreachable_weight = 0.0;
+        let mut unreachable_usage = 0.0;
+        let mut total_weight = 0.0;
+        for held in self.proxies.values() {
+            let weight = rate_of(held).unwrap_or(assumed_rate).max(assumed_rate * MIN_RELATIVE_WEIGHT);
+            total_weight += weight;
+            if held.is_unreachable(now) {
+                unreachable_weight += weight;
+                unreachable_usage += held.highest_possible_share(class).of(weight);
             }
         }
-        // Those who hold less than they might leave nothing to the others: they may be told at any moment.
-        if used <= whole * stuck {
-            return whole;
+        // Unreachable proxies that use less than they might leave nothing over: they may be updated at any moment.
+        if unreachable_usage <= total_share * unreachable_weight {
+            return total_share;
         }
-        if all <= stuck {
+        if total_weight <= unreachable_weight {
             return 0.0;
         }
-        ((whole * all - used) / (all - stuck)).clamp(0.0, whole)
-    }
-}
-
-/// The least weight of a proxy, as a part of the busiest: one that reported nothing of late may carry some again.
-const LEAST_WEIGHT: f64 = 0.1;
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    #[test]
-    fn the_others_get_less_while_some_hold_more() {
-        let mut ledger = ShareLedger::new(100);
-        for proxy in 0..10 {
-            ledger.connected(proxy);
-            ledger.sent(proxy, &vec![400_000], 0.0);
-            ledger.acknowledged(proxy, &vec![400_000]);
-        }
-        ledger.disconnected(3, 100.0);
-        assert!((ledger.remaining_share(0, 0.1, 200.0) - 0.06 / 0.9).abs() < 1e-9);
-        assert_eq!(ledger.remaining_share(0, 0.4, 200.0), 0.4);
-        assert_eq!(ledger.remaining_share(0, 0.02, 200.0), 0.0, "what is out there is more than the cap");
-        // Nine were told less; one of them does not accept it.
-        (0..10).filter(|proxy| *proxy != 3).for_each(|proxy| ledger.sent(proxy, &vec![66_000], 300.0));
-        (0..9).filter(|proxy| *proxy != 3).for_each(|proxy| ledger.acknowledged(proxy, &vec![66_000]));
-        assert!((ledger.remaining_share(0, 0.1, 300.0) - 0.06 / 0.9).abs() < 1e-9);
-        assert!((ledger.remaining_share(0, 0.1, 300.0 + ACKNOWLEDGE_TIMEOUT) - 0.02 / 0.8).abs() < 1e-9);
-        ledger.forget_disconnected(100.0 + DISCONNECTED_RETENTION);
-        assert_eq!(ledger.len(), 9);
-    }
-
-    proptest! {
-        #![proptest_config(latchhaven_proptest_config::deterministic())]
-
-        /// Whatever was sent, accepted, refused or lost: with the rest given to all others the sum keeps the cap,
-        /// wherever what is stuck leaves room for that at all.
-        #[test]
-        fn the_sum_stays_within_the_whole(
-            steps in prop::collection::vec((0u64..6, 0u8..5, 0u32..=1_000_000), 0..60), whole in 0.0f64..1.0
-        ) {
-            let mut ledger = ShareLedger::new(10);
-            let mut now = 0.0;
-            (0..6).for_each(|proxy| ledger.connected(proxy));
-            for (proxy, kind, share) in steps {
-                now += 100.0;
-                match kind {
-                    0 => ledger.sent(proxy, &vec![share], now),
-                    1 => ledger.acknowledged(proxy, &vec![share]),
-                    2 => ledger.rejected(proxy),
-                    3 => ledger.disconnected(proxy, now),
-                    _ => ledger.connected(proxy),
-                }
-            }
-            let late = |held: &Holding| held.sent.as_ref().is_some_and(|(since, _)| now - since >= ACKNOWLEDGE_TIMEOUT);
-            let rest = ledger.remaining_share(0, whole, now);
-            let (mut stuck, mut sum) = (0.0, 0.0);
-            for held in ledger.held.values() {
-                let used = held.accepted.first().copied().unwrap_or(0);
-                let used = used.max(held.sent.as_ref().map_or(0, |(_, highest)| highest.first().copied().unwrap_or(0)));
-                let used = f64::from(used) / 1e6 / 6.0;
-                let out = late(held) || held.away.is_some();
-                stuck += if out { used } else { 0.0 };
-                sum += if out { used } else { rest / 6.0 };
-            }
-            prop_assert!(sum <= whole + 1e-9 || (rest == 0.0 && sum <= stuck + 1e-9), "{sum} {stuck} {rest}");
-            prop_assert!(rest <= whole);
-        }
+        let remaining = total_share * total_weight - unreachable_usage;
+        (remaining / (total_weight - unreachable_weight)).clamp(0.0, total_share)
     }
 }
--- a/crates/proxy-config/src/version.rs
+++ b/crates/proxy-config/src/version.rs
@@ -1,42 +1,53 @@
-//! The order of states: by what they are based on, never by who told them or when they were made.
+//! Versions of a proxy configuration, their order, and the text labels that carry them.
 //!
-//! A state of the newest build and a version of the list are two chains. A handout is newer than another one only
-//! where neither of its two parts is older. A label carries both as text, signed where control services share a
-//! key, so that a proxy which reports what it holds tells another service how far the world is.
+//! A configuration is based on a state of the newest version's rollout and on a version of the endpoint list. The order
+//! of two configurations follows from these, never from who published them or when: one is newer only where neither of
+//! its two parts is older. A label holds both parts as text, signed where control services share a key, so that a proxy
+//! which reports the label it holds shows another service how far the rollout and the list have got.
 
+use crate::parts_per_million::PartsPerMillion;
 use hmac::{Hmac, Mac};
 use latchhaven_policy::{Millis, RolloutPhase, RolloutState, Version};
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
 use std::cmp::Ordering;
+use std::fmt;
 
-/// Services read one platform at different moments, on clocks that differ: beginnings of a state within this many ms
-/// are one. Stages and phases are far longer.
-const SAME: u64 = 2_000;
-/// Parts of a million in which caps are labelled.
-const MILLION: f64 = 1e6;
-/// A label is shorter than this; whatever is longer was not made here.
+/// Begins of a state that differ by at most so many ms are the same: services read one platform at different moments,
+/// on clocks that differ. Stages and phases last far longer.
+const SINCE_TOLERANCE: u64 = 2_000;
+/// The maximum length of a label's prefix in bytes; longer ones were not made here.
 pub const MAX_LABEL_LENGTH: usize = 160;
-/// Hexadecimal digits of a signature that are kept: 64 bits, guessed by nobody over a stream.
-const SIGNED: usize = 16;
-
-/// How far a build is. Once condemned here it is not given out as on trial again, whatever another service thinks.
+/// Hexadecimal digits of a signature in a label: 64 bits, which nobody guesses over a stream.
+const SIGNATURE_LENGTH: usize = 16;
+/// Hexadecimal digits of a content hash in a label.
+const CONTENT_HASH_LENGTH: usize = 16;
+/// Fields of a label's prefix without a signature.
+const PREFIX_FIELDS: usize = 6;
+
+/// The status of a version's rollout, in the order in which a rollout can pass through them. A version that was once
+/// rejected is not published as a canary again, whatever another service decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RolloutStatus {
+    /// The platform runs it as a canary.
     #[serde(rename = "OnTrial")]
     Canary,
+    /// A canary that the analysis has rejected.
     #[serde(rename = "Condemned")]
     Rejected,
+    /// It serves all requests.
     #[serde(rename = "Released")]
     Promoted,
+    /// The platform is rolling it back.
     #[serde(rename = "GoingBack")]
     RollingBack,
+    /// It was rolled back.
     #[serde(rename = "Withdrawn")]
     RolledBack,
 }
 
-/// The letters of ways in labels.
-const WAYS: [(RolloutStatus, char); 5] = [
+/// The letter of each status in labels.
+const STATUS_LETTERS: [(RolloutStatus, char); 5] = [
     (RolloutStatus::Canary, 't'),
     (RolloutStatus::Rejected, 'c'),
     (RolloutStatus::Promoted, 'r'),
@@ -44,78 +55,107 @@
     (RolloutStatus::RolledBack, 'w'),
 ];
 
-/// A state of the newest build.
+impl RolloutStatus {
+    fn from_phase(phase: RolloutPhase, is_rejected: bool) -> Self {
+        match phase {
+            RolloutPhase::Canary if is_rejected => RolloutStatus::Rejected,
+            RolloutPhase::Canary => RolloutStatus::Canary,
+            RolloutPhase::Promoted => RolloutStatus::Promoted,
+            RolloutPhase::RollingBack => RolloutStatus::RollingBack,
+            RolloutPhase::RolledBack => RolloutStatus::RolledBack,
+        }
+    }
+
+    fn phase(self) -> RolloutPhase {
+        match self {
+            RolloutStatus::Canary | RolloutStatus::Rejected => RolloutPhase::Canary,
+            RolloutStatus::Promoted => RolloutPhase::Promoted,
+            RolloutStatus::RollingBack => RolloutPhase::RollingBack,
+            RolloutStatus::RolledBack => RolloutPhase::RolledBack,
+        }
+    }
+
+    fn letter(self) -> char {
+        let entry = STATUS_LETTERS.iter().find(|(status, _)| *status == self);
+        entry.map_or('?', |(_, letter)| *letter)
+    }
+
+    fn from_letter(letter: char) -> Option<Self> {
+        let entry = STATUS_LETTERS.iter().find(|(_, of)| *of == letter);
+        entry.map(|(status, _)| *status)
+    }
+}
+
+/// A state of the newest version's rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutVersion {
+    /// The newest version.
     #[serde(rename = "build")]
     pub version: Version,
+    /// How far its rollout is.
     #[serde(rename = "way")]
     pub status: RolloutStatus,
+    /// The stage of its rollout, from 0.
     pub stage: u32,
-    /// Parts of a million.
+    /// The share of requests that it may get at this stage.
     #[serde(rename = "cap")]
-    pub traffic_cap: u32,
+    pub traffic_cap: PartsPerMillion,
     /// Unix time in ms at which the state began.
     pub since: u64,
 }
 
 impl RolloutVersion {
-    /// The mark of a state that was told at this moment.
-    pub fn from_state(news: &RolloutState, condemned: bool, now: Millis) -> Self {
-        let way = match news.phase {
-            RolloutPhase::Canary if condemned => RolloutStatus::Rejected,
-            RolloutPhase::Canary => RolloutStatus::Canary,
-            RolloutPhase::Promoted => RolloutStatus::Promoted,
-            RolloutPhase::RollingBack => RolloutStatus::RollingBack,
-            RolloutPhase::RolledBack => RolloutStatus::RolledBack,
-        };
-        let cap = (news.traffic_cap.clamp(0.0, 1.0) * MILLION).round() as u32;
+    /// The version of a state that was reported at the time `now`, in Unix ms.
+    pub fn from_state(state: &RolloutState, is_rejected: bool, now: Millis) -> Self {
         RolloutVersion {
-            version: news.version,
-            status: way,
-            stage: news.stage,
-            traffic_cap: cap,
-            since: (now - news.age).max(0.0) as u64,
+            version: state.version,
+            status: RolloutStatus::from_phase(state.phase, is_rejected),
+            stage: state.stage,
+            traffic_cap: PartsPerMillion::from_fraction_nearest(state.traffic_cap),
+            since: (now - state.age).max(0.0) as u64,
         }
     }
 
-    /// The state that a mark stands for, told at this moment.
+    /// The state of this version as it is at the time `now`, in Unix ms.
     pub fn to_state(&self, now: Millis) -> RolloutState {
-        let phase = match self.status {
-            RolloutStatus::Canary | RolloutStatus::Rejected => RolloutPhase::Canary,
-            RolloutStatus::Promoted => RolloutPhase::Promoted,
-            RolloutStatus::RollingBack => RolloutPhase::RollingBack,
-            RolloutStatus::RolledBack => RolloutPhase::RolledBack,
-        };
-        let age = (now - self.since as Millis).max(0.0);
-        let traffic_cap = f64::from(self.traffic_cap) / MILLION;
-        RolloutState { version: self.version, stage: self.stage, phase, traffic_cap, age }
+        RolloutState {
+            version: self.version,
+            stage: self.stage,
+            phase: self.status.phase(),
+            traffic_cap: self.traffic_cap.as_fraction(),
+            age: (now - self.since as Millis).max(0.0),
+        }
     }
 
-    /// By build, way and stage. Within a stage by beginning; where those cannot be told apart the lower cap is
-    /// the newer one, for taking it wrongly for newer breaks no rule.
+    /// Compares by version, status and stage; within a stage by begin. Where begins are too close to be told apart the
+    /// lower cap is the newer one: to take it for newer by mistake exceeds no cap.
     pub fn compare(&self, other: &Self) -> Ordering {
-        let place = |mark: &Self| (mark.version, mark.status, mark.stage);
-        let apart = self.since.abs_diff(other.since) > SAME;
-        place(self).cmp(&place(other)).then(match apart {
-            true => self.since.cmp(&other.since),
-            false => other.traffic_cap.cmp(&self.traffic_cap),
-        })
+        let progress = |rollout: &Self| (rollout.version, rollout.status, rollout.stage);
+        let within_stage = if self.since.abs_diff(other.since) > SINCE_TOLERANCE {
+            self.since.cmp(&other.since)
+        } else {
+            other.traffic_cap.cmp(&self.traffic_cap)
+        };
+        progress(self).cmp(&progress(other)).then(within_stage)
     }
 }
 
-/// A version of the list. Discovery counts anew after its own restart: that begins an epoch.
+/// A version of the endpoint list. Discovery counts from the start after its own restart: that begins an epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EndpointListVersion {
+    /// Restarts of discovery that were noticed.
     pub epoch: u32,
+    /// The version that discovery gave to the list.
     pub version: u64,
 }
 
-/// What a handout is based on.
+/// What a configuration is based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigVersion {
+    /// The state of the newest version's rollout.
     #[serde(rename = "news")]
     pub rollout: RolloutVersion,
+    /// The version of the endpoint list.
     #[serde(rename = "list")]
     pub endpoints: EndpointListVersion,
 }
@@ -126,59 +166,81 @@
         self.rollout.compare(&other.rollout) != Ordering::Less && self.endpoints >= other.endpoints
     }
 
-    /// True where this is newer in a part, and older in none.
-    pub fn is_newer_than(&self, than: &Self) -> bool {
-        self.dominates(than) && !than.dominates(self)
+    /// True where one part is newer than the other's, and none is older.
+    pub fn is_newer_than(&self, other: &Self) -> bool {
+        self.dominates(other) && !other.dominates(self)
     }
 
     /// The newer of each part.
     pub fn join(&self, other: &Self) -> Self {
-        let news = if other.rollout.compare(&self.rollout) == Ordering::Greater {
-            other.rollout
-        } else {
-            self.rollout
-        };
-        ConfigVersion { rollout: news, endpoints: self.endpoints.max(other.endpoints) }
+        let is_other_newer = other.rollout.compare(&self.rollout) == Ordering::Greater;
+        ConfigVersion {
+            rollout: if is_other_newer { other.rollout } else { self.rollout },
+            endpoints: self.endpoints.max(other.endpoints),
+        }
     }
 }
 
-/// Makes labels and reads them.
-#[derive(Clone, Default)]
-pub struct VersionSigner {
-    key: Option<Vec<u8>>,
+/// A label as read: the version and the content that it stands for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SignedVersion {
+    /// What the labelled resource is based on.
+    pub version: ConfigVersion,
+    /// Distinguishes resources of the same version.
+    pub content_hash: u64,
+    /// A service with the same key made the label.
+    pub is_signed: bool,
 }
 
-/// A label's stamp and content.
-pub fn split_label(text: &str) -> Option<(&str, u64)> {
-    let (stamp, content) = text.rsplit_once('.')?;
-    let fits = content.len() == 16 && content.bytes().all(|byte| byte.is_ascii_hexdigit());
-    Some((stamp, fits.then(|| u64::from_str_radix(content, 16).ok())??))
+/// A label's prefix as read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SignedPrefix {
+    /// The version in the prefix.
+    pub version: ConfigVersion,
+    /// A service with the same key made the prefix.
+    pub is_signed: bool,
 }
 
-/// The label of a content under a stamp.
-pub fn join_label(stamp: &str, content: u64) -> String {
-    format!("{stamp}.{content:016x}")
+/// The two parts of a label's text.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LabelParts<'a> {
+    /// The version, with its signature where there is one.
+    pub prefix: &'a str,
+    /// The hash of the labelled content.
+    pub content_hash: u64,
 }
 
-impl std::fmt::Debug for VersionSigner {
-    /// Never the key.
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        f.debug_struct("Labels").field("signed", &self.key.is_some()).finish()
+/// Splits a label into its prefix and its content hash; none where it is no label.
+pub fn split_label(label: &str) -> Option<LabelParts<'_>> {
+    let (prefix, digits) = label.rsplit_once('.')?;
+    if digits.len() != CONTENT_HASH_LENGTH || !digits.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+        return None;
     }
+    let content_hash = u64::from_str_radix(digits, 16).ok()?;
+    Some(LabelParts { prefix, content_hash })
 }
 
-/// What a label tells.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SignedVersion {
-    pub version: ConfigVersion,
-    /// Tells apart contents on the same basis.
-    pub content_hash: u64,
-    /// A service with the same key made it.
-    pub is_signed: bool,
+/// The label of a content under a prefix.
+pub fn join_label(prefix: &str, content_hash: u64) -> String {
+    format!("{prefix}.{content_hash:016x}")
+}
+
+/// Writes and reads labels, and signs them where it has a key.
+#[derive(Clone, Default)]
+pub struct VersionSigner {
+    key: Option<Vec<u8>>,
+}
+
+impl fmt::Debug for VersionSigner {
+    /// Never shows the key.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("VersionSigner").field("has_key", &self.key.is_some()).finish()
+    }
 }
 
 impl VersionSigner {
-    /// Labels signed with a key, or plain ones: then what a peer claims guards its own stream only.
+    /// Signs labels with a key. Without one, or with an empty one, labels are plain: then what a proxy reports as held
+    /// guards its own stream only.
     pub fn new(key: Option<Vec<u8>>) -> Self {
         VersionSigner { key: key.filter(|key| !key.is_empty()) }
     }
@@ -186,156 +248,82 @@
     fn sign(&self, body: &str) -> Option<String> {
         let mut mac = Hmac::<Sha256>::new_from_slice(self.key.as_ref()?).ok()?;
         mac.update(body.as_bytes());
-        let digits: String = mac.finalize().into_bytes().iter().map(|byte| format!("{byte:02x}")).collect();
-        Some(digits[..SIGNED].to_string())
+        let digest = mac.finalize().into_bytes();
+        let digits: String = digest.iter().map(|byte| format!("{byte:02x}")).collect();
+        Some(digits[..SIGNATURE_LENGTH].to_string())
     }
 
-    /// The stamp of a basis: a label is a stamp and a content. Signing it once serves all that is handed out on it.
-    pub fn prefix(&self, basis: &ConfigVersion) -> String {
-        let RolloutVersion { version: build, status: way, stage, traffic_cap: cap, since } = basis.rollout;
-        let way = WAYS.iter().find(|(of, _)| *of == way).map_or('?', |(_, letter)| *letter);
-        let EndpointListVersion { epoch, version } = basis.endpoints;
-        let body = format!("b{build}.{way}{stage}.{cap}.{since}.l{epoch}.{version}");
+    /// True where a signature is the one that this signer's key gives; in constant time.
+    fn verify(&self, body: &str, signature: &str) -> bool {
+        let Some(expected) = self.sign(body) else { return false };
+        let pairs = signature.bytes().zip(expected.bytes());
+        pairs.fold(0, |difference, (given, expected)| difference | (given ^ expected)) == 0
+    }
+
+    /// The prefix of all labels of a version; signed once for all resources of that version.
+    pub fn prefix(&self, version: &ConfigVersion) -> String {
+        let RolloutVersion { version: newest, status, stage, traffic_cap, since } = version.rollout;
+        let EndpointListVersion { epoch, version: list_version } = version.endpoints;
+        let letter = status.letter();
+        let body = format!("b{newest}.{letter}{stage}.{traffic_cap}.{since}.l{epoch}.{list_version}");
         match self.sign(&body) {
             Some(signature) => format!("{body}.{signature}"),
             None => body,
         }
     }
 
-    /// The label of a content on a basis.
-    pub fn label(&self, basis: &ConfigVersion, content: u64) -> String {
-        join_label(&self.prefix(basis), content)
+    /// The label of a content of a version.
+    pub fn label(&self, version: &ConfigVersion, content_hash: u64) -> String {
+        join_label(&self.prefix(version), content_hash)
     }
 
-    /// What a label tells; none where it is no label of this form.
-    pub fn parse_label(&self, text: &str) -> Option<SignedVersion> {
-        let (stamp, content) = split_label(text)?;
-        let (basis, signed) = self.parse_prefix(stamp)?;
-        Some(SignedVersion { version: basis, content_hash: content, is_signed: signed })
+    /// Reads a label; none where its text is no label.
+    pub fn parse_label(&self, label: &str) -> Option<SignedVersion> {
+        let LabelParts { prefix, content_hash } = split_label(label)?;
+        let SignedPrefix { version, is_signed } = self.parse_prefix(prefix)?;
+        Some(SignedVersion { version, content_hash, is_signed })
     }
 
-    /// What a stamp tells, and whether it is signed with the site's key.
-    pub fn parse_prefix(&self, stamp: &str) -> Option<(ConfigVersion, bool)> {
-        if stamp.len() > MAX_LABEL_LENGTH || !stamp.is_ascii() {
+    /// Reads a label's prefix; none where its text is no prefix. A prefix that another key signed, or none, may still
+    /// be what a proxy holds: it guards that proxy's stream.
+    pub fn parse_prefix(&self, prefix: &str) -> Option<SignedPrefix> {
+        if prefix.len() > MAX_LABEL_LENGTH || !prefix.is_ascii() {
             return None;
         }
-        let parts: Vec<&str> = stamp.split('.').collect();
-        let (body, signature) = match parts.len() {
-            6 => (stamp, None),
-            7 => stamp.rsplit_once('.').map(|(body, signature)| (body, Some(signature)))?,
-            _ => return None,
-        };
-        // Whatever is not signed by the site's key may still be what a proxy holds: it guards that proxy's stream.
-        let signed = match (signature, self.sign(body)) {
-            (Some(given), _) if given.len() != SIGNED => return None,
-            (Some(given), Some(own)) => {
-                given.bytes().zip(own.bytes()).fold(0, |differ, (given, own)| differ | (given ^ own)) == 0
+        let fields: Vec<&str> = prefix.split('.').collect();
+        let is_signed = match fields.len() {
+            PREFIX_FIELDS => false,
+            length if length == PREFIX_FIELDS + 1 => {
+                let (body, signature) = prefix.rsplit_once('.')?;
+                if signature.len() != SIGNATURE_LENGTH {
+                    return None;
+                }
+                self.verify(body, signature)
             }
-            _ => false,
-        };
-        let letter = parts[1].chars().next()?;
-        let way = WAYS.iter().find(|(_, of)| *of == letter)?.0;
-        let news = RolloutVersion {
-            version: parts[0].strip_prefix('b')?.parse().ok()?,
-            status: way,
-            stage: parts[1].get(1..)?.parse().ok()?,
-            traffic_cap: parts[2].parse().ok().filter(|cap| *cap <= MILLION as u32)?,
-            since: parts[3].parse().ok()?,
+            _ => return None,
         };
-        let epoch = parts[4].strip_prefix('l')?.parse().ok()?;
-        let list = EndpointListVersion { epoch, version: parts[5].parse().ok()? };
-        Some((ConfigVersion { rollout: news, endpoints: list }, signed))
+        let rollout = parse_rollout(&fields)?;
+        let endpoints = parse_endpoint_list(&fields)?;
+        Some(SignedPrefix { version: ConfigVersion { rollout, endpoints }, is_signed })
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn mark() -> impl Strategy<Value = RolloutVersion> {
-        let ways = prop_oneof![
-            Just(RolloutStatus::Canary),
-            Just(RolloutStatus::Rejected),
-            Just(RolloutStatus::Promoted),
-            Just(RolloutStatus::RollingBack),
-            Just(RolloutStatus::RolledBack)
-        ];
-        (0u32..4, ways, 0u32..4, 0u32..=1_000_000, 0u64..20_000).prop_map(
-            |(build, way, stage, cap, since)| RolloutVersion {
-                version: Version(build),
-                status: way,
-                stage,
-                traffic_cap: cap,
-                since,
-            },
-        )
-    }
-
-    fn basis() -> impl Strategy<Value = ConfigVersion> {
-        (mark(), 0u32..3, 0u64..9).prop_map(|(news, epoch, version)| ConfigVersion {
-            rollout: news,
-            endpoints: EndpointListVersion { epoch, version },
-        })
-    }
-
-    proptest! {
-        #![proptest_config(latchhaven_proptest_config::deterministic())]
-
-        #[test]
-        fn a_label_tells_what_it_was_made_of(basis in basis(), content: u64, key in "[a-z]{0,9}") {
-            let labels = VersionSigner::new(Some(key.clone().into_bytes()));
-            let read = labels.parse_label(&labels.label(&basis, content));
-            prop_assert_eq!(read, Some(SignedVersion { version: basis, content_hash: content, is_signed: !key.is_empty() }));
-        }
-
-        #[test]
-        fn no_text_is_taken_for_signed(text in ".{0,200}", basis in basis(), at in 0usize..80, to in "[0-9a-z]") {
-            let labels = VersionSigner::new(Some(b"key".to_vec()));
-            prop_assert!(labels.parse_label(&text).is_none_or(|label| !label.is_signed));
-            let mut forged = labels.label(&basis, 7);
-            let at = at % forged.len();
-            forged.replace_range(at..=at, &to);
-            let read = labels.parse_label(&forged).filter(|label| label.is_signed);
-            prop_assert!(read.is_none_or(|label| label.version == basis), "{forged}");
-        }
-
-        #[test]
-        fn a_join_covers_both_and_nothing_is_newer_than_itself(a in basis(), b in basis()) {
-            prop_assert!(a.join(&b).dominates(&a) && a.join(&b).dominates(&b));
-            prop_assert!(!a.is_newer_than(&a));
-            prop_assert!(!a.is_newer_than(&b) || !b.is_newer_than(&a));
-        }
+/// Reads the first four fields of a prefix.
+fn parse_rollout(fields: &[&str]) -> Option<RolloutVersion> {
+    let version = fields[0].strip_prefix('b')?.parse().ok()?;
+    let status = RolloutStatus::from_letter(fields[1].chars().next()?)?;
+    let stage = fields[1].get(1..)?.parse().ok()?;
+    let traffic_cap = PartsPerMillion::new(fields[2].parse().ok()?);
+    if traffic_cap > PartsPerMillion::FULL {
+        return None;
     }
+    let since = fields[3].parse().ok()?;
+    Some(RolloutVersion { version, status, stage, traffic_cap, since })
+}
 
-    #[test]
-    fn later_ways_of_a_build_are_newer_however_old_their_beginning() {
-        let on = RolloutVersion {
-            version: Version(4),
-            status: RolloutStatus::Canary,
-            stage: 3,
-            traffic_cap: 1_000_000,
-            since: 90_000,
-        };
-        let ways = [
-            RolloutStatus::Rejected,
-            RolloutStatus::Promoted,
-            RolloutStatus::RollingBack,
-            RolloutStatus::RolledBack,
-        ];
-        for way in ways {
-            assert_eq!(
-                RolloutVersion { status: way, stage: 0, traffic_cap: 0, since: 0, ..on }.compare(&on),
-                Ordering::Greater
-            );
-        }
-        assert_eq!(
-            RolloutVersion { version: Version(5), stage: 0, since: 0, ..on }.compare(&on),
-            Ordering::Greater
-        );
-        // At the same stage: the cap fell, told a moment apart on two clocks; then rose again much later.
-        let fell = RolloutVersion { traffic_cap: 0, since: 89_500, ..on };
-        assert_eq!(fell.compare(&on), Ordering::Greater);
-        assert_eq!(RolloutVersion { since: 120_000, ..on }.compare(&fell), Ordering::Greater);
-    }
+/// Reads the last two fields of a prefix.
+fn parse_endpoint_list(fields: &[&str]) -> Option<EndpointListVersion> {
+    let epoch = fields[4].strip_prefix('l')?.parse().ok()?;
+    let version = fields[5].parse().ok()?;
+    Some(EndpointListVersion { epoch, version })
 }
--- /dev/null
+++ b/crates/proxy-config/tests/share_ledger.rs
@@ -0,0 +1,118 @@
+//! The share that is left to reachable proxies while others may be using more.
+
+use latchhaven_policy::Millis;
+use latchhaven_proxy_config::parts_per_million::PartsPerMillion;
+use latchhaven_proxy_config::share_ledger::{ACKNOWLEDGE_TIMEOUT, DISCONNECTED_RETENTION, ShareLedger};
+use proptest::prelude::*;
+
+fn share(parts: u32) -> [PartsPerMillion; 1] {
+    [PartsPerMillion::new(parts)]
+}
+
+#[test]
+fn reachable_proxies_get_less_while_others_hold_more() {
+    let mut ledger = ShareLedger::new(100);
+    for proxy in 0..10 {
+        ledger.connected(proxy);
+        ledger.sent(proxy, &share(400_000), 0.0);
+        ledger.acknowledged(proxy, &share(400_000));
+    }
+    ledger.disconnected(3, 100.0);
+    assert!((ledger.remaining_share(0, 0.1, 200.0) - 0.06 / 0.9).abs() < 1e-9);
+    assert_eq!(ledger.remaining_share(0, 0.4, 200.0), 0.4);
+    assert_eq!(ledger.remaining_share(0, 0.02, 200.0), 0.0, "the disconnected one uses more than the cap");
+    // Nine were sent less; one of them does not acknowledge it.
+    (0..10).filter(|proxy| *proxy != 3).for_each(|proxy| ledger.sent(proxy, &share(66_000), 300.0));
+    (0..9).filter(|proxy| *proxy != 3).for_each(|proxy| ledger.acknowledged(proxy, &share(66_000)));
+    assert!((ledger.remaining_share(0, 0.1, 300.0) - 0.06 / 0.9).abs() < 1e-9);
+    assert!((ledger.remaining_share(0, 0.1, 300.0 + ACKNOWLEDGE_TIMEOUT) - 0.02 / 0.8).abs() < 1e-9);
+    ledger.forget_disconnected(100.0 + DISCONNECTED_RETENTION);
+    assert_eq!(ledger.len(), 9);
+}
+
+/// What a proxy may be using, followed apart from the ledger.
+#[derive(Clone, Copy, Default)]
+struct ModelProxy {
+    acknowledged: u32,
+    /// The highest unacknowledged share, and when the first was sent.
+    pending: Option<(Millis, u32)>,
+    is_disconnected: bool,
+}
+
+impl ModelProxy {
+    fn sent(&mut self, parts: u32, now: Millis) {
+        let (since, highest) = self.pending.unwrap_or((now, 0));
+        self.pending = Some((since, highest.max(parts)));
+    }
+
+    fn acknowledged(&mut self, parts: u32) {
+        self.acknowledged = parts;
+        self.pending = None;
+    }
+
+    fn rejected(&mut self) {
+        self.pending = Some((f64::NEG_INFINITY, self.acknowledged));
+    }
+
+    fn is_unreachable(&self, now: Millis) -> bool {
+        self.is_disconnected || self.pending.is_some_and(|(since, _)| now - since >= ACKNOWLEDGE_TIMEOUT)
+    }
+
+    fn highest_possible_share(&self) -> f64 {
+        let pending = self.pending.map_or(0, |(_, highest)| highest);
+        f64::from(self.acknowledged.max(pending)) / 1e6
+    }
+}
+
+proptest! {
+    #![proptest_config(latchhaven_proptest_config::deterministic())]
+
+    /// Whatever was sent, acknowledged, rejected or lost: with the remaining share given to all others the sum keeps
+    /// the cap, wherever what unreachable proxies use leaves room for that at all.
+    #[test]
+    fn sum_of_shares_stays_within_the_total(
+        steps in prop::collection::vec((0u64..6, 0u8..5, 0u32..=1_000_000), 0..60), total in 0.0f64..1.0
+    ) {
+        let mut ledger = ShareLedger::new(10);
+        let mut model = [ModelProxy::default(); 6];
+        let mut now = 0.0;
+        (0..6).for_each(|proxy| ledger.connected(proxy));
+        for (proxy, kind, parts) in steps {
+            now += 100.0;
+            let expected = &mut model[proxy as usize];
+            match kind {
+                0 => {
+                    ledger.sent(proxy, &share(parts), now);
+                    expected.sent(parts, now);
+                }
+                1 => {
+                    ledger.acknowledged(proxy, &share(parts));
+                    expected.acknowledged(parts);
+                }
+                2 => {
+                    ledger.rejected(proxy);
+                    expected.rejected();
+                }
+                3 => {
+                    ledger.disconnected(proxy, now);
+                    expected.is_disconnected = true;
+                }
+                _ => {
+                    ledger.connected(proxy);
+                    expected.is_disconnected = false;
+                }
+            }
+        }
+        let remaining = ledger.remaining_share(0, total, now);
+        let (mut unreachable, mut sum) = (0.0, 0.0);
+        for proxy in &model {
+            let used = proxy.highest_possible_share() / 6.0;
+            let is_unreachable = proxy.is_unreachable(now);
+            unreachable += if is_unreachable { used } else { 0.0 };
+            sum += if is_unreachable { used } else { remaining / 6.0 };
+        }
+        let is_within = sum <= total + 1e-9 || (remaining == 0.0 && sum <= unreachable + 1e-9);
+        prop_assert!(is_within, "{sum} {unreachable} {remaining}");
+        prop_assert!(remaining <= total);
+    }
+}
--- a/crates/xds/src/resources.rs
+++ b/crates/xds/src/resources.rs
@@ -12,9 +12,9 @@
 use crate::pb::google::protobuf::{Any, Duration, UInt32Value};
 use bytes::{BufMut, Bytes, BytesMut};
 use latchhaven_policy::{Idempotency, Millis, RequestClass, Version};
-use latchhaven_proxy_config::canary_share::MILLION;
+use latchhaven_proxy_config::parts_per_million::PartsPerMillion;
 use latchhaven_proxy_config::proxy_config::{
-    Cluster, ConfiguredEndpoint, EndpointHealth, ProxyConfig, RetryScope, Route, RouteTarget,
+    Cluster, ConfiguredEndpoint, EndpointHealth, ProxyConfig, RetryScope, Route, RouteShare, RouteTarget,
 };
 use latchhaven_proxy_config::share_ledger::CanaryShares;
 use latchhaven_proxy_config::version::{ConfigVersion, VersionSigner, join_label};
@@ -385,12 +385,12 @@
         let drop = endpoint::cluster_load_assignment::policy::DropOverload {
             category: "shed".to_string(),
             drop_percentage: Some(kinds::FractionalPercent {
-                numerator: handout.shed_share,
+                numerator: handout.shed_share.get(),
                 denominator: kinds::fractional_percent::DenominatorType::Million as i32,
             }),
         };
         let policy = endpoint::cluster_load_assignment::Policy {
-            drop_overloads: if handout.shed_share > 0 { vec![drop] } else { Vec::new() },
+            drop_overloads: if handout.shed_share > PartsPerMillion::ZERO { vec![drop] } else { Vec::new() },
             ..Default::default()
         };
         let made = endpoint::ClusterLoadAssignment {
@@ -478,21 +478,21 @@
 }
 
 fn one_route(
-    told: &Route, shares: &[(RouteTarget, u32)], keyed: bool, products: &[RequestClass],
-    front: &ListenerConfig, refers: &mut BTreeSet<String>,
+    told: &Route, shares: &[RouteShare], keyed: bool, products: &[RequestClass], front: &ListenerConfig,
+    refers: &mut BTreeSet<String>,
 ) -> route::Route {
     let product = &products[told.class];
-    let weighted = shares.iter().map(|(target, part)| {
+    let weighted = shares.iter().map(|RouteShare { target, share }| {
         let name = match target {
             RouteTarget::Version(build) => cluster_name(*build, &product.name),
             RouteTarget::Reject => REJECT_CLUSTER.to_string(),
         };
         refers.insert(name.clone());
-        route::weighted_cluster::ClusterWeight { name, weight: number(*part), ..Default::default() }
+        route::weighted_cluster::ClusterWeight { name, weight: number(share.get()), ..Default::default() }
     });
     let weighted =
         route::WeightedCluster { clusters: weighted.collect(), ..route::WeightedCluster::default() };
-    debug_assert_eq!(shares.iter().map(|(_, part)| *part).sum::<u32>(), MILLION);
+    debug_assert_eq!(shares.iter().map(|share| share.share).sum::<PartsPerMillion>(), PartsPerMillion::FULL);
     let header = |name: &str, how| route::HeaderMatcher {
         name: name.to_string(),
         header_match_specifier: Some(how),
--- a/crates/xds/src/stream.rs
+++ b/crates/xds/src/stream.rs
@@ -10,7 +10,9 @@
 use crate::resources::{Resource, ResourceSet, ResourceSnapshot, ResourceType, field, hash};
 use bytes::{BufMut, Bytes, BytesMut};
 use latchhaven_proxy_config::share_ledger::CanaryShares;
-use latchhaven_proxy_config::version::{ConfigVersion, SignedVersion, VersionSigner, split_label};
+use latchhaven_proxy_config::version::{
+    ConfigVersion, LabelParts, SignedPrefix, SignedVersion, VersionSigner, split_label,
+};
 use prost::encoding::{WireType, encode_key, encode_varint};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -275,18 +277,20 @@
     /// What a proxy holds from before guards its stream: nothing older is sent to it.
     fn hear_held(&mut self, kind: ResourceType, ask: &SubscriptionRequest) {
         // Hundreds of labels have a few stamps: each of these is read once.
-        let mut stamps: BTreeMap<&str, Option<(ConfigVersion, bool)>> = BTreeMap::new();
+        let mut stamps: BTreeMap<&str, Option<SignedPrefix>> = BTreeMap::new();
         let mut held = Vec::new();
         for (name, label) in
             ask.initial_versions.iter().map(|(name, label)| (Some(name), label)).chain([(None, &ask.version)])
         {
-            let Some((stamp, content)) = split_label(label) else { continue };
+            let Some(LabelParts { prefix: stamp, content_hash: content }) = split_label(label) else {
+                continue;
+            };
             let told = *stamps.entry(stamp).or_insert_with(|| self.labels.parse_prefix(stamp));
             held.extend(told.and(name).map(|name| (name.clone(), Held { hash: content, resource: None })));
         }
         let joined = |signed: bool| {
-            let told = stamps.values().flatten().filter(|(_, by_site)| *by_site || !signed);
-            told.map(|(basis, _)| *basis).reduce(|all, basis| all.join(&basis))
+            let told = stamps.values().flatten().filter(|prefix| prefix.is_signed || !signed);
+            told.map(|prefix| prefix.version).reduce(|all, basis| all.join(&basis))
         };
         let (all, signed) = (joined(false), joined(true));
         let per = self.kinds.entry(kind).or_default();
