--- a/crates/control-plane/src/driver.rs
+++ b/crates/control-plane/src/driver.rs
@@ -3,9 +3,13 @@
 use crate::control_plane::ControlPlane;
 use crate::state_store;
 use ipnet::IpNet;
+use latchhaven_gateway::discovery::calls::CallId;
+use latchhaven_gateway::discovery::snapshot_client::SnapshotFirstClient;
 use latchhaven_gateway::gateway::Clock;
+use latchhaven_gateway::net::discovery_tasks::DiscoveryTasks;
+use latchhaven_gateway::net::list::List;
 use latchhaven_gateway::net::platform::Vote;
-use latchhaven_gateway::net::{NOTES_HELD, Note, VOTES_HELD, list, platform};
+use latchhaven_gateway::net::{NOTES_HELD, Note, VOTES_HELD, platform};
 use latchhaven_operator_config::{Evidence, Plan};
 use latchhaven_policy::{Action, Event, OutcomeReport, VoteOutcome};
 use latchhaven_proxy_config::proxy_config;
@@ -18,7 +22,6 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 use std::io;
-use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -26,7 +29,6 @@
 use tokio::select;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, oneshot, watch};
-use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep_until};
 use tonic::Status;
 
@@ -111,13 +113,9 @@
     let hub = ControlPlaneDriver {
         core,
         clock,
-        list_addr: plan.discovery,
-        version: 0,
-        watch: None,
-        fetching: None,
-        called: 0,
+        discovery: SnapshotFirstClient::new(plan.discovery),
+        discovery_tasks: DiscoveryTasks::new(notes),
         votes,
-        notes,
         turns: BTreeMap::new(),
         keeper,
         snapshots,
@@ -161,13 +159,9 @@
 struct ControlPlaneDriver {
     core: ControlPlane,
     clock: Clock,
-    list_addr: SocketAddr,
-    version: u64,
-    watch: Option<(u64, AbortHandle)>,
-    fetching: Option<(u64, AbortHandle)>,
-    called: u64,
+    discovery: SnapshotFirstClient,
+    discovery_tasks: DiscoveryTasks,
     votes: mpsc::Sender<Vote>,
-    notes: mpsc::Sender<Note>,
     turns: BTreeMap<u64, oneshot::Sender<Result<(), Status>>>,
     keeper: Option<state_store::StateWriter>,
     snapshots: watch::Sender<Option<Arc<latchhaven_xds::resources::ResourceSnapshot>>>,
@@ -206,24 +200,7 @@
 
     fn note(&mut self, note: Note, now: f64) {
         match note {
-            Note::List { call, list: told } => {
-                let is = |out: &Option<(u64, AbortHandle)>| {
-                    out.as_ref().is_some_and(|(number, _)| *number == call)
-                };
-                match told {
-                    Some(list) if is(&self.watch) || is(&self.fetching) => {
-                        // Watched from here on, once it was heard whole.
-                        let first = self.version == 0 && list.whole;
-                        self.version = if list.whole || self.version > 0 { list.version } else { 0 };
-                        self.core.on_endpoint_list(list.version, list.whole, list.entries, now);
-                        if first {
-                            self.watch();
-                        }
-                    }
-                    None if is(&self.watch) || is(&self.fetching) => self.core.on_endpoint_list_failed(),
-                    _ => {}
-                }
-            }
+            Note::List { call, list } => self.on_list_answer(call, list, now),
             Note::Stage(news) => self.core.on_rollout_state(news, now),
             Note::VoteCompleted(outcome) => self.core.on_vote_completed(outcome, now),
             Note::Tally(tally) => {
@@ -273,31 +250,34 @@
         }
     }
 
-    fn watch(&mut self) {
-        self.called += 1;
-        let watch = list::watch(self.list_addr, self.version, self.called, self.notes.clone());
-        let watch = tokio::task::spawn_local(watch).abort_handle();
-        self.watch.replace((self.called, watch)).inspect(|(_, earlier)| earlier.abort());
+    /// A call for the endpoint list has delivered a list, or failed.
+    fn on_list_answer(&mut self, call: CallId, list: Option<List>, now: f64) {
+        let Some(list) = list else {
+            if self.discovery.on_failure(call) {
+                self.core.on_endpoint_list_failed();
+            }
+            return;
+        };
+        if self.discovery.on_list(call, list.version, list.whole) {
+            self.core.on_endpoint_list(list.version, list.whole, list.entries, now);
+        }
+        self.run_discovery_commands();
     }
 
-    fn fetch(&mut self) {
-        self.called += 1;
-        let fetch = list::fetch(self.list_addr, self.called, self.notes.clone());
-        let fetch = tokio::task::spawn_local(fetch).abort_handle();
-        self.fetching.replace((self.called, fetch)).inspect(|(_, earlier)| earlier.abort());
+    fn run_discovery_commands(&mut self) {
+        self.discovery_tasks.run(self.discovery.take_commands());
     }
 
     fn act(&mut self, action: Action) {
         match action {
             Action::WatchEndpoints { enabled: on } => {
-                self.watch.take().inspect(|(_, watch)| watch.abort());
-                match (on, self.version) {
-                    (true, 0) => self.fetch(),
-                    (true, _) => self.watch(),
-                    (false, _) => {}
-                }
+                self.discovery.set_watch(on);
+                self.run_discovery_commands();
+            }
+            Action::FetchEndpoints => {
+                self.discovery.fetch();
+                self.run_discovery_commands();
             }
-            Action::FetchEndpoints => self.fetch(),
             Action::CastVote { version: build, stage, verdict } => {
                 let vote = Vote { build, stage, verdict, cast: Instant::now() };
                 if self.votes.try_send(vote).is_err() {
--- /dev/null
+++ b/crates/gateway/src/discovery/ordered_client.rs
@@ -0,0 +1,176 @@
+//! The gateway's client of the discovery service. It watches from the version it holds, and takes a list over only if
+//! it is newer. When the service's address changes, the earlier watch goes on until the new one has delivered a list.
+
+use super::calls::{CallId, CallStarter, DiscoveryCommand};
+use super::list_version::{ReceivedVersion, VersionOrder, compare_versions};
+use std::net::SocketAddr;
+
+/// A call that was started and not replaced.
+#[derive(Clone, Copy, Debug)]
+struct ActiveCall {
+    id: CallId,
+    has_delivered: bool,
+    /// How many lists had been taken over when it was started, or when it last delivered one.
+    lists_seen: u64,
+}
+
+/// What becomes of a list that a call has delivered.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListDecision {
+    /// The call was replaced: nothing follows.
+    Ignored,
+    /// The list is newer: it is to be applied.
+    Apply,
+    /// The list is not newer, and its call is aborted.
+    Discard {
+        /// The call was a current one: its failure is to be reported.
+        is_current: bool,
+    },
+}
+
+/// The calls for the endpoint list, and the version that is held.
+#[derive(Debug)]
+pub struct EndpointListClient {
+    starter: CallStarter,
+    held_version: u64,
+    lists_applied: u64,
+    watch: Option<ActiveCall>,
+    fetch: Option<ActiveCall>,
+    /// The watch of an earlier address, until the new watch has delivered a list.
+    previous_watch: Option<ActiveCall>,
+}
+
+impl EndpointListClient {
+    /// A client without a list and without calls.
+    pub fn new(address: SocketAddr) -> Self {
+        EndpointListClient {
+            starter: CallStarter::new(address),
+            held_version: 0,
+            lists_applied: 0,
+            watch: None,
+            fetch: None,
+            previous_watch: None,
+        }
+    }
+
+    /// The version that is held; 0 if the next watch is to begin with everything.
+    pub fn held_version(&self) -> u64 {
+        self.held_version
+    }
+
+    /// The commands recorded since the last call of this method.
+    pub fn take_commands(&mut self) -> Vec<DiscoveryCommand> {
+        self.starter.take_commands()
+    }
+
+    /// Holds a list that did not come from a call.
+    pub fn restore(&mut self, version: u64) {
+        self.held_version = version;
+        self.lists_applied += 1;
+    }
+
+    /// Ends the watch, and starts a new one if `enabled`.
+    pub fn set_watch(&mut self, enabled: bool) {
+        if let Some(watch) = self.watch.take() {
+            self.starter.abort(watch.id);
+        }
+        if enabled {
+            self.start_watch();
+        }
+    }
+
+    /// Starts a call for a snapshot in place of an earlier one.
+    pub fn fetch(&mut self) {
+        let id = self.starter.start_fetch();
+        let replaced = self.fetch.replace(self.active_call(id));
+        if let Some(replaced) = replaced {
+            self.starter.abort(replaced.id);
+        }
+    }
+
+    /// A call has delivered a list.
+    pub fn on_list(&mut self, call: CallId, version: u64, is_snapshot: bool) -> ListDecision {
+        let Some(lists_seen) = self.find(call).map(|active| active.lists_seen) else {
+            return ListDecision::Ignored;
+        };
+        let is_overtaken = lists_seen < self.lists_applied;
+        let received = ReceivedVersion { version, is_snapshot, is_overtaken };
+        match compare_versions(self.held_version, received) {
+            VersionOrder::Newer => {
+                self.apply(call, version);
+                return ListDecision::Apply;
+            }
+            VersionOrder::Stale => {}
+            // The list that this delta changes is not known here: a snapshot has to come.
+            VersionOrder::Gap => self.held_version = 0,
+        }
+        self.starter.abort(call);
+        ListDecision::Discard { is_current: self.is_current(call) }
+    }
+
+    /// A call has failed, or a watch has ended. True if its failure is to be reported.
+    pub fn on_failure(&self, call: CallId) -> bool {
+        self.is_current(call)
+    }
+
+    /// The discovery service has moved: calls that are not finished are made again there at once.
+    pub fn on_address_changed(&mut self, address: SocketAddr, is_finished: impl Fn(CallId) -> bool) {
+        if !self.starter.set_address(address) {
+            return;
+        }
+        if let Some(watch) = self.watch.take() {
+            self.keep_delivering_watch(watch, &is_finished);
+            self.start_watch();
+        }
+        if self.fetch.is_some_and(|fetch| !is_finished(fetch.id)) {
+            self.fetch();
+        }
+    }
+
+    /// Of two watches the one that has delivered goes on: the other one may never deliver anything.
+    fn keep_delivering_watch(&mut self, watch: ActiveCall, is_finished: impl Fn(CallId) -> bool) {
+        let previous = self.previous_watch.take().filter(|previous| !is_finished(previous.id));
+        let (kept, ended) = match previous {
+            Some(previous) if !watch.has_delivered => (previous, Some(watch)),
+            previous => (watch, previous),
+        };
+        if let Some(ended) = ended {
+            self.starter.abort(ended.id);
+        }
+        self.previous_watch = Some(kept);
+    }
+
+    fn apply(&mut self, call: CallId, version: u64) {
+        self.held_version = version;
+        self.lists_applied += 1;
+        let lists_applied = self.lists_applied;
+        if let Some(active) = self.find(call) {
+            active.has_delivered = true;
+            active.lists_seen = lists_applied;
+        }
+        // Both watches would deliver the same lists, and the previous one later.
+        if self.is_current(call)
+            && let Some(previous) = self.previous_watch.take()
+        {
+            self.starter.abort(previous.id);
+        }
+    }
+
+    fn start_watch(&mut self) {
+        let id = self.starter.start_watch(self.held_version);
+        self.watch = Some(self.active_call(id));
+    }
+
+    fn active_call(&self, id: CallId) -> ActiveCall {
+        ActiveCall { id, has_delivered: false, lists_seen: self.lists_applied }
+    }
+
+    fn is_current(&self, call: CallId) -> bool {
+        [self.watch, self.fetch].into_iter().flatten().any(|active| active.id == call)
+    }
+
+    fn find(&mut self, call: CallId) -> Option<&mut ActiveCall> {
+        let calls = [&mut self.watch, &mut self.fetch, &mut self.previous_watch];
+        calls.into_iter().flatten().find(|active| active.id == call)
+    }
+}
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -3,12 +3,14 @@
 
 use crate::config::Known;
 use crate::counters::{COUNTERS, Count};
+use crate::discovery::calls::CallId;
+use crate::discovery::ordered_client::{EndpointListClient, ListDecision};
 use crate::must;
-use crate::net::list::{self, List};
+use crate::net::discovery_tasks::DiscoveryTasks;
+use crate::net::list::List;
 use crate::net::platform::Vote;
 use crate::net::servers::{Errand, Pool, Stopped};
 use crate::net::{Answer, CROSSING, NOTES_HELD, Note, list_kind};
-use crate::order::{Order, order};
 use crate::proto::pg::{self, Statement};
 use bytes::Bytes;
 use latchhaven_policy::Policy;
@@ -24,7 +26,6 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::select;
 use tokio::sync::{mpsc, oneshot};
-use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep_until};
 
 /// Unix time in ms at the start, and steady from there: the list gives starts of instances in Unix time.
@@ -74,16 +75,6 @@
     Unwritten(Errand),
 }
 
-/// A call for the list that is out.
-struct Call {
-    number: u64,
-    task: AbortHandle,
-    /// It has told something.
-    told: bool,
-    /// How many lists had been taken over when it was made, or when it last told.
-    lists: u64,
-}
-
 pub struct Gateway {
     choice: Policy,
     clock: Clock,
@@ -98,17 +89,9 @@
     connections: UpstreamConnectionConfig,
     /// The state of the newest build, and since when it stands so.
     news: Option<(RolloutState, Millis)>,
-    list_addr: SocketAddr,
-    version: u64,
-    /// The calls for the list that are out; after a move the earlier watch goes on until the new one tells.
-    watch: Option<Call>,
-    leaving: Option<Call>,
-    fetching: Option<Call>,
-    called: u64,
-    /// How many lists were taken over.
-    lists: u64,
+    discovery: EndpointListClient,
+    discovery_tasks: DiscoveryTasks,
     votes: mpsc::Sender<Vote>,
-    notes: mpsc::Sender<Note>,
 }
 
 impl Gateway {
@@ -127,22 +110,17 @@
             probed: 0,
             connections,
             news: None,
-            list_addr,
-            version: 0,
-            watch: None,
-            leaving: None,
-            fetching: None,
-            called: 0,
-            lists: 0,
+            discovery: EndpointListClient::new(list_addr),
+            discovery_tasks: DiscoveryTasks::new(notes),
             votes,
-            notes,
         }
     }
 
     /// Starts from what was held, and serves until dropped.
     pub async fn run(mut self, held: Known, mut notes: mpsc::Receiver<Note>) {
         let told = held.news.map(|news| Event::RolloutUpdate(self.staged(news)));
-        let listed = self.listed(UpdateKind::CachedSnapshot, held.list);
+        self.discovery.restore(held.list.version);
+        let listed = self.apply_list(UpdateKind::CachedSnapshot, held.list);
         self.decide(told.into_iter().chain([listed]).collect());
         let mut batch = Vec::new();
         loop {
@@ -226,8 +204,8 @@
                     self.ended(errand, ending, value, load, events);
                 }
             }
-            Note::List { call, list } => self.hear_list(call, list, events),
-            Note::Moved { list } => self.moved(list),
+            Note::List { call, list } => self.on_list_answer(call, list, events),
+            Note::Moved { list } => self.on_discovery_moved(list),
             Note::Stage(stage) => {
                 let stage = self.staged(stage);
                 events.push(Event::RolloutUpdate(stage));
@@ -252,41 +230,44 @@
         }
     }
 
-    /// A call for the list has told something, or failed.
-    fn hear_list(&mut self, number: u64, list: Option<List>, events: &mut Vec<Event>) {
-        let is = |out: &Option<Call>| out.as_ref().is_some_and(|out| out.number == number);
-        let new = is(&self.watch) || is(&self.fetching);
-        let calls = [&mut self.watch, &mut self.fetching, &mut self.leaving];
-        // Others were made before a move, or before a later call.
-        let Some(Some(out)) = calls.into_iter().find(|out| is(out)) else { return };
-        if let Some(list) = list {
-            match order(self.version, list.version, list.whole, out.lists < self.lists) {
-                Order::Newer => {
-                    (out.told, out.lists) = (true, self.lists + 1);
-                    // Both would tell the same, and the earlier one later.
-                    self.leaving.take_if(|_| new).inspect(|earlier| earlier.task.abort());
-                    COUNTERS.list_changes.add();
-                    tracing::debug!(list.version, list.whole, entries = list.entries.len(), "list: told");
-                    let event = self.listed(list_kind(list.whole), list);
-                    return events.push(event);
+    /// A call for the endpoint list has delivered a list, or failed.
+    fn on_list_answer(&mut self, call: CallId, list: Option<List>, events: &mut Vec<Event>) {
+        let Some(list) = list else {
+            if self.discovery.on_failure(call) {
+                events.push(self.endpoint_update_failed());
+            }
+            return;
+        };
+        let decision = self.discovery.on_list(call, list.version, list.whole);
+        self.run_discovery_commands();
+        match decision {
+            ListDecision::Ignored => {}
+            ListDecision::Apply => {
+                COUNTERS.list_changes.add();
+                tracing::debug!(list.version, list.whole, entries = list.entries.len(), "list: told");
+                events.push(self.apply_list(list_kind(list.whole), list));
+            }
+            ListDecision::Discard { is_current } => {
+                tracing::info!(list.version, list.whole, "list: not newer than the one held, asked for anew");
+                COUNTERS.list_failures.add();
+                if is_current {
+                    events.push(self.endpoint_update_failed());
                 }
-                Order::Older => {}
-                // What it changes is not known here: the whole list has to come.
-                Order::Gapped => self.version = 0,
             }
-            tracing::info!(list.version, list.whole, "list: not newer than the one held, asked for anew");
-            COUNTERS.list_failures.add();
-            out.task.abort();
-        }
-        if new {
-            let (kind, version) = (UpdateKind::Failed, self.version);
-            events.push(Event::EndpointUpdate { kind, list_version: version, entries: Vec::new() });
         }
     }
 
-    /// Takes over a list; what was not yet written to an instance that changed is decided anew.
-    fn listed(&mut self, kind: UpdateKind, list: List) -> Event {
-        (self.version, self.lists) = (list.version, self.lists + 1);
+    fn endpoint_update_failed(&self) -> Event {
+        let list_version = self.discovery.held_version();
+        Event::EndpointUpdate { kind: UpdateKind::Failed, list_version, entries: Vec::new() }
+    }
+
+    fn run_discovery_commands(&mut self) {
+        self.discovery_tasks.run(self.discovery.take_commands());
+    }
+
+    /// Applies a list; what was not yet written to an instance that changed is decided anew.
+    fn apply_list(&mut self, kind: UpdateKind, list: List) -> Event {
         let mut back = Vec::new();
         if kind != UpdateKind::Delta {
             let here = |id: &String| list.entries.iter().any(|(listing, _)| listing.endpoint == *id);
@@ -468,12 +449,13 @@
             Action::HealthCheck { endpoint: instance } => self.probe(instance),
             Action::CloseIdleConnections { endpoint: instance } => self.pool.close_idle(&instance),
             Action::WatchEndpoints { enabled: on } => {
-                self.watch.take().inspect(|watch| watch.task.abort());
-                if on {
-                    self.watch();
-                }
+                self.discovery.set_watch(on);
+                self.run_discovery_commands();
+            }
+            Action::FetchEndpoints => {
+                self.discovery.fetch();
+                self.run_discovery_commands();
             }
-            Action::FetchEndpoints => self.fetch(),
             Action::CastVote { version: build, stage, verdict } => {
                 let vote = Vote { build, stage, verdict, cast: Instant::now() };
                 must!(self.votes.try_send(vote).is_ok(), "few votes wait for the platform");
@@ -484,41 +466,11 @@
         }
     }
 
-    fn call(&mut self, task: impl Future<Output = ()> + 'static) -> Option<Call> {
-        let task = tokio::task::spawn_local(task).abort_handle();
-        Some(Call { number: self.called, task, told: false, lists: self.lists })
-    }
-
-    fn watch(&mut self) {
-        self.called += 1;
-        self.watch = self.call(list::watch(self.list_addr, self.version, self.called, self.notes.clone()));
-    }
-
-    fn fetch(&mut self) {
-        self.called += 1;
-        let fetch = self.call(list::fetch(self.list_addr, self.called, self.notes.clone()));
-        std::mem::replace(&mut self.fetching, fetch).inspect(|earlier| earlier.task.abort());
-    }
-
-    /// Calls that are out, or were to be made again later, go to the new address at once.
-    fn moved(&mut self, list: SocketAddr) {
-        if std::mem::replace(&mut self.list_addr, list) == list {
-            return;
-        }
-        if let Some(watch) = self.watch.take() {
-            // Of two that are out the one that has told goes on: the other one may never tell anything.
-            let earlier = self.leaving.take().filter(|earlier| !earlier.task.is_finished());
-            let (goes_on, ends) = match earlier {
-                Some(earlier) if !watch.told => (earlier, Some(watch)),
-                earlier => (watch, earlier),
-            };
-            ends.inspect(|ends| ends.task.abort());
-            self.leaving = Some(goes_on);
-            self.watch();
-        }
-        if self.fetching.as_ref().is_some_and(|fetch| !fetch.task.is_finished()) {
-            self.fetch();
-        }
+    /// The discovery service is at another address from now on.
+    fn on_discovery_moved(&mut self, address: SocketAddr) {
+        let tasks = &self.discovery_tasks;
+        self.discovery.on_address_changed(address, |call| tasks.is_finished(call));
+        self.run_discovery_commands();
     }
 
     fn answer(&mut self, id: RequestId, answer: Answer, count: &Count) {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -6,8 +6,8 @@
 pub mod arrivals;
 pub mod config;
 pub mod counters;
+pub mod discovery;
 pub mod gateway;
 pub mod net;
-pub mod order;
 pub mod proto;
 pub mod serve;
--- a/crates/gateway/src/net/list.rs
+++ b/crates/gateway/src/net/list.rs
@@ -2,6 +2,7 @@
 
 use super::{DIAL, LIST_CALL, LIST_SILENCE, Note, read_some, write_all};
 use crate::counters::COUNTERS;
+use crate::discovery::calls::CallId;
 use crate::proto::http::{self, Body, Part, Reader};
 use crate::proto::json::{Piece, Pieces};
 use bytes::BytesMut;
@@ -90,25 +91,25 @@
 }
 
 /// Watches from a version on, until the connection ends. Every way out is told as a failed call.
-pub async fn watch(addr: SocketAddr, after: u64, number: u64, notes: mpsc::Sender<Note>) {
+pub async fn watch(addr: SocketAddr, after: u64, call_id: CallId, notes: mpsc::Sender<Note>) {
     let path = format!("/v1/servers?watch=1&after={after}");
-    let why = watched(addr, &path, after, number, &notes)
+    let why = watched(addr, &path, after, call_id, &notes)
         .await
         .err()
         .unwrap_or_else(|| "the watch ended".to_string());
     tracing::info!(why, "list: watch over");
     COUNTERS.list_failures.add();
-    let _ = notes.send(Note::List { call: number, list: None }).await;
+    let _ = notes.send(Note::List { call: call_id, list: None }).await;
 }
 
 /// Asks for the whole list once.
-pub async fn fetch(addr: SocketAddr, number: u64, notes: mpsc::Sender<Note>) {
+pub async fn fetch(addr: SocketAddr, call_id: CallId, notes: mpsc::Sender<Note>) {
     let list = timeout(LIST_CALL, fetched(addr)).await.unwrap_or_else(|_| Err("no answer".to_string()));
     if let Err(why) = &list {
         tracing::info!(why, "list: call failed");
         COUNTERS.list_failures.add();
     }
-    let _ = notes.send(Note::List { call: number, list: list.ok() }).await;
+    let _ = notes.send(Note::List { call: call_id, list: list.ok() }).await;
 }
 
 async fn call(addr: SocketAddr, path: &str) -> io::Result<TcpStream> {
@@ -120,7 +121,7 @@
 }
 
 async fn watched(
-    addr: SocketAddr, path: &str, after: u64, number: u64, notes: &mpsc::Sender<Note>,
+    addr: SocketAddr, path: &str, after: u64, call_id: CallId, notes: &mpsc::Sender<Note>,
 ) -> Result<(), String> {
     let stream = call(addr, path).await.map_err(|fault| fault.to_string())?;
     let (mut reader, mut pieces, mut buf) = (Reader::default(), Pieces::default(), BytesMut::new());
@@ -143,7 +144,7 @@
                         Piece::Object(list) => read(&list)?,
                     };
                     answered = true;
-                    let _ = notes.send(Note::List { call: number, list: Some(list) }).await;
+                    let _ = notes.send(Note::List { call: call_id, list: Some(list) }).await;
                 }
             }
             None => match timeout_at(heard + silence, read_some(&stream, &mut buf)).await {
--- a/crates/gateway/src/net/mod.rs
+++ b/crates/gateway/src/net/mod.rs
@@ -1,6 +1,7 @@
 //! Thin drivers between sockets and state machines, by peer. Nothing here decides a txn's way or a vote.
 
 pub mod clients;
+pub mod discovery_tasks;
 pub mod list;
 pub mod platform;
 pub mod servers;
@@ -20,6 +21,7 @@
 use tokio::sync::oneshot;
 use tokio::task::yield_now;
 
+use crate::discovery::calls::CallId;
 use crate::proto::pg::Statement;
 
 // Mechanics: figures of buffers, descriptors and times that decide no txn's way.
@@ -123,8 +125,8 @@
     Over { link: Rc<servers::Link> },
     /// What was sent on a connection has ended.
     Ended { link: Rc<servers::Link>, ending: AttemptOutcome, value: Option<[Bytes; 3]>, load: LoadReport },
-    /// The list or changes to it, by the call with this number; none: the call failed.
-    List { call: u64, list: Option<list::List> },
+    /// The list or changes to it, by the call with this id; none: the call failed.
+    List { call: CallId, list: Option<list::List> },
     /// The list is to be had at another address from now on.
     Moved { list: SocketAddr },
     /// News of the newest build.
--- a/crates/gateway/tests/parsers.rs
+++ b/crates/gateway/tests/parsers.rs
@@ -6,7 +6,6 @@
 use bytes::{Bytes, BytesMut};
 use latchhaven_gateway::arrivals::Arrivals;
 use latchhaven_gateway::net::{list, platform};
-use latchhaven_gateway::order::{Order, order};
 use latchhaven_gateway::proto::http::{self, Body, Part, Reader};
 use latchhaven_gateway::proto::json::{Piece, Pieces};
 use latchhaven_gateway::proto::pg::{self, Asked, Backend, Broken, Frontend, Told};
@@ -392,19 +391,6 @@
     assert_eq!(endless, Err(http::Broken::TooLong));
 }
 
-#[rstest]
-#[case::the_next_change(41, 42, false, false, Order::Newer)]
-#[case::the_same_again(41, 41, true, true, Order::Newer)]
-#[case::an_answer_that_another_one_overtook(43, 41, true, true, Order::Older)]
-#[case::changes_that_another_one_overtook(43, 42, false, true, Order::Older)]
-#[case::a_count_begun_anew(41, 3, true, false, Order::Newer)]
-#[case::changes_to_what_was_never_held(41, 3, false, false, Order::Gapped)]
-fn of_two_lists_the_newer_one_stands(
-    #[case] held: u64, #[case] told: u64, #[case] whole: bool, #[case] crossed: bool, #[case] stands: Order,
-) {
-    assert_eq!(order(held, told, whole, crossed), stands);
-}
-
 #[test]
 fn bytes_are_as_old_as_the_last_of_them_and_few_parts_are_told_apart() {
     let mut came = Arrivals::default();
