--- a/crates/control-plane/src/driver.rs
+++ b/crates/control-plane/src/driver.rs
@@ -79,7 +79,7 @@
         connect_timeout: f64::from(plan.xds.connect_within_ms),
         separate_endpoints: plan.xds.hosts_apart,
     };
-    let (keeper, kept) = state_store::open(plan.state.as_deref());
+    let state_store::OpenedStore { writer: keeper, state: kept } = state_store::open(plan.state.as_deref());
     let labels = VersionSigner::new(key);
     let products: Arc<Vec<String>> = Arc::new(terms.classes.iter().map(|known| known.name.clone()).collect());
     let platform_only = plan.xds.evidence == Evidence::Platform;
--- /dev/null
+++ b/crates/control-plane/src/state_store/writer.rs
@@ -0,0 +1,115 @@
+//! Writes states on a thread of its own. States that come during a write replace each other: only the newest is
+//! written next.
+
+use super::{PersistedState, write_state};
+use redb::Database;
+use std::path::PathBuf;
+use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
+use std::thread;
+use std::time::Duration;
+
+/// Between two writes at least, so that a burst becomes one write.
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(200);
+
+/// Hands states to the writing thread. Dropped, it has the last one written and ends the thread.
+pub struct StateWriter {
+    mailbox: Arc<Mailbox>,
+}
+
+impl StateWriter {
+    pub(super) fn start(database: Database, path: PathBuf) -> Self {
+        let mailbox = Arc::new(Mailbox::default());
+        let thread =
+            WriterThread { database, path, mailbox: mailbox.clone(), is_failing: false, has_written: false };
+        thread::spawn(move || thread.run());
+        StateWriter { mailbox }
+    }
+
+    /// Has a state written, unless a newer one comes before. Returns at once.
+    pub fn persist(&self, state: PersistedState) {
+        self.mailbox.update(|pending| pending.newest = Some(state));
+    }
+}
+
+impl Drop for StateWriter {
+    fn drop(&mut self) {
+        self.mailbox.update(|pending| pending.is_closed = true);
+    }
+}
+
+/// What the thread has to do.
+#[derive(Default)]
+struct PendingWrite {
+    newest: Option<PersistedState>,
+    /// Nothing more will come.
+    is_closed: bool,
+}
+
+#[derive(Default)]
+struct Mailbox {
+    pending: Mutex<PendingWrite>,
+    changed: Condvar,
+}
+
+impl Mailbox {
+    fn update(&self, change: impl FnOnce(&mut PendingWrite)) {
+        change(&mut self.lock());
+        self.changed.notify_one();
+    }
+
+    /// Waits for a state or for the end, and takes the state out.
+    fn take(&self) -> PendingWrite {
+        let mut pending = self.lock();
+        while pending.newest.is_none() && !pending.is_closed {
+            pending = self.changed.wait(pending).unwrap_or_else(PoisonError::into_inner);
+        }
+        PendingWrite { newest: pending.newest.take(), is_closed: pending.is_closed }
+    }
+
+    fn lock(&self) -> MutexGuard<'_, PendingWrite> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+struct WriterThread {
+    database: Database,
+    path: PathBuf,
+    mailbox: Arc<Mailbox>,
+    /// The last write failed.
+    is_failing: bool,
+    has_written: bool,
+}
+
+impl WriterThread {
+    fn run(mut self) {
+        loop {
+            let pending = self.mailbox.take();
+            if let Some(state) = pending.newest {
+                self.write(&state);
+            }
+            if pending.is_closed {
+                return;
+            }
+            thread::sleep(MIN_WRITE_INTERVAL);
+        }
+    }
+
+    /// Logs the first success, and the first of failures in a row: a full disk would fill the log too.
+    fn write(&mut self, state: &PersistedState) {
+        match write_state(&self.database, state) {
+            Ok(()) => {
+                if !self.has_written {
+                    tracing::info!(path = %self.path.display(), "state: written");
+                }
+                self.has_written = true;
+                self.is_failing = false;
+            }
+            Err(why) => {
+                if !self.is_failing {
+                    tracing::warn!(path = %self.path.display(), %why, "state: cannot be written");
+                }
+                self.is_failing = true;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/control-plane/tests/state_store.rs
@@ -0,0 +1,99 @@
+//! The state store on disk: restarts, concurrent processes, and damaged files.
+
+use latchhaven_control_plane::state_store::{OpenedStore, PersistedState, decode, encode, open};
+use latchhaven_policy::Version;
+use latchhaven_proxy_config::version::{ConfigVersion, EndpointListVersion, RolloutStatus, RolloutVersion};
+use redb::{Database, TableDefinition};
+use std::collections::BTreeSet;
+use std::path::{Path, PathBuf};
+use std::thread;
+use std::time::Duration;
+
+const TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("handed-out");
+const RECORD_KEY: &str = "last";
+/// Places at which a file is cut off or damaged.
+const DAMAGED_PLACES: usize = 24;
+
+fn state(list_version: u64) -> PersistedState {
+    let rollout = RolloutVersion {
+        version: Version(7),
+        status: RolloutStatus::RolledBack,
+        stage: 1,
+        traffic_cap: 0,
+        since: 5,
+    };
+    let endpoints = EndpointListVersion { epoch: 0, version: list_version };
+    PersistedState {
+        version: ConfigVersion { rollout, endpoints },
+        rolled_back_versions: BTreeSet::from([Version(6), Version(7)]),
+    }
+}
+
+fn folder(name: &str) -> PathBuf {
+    let folder = std::env::temp_dir().join(format!("latchhaven-keep-{}-{name}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&folder);
+    std::fs::create_dir_all(&folder).unwrap();
+    folder
+}
+
+fn write_database(path: &Path, state: &PersistedState) {
+    let database = Database::create(path).unwrap();
+    let transaction = database.begin_write().unwrap();
+    transaction.open_table(TABLE).unwrap().insert(RECORD_KEY, encode(state).as_slice()).unwrap();
+    transaction.commit().unwrap();
+}
+
+/// Opens a store as soon as an earlier writer has let go of it.
+fn reopen(path: &Path) -> OpenedStore {
+    for _ in 0..1000 {
+        let opened = open(Some(path));
+        if opened.writer.is_some() {
+            return opened;
+        }
+        thread::sleep(Duration::from_millis(5));
+    }
+    OpenedStore::default()
+}
+
+#[test]
+fn store_reopened_holds_the_newest_state_and_is_not_shared_by_two_processes() {
+    let folder = folder("again");
+    let path = folder.join("state.redb");
+    let opened = open(Some(&path));
+    assert!(opened.state.is_none());
+    let writer = opened.writer.unwrap();
+    (0..50).for_each(|version| writer.persist(state(version)));
+    assert!(open(Some(&path)).writer.is_none(), "a second one goes without");
+    drop(writer);
+    assert_eq!(reopen(&path).state, Some(state(49)));
+    std::fs::remove_dir_all(folder).unwrap();
+}
+
+/// A file cut off or damaged at any place is either read as it was, or not used: no crash and no mixture.
+#[test]
+fn store_with_a_torn_or_damaged_file_yields_the_last_state_or_none() {
+    let folder = folder("torn");
+    let path = folder.join("state.redb");
+    write_database(&path, &state(3));
+    let intact = std::fs::read(&path).unwrap();
+    let hook = std::panic::take_hook();
+    std::panic::set_hook(Box::new(|_| ()));
+    for step in 0..DAMAGED_PLACES {
+        let at = step * intact.len() / DAMAGED_PLACES;
+        let mut flipped = intact.clone();
+        flipped[at] ^= 0xff;
+        for (damage, bytes) in [("cut", intact[..at].to_vec()), ("flipped", flipped)] {
+            // A file of its own each: an earlier store's writer may not have closed yet.
+            let path = folder.join(format!("{damage}-{step}.redb"));
+            std::fs::write(&path, bytes).unwrap();
+            let opened = open(Some(&path));
+            assert!(opened.state.as_ref().is_none_or(|found| *found == state(3)), "{damage} at {at}");
+            assert!(opened.writer.is_some() || opened.state.is_none(), "{damage} at {at}");
+        }
+    }
+    std::panic::set_hook(hook);
+    assert!(decode(b"{\"schema\":2}").unwrap_err().to_string().contains("form is 2"));
+    assert!(decode(&encode(&state(3))[1..]).is_err());
+    assert!(open(Some(&folder.join("no/such/folder/state.redb"))).writer.is_none());
+    std::fs::remove_dir_all(folder).unwrap();
+}
--- a/crates/control-plane/tests/stored_record.rs
+++ b/crates/control-plane/tests/stored_record.rs
@@ -50,7 +50,7 @@
 #[test]
 fn stored_record_is_read_and_written_as_by_the_version_before() {
     for (way, written) in WRITTEN {
-        assert_eq!(decode(written.as_bytes()), Ok(record(way)));
+        assert_eq!(decode(written.as_bytes()).unwrap(), record(way));
         assert_eq!(String::from_utf8(encode(&record(way))).unwrap(), written);
     }
 }
@@ -67,9 +67,9 @@
     writing.open_table(TABLE).unwrap().insert(RECORD, written.as_bytes()).unwrap();
     writing.commit().unwrap();
     drop(store);
-    let (writer, found) = open(Some(&path));
-    assert!(writer.is_some());
-    assert_eq!(found, Some(record(way)));
-    drop(writer);
+    let opened = open(Some(&path));
+    assert!(opened.writer.is_some());
+    assert_eq!(opened.state, Some(record(way)));
+    drop(opened.writer);
     std::fs::remove_dir_all(folder).unwrap();
 }
