--- a/crates/control-plane/tests/state_store.rs
+++ b/crates/control-plane/tests/state_store.rs
@@ -32,15 +32,17 @@
 fn folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("latchhaven-keep-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).unwrap();
+    std::fs::create_dir_all(&folder).expect("the folder is created");
     folder
 }
 
 fn write_database(path: &Path, state: &PersistedState) {
-    let database = Database::create(path).unwrap();
-    let transaction = database.begin_write().unwrap();
-    transaction.open_table(TABLE).unwrap().insert(RECORD_KEY, encode(state).as_slice()).unwrap();
-    transaction.commit().unwrap();
+    let database = Database::create(path).expect("the database is created");
+    let transaction = database.begin_write().expect("a transaction begins");
+    let mut table = transaction.open_table(TABLE).expect("the table opens");
+    table.insert(RECORD_KEY, encode(state).as_slice()).expect("the record is inserted");
+    drop(table);
+    transaction.commit().expect("the transaction is committed");
 }
 
 /// Opens a store as soon as an earlier writer has let go of it.
