--- /dev/null
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -0,0 +1,169 @@
+//! Updates that the control plane takes in: from discovery, the platform and proxies.
+
+use super::ControlPlane;
+use latchhaven_policy::{EndpointEntry, Event, Millis, RolloutState, UpdateKind, VoteOutcome};
+use latchhaven_proxy_config::freshness::UpdateResult;
+use latchhaven_proxy_config::load_reports::ProxyReport;
+use latchhaven_proxy_config::share_ledger::CanaryShares;
+use latchhaven_proxy_config::version::{RolloutStatus, SignedVersion};
+use latchhaven_xds::admission::AdmissionResult;
+use latchhaven_xds::resources::ResourceType;
+use latchhaven_xds::stream::StreamEvent;
+use std::net::SocketAddr;
+
+/// Updates from discovery and the platform.
+impl ControlPlane {
+    /// A snapshot of the endpoint list, or a delta to it.
+    pub fn on_endpoint_list(
+        &mut self, version: u64, is_snapshot: bool, entries: Vec<(EndpointEntry, SocketAddr)>, now: Millis,
+    ) {
+        let result = self.known_state.apply_endpoint_list(version, is_snapshot, now);
+        if result == UpdateResult::Stale {
+            return;
+        }
+        self.hosts.apply(&entries, is_snapshot, now);
+        let kind = if is_snapshot { UpdateKind::Snapshot } else { UpdateKind::Delta };
+        let entries = entries.into_iter().map(|(entry, _)| entry).collect();
+        self.pending_events.push(Event::EndpointUpdate { kind, list_version: version, entries });
+        self.schedule.schedule_publish(now);
+    }
+
+    /// A call for the endpoint list failed, or its watch ended.
+    pub fn on_endpoint_list_failed(&mut self) {
+        self.known_state.endpoint_list_failed();
+        self.pending_events.push(Event::EndpointUpdate {
+            kind: UpdateKind::Failed,
+            list_version: 0,
+            entries: Vec::new(),
+        });
+    }
+
+    /// A vote was answered, or will not be.
+    pub fn on_vote_completed(&mut self, outcome: VoteOutcome, now: Millis) {
+        match outcome {
+            VoteOutcome::Counted(rollout) => self.on_rollout_state(rollout, now),
+            VoteOutcome::NotCounted | VoteOutcome::Unknown => {
+                self.pending_events.push(Event::VoteCompleted(outcome));
+            }
+        }
+    }
+
+    /// The platform's state of the newest version's rollout.
+    pub fn on_rollout_state(&mut self, rollout: RolloutState, now: Millis) {
+        // Only the known state remembers which version was rejected: of the next one nothing is known yet.
+        let is_rejected = self
+            .known_state
+            .rollout()
+            .is_some_and(|known| known.version == rollout.version && known.status == RolloutStatus::Rejected);
+        let applied = self.known_state.apply_rollout_state(&rollout, is_rejected, now);
+        self.pending_events.extend(applied.map(Event::RolloutUpdate));
+        self.schedule.schedule_publish(now);
+    }
+
+    /// An outcome report of the platform: it counts where proxies report nothing themselves.
+    pub fn on_outcome_report(&mut self, report: Event, now: Millis) {
+        if self.load_reports.uses_platform_counts(now) {
+            self.pending_events.push(report);
+        }
+    }
+}
+
+/// Streams of proxies and what they report.
+impl ControlPlane {
+    /// A stream that only reports loads asks for admission; false: there are too many streams.
+    pub fn open_load_stream(&mut self, stream: u64, node: &str) -> bool {
+        let is_admitted = self.admission.admit_load_reports(stream) == AdmissionResult::Queued;
+        if is_admitted {
+            self.proxies.open_load_stream(stream, node);
+        }
+        is_admitted
+    }
+
+    /// A discovery stream asks for admission; false: there are too many streams.
+    pub fn request_stream(&mut self, stream: u64, node: String, now: Millis) -> bool {
+        let is_queued = self.admission.request_slot(stream, &node, now) == AdmissionResult::Queued;
+        if is_queued {
+            self.proxies.add_pending_stream(stream, node);
+        }
+        is_queued
+    }
+
+    /// A stream was closed. Its proxy goes on with the configuration that it holds.
+    pub fn on_stream_closed(&mut self, stream: u64, now: Millis) {
+        self.admission.on_stream_closed(stream);
+        if let Some(proxy) = self.proxies.close_stream(stream) {
+            self.shares.disconnected(proxy, now);
+            self.load_reports.disconnected(proxy);
+        }
+    }
+
+    /// What a stream has learnt from its proxy.
+    pub fn on_stream_events(&mut self, stream: u64, events: Vec<StreamEvent>, now: Millis) {
+        let Some(proxy) = self.proxies.proxy_number(stream) else { return };
+        for event in events {
+            match event {
+                StreamEvent::Holds { resource_type, version } => {
+                    self.on_held_version(proxy, resource_type, &version, now);
+                }
+                StreamEvent::Acknowledged(shares) => self.shares.acknowledged(proxy, &shares),
+                StreamEvent::Rejected { resource_type, message } => {
+                    let node = self.proxies.node(stream);
+                    tracing::warn!(
+                        node,
+                        ?resource_type,
+                        reason = message,
+                        "xds: proxy rejected a configuration"
+                    );
+                    if resource_type == ResourceType::Route {
+                        self.shares.rejected(proxy);
+                    }
+                }
+            }
+        }
+    }
+
+    /// Routes are sent on a stream.
+    pub fn on_routes_sent(&mut self, stream: u64, canary_shares: &CanaryShares, now: Millis) {
+        if let Some(proxy) = self.proxies.proxy_number(stream) {
+            self.shares.sent(proxy, canary_shares, now);
+        }
+    }
+
+    /// A load report.
+    ///
+    /// # Errors
+    /// What is contradictory in it.
+    pub fn on_load_report(&mut self, stream: u64, report: &ProxyReport, now: Millis) -> Result<(), String> {
+        if self.hosts.is_empty() {
+            return Ok(());
+        }
+        let Some(proxy) = self.proxies.proxy_number(stream) else { return Ok(()) };
+        let hosts = &self.hosts;
+        let endpoint_at = |address: &SocketAddr, version| hosts.endpoint_at(address, version);
+        let request_rates = self.load_reports.add_report(proxy, report, endpoint_at, now)?;
+        self.shares.set_request_rate(proxy, request_rates);
+        Ok(())
+    }
+
+    fn on_held_version(
+        &mut self, proxy: u64, resource_type: ResourceType, version: &SignedVersion, now: Millis,
+    ) {
+        if resource_type == ResourceType::Route {
+            let shares = vec![max_held_share(version); self.settings.classes.len()];
+            self.shares.report_held(proxy, shares);
+        }
+        if let Some(rollout) = self.known_state.apply_proxy_version(version, now) {
+            self.pending_events.push(Event::RolloutUpdate(rollout));
+            self.schedule.schedule_publish(now);
+        }
+    }
+}
+
+/// The most that a proxy may send to the canary by a configuration that any control plane published: the cap of then.
+fn max_held_share(version: &SignedVersion) -> u32 {
+    let rollout = version.version.rollout;
+    match rollout.status {
+        RolloutStatus::Canary | RolloutStatus::RollingBack => rollout.traffic_cap,
+        _ => 0,
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/driver/event_loop.rs
@@ -0,0 +1,139 @@
+//! The event loop: takes in what discovery, the platform and proxies bring, and carries out what follows.
+
+use crate::control_plane::{ControlPlane, Effects};
+use crate::state_store::StateWriter;
+use latchhaven_gateway::discovery::snapshot_client::SnapshotFirstClient;
+use latchhaven_gateway::gateway::Clock;
+use latchhaven_gateway::net::Note;
+use latchhaven_gateway::net::discovery_tasks::DiscoveryTasks;
+use latchhaven_gateway::net::platform::Vote;
+use latchhaven_policy::Millis;
+use latchhaven_xds::resources::ResourceSnapshot;
+use latchhaven_xds::server::ServerEvent;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::select;
+use tokio::sync::{mpsc, oneshot, watch};
+use tokio::time::{Instant, sleep_until};
+use tonic::Status;
+
+/// Events of one channel that are taken in at most before the decisions are asked again.
+const MAX_BATCH: usize = 256;
+/// ms after which the control plane is polled at the latest.
+const MAX_POLL_INTERVAL: Millis = 1_000.0;
+/// ms in a second.
+const MS_PER_SECOND: Millis = 1000.0;
+
+/// Answers a stream that waits for admission.
+type AdmissionSender = oneshot::Sender<Result<(), Status>>;
+
+/// Owns the control plane and its connections to everything else.
+pub(super) struct ControlPlaneDriver {
+    pub(super) control_plane: ControlPlane,
+    pub(super) clock: Clock,
+    pub(super) discovery: SnapshotFirstClient,
+    pub(super) discovery_tasks: DiscoveryTasks,
+    pub(super) votes: mpsc::Sender<Vote>,
+    /// By stream.
+    pub(super) pending_admissions: BTreeMap<u64, AdmissionSender>,
+    pub(super) state_writer: Option<StateWriter>,
+    pub(super) snapshots: watch::Sender<Option<Arc<ResourceSnapshot>>>,
+}
+
+impl ControlPlaneDriver {
+    /// Runs until a channel is closed.
+    pub(super) async fn run(
+        mut self, mut gateway_events: mpsc::Receiver<Note>, mut server_events: mpsc::Receiver<ServerEvent>,
+    ) {
+        let mut gateway_batch = Vec::new();
+        let mut server_batch = Vec::new();
+        loop {
+            let next_poll = self.next_poll();
+            select! {
+                biased;
+                count = gateway_events.recv_many(&mut gateway_batch, MAX_BATCH) => if count == 0 { return },
+                count = server_events.recv_many(&mut server_batch, MAX_BATCH) => if count == 0 { return },
+                () = sleep_until(next_poll) => {}
+            }
+            let now = self.clock.now();
+            for event in gateway_batch.drain(..) {
+                self.on_gateway_event(event, now);
+            }
+            for event in server_batch.drain(..) {
+                self.on_server_event(event, now);
+            }
+            let effects = self.control_plane.poll(now);
+            self.carry_out(effects, now);
+        }
+    }
+
+    fn next_poll(&self) -> Instant {
+        let now = self.clock.now();
+        let delay = (self.control_plane.next_poll_at(now) - now).clamp(0.0, MAX_POLL_INTERVAL);
+        Instant::now() + Duration::from_secs_f64(delay / MS_PER_SECOND)
+    }
+
+    fn carry_out(&mut self, effects: Effects, now: Millis) {
+        for stream in effects.admitted_streams {
+            let admission = self.pending_admissions.remove(&stream);
+            let is_open = admission.is_some_and(|admission| admission.send(Ok(())).is_ok());
+            if !is_open {
+                self.control_plane.on_stream_closed(stream, now);
+            }
+        }
+        for action in effects.actions {
+            self.perform(action);
+        }
+        if let Some(publication) = effects.published {
+            if let Some(writer) = &self.state_writer {
+                writer.persist(publication.state);
+            }
+            self.snapshots.send_replace(Some(publication.snapshot));
+        }
+    }
+
+    fn on_server_event(&mut self, event: ServerEvent, now: Millis) {
+        match event {
+            ServerEvent::StreamOpened { stream, node, reports_loads: true, admitted } => {
+                self.open_load_stream(stream, &node, admitted, now);
+            }
+            ServerEvent::StreamOpened { stream, node, reports_loads: false, admitted } => {
+                self.request_stream(stream, node, admitted, now);
+            }
+            ServerEvent::StreamEvents { stream, events } => {
+                self.control_plane.on_stream_events(stream, events, now);
+            }
+            ServerEvent::RoutesSent { stream, canary_shares } => {
+                self.control_plane.on_routes_sent(stream, &canary_shares, now);
+            }
+            ServerEvent::LoadReport { stream, report, result } => {
+                let _ = result.send(self.control_plane.on_load_report(stream, &report, now));
+            }
+            ServerEvent::StreamClosed { stream } => {
+                self.pending_admissions.remove(&stream);
+                self.control_plane.on_stream_closed(stream, now);
+            }
+        }
+    }
+
+    fn open_load_stream(&mut self, stream: u64, node: &str, admission: AdmissionSender, now: Millis) {
+        if !self.control_plane.open_load_stream(stream, node) {
+            let _ = admission.send(Err(too_many_streams()));
+        } else if admission.send(Ok(())).is_err() {
+            self.control_plane.on_stream_closed(stream, now);
+        }
+    }
+
+    fn request_stream(&mut self, stream: u64, node: String, admission: AdmissionSender, now: Millis) {
+        if self.control_plane.request_stream(stream, node, now) {
+            self.pending_admissions.insert(stream, admission);
+        } else {
+            let _ = admission.send(Err(too_many_streams()));
+        }
+    }
+}
+
+fn too_many_streams() -> Status {
+    Status::resource_exhausted("too many streams: come again later")
+}
--- /dev/null
+++ b/crates/control-plane/src/driver/signals.rs
@@ -0,0 +1,51 @@
+//! Signals: SIGTERM and SIGINT end the service, SIGUSR1 logs its counters.
+
+use latchhaven_xds::server::SentCounters;
+use std::io;
+use std::sync::atomic::{AtomicU64, Ordering};
+use tokio::select;
+use tokio::signal::unix::{Signal, SignalKind, signal};
+
+/// The signals that are handled from the moment of their installation on.
+pub(super) struct Signals {
+    terminate: Signal,
+    interrupt: Signal,
+    print_counters: Signal,
+}
+
+impl Signals {
+    pub(super) fn install() -> io::Result<Self> {
+        Ok(Signals {
+            terminate: signal(SignalKind::terminate())?,
+            interrupt: signal(SignalKind::interrupt())?,
+            print_counters: signal(SignalKind::user_defined1())?,
+        })
+    }
+
+    /// Returns when the service is to end; logs the counters meanwhile.
+    pub(super) async fn stopped(&mut self, counters: &SentCounters) {
+        loop {
+            select! {
+                _ = self.terminate.recv() => break,
+                _ = self.interrupt.recv() => break,
+                received = self.print_counters.recv() => match received {
+                    Some(()) => log_counters(counters),
+                    None => return,
+                },
+            }
+        }
+        tracing::info!("control service stops: proxies keep what they have");
+    }
+}
+
+/// The names of the fields are read by experiments.
+fn log_counters(counters: &SentCounters) {
+    let value = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
+    tracing::info!(
+        messages = value(&counters.messages),
+        bytes = value(&counters.bytes),
+        apart = value(&counters.incremental_messages),
+        apart_bytes = value(&counters.incremental_bytes),
+        "counters"
+    );
+}
--- /dev/null
+++ b/crates/control-plane/src/driver/startup.rs
@@ -0,0 +1,142 @@
+//! Starts the parts of the control service and connects them.
+
+use super::event_loop::ControlPlaneDriver;
+use super::settings;
+use super::xds_thread::{self, XdsListener};
+use crate::control_plane::{ControlPlane, ControlPlaneConfig};
+use crate::state_store;
+use latchhaven_gateway::discovery::snapshot_client::SnapshotFirstClient;
+use latchhaven_gateway::gateway::Clock;
+use latchhaven_gateway::net::discovery_tasks::DiscoveryTasks;
+use latchhaven_gateway::net::platform::{self, Vote};
+use latchhaven_gateway::net::{NOTES_HELD, Note, VOTES_HELD};
+use latchhaven_operator_config::{Evidence, Plan};
+use latchhaven_policy::Millis;
+use latchhaven_proxy_config::proxy_config::ProxyConfigSettings;
+use latchhaven_proxy_config::version::VersionSigner;
+use latchhaven_simulator_protocol::terms::Terms;
+use latchhaven_xds::resources::ListenerConfig;
+use latchhaven_xds::server::{SentCounters, ServerContext, ServerEvent};
+use rand::SeedableRng;
+use rand_pcg::Pcg64Mcg;
+use std::collections::BTreeMap;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot, watch};
+
+/// Events of streams that were not taken in yet; a stream that has more waits.
+const MAX_PENDING_SERVER_EVENTS: usize = 1024;
+/// ms in a second.
+const MS_PER_SECOND: Millis = 1000.0;
+
+/// The control service, ready to run.
+pub(super) struct ControlService {
+    pub(super) driver: ControlPlaneDriver,
+    /// From discovery and the platform.
+    pub(super) gateway_events: mpsc::Receiver<Note>,
+    /// From the streams of proxies.
+    pub(super) server_events: mpsc::Receiver<ServerEvent>,
+    /// How serving proxies ended.
+    pub(super) xds_server: oneshot::Receiver<io::Result<()>>,
+    pub(super) sent_counters: Arc<SentCounters>,
+    /// Held so that the platform's tasks see an address that may change.
+    pub(super) platform_address: watch::Sender<Option<SocketAddr>>,
+}
+
+/// Starts all that the event loop needs.
+pub(super) fn start(plan: Plan) -> io::Result<ControlService> {
+    let clock = Clock::start();
+    let signer = VersionSigner::new(read_shared_key(&plan)?);
+    let settings = settings::settings(&plan).map_err(io::Error::other)?.asking();
+    let vote_timeout = Duration::from_secs_f64(settings.connections().vote_timeout / MS_PER_SECOND);
+    let store = state_store::open(plan.state.as_deref());
+    let class_names = settings.products().into_iter().map(|class| class.name).collect();
+    let config = control_plane_config(&plan, &settings, signer.clone());
+    let control_plane = ControlPlane::new(settings.start(plan.seed), config, store.state);
+
+    let listener = bind(plan.xds.listen)?;
+    let listening = listener.local_addr()?;
+    let (event_sender, gateway_events) = mpsc::channel(NOTES_HELD);
+    let (platform_address, address) = watch::channel(plan.platform);
+    let votes = spawn_platform_tasks(plan.seed, address, vote_timeout, &event_sender);
+    let (server_event_sender, server_events) = mpsc::channel(MAX_PENDING_SERVER_EVENTS);
+    let (snapshot_sender, snapshots) = watch::channel(None);
+    let sent_counters = Arc::new(SentCounters::default());
+    let context = ServerContext {
+        snapshots,
+        events: server_event_sender,
+        signer,
+        classes: Arc::new(class_names),
+        counters: sent_counters.clone(),
+    };
+    let xds_listener = XdsListener {
+        listener,
+        allowed_networks: plan.xds.allowed_networks.clone(),
+        max_streams: plan.xds.streams_most,
+    };
+    let xds_server = xds_thread::spawn(xds_listener, context)?;
+    tracing::info!(name = plan.name, %listening, "control service starts");
+    let driver = ControlPlaneDriver {
+        control_plane,
+        clock,
+        discovery: SnapshotFirstClient::new(plan.discovery),
+        discovery_tasks: DiscoveryTasks::new(event_sender),
+        votes,
+        pending_admissions: BTreeMap::new(),
+        state_writer: store.writer,
+        snapshots: snapshot_sender,
+    };
+    Ok(ControlService { driver, gateway_events, server_events, xds_server, sent_counters, platform_address })
+}
+
+fn read_shared_key(plan: &Plan) -> io::Result<Option<Vec<u8>>> {
+    let Some(path) = &plan.shared_key_file else { return Ok(None) };
+    let key = std::fs::read(path)
+        .map_err(|error| io::Error::other(format!("shared_key_file: {}: {error}", path.display())))?;
+    Ok(Some(key))
+}
+
+fn control_plane_config(plan: &Plan, settings: &Terms, signer: VersionSigner) -> ControlPlaneConfig {
+    let (exposure, slow_start, max_attempts) = settings.bounds();
+    ControlPlaneConfig {
+        proxy_config: ProxyConfigSettings {
+            classes: settings.products(),
+            exposure,
+            slow_start,
+            max_attempts,
+            max_in_flight_per_endpoint: plan.xds.in_flight_per_host,
+        },
+        listener: ListenerConfig {
+            address: plan.xds.listener,
+            class_header: plan.xds.product_header.clone(),
+            key_header: plan.xds.key_header.clone(),
+            connect_timeout: f64::from(plan.xds.connect_within_ms),
+            separate_endpoints: plan.xds.hosts_apart,
+        },
+        signer,
+        max_streams: plan.xds.streams_most,
+        platform_counts_only: plan.xds.evidence == Evidence::Platform,
+    }
+}
+
+fn bind(address: SocketAddr) -> io::Result<std::net::TcpListener> {
+    let listener = std::net::TcpListener::bind(address)
+        .map_err(|error| io::Error::new(error.kind(), format!("xds.listen: {address}: {error}")))?;
+    listener.set_nonblocking(true)?;
+    Ok(listener)
+}
+
+/// Starts the feed of rollout states and the task that casts votes.
+fn spawn_platform_tasks(
+    seed: u64, address: watch::Receiver<Option<SocketAddr>>, vote_timeout: Duration,
+    events: &mpsc::Sender<Note>,
+) -> mpsc::Sender<Vote> {
+    let (votes, cast_votes) = mpsc::channel(VOTES_HELD);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
+    let feed_rng = Pcg64Mcg::from_rng(&mut rng);
+    tokio::task::spawn_local(platform::feed(address.clone(), feed_rng, events.clone()));
+    tokio::task::spawn_local(platform::votes(address, vote_timeout, cast_votes, events.clone()));
+    votes
+}
--- /dev/null
+++ b/crates/control-plane/src/driver/upstreams.rs
@@ -0,0 +1,78 @@
+//! Discovery and the platform: what their tasks bring, and the actions of the decisions that concern them.
+
+use super::event_loop::ControlPlaneDriver;
+use latchhaven_gateway::discovery::calls::CallId;
+use latchhaven_gateway::net::Note;
+use latchhaven_gateway::net::list::List;
+use latchhaven_gateway::net::platform::{Tally, Vote};
+use latchhaven_policy::{Action, Event, Millis, OutcomeReport, VoteOutcome};
+use tokio::time::Instant;
+
+impl ControlPlaneDriver {
+    /// Takes in what a task of discovery or the platform brings.
+    pub(super) fn on_gateway_event(&mut self, event: Note, now: Millis) {
+        match event {
+            Note::List { call, list } => self.on_list_answer(call, list, now),
+            Note::Stage(rollout) => self.control_plane.on_rollout_state(rollout, now),
+            Note::VoteCompleted(outcome) => self.control_plane.on_vote_completed(outcome, now),
+            Note::Tally(counts) => {
+                let report = Event::OutcomesReported(outcome_report(counts));
+                self.control_plane.on_outcome_report(report, now);
+            }
+            // Those of a gateway's clients and upstreams: a control plane carries no requests.
+            _ => {}
+        }
+    }
+
+    /// Carries out an action of the decisions.
+    pub(super) fn perform(&mut self, action: Action) {
+        match action {
+            Action::WatchEndpoints { enabled } => {
+                self.discovery.set_watch(enabled);
+                self.run_discovery_commands();
+            }
+            Action::FetchEndpoints => {
+                self.discovery.fetch();
+                self.run_discovery_commands();
+            }
+            Action::CastVote { version, stage, verdict } => {
+                let vote = Vote { build: version, stage, verdict, cast: Instant::now() };
+                if self.votes.try_send(vote).is_err() {
+                    let now = self.clock.now();
+                    self.control_plane.on_vote_completed(VoteOutcome::NotCounted, now);
+                }
+            }
+            Action::Log(line) => tracing::info!("{line}"),
+            // Those of a gateway that carries requests itself.
+            _ => {}
+        }
+    }
+
+    fn on_list_answer(&mut self, call: CallId, list: Option<List>, now: Millis) {
+        let Some(list) = list else {
+            if self.discovery.on_failure(call) {
+                self.control_plane.on_endpoint_list_failed();
+            }
+            return;
+        };
+        if self.discovery.on_list(call, list.version, list.whole) {
+            self.control_plane.on_endpoint_list(list.version, list.whole, list.entries, now);
+        }
+        self.run_discovery_commands();
+    }
+
+    fn run_discovery_commands(&mut self) {
+        self.discovery_tasks.run(self.discovery.take_commands());
+    }
+}
+
+fn outcome_report(counts: Tally) -> OutcomeReport {
+    OutcomeReport {
+        version: counts.build,
+        class: counts.product,
+        attempts: counts.count,
+        failures: counts.failed,
+        mean_latency: counts.took,
+        age: counts.age,
+    }
+}
--- a/crates/control-plane/tests/cases.rs
+++ b/crates/control-plane/tests/cases.rs
@@ -4,7 +4,7 @@
 // A test fails where it unwraps.
 #![allow(clippy::unwrap_used)]
 
-use latchhaven_control_plane::control_plane::ControlPlane;
+use latchhaven_control_plane::control_plane::{ControlPlane, ControlPlaneConfig};
 use latchhaven_control_plane::state_store::PersistedState;
 use latchhaven_policy::*;
 use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, ProxyReport};
@@ -62,7 +62,14 @@
             separate_endpoints: hosts_apart,
         };
         let labels = VersionSigner::new(Some(key.as_bytes().to_vec()));
-        let core = ControlPlane::new(settings().start(7), terms, front, labels.clone(), 100, false, kept);
+        let config = ControlPlaneConfig {
+            proxy_config: terms,
+            listener: front,
+            signer: labels.clone(),
+            max_streams: 100,
+            platform_counts_only: false,
+        };
+        let core = ControlPlane::new(settings().start(7), config, kept);
         Service { core, now, snapshot: None, kept: None, labels, streams: 0, votes: Vec::new() }
     }
 
@@ -77,8 +84,9 @@
                     self.votes.push((build, verdict));
                 }
             }
-            if let Some((snapshot, kept)) = doings.published {
-                (self.snapshot, self.kept) = (Some(snapshot), Some(kept));
+            if let Some(publication) = doings.published {
+                self.snapshot = Some(publication.snapshot);
+                self.kept = Some(publication.state);
             }
         }
     }
--- a/crates/experiments/src/day.rs
+++ b/crates/experiments/src/day.rs
@@ -4,7 +4,7 @@
 
 use crate::agenda::Agenda;
 use clap::Args;
-use latchhaven_control_plane::control_plane::ControlPlane;
+use latchhaven_control_plane::control_plane::{ControlPlane, ControlPlaneConfig};
 use latchhaven_policy::Policy;
 use latchhaven_policy::*;
 use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, ProxyReport};
@@ -274,8 +274,14 @@
                 connect_timeout: 250.0,
                 separate_endpoints: true,
             };
-            let mut core =
-                ControlPlane::new(read(0, 1).start(seed), terms, front, labels.clone(), 1000, false, None);
+            let config = ControlPlaneConfig {
+                proxy_config: terms,
+                listener: front,
+                signer: labels.clone(),
+                max_streams: 1000,
+                platform_counts_only: false,
+            };
+            let mut core = ControlPlane::new(read(0, 1).start(seed), config, None);
             day.proxies = (0..sizes.fronts)
                 .map(|n| {
                     core.request_stream(n as u64, format!("p{n}"), 0.0);
@@ -719,7 +725,8 @@
                 self.votes.push((build, stage, verdict));
             }
         }
-        if let Some((snapshot, _)) = doings.published {
+        if let Some(publication) = doings.published {
+            let snapshot = publication.snapshot;
             self.snapshot = Some(snapshot);
         }
         let Some(snapshot) = &self.snapshot else { return };
--- a/crates/proxy-config/src/freshness.rs
+++ b/crates/proxy-config/src/freshness.rs
@@ -30,6 +30,8 @@
     furthest: EndpointListVersion,
     /// Since when whole lists were behind that, without a break.
     behind: Option<Millis>,
+    /// The list that came last was whole, and stale.
+    is_snapshot_stale: bool,
     withdrawn: BTreeSet<Version>,
 }
 
@@ -105,6 +107,12 @@
 
     /// A list that discovery told. Changes build upon the list held; only a whole one begins.
     pub fn apply_endpoint_list(&mut self, version: u64, whole: bool, now: Millis) -> UpdateResult {
+        let result = self.apply_list_version(version, whole, now);
+        self.is_snapshot_stale = whole && result == UpdateResult::Stale;
+        result
+    }
+
+    fn apply_list_version(&mut self, version: u64, whole: bool, now: Millis) -> UpdateResult {
         let Some(held) = self.list.filter(|_| !whole) else {
             return if whole { self.whole(version, now) } else { UpdateResult::Stale };
         };
@@ -149,9 +157,11 @@
         &self.withdrawn
     }
 
-    /// The list that is held is older than one known of: it has to be asked for whole.
-    pub fn is_endpoint_list_stale(&self) -> bool {
-        self.list.is_some_and(|list| list < self.furthest)
+    /// A snapshot of the list has to be fetched: the list that is held is older than one known of, or the last snapshot
+    /// was stale.
+    pub fn needs_snapshot(&self) -> bool {
+        let is_list_stale = self.list.is_some_and(|list| list < self.furthest);
+        is_list_stale || self.is_snapshot_stale
     }
 
     /// What a handout made now is based on; none while none may be made, and why.
