--- /dev/null
+++ b/crates/control-plane/tests/control_plane/publication.rs
@@ -0,0 +1,107 @@
+//! When configurations are published.
+
+use crate::support::{
+    Host, ReportedOutcomes, TestProxy, TestService, draining, host, host_address, load_report, ready,
+    service_with_canary,
+};
+use latchhaven_policy::{RolloutPhase, Version};
+
+/// A list, and how host 2 is shown to proxies with it: as one of the baseline, and of the canary.
+struct Step {
+    hosts: Vec<Host>,
+    baseline_health: Option<bool>,
+    canary_health: Option<bool>,
+}
+
+#[test]
+fn publication_waits_until_list_and_platform_are_known() {
+    let mut service = TestService::start(100_000.0, "site", None);
+    service.advance(1_000.0);
+    service.update_list(5, &[ready(1, Version(1))]);
+    service.advance(1_000.0);
+    assert!(service.snapshot.is_none(), "the platform has reported nothing");
+    service.report_rollout(Version(1), 0, RolloutPhase::Promoted, 1.0);
+    service.advance(20.0);
+    assert!(service.snapshot.is_some());
+}
+
+#[test]
+fn update_burst_is_published_twice_and_a_drain_at_once() {
+    let (mut service, _) = service_with_canary(1);
+    service.advance(100.0);
+    let before = service.snapshot.as_ref().unwrap().number;
+    service.update_list(
+        100,
+        &[draining(1, Version(1)), ready(2, Version(1)), ready(3, Version(2)), ready(4, Version(2))],
+    );
+    service.advance(10.0);
+    assert_eq!(service.snapshot.as_ref().unwrap().number, before + 1, "at once");
+    for n in 0..30u64 {
+        service.update_list(
+            101 + n,
+            &[
+                host(1, Version(1), n % 2 == 0),
+                ready(2, Version(1)),
+                host(3, Version(2), n % 3 == 0),
+                ready(4, Version(2)),
+            ],
+        );
+        service.now += 1.0;
+        service.control_plane.poll(service.now);
+    }
+    service.advance(60.0);
+    assert!(service.snapshot.as_ref().unwrap().number <= before + 3);
+    assert_eq!(service.snapshot.as_ref().unwrap().version.endpoints.version, 130, "the newest");
+}
+
+#[test]
+fn host_drained_removed_and_back_with_another_version_is_followed() {
+    let (mut service, mut proxies) = service_with_canary(2);
+    let health = |proxy: &TestProxy, cluster: &str| {
+        let (hosts, _) = proxy.cache.hosts(cluster);
+        hosts.into_iter().find(|host| host.addr == host_address(2)).map(|host| host.healthy)
+    };
+    assert_eq!(health(&proxies[0], "b1/pay"), Some(true));
+    let steps = [
+        Step {
+            hosts: vec![
+                ready(1, Version(1)),
+                draining(2, Version(1)),
+                ready(3, Version(2)),
+                ready(4, Version(2)),
+            ],
+            baseline_health: Some(false),
+            canary_health: None,
+        },
+        Step {
+            hosts: vec![ready(1, Version(1)), ready(3, Version(2)), ready(4, Version(2))],
+            baseline_health: None,
+            canary_health: None,
+        },
+        Step {
+            hosts: vec![
+                ready(1, Version(1)),
+                ready(2, Version(2)),
+                ready(3, Version(2)),
+                ready(4, Version(2)),
+            ],
+            baseline_health: None,
+            canary_health: Some(true),
+        },
+    ];
+    for (n, step) in steps.into_iter().enumerate() {
+        service.update_list(10 + n as u64, &step.hosts);
+        service.advance(60.0);
+        for proxy in &mut proxies {
+            proxy.exchange(&mut service);
+            assert_eq!(health(proxy, "b1/pay"), step.baseline_health, "step {n}");
+            assert_eq!(health(proxy, "b2/pay"), step.canary_health, "step {n}");
+        }
+    }
+    // Late counts of its earlier incarnation are taken, those of a host that never was are refused.
+    let stream = proxies[0].stream_id().unwrap();
+    let report = |host: u16| load_report([ReportedOutcomes::new(Version(1), host, 1, 0)]);
+    assert!(service.control_plane.on_load_report(stream, &report(2), service.now).is_ok());
+    let refused = service.control_plane.on_load_report(stream, &report(9), service.now);
+    assert!(refused.unwrap_err().to_string().contains("no host of its cluster"));
+}
--- /dev/null
+++ b/crates/control-plane/tests/control_plane/support/reports.rs
@@ -0,0 +1,40 @@
+//! Load reports of proxies.
+
+use super::service::host_address;
+use latchhaven_policy::Version;
+use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, ProxyReport};
+
+/// What a proxy counted at one host.
+pub(crate) struct ReportedOutcomes {
+    pub(crate) version: Version,
+    pub(crate) class: usize,
+    pub(crate) host: u16,
+    pub(crate) counts: EndpointCounts,
+}
+
+impl ReportedOutcomes {
+    /// Outcomes of the first class, without latencies.
+    pub(crate) fn new(version: Version, host: u16, succeeded: u64, failed: u64) -> Self {
+        let counts =
+            EndpointCounts { started: succeeded + failed, succeeded, failed, ..EndpointCounts::default() };
+        ReportedOutcomes { version, class: 0, host, counts }
+    }
+
+    /// All successes took so many ms.
+    pub(crate) fn with_latency(mut self, latency: f64) -> Self {
+        self.counts.total_latency = latency * self.counts.succeeded as f64;
+        self.counts.latency_samples = self.counts.succeeded;
+        self
+    }
+}
+
+/// A report about one second.
+pub(crate) fn load_report(outcomes: impl IntoIterator<Item = ReportedOutcomes>) -> ProxyReport {
+    let clusters = outcomes.into_iter().map(|outcomes| ClusterReport {
+        version: outcomes.version,
+        class: outcomes.class,
+        endpoints: vec![(host_address(outcomes.host), outcomes.counts)],
+        dropped: 0,
+    });
+    ProxyReport { interval: 1000.0, clusters: clusters.collect() }
+}
--- /dev/null
+++ b/crates/control-plane/tests/control_plane/support/service.rs
@@ -0,0 +1,193 @@
+//! A control plane under the test's clock.
+
+use super::proxy::TestProxy;
+use super::reports::{ReportedOutcomes, load_report};
+use latchhaven_control_plane::control_plane::{ControlPlane, ControlPlaneConfig};
+use latchhaven_control_plane::state_store::PersistedState;
+use latchhaven_policy::{
+    Action, EndpointEntry, EndpointStatus, Millis, RolloutPhase, RolloutState, Verdict, Version,
+};
+use latchhaven_proxy_config::proxy_config::ProxyConfigSettings;
+use latchhaven_proxy_config::version::VersionSigner;
+use latchhaven_simulator_protocol::terms::{self, Terms};
+use latchhaven_xds::resources::{ListenerConfig, ResourceSnapshot};
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+const SETTINGS: &str = r#"{
+    "classes": [{"name": "look", "aim-s": 0.6, "hard-limit-s": 2.0, "effect": "idempotent", "gain": 1.0},
+        {"name": "pay", "aim-s": 0.6, "hard-limit-s": 2.0, "effect": "at_most_once", "gain": 1.0}],
+    "domain": {"allowance": 2.0, "caps": [0.1, 0.5, 1.0], "window-s": 2.0, "counts": "all", "vote-mode": "single",
+        "votes-to-go": 1, "votes-to-revert": 1, "vote-ttl-s": 4.0, "style": "rolling"},
+    "permissions": {"cancelling": true, "second-copies": false, "try-limit": 3},
+    "rules": {"ask-within-s": 1.0, "drain-grace-s": 2.0, "cold-from": 0.5, "warm-up-s": 2.0, "tip-multiple": 3.0,
+        "fall-s": 1.5},
+    "registry-mode": "subscribe", "me": 0, "replicas-of-me": 1}"#;
+
+/// ms between two polls while time passes.
+const POLL_INTERVAL: Millis = 10.0;
+
+/// A host on the endpoint list; host n is endpoint `s{n}` at port n.
+#[derive(Clone, Copy)]
+pub(crate) struct Host {
+    number: u16,
+    version: Version,
+    is_ready: bool,
+}
+
+pub(crate) fn host(number: u16, version: Version, is_ready: bool) -> Host {
+    Host { number, version, is_ready }
+}
+
+pub(crate) fn ready(number: u16, version: Version) -> Host {
+    host(number, version, true)
+}
+
+pub(crate) fn draining(number: u16, version: Version) -> Host {
+    host(number, version, false)
+}
+
+pub(crate) fn host_address(number: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], number))
+}
+
+impl Host {
+    fn entry(self) -> (EndpointEntry, SocketAddr) {
+        let entry = EndpointEntry {
+            endpoint: format!("s{}", self.number),
+            status: if self.is_ready { EndpointStatus::Ready } else { EndpointStatus::Draining },
+            version: self.version,
+            zone: "a".to_string(),
+            cell: 0,
+            machine_type: String::new(),
+            weight: 1.0,
+            started_at: 0.0,
+        };
+        (entry, host_address(self.number))
+    }
+}
+
+/// A control plane, and what it has published and voted.
+pub(crate) struct TestService {
+    pub(crate) control_plane: ControlPlane,
+    pub(crate) now: Millis,
+    pub(crate) snapshot: Option<Arc<ResourceSnapshot>>,
+    pub(crate) persisted: Option<PersistedState>,
+    pub(crate) signer: VersionSigner,
+    pub(crate) votes: Vec<(Version, Verdict)>,
+    last_stream: u64,
+}
+
+impl TestService {
+    pub(crate) fn start(now: Millis, key: &str, persisted: Option<PersistedState>) -> Self {
+        TestService::start_with(now, key, persisted, false)
+    }
+
+    pub(crate) fn start_with(
+        now: Millis, key: &str, persisted: Option<PersistedState>, separate_endpoints: bool,
+    ) -> Self {
+        let signer = VersionSigner::new(Some(key.as_bytes().to_vec()));
+        let config = ControlPlaneConfig {
+            proxy_config: proxy_config_settings(&settings()),
+            listener: ListenerConfig {
+                address: SocketAddr::from(([127, 0, 0, 1], 10_000)),
+                class_header: "x-product".to_string(),
+                key_header: "x-key".to_string(),
+                connect_timeout: 250.0,
+                separate_endpoints,
+            },
+            signer: signer.clone(),
+            max_streams: 100,
+            platform_counts_only: false,
+        };
+        let control_plane = ControlPlane::new(settings().start(7), config, persisted);
+        TestService {
+            control_plane,
+            now,
+            snapshot: None,
+            persisted: None,
+            signer,
+            votes: Vec::new(),
+            last_stream: 0,
+        }
+    }
+
+    /// The id of a new stream.
+    pub(crate) fn next_stream(&mut self) -> u64 {
+        self.last_stream += 1;
+        self.last_stream
+    }
+
+    /// Lets time pass.
+    pub(crate) fn advance(&mut self, duration: Millis) {
+        let until = self.now + duration;
+        while self.now < until {
+            self.now = (self.now + POLL_INTERVAL).min(until);
+            self.poll();
+        }
+    }
+
+    fn poll(&mut self) {
+        let effects = self.control_plane.poll(self.now);
+        for action in effects.actions {
+            if let Action::CastVote { version, verdict, .. } = action {
+                self.votes.push((version, verdict));
+            }
+        }
+        if let Some(publication) = effects.published {
+            self.snapshot = Some(publication.snapshot);
+            self.persisted = Some(publication.state);
+        }
+    }
+
+    /// The platform reports a rollout's state.
+    pub(crate) fn report_rollout(
+        &mut self, version: Version, stage: u32, phase: RolloutPhase, traffic_cap: f64,
+    ) {
+        let rollout = RolloutState { version, stage, phase, traffic_cap, age: 0.0 };
+        self.control_plane.on_rollout_state(rollout, self.now);
+    }
+
+    /// Discovery delivers a snapshot.
+    pub(crate) fn update_list(&mut self, version: u64, hosts: &[Host]) {
+        let entries = hosts.iter().map(|host| host.entry()).collect();
+        self.control_plane.on_endpoint_list(version, true, entries, self.now);
+    }
+
+    /// Two hosts of version 1, the baseline, and two of version 2, the canary.
+    pub(crate) fn start_canary(&mut self, stage: u32, traffic_cap: f64) {
+        self.update_list(
+            5,
+            &[ready(1, Version(1)), ready(2, Version(1)), ready(3, Version(2)), ready(4, Version(2))],
+        );
+        self.report_rollout(Version(2), stage, RolloutPhase::Canary, traffic_cap);
+        self.advance(20.0);
+    }
+
+    /// Proxies report much traffic, all of it successful.
+    pub(crate) fn report_traffic(&mut self, proxies: &[&TestProxy]) {
+        for proxy in proxies {
+            let Some(stream) = proxy.stream_id() else { continue };
+            let outcomes =
+                |class| ReportedOutcomes { class, ..ReportedOutcomes::new(Version(1), 1, 4000, 0) };
+            let report = load_report([outcomes(0), outcomes(1)]);
+            self.control_plane.on_load_report(stream, &report, self.now).expect("the report is sound");
+        }
+        self.advance(300.0);
+    }
+}
+
+fn settings() -> Terms {
+    terms::read(SETTINGS).expect("the settings are valid")
+}
+
+fn proxy_config_settings(settings: &Terms) -> ProxyConfigSettings {
+    let (exposure, slow_start, max_attempts) = settings.bounds();
+    ProxyConfigSettings {
+        classes: settings.products(),
+        exposure,
+        slow_start,
+        max_attempts,
+        max_in_flight_per_endpoint: 64,
+    }
+}
--- a/crates/control-plane/tests/stored_record.rs
+++ b/crates/control-plane/tests/stored_record.rs
@@ -9,7 +9,7 @@
 const TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("handed-out");
 const RECORD: &str = "last";
 
-/// Each way a build can stand, as it was written.
+/// Each status of a rollout, as it was written.
 const WRITTEN: [(RolloutStatus, &str); 5] = [
     (
         RolloutStatus::Canary,
@@ -33,25 +33,25 @@
     ),
 ];
 
-fn record(way: RolloutStatus) -> PersistedState {
-    let news = RolloutVersion {
+fn record(status: RolloutStatus) -> PersistedState {
+    let rollout = RolloutVersion {
         version: Version(7),
-        status: way,
+        status,
         stage: 3,
         traffic_cap: 125_000,
         since: 1_733_100_000_123,
     };
     PersistedState {
-        version: ConfigVersion { rollout: news, endpoints: EndpointListVersion { epoch: 2, version: 41 } },
+        version: ConfigVersion { rollout, endpoints: EndpointListVersion { epoch: 2, version: 41 } },
         rolled_back_versions: BTreeSet::from([Version(4), Version(6)]),
     }
 }
 
 #[test]
 fn stored_record_is_read_and_written_as_by_the_version_before() {
-    for (way, written) in WRITTEN {
-        assert_eq!(decode(written.as_bytes()).unwrap(), record(way));
-        assert_eq!(String::from_utf8(encode(&record(way))).unwrap(), written);
+    for (status, written) in WRITTEN {
+        assert_eq!(decode(written.as_bytes()).unwrap(), record(status));
+        assert_eq!(String::from_utf8(encode(&record(status))).unwrap(), written);
     }
 }
 
@@ -61,7 +61,7 @@
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("state.redb");
-    let (way, written) = WRITTEN[4];
+    let (status, written) = WRITTEN[4];
     let store = Database::create(&path).unwrap();
     let writing = store.begin_write().unwrap();
     writing.open_table(TABLE).unwrap().insert(RECORD, written.as_bytes()).unwrap();
@@ -69,7 +69,7 @@
     drop(store);
     let opened = open(Some(&path));
     assert!(opened.writer.is_some());
-    assert_eq!(opened.state, Some(record(way)));
+    assert_eq!(opened.state, Some(record(status)));
     drop(opened.writer);
     std::fs::remove_dir_all(folder).unwrap();
 }
