--- a/crates/gateway/src/counters.rs
+++ b/crates/gateway/src/counters.rs
@@ -1,50 +1,59 @@
-//! What is counted, and how what must hold is checked: asserted in debug builds, counted in release builds.
+//! Counters of this process, and invariants: a violated invariant ends a debug build and is counted in a release
+//! build.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 macro_rules! counters {
     ($($name:ident),* $(,)?) => {
-        /// One figure for each thing that happens; docs/counters.md says what each one means.
+        /// One metric for each thing that happens; docs/counters.md says what each one means.
         #[derive(Default)]
-        pub struct Counters { $(pub $name: Count,)* }
+        pub struct Counters {
+            $(
+                #[doc = concat!("`", stringify!($name), "` in docs/counters.md.")]
+                pub $name: Metric,
+            )*
+        }
 
         impl fmt::Display for Counters {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                let figures = [$((stringify!($name), self.$name.get()),)*];
-                let mut gap = "";
-                for (name, figure) in figures {
-                    write!(f, "{gap}{name}={figure}")?;
-                    gap = " ";
+                let metrics = [$((stringify!($name), self.$name.value()),)*];
+                let mut separator = "";
+                for (name, value) in metrics {
+                    write!(f, "{separator}{name}={value}")?;
+                    separator = " ";
                 }
                 Ok(())
             }
         }
 
         /// The counters of this process.
-        pub static COUNTERS: Counters = Counters { $($name: Count(AtomicU64::new(0)),)* };
+        pub static COUNTERS: Counters = Counters { $($name: Metric(AtomicU64::new(0)),)* };
     };
 }
 
+/// One figure that is counted, set, or raised.
 #[derive(Default)]
-pub struct Count(AtomicU64);
+pub struct Metric(AtomicU64);
 
-impl Count {
-    pub fn add(&self) {
+impl Metric {
+    /// Counts one occurrence.
+    pub fn increment(&self) {
         self.0.fetch_add(1, Relaxed);
     }
 
-    /// For figures that go up and down.
-    pub fn now(&self, value: usize) {
+    /// Sets a figure that goes up and down.
+    pub fn set(&self, value: usize) {
         self.0.store(value as u64, Relaxed);
     }
 
-    /// For figures that note the most there was.
-    pub fn most(&self, value: usize) {
+    /// Raises a figure to the highest value that there was.
+    pub fn record_max(&self, value: usize) {
         self.0.fetch_max(value as u64, Relaxed);
     }
 
-    pub fn get(&self) -> u64 {
+    /// The present figure.
+    pub fn value(&self) -> u64 {
         self.0.load(Relaxed)
     }
 }
@@ -98,15 +107,16 @@
     broken_assertions,
 );
 
-/// What must hold: ends a debug build, counts and logs in a release build.
+/// Checks an invariant: a violation ends a debug build, and is counted and logged in a release build. Returns whether
+/// it holds.
 #[macro_export]
-macro_rules! must {
-    ($holds:expr, $what:expr) => {{
-        let holds = $holds;
+macro_rules! invariant {
+    ($condition:expr, $description:expr) => {{
+        let holds = $condition;
         if !holds {
-            debug_assert!(holds, "{}", $what);
-            $crate::counters::COUNTERS.broken_assertions.add();
-            tracing::error!("must hold: {}", $what);
+            debug_assert!(holds, "{}", $description);
+            $crate::counters::COUNTERS.broken_assertions.increment();
+            tracing::error!("invariant violated: {}", $description);
         }
         holds
     }};
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -2,10 +2,10 @@
 //! one wake-up's in one batch; actions are carried out in the order given.
 
 use crate::config::Known;
-use crate::counters::{COUNTERS, Count};
+use crate::counters::{COUNTERS, Metric};
 use crate::discovery::calls::CallId;
 use crate::discovery::ordered_client::{EndpointListClient, ListDecision};
-use crate::must;
+use crate::invariant;
 use crate::net::discovery_tasks::DiscoveryTasks;
 use crate::net::list::List;
 use crate::net::platform::Vote;
@@ -153,13 +153,13 @@
     }
 
     fn decide(&mut self, events: Vec<Event>) {
-        COUNTERS.batches.add();
+        COUNTERS.batches.increment();
         let actions = self.choice.handle_events(self.clock.now(), events);
         for action in actions {
             self.act(action);
         }
-        COUNTERS.now_txns.now(self.open.len());
-        COUNTERS.now_timers.now(self.timers.len());
+        COUNTERS.now_txns.set(self.open.len());
+        COUNTERS.now_timers.set(self.timers.len());
         self.pool.count();
     }
 
@@ -167,7 +167,7 @@
         let now = self.clock.now();
         match note {
             Note::Txn { id, statement, came, reply } => {
-                COUNTERS.txns.add();
+                COUNTERS.txns.increment();
                 let expires = came + statement.left;
                 events.push(Event::RequestReceived(IncomingRequest {
                     id,
@@ -181,10 +181,10 @@
                     is_write: statement.write,
                 }));
                 let open = Open { statement, expires, reply: Some(reply), submissions: Vec::new() };
-                must!(self.open.insert(id, open).is_none(), "a txn has an id of its own");
+                invariant!(self.open.insert(id, open).is_none(), "a txn has an id of its own");
             }
             Note::Gone { id } => {
-                COUNTERS.clients_gone.add();
+                COUNTERS.clients_gone.increment();
                 if let Some(open) = self.open.get_mut(&id) {
                     open.reply = None;
                     events.push(Event::ClientDisconnected { id });
@@ -216,7 +216,7 @@
             }
             Note::VoteCompleted(outcome) => events.push(Event::VoteCompleted(outcome)),
             Note::Tally(tally) => {
-                COUNTERS.tallies_told.add();
+                COUNTERS.tallies_told.increment();
                 tracing::debug!(?tally, "platform: tally");
                 events.push(Event::OutcomesReported(OutcomeReport {
                     version: tally.build,
@@ -243,13 +243,13 @@
         match decision {
             ListDecision::Ignored => {}
             ListDecision::Apply => {
-                COUNTERS.list_changes.add();
+                COUNTERS.list_changes.increment();
                 tracing::debug!(list.version, list.whole, entries = list.entries.len(), "list: told");
                 events.push(self.apply_list(list_kind(list.whole), list));
             }
             ListDecision::Discard { is_current } => {
                 tracing::info!(list.version, list.whole, "list: not newer than the one held, asked for anew");
-                COUNTERS.list_failures.add();
+                COUNTERS.list_failures.increment();
                 if is_current {
                     events.push(self.endpoint_update_failed());
                 }
@@ -285,7 +285,7 @@
     /// Takes over news of the newest build. Feed and answers to votes come on connections of their own and
     /// may cross: the state that began last stands.
     fn staged(&mut self, stage: RolloutState) -> RolloutState {
-        COUNTERS.states_told.add();
+        COUNTERS.states_told.increment();
         tracing::debug!(?stage, "platform: state");
         let now = self.clock.now();
         let since = now - stage.age;
@@ -342,7 +342,7 @@
             Stopped::Unwritten => {
                 self.ended(errand, AttemptOutcome::NotSent, None, LoadReport::default(), events)
             }
-            Stopped::Unknown => drop(must!(false, "what has not ended is out somewhere")),
+            Stopped::Unknown => drop(invariant!(false, "what has not ended is out somewhere")),
         }
     }
 
@@ -394,9 +394,9 @@
                 });
             }
         };
-        count(ending).add();
+        count(ending).increment();
         let Some(sent) = self.sent(id, n) else {
-            must!(false, "a submission ends once");
+            invariant!(false, "a submission ends once");
             return;
         };
         sent.ended = true;
@@ -405,7 +405,7 @@
         if let Some(value) = value.filter(|_| ending == AttemptOutcome::Success)
             && let Some(reply) = open.reply.take()
         {
-            COUNTERS.settled.add();
+            COUNTERS.settled.increment();
             let _ = reply.send(Answer::Settled(value));
         }
         let closed = open.reply.is_none();
@@ -458,7 +458,7 @@
             }
             Action::CastVote { version: build, stage, verdict } => {
                 let vote = Vote { build, stage, verdict, cast: Instant::now() };
-                must!(self.votes.try_send(vote).is_ok(), "few votes wait for the platform");
+                invariant!(self.votes.try_send(vote).is_ok(), "few votes wait for the platform");
             }
             Action::Log(line) => tracing::info!("{line}"),
             // How gateways speak to each other is not laid down.
@@ -473,9 +473,9 @@
         self.run_discovery_commands();
     }
 
-    fn answer(&mut self, id: RequestId, answer: Answer, count: &Count) {
+    fn answer(&mut self, id: RequestId, answer: Answer, count: &Metric) {
         let Some(reply) = self.open.get_mut(&id).and_then(|open| open.reply.take()) else { return };
-        count.add();
+        count.increment();
         let _ = reply.send(answer);
         self.closed(id);
     }
@@ -486,10 +486,10 @@
         let now = self.clock.now();
         let by = write_within.map(|within| now + within);
         let Some(open) = self.open.get_mut(&id) else {
-            must!(false, "only open txns are sent on");
+            invariant!(false, "only open txns are sent on");
             return;
         };
-        COUNTERS.submissions.add();
+        COUNTERS.submissions.increment();
         let until = limit.map_or(open.expires, |limit| (now + limit).min(open.expires));
         let n = open.submissions.len() as u32;
         open.submissions.push(Sent { instance: instance.clone(), at: now, ended: false });
@@ -506,11 +506,11 @@
 
     fn probe(&mut self, instance: String) {
         let now = self.clock.now();
-        COUNTERS.probes.add();
+        COUNTERS.probes.increment();
         self.probed += 1;
         let (errand, until) = (Errand::Probe(self.probed), now + self.connections.connect_timeout);
         self.probes.insert(self.probed, (instance.clone(), now));
-        let allowed = must!(self.connections.health_checks, "probes only where allowed");
+        let allowed = invariant!(self.connections.health_checks, "probes only where allowed");
         if allowed && self.pool.send(&instance, errand, None, until, None, now) {
             self.remind(until, Due::Limit(errand));
         } else {
@@ -519,7 +519,7 @@
     }
 }
 
-fn count(ending: AttemptOutcome) -> &'static Count {
+fn count(ending: AttemptOutcome) -> &'static Metric {
     match ending {
         AttemptOutcome::Success => &COUNTERS.sub_settled,
         AttemptOutcome::Error => &COUNTERS.sub_error,
--- a/crates/gateway/src/net/clients.rs
+++ b/crates/gateway/src/net/clients.rs
@@ -7,9 +7,9 @@
     TURNED_AWAY_AT_ONCE, ended, read_some, unread, write_all,
 };
 use crate::arrivals::Arrivals;
-use crate::counters::{COUNTERS, Count};
+use crate::counters::{COUNTERS, Metric};
 use crate::gateway::Clock;
-use crate::must;
+use crate::invariant;
 use crate::proto::pg::{self, Asked, Frontend, Statement};
 use bytes::{Bytes, BytesMut};
 use latchhaven_policy::RequestId;
@@ -154,10 +154,10 @@
                 Ok((stream, _)) => self.clone().seat(stream),
                 Err(fault) => {
                     // Out of descriptors, or a client that was gone again: neither ends nor spins.
-                    if COUNTERS.accept_errors.get().is_multiple_of(LOGGED_OF) {
+                    if COUNTERS.accept_errors.value().is_multiple_of(LOGGED_OF) {
                         tracing::warn!(%fault, "clients: accept failed");
                     }
-                    COUNTERS.accept_errors.add();
+                    COUNTERS.accept_errors.increment();
                     self.make_room();
                     sleep(ACCEPT_AGAIN).await;
                 }
@@ -177,7 +177,7 @@
     }
 
     fn seat(self: Rc<Self>, stream: TcpStream) {
-        COUNTERS.client_connections.add();
+        COUNTERS.client_connections.increment();
         let leaving = |seat: &&Rc<Seat>| matches!(seat.at.get(), At::Leaving | At::Ending);
         let staying = self.open() - self.seats.borrow().values().filter(leaving).count();
         let room = staying < self.most || self.make_room();
@@ -185,8 +185,8 @@
         let seat = Rc::new(Seat { at, since, asked: Cell::new(false), leave: Notify::new() });
         let number = self.seated.replace(self.seated.get() + 1);
         self.seats.borrow_mut().insert(number, seat.clone());
-        COUNTERS.client_connections_most.most(self.open());
-        COUNTERS.now_client_connections.now(self.open());
+        COUNTERS.client_connections_most.record_max(self.open());
+        COUNTERS.now_client_connections.set(self.open());
         let peer = stream.peer_addr().ok().map(tracing::field::display);
         tokio::task::spawn_local(async move {
             match self.serve(&stream, &seat, room).await {
@@ -197,7 +197,7 @@
                 Err(fault) => tracing::debug!(peer, %fault, "clients: connection lost"),
             }
             self.seats.borrow_mut().remove(&number);
-            COUNTERS.now_client_connections.now(self.open());
+            COUNTERS.now_client_connections.set(self.open());
         });
     }
 
@@ -212,7 +212,7 @@
         let ending = longest(At::Ending, Duration::ZERO);
         let usual =
             || longest(At::Silent, CLIENT_SILENT_LEAST).or_else(|| longest(At::Idle, CLIENT_IDLE_LEAST));
-        let let_go = ending.is_none().then(usual).flatten().inspect(|_| COUNTERS.clients_let_go.add());
+        let let_go = ending.is_none().then(usual).flatten().inspect(|_| COUNTERS.clients_let_go.increment());
         let Some(seat) = ending.or(let_go) else { return false };
         seat.at.set(At::Leaving);
         seat.leave.notify_one();
@@ -263,7 +263,7 @@
                     More::Closing if seat.asked.get() => return Ok(End::Answered),
                     More::Closing => {
                         // Closed without a word, it would not know that coming again is harmless.
-                        COUNTERS.clients_turned_away.add();
+                        COUNTERS.clients_turned_away.increment();
                         let last = pg::error(true, pg::TOO_MANY, "no room, or stopping: come again", None);
                         return write(stream, &[last]).await.map(|()| End::Refused);
                     }
@@ -279,7 +279,7 @@
                 }
                 Some(Asked::Cancel | Asked::Terminate) => return Ok(End::Answered),
                 Some(Asked::Startup) if !room => {
-                    COUNTERS.clients_turned_away.add();
+                    COUNTERS.clients_turned_away.increment();
                     let last = pg::error(true, pg::TOO_MANY, "too many connections", None);
                     return write(stream, &[last]).await.map(|()| End::Refused);
                 }
@@ -342,8 +342,8 @@
         &self, stream: &TcpStream, seat: &Seat, inbox: &mut Inbox, statement: Rc<Statement>, came: Millis,
     ) -> io::Result<()> {
         if self.comes_too_late(came) {
-            COUNTERS.txns.add();
-            COUNTERS.declined.add();
+            COUNTERS.txns.increment();
+            COUNTERS.declined.increment();
             return write(stream, &[declined(None), Bytes::from_static(pg::READY)]).await;
         }
         let number = self.txns.replace(self.txns.get().wrapping_add(1));
@@ -477,7 +477,7 @@
                 }
             }
         };
-        must!(given.is_ok(), "every txn gets an answer");
+        invariant!(given.is_ok(), "every txn gets an answer");
         let (ready, since) = (Bytes::from_static(pg::READY), self.clock.now());
         let written = match given.unwrap_or(Answer::Voided) {
             Answer::Settled([described, row, complete]) => {
@@ -498,13 +498,13 @@
 
 /// Counts bad input, and tells whose it was and why; of lines that clients can bring about at will, few are
 /// logged.
-fn blame(stream: &TcpStream, why: &str, count: &Count) {
+fn blame(stream: &TcpStream, why: &str, count: &Metric) {
     let peer = stream.peer_addr().ok().map(tracing::field::display);
-    match count.get().is_multiple_of(LOGGED_OF) {
+    match count.value().is_multiple_of(LOGGED_OF) {
         true => tracing::info!(peer, why, "clients: bad input"),
         false => tracing::debug!(peer, why, "clients: bad input"),
     }
-    count.add();
+    count.increment();
 }
 
 /// What a client gets that may come again.
--- a/crates/gateway/src/net/list.rs
+++ b/crates/gateway/src/net/list.rs
@@ -98,7 +98,7 @@
         .err()
         .unwrap_or_else(|| "the watch ended".to_string());
     tracing::info!(why, "list: watch over");
-    COUNTERS.list_failures.add();
+    COUNTERS.list_failures.increment();
     let _ = notes.send(Note::List { call: call_id, list: None }).await;
 }
 
@@ -107,13 +107,13 @@
     let list = timeout(LIST_CALL, fetched(addr)).await.unwrap_or_else(|_| Err("no answer".to_string()));
     if let Err(why) = &list {
         tracing::info!(why, "list: call failed");
-        COUNTERS.list_failures.add();
+        COUNTERS.list_failures.increment();
     }
     let _ = notes.send(Note::List { call: call_id, list: list.ok() }).await;
 }
 
 async fn call(addr: SocketAddr, path: &str) -> io::Result<TcpStream> {
-    COUNTERS.list_calls.add();
+    COUNTERS.list_calls.increment();
     let stream = timeout(DIAL, TcpStream::connect(addr)).await??;
     stream.set_nodelay(true)?;
     write_all(&stream, &[http::get(&addr.to_string(), path)]).await?;
--- a/crates/gateway/src/net/platform.rs
+++ b/crates/gateway/src/net/platform.rs
@@ -167,7 +167,7 @@
 }
 
 fn lost(why: String, held: &mut Option<Feed>) {
-    COUNTERS.feed_lost.add();
+    COUNTERS.feed_lost.increment();
     tracing::info!(why, lines = held.take().map(|feed| feed.lines), "platform: feed lost");
 }
 
@@ -216,7 +216,7 @@
         };
         let opened =
             timeout(FEED_SILENCE, opening).await.unwrap_or_else(|_| Err("no head in time".to_string()));
-        opened.inspect(|_| COUNTERS.feed_opened.add())
+        opened.inspect(|_| COUNTERS.feed_opened.increment())
     }
 
     /// Tells line by line. Nothing is lost where this is dropped and called again.
@@ -275,7 +275,7 @@
 ) {
     let mut open = None;
     while let Some(vote) = queue.recv().await {
-        COUNTERS.votes.add();
+        COUNTERS.votes.increment();
         let (mut written, addr) = (false, *at.borrow());
         let cast = timeout_at(vote.cast + within, cast(addr, &vote, &mut open, &mut written)).await;
         let outcome = match cast {
@@ -287,16 +287,16 @@
         };
         let completed = match outcome {
             Outcome::Counted(news) => {
-                COUNTERS.votes_counted.add();
+                COUNTERS.votes_counted.increment();
                 VoteOutcome::Counted(news)
             }
             Outcome::NotCounted(why) => {
-                COUNTERS.votes_not_counted.add();
+                COUNTERS.votes_not_counted.increment();
                 tracing::info!(why, build = vote.build.0, stage = vote.stage, "platform: vote not counted");
                 VoteOutcome::NotCounted
             }
             Outcome::Unsure(why) => {
-                COUNTERS.votes_unsure.add();
+                COUNTERS.votes_unsure.increment();
                 tracing::info!(
                     why,
                     build = vote.build.0,
--- a/crates/gateway/src/net/servers.rs
+++ b/crates/gateway/src/net/servers.rs
@@ -2,7 +2,7 @@
 
 use super::{IDLE_SHARE, LARGE_ANSWER, LARGE_ANSWERS_AT_ONCE, Note, SETTLE, read_some, unfit, write_all};
 use crate::counters::COUNTERS;
-use crate::must;
+use crate::invariant;
 use crate::proto::pg::{self, Backend, Statement, Told};
 use bytes::{Bytes, BytesMut};
 use latchhaven_policy::RequestId;
@@ -150,8 +150,8 @@
 
     /// Notes what is held now.
     pub fn count(&self) {
-        COUNTERS.now_servers.now(self.spots.len());
-        COUNTERS.now_server_connections.now(self.open);
+        COUNTERS.now_servers.set(self.spots.len());
+        COUNTERS.now_server_connections.set(self.open);
     }
 
     pub fn listed(&self) -> Vec<String> {
@@ -185,8 +185,8 @@
             return false;
         }
         self.open += 1;
-        COUNTERS.server_connections_most.most(self.open);
-        COUNTERS.server_dials.add();
+        COUNTERS.server_connections_most.record_max(self.open);
+        COUNTERS.server_dials.increment();
         let Some(spot) = self.spots.get_mut(instance) else { return false };
         spot.waiting.push_back(job);
         spot.dialing += 1;
@@ -217,7 +217,7 @@
     }
 
     fn carry(&mut self, link: Rc<Link>, job: Job, now: Millis) {
-        must!(link.errand.replace(Some(job.errand)).is_none(), "one txn at a time on a connection");
+        invariant!(link.errand.replace(Some(job.errand)).is_none(), "one txn at a time on a connection");
         link.written.set(false);
         let pieces = match &job.statement {
             Some(statement) => pg::passed_on(statement, job.until - now).to_vec(),
@@ -258,7 +258,7 @@
 
     /// A connection has ended.
     pub fn over(&mut self, link: &Rc<Link>) {
-        must!(link.errand.get().is_none(), "an ended connection carries nothing");
+        invariant!(link.errand.get().is_none(), "an ended connection carries nothing");
         self.open -= 1;
         if let Some(spot) = self.spots.get_mut(&link.instance) {
             spot.idle.retain(|idle| !Rc::ptr_eq(idle, link));
@@ -333,7 +333,7 @@
         () = link.closed() => Err(io::ErrorKind::ConnectionAborted.into()),
     };
     if let Err(why) = up.and_then(|up| up) {
-        COUNTERS.server_dials_failed.add();
+        COUNTERS.server_dials_failed.increment();
         let connected = link.stream.get().is_some();
         tracing::debug!(instance = link.instance, %why, connected, "no connection");
         let _ = notes.send(Note::NotUp { link }).await;
@@ -361,7 +361,7 @@
         }
         // A second copy or noise behind the answer: no longer in step.
         if !buf.is_empty() || unfit(stream) {
-            COUNTERS.server_unasked.add();
+            COUNTERS.server_unasked.increment();
             break;
         }
     }
@@ -429,7 +429,7 @@
 ) -> (AttemptOutcome, Option<[Bytes; 3]>, LoadReport, Next) {
     // Handed over in the moment in which something came that nobody asked for.
     if !buf.is_empty() || unfit(stream) {
-        COUNTERS.server_unasked.add();
+        COUNTERS.server_unasked.increment();
         return (AttemptOutcome::NotSent, None, LoadReport::default(), Next::Over);
     }
     // Looked at here, where it is written: a process that stood still since was handed it in time.
@@ -484,7 +484,7 @@
             }
             out_of_step => {
                 // It has run, or may have: an error of the server as far as any txn goes.
-                COUNTERS.server_spoilt.add();
+                COUNTERS.server_spoilt.increment();
                 tracing::debug!(instance = link.instance, ?out_of_step, "malformed answer of a server");
                 let (ending, value) = ended.unwrap_or((AttemptOutcome::Error, None));
                 return (ending, value, load, Next::Over);
