--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -2,13 +2,15 @@
 //! one wake-up's in one batch; actions are carried out in the order given.
 
 use crate::config::Known;
-use crate::counters::{COUNTERS, Count};
-use crate::must;
-use crate::net::list::{self, List};
+use crate::counters::{COUNTERS, Metric};
+use crate::discovery::calls::CallId;
+use crate::discovery::ordered_client::{EndpointListClient, ListDecision};
+use crate::invariant;
+use crate::net::discovery_tasks::DiscoveryTasks;
+use crate::net::list::List;
 use crate::net::platform::Vote;
 use crate::net::servers::{Errand, Pool, Stopped};
 use crate::net::{Answer, CROSSING, NOTES_HELD, Note, list_kind};
-use crate::order::{Order, order};
 use crate::proto::pg::{self, Statement};
 use bytes::Bytes;
 use latchhaven_policy::Policy;
@@ -24,7 +26,6 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::select;
 use tokio::sync::{mpsc, oneshot};
-use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep_until};
 
 /// Unix time in ms at the start, and steady from there: the list gives starts of instances in Unix time.
@@ -74,16 +75,6 @@
     Unwritten(Errand),
 }
 
-/// A call for the list that is out.
-struct Call {
-    number: u64,
-    task: AbortHandle,
-    /// It has told something.
-    told: bool,
-    /// How many lists had been taken over when it was made, or when it last told.
-    lists: u64,
-}
-
 pub struct Gateway {
     choice: Policy,
     clock: Clock,
@@ -98,17 +89,9 @@
     connections: UpstreamConnectionConfig,
     /// The state of the newest build, and since when it stands so.
     news: Option<(RolloutState, Millis)>,
-    list_addr: SocketAddr,
-    version: u64,
-    /// The calls for the list that are out; after a move the earlier watch goes on until the new one tells.
-    watch: Option<Call>,
-    leaving: Option<Call>,
-    fetching: Option<Call>,
-    called: u64,
-    /// How many lists were taken over.
-    lists: u64,
+    discovery: EndpointListClient,
+    discovery_tasks: DiscoveryTasks,
     votes: mpsc::Sender<Vote>,
-    notes: mpsc::Sender<Note>,
 }
 
 impl Gateway {
@@ -127,22 +110,17 @@
             probed: 0,
             connections,
             news: None,
-            list_addr,
-            version: 0,
-            watch: None,
-            leaving: None,
-            fetching: None,
-            called: 0,
-            lists: 0,
+            discovery: EndpointListClient::new(list_addr),
+            discovery_tasks: DiscoveryTasks::new(notes),
             votes,
-            notes,
         }
     }
 
     /// Starts from what was held, and serves until dropped.
     pub async fn run(mut self, held: Known, mut notes: mpsc::Receiver<Note>) {
         let told = held.news.map(|news| Event::RolloutUpdate(self.staged(news)));
-        let listed = self.listed(UpdateKind::CachedSnapshot, held.list);
+        self.discovery.restore(held.list.version);
+        let listed = self.apply_list(UpdateKind::CachedSnapshot, held.list);
         self.decide(told.into_iter().chain([listed]).collect());
         let mut batch = Vec::new();
         loop {
@@ -175,13 +153,13 @@
     }
 
     fn decide(&mut self, events: Vec<Event>) {
-        COUNTERS.batches.add();
+        COUNTERS.batches.increment();
         let actions = self.choice.handle_events(self.clock.now(), events);
         for action in actions {
             self.act(action);
         }
-        COUNTERS.now_txns.now(self.open.len());
-        COUNTERS.now_timers.now(self.timers.len());
+        COUNTERS.now_txns.set(self.open.len());
+        COUNTERS.now_timers.set(self.timers.len());
         self.pool.count();
     }
 
@@ -189,7 +167,7 @@
         let now = self.clock.now();
         match note {
             Note::Txn { id, statement, came, reply } => {
-                COUNTERS.txns.add();
+                COUNTERS.txns.increment();
                 let expires = came + statement.left;
                 events.push(Event::RequestReceived(IncomingRequest {
                     id,
@@ -203,10 +181,10 @@
                     is_write: statement.write,
                 }));
                 let open = Open { statement, expires, reply: Some(reply), submissions: Vec::new() };
-                must!(self.open.insert(id, open).is_none(), "a txn has an id of its own");
+                invariant!(self.open.insert(id, open).is_none(), "a txn has an id of its own");
             }
             Note::Gone { id } => {
-                COUNTERS.clients_gone.add();
+                COUNTERS.clients_gone.increment();
                 if let Some(open) = self.open.get_mut(&id) {
                     open.reply = None;
                     events.push(Event::ClientDisconnected { id });
@@ -226,8 +204,8 @@
                     self.ended(errand, ending, value, load, events);
                 }
             }
-            Note::List { call, list } => self.hear_list(call, list, events),
-            Note::Moved { list } => self.moved(list),
+            Note::List { call, list } => self.on_list_answer(call, list, events),
+            Note::Moved { list } => self.on_discovery_moved(list),
             Note::Stage(stage) => {
                 let stage = self.staged(stage);
                 events.push(Event::RolloutUpdate(stage));
@@ -238,7 +216,7 @@
             }
             Note::VoteCompleted(outcome) => events.push(Event::VoteCompleted(outcome)),
             Note::Tally(tally) => {
-                COUNTERS.tallies_told.add();
+                COUNTERS.tallies_told.increment();
                 tracing::debug!(?tally, "platform: tally");
                 events.push(Event::OutcomesReported(OutcomeReport {
                     version: tally.build,
@@ -252,41 +230,44 @@
         }
     }
 
-    /// A call for the list has told something, or failed.
-    fn hear_list(&mut self, number: u64, list: Option<List>, events: &mut Vec<Event>) {
-        let is = |out: &Option<Call>| out.as_ref().is_some_and(|out| out.number == number);
-        let new = is(&self.watch) || is(&self.fetching);
-        let calls = [&mut self.watch, &mut self.fetching, &mut self.leaving];
-        // Others were made before a move, or before a later call.
-        let Some(Some(out)) = calls.into_iter().find(|out| is(out)) else { return };
-        if let Some(list) = list {
-            match order(self.version, list.version, list.whole, out.lists < self.lists) {
-                Order::Newer => {
-                    (out.told, out.lists) = (true, self.lists + 1);
-                    // Both would tell the same, and the earlier one later.
-                    self.leaving.take_if(|_| new).inspect(|earlier| earlier.task.abort());
-                    COUNTERS.list_changes.add();
-                    tracing::debug!(list.version, list.whole, entries = list.entries.len(), "list: told");
-                    let event = self.listed(list_kind(list.whole), list);
-                    return events.push(event);
+    /// A call for the endpoint list has delivered a list, or failed.
+    fn on_list_answer(&mut self, call: CallId, list: Option<List>, events: &mut Vec<Event>) {
+        let Some(list) = list else {
+            if self.discovery.on_failure(call) {
+                events.push(self.endpoint_update_failed());
+            }
+            return;
+        };
+        let decision = self.discovery.on_list(call, list.version, list.whole);
+        self.run_discovery_commands();
+        match decision {
+            ListDecision::Ignored => {}
+            ListDecision::Apply => {
+                COUNTERS.list_changes.increment();
+                tracing::debug!(list.version, list.whole, entries = list.entries.len(), "list: told");
+                events.push(self.apply_list(list_kind(list.whole), list));
+            }
+            ListDecision::Discard { is_current } => {
+                tracing::info!(list.version, list.whole, "list: not newer than the one held, asked for anew");
+                COUNTERS.list_failures.increment();
+                if is_current {
+                    events.push(self.endpoint_update_failed());
                 }
-                Order::Older => {}
-                // What it changes is not known here: the whole list has to come.
-                Order::Gapped => self.version = 0,
             }
-            tracing::info!(list.version, list.whole, "list: not newer than the one held, asked for anew");
-            COUNTERS.list_failures.add();
-            out.task.abort();
-        }
-        if new {
-            let (kind, version) = (UpdateKind::Failed, self.version);
-            events.push(Event::EndpointUpdate { kind, list_version: version, entries: Vec::new() });
         }
     }
 
-    /// Takes over a list; what was not yet written to an instance that changed is decided anew.
-    fn listed(&mut self, kind: UpdateKind, list: List) -> Event {
-        (self.version, self.lists) = (list.version, self.lists + 1);
+    fn endpoint_update_failed(&self) -> Event {
+        let list_version = self.discovery.held_version();
+        Event::EndpointUpdate { kind: UpdateKind::Failed, list_version, entries: Vec::new() }
+    }
+
+    fn run_discovery_commands(&mut self) {
+        self.discovery_tasks.run(self.discovery.take_commands());
+    }
+
+    /// Applies a list; what was not yet written to an instance that changed is decided anew.
+    fn apply_list(&mut self, kind: UpdateKind, list: List) -> Event {
         let mut back = Vec::new();
         if kind != UpdateKind::Delta {
             let here = |id: &String| list.entries.iter().any(|(listing, _)| listing.endpoint == *id);
@@ -304,7 +285,7 @@
     /// Takes over news of the newest build. Feed and answers to votes come on connections of their own and
     /// may cross: the state that began last stands.
     fn staged(&mut self, stage: RolloutState) -> RolloutState {
-        COUNTERS.states_told.add();
+        COUNTERS.states_told.increment();
         tracing::debug!(?stage, "platform: state");
         let now = self.clock.now();
         let since = now - stage.age;
@@ -361,7 +342,7 @@
             Stopped::Unwritten => {
                 self.ended(errand, AttemptOutcome::NotSent, None, LoadReport::default(), events)
             }
-            Stopped::Unknown => drop(must!(false, "what has not ended is out somewhere")),
+            Stopped::Unknown => drop(invariant!(false, "what has not ended is out somewhere")),
         }
     }
 
@@ -413,9 +394,9 @@
                 });
             }
         };
-        count(ending).add();
+        count(ending).increment();
         let Some(sent) = self.sent(id, n) else {
-            must!(false, "a submission ends once");
+            invariant!(false, "a submission ends once");
             return;
         };
         sent.ended = true;
@@ -424,7 +405,7 @@
         if let Some(value) = value.filter(|_| ending == AttemptOutcome::Success)
             && let Some(reply) = open.reply.take()
         {
-            COUNTERS.settled.add();
+            COUNTERS.settled.increment();
             let _ = reply.send(Answer::Settled(value));
         }
         let closed = open.reply.is_none();
@@ -468,15 +449,16 @@
             Action::HealthCheck { endpoint: instance } => self.probe(instance),
             Action::CloseIdleConnections { endpoint: instance } => self.pool.close_idle(&instance),
             Action::WatchEndpoints { enabled: on } => {
-                self.watch.take().inspect(|watch| watch.task.abort());
-                if on {
-                    self.watch();
-                }
+                self.discovery.set_watch(on);
+                self.run_discovery_commands();
+            }
+            Action::FetchEndpoints => {
+                self.discovery.fetch();
+                self.run_discovery_commands();
             }
-            Action::FetchEndpoints => self.fetch(),
             Action::CastVote { version: build, stage, verdict } => {
                 let vote = Vote { build, stage, verdict, cast: Instant::now() };
-                must!(self.votes.try_send(vote).is_ok(), "few votes wait for the platform");
+                invariant!(self.votes.try_send(vote).is_ok(), "few votes wait for the platform");
             }
             Action::Log(line) => tracing::info!("{line}"),
             // How gateways speak to each other is not laid down.
@@ -484,46 +466,16 @@
         }
     }
 
-    fn call(&mut self, task: impl Future<Output = ()> + 'static) -> Option<Call> {
-        let task = tokio::task::spawn_local(task).abort_handle();
-        Some(Call { number: self.called, task, told: false, lists: self.lists })
-    }
-
-    fn watch(&mut self) {
-        self.called += 1;
-        self.watch = self.call(list::watch(self.list_addr, self.version, self.called, self.notes.clone()));
-    }
-
-    fn fetch(&mut self) {
-        self.called += 1;
-        let fetch = self.call(list::fetch(self.list_addr, self.called, self.notes.clone()));
-        std::mem::replace(&mut self.fetching, fetch).inspect(|earlier| earlier.task.abort());
-    }
-
-    /// Calls that are out, or were to be made again later, go to the new address at once.
-    fn moved(&mut self, list: SocketAddr) {
-        if std::mem::replace(&mut self.list_addr, list) == list {
-            return;
-        }
-        if let Some(watch) = self.watch.take() {
-            // Of two that are out the one that has told goes on: the other one may never tell anything.
-            let earlier = self.leaving.take().filter(|earlier| !earlier.task.is_finished());
-            let (goes_on, ends) = match earlier {
-                Some(earlier) if !watch.told => (earlier, Some(watch)),
-                earlier => (watch, earlier),
-            };
-            ends.inspect(|ends| ends.task.abort());
-            self.leaving = Some(goes_on);
-            self.watch();
-        }
-        if self.fetching.as_ref().is_some_and(|fetch| !fetch.task.is_finished()) {
-            self.fetch();
-        }
+    /// The discovery service is at another address from now on.
+    fn on_discovery_moved(&mut self, address: SocketAddr) {
+        let tasks = &self.discovery_tasks;
+        self.discovery.on_address_changed(address, |call| tasks.is_finished(call));
+        self.run_discovery_commands();
     }
 
-    fn answer(&mut self, id: RequestId, answer: Answer, count: &Count) {
+    fn answer(&mut self, id: RequestId, answer: Answer, count: &Metric) {
         let Some(reply) = self.open.get_mut(&id).and_then(|open| open.reply.take()) else { return };
-        count.add();
+        count.increment();
         let _ = reply.send(answer);
         self.closed(id);
     }
@@ -534,10 +486,10 @@
         let now = self.clock.now();
         let by = write_within.map(|within| now + within);
         let Some(open) = self.open.get_mut(&id) else {
-            must!(false, "only open txns are sent on");
+            invariant!(false, "only open txns are sent on");
             return;
         };
-        COUNTERS.submissions.add();
+        COUNTERS.submissions.increment();
         let until = limit.map_or(open.expires, |limit| (now + limit).min(open.expires));
         let n = open.submissions.len() as u32;
         open.submissions.push(Sent { instance: instance.clone(), at: now, ended: false });
@@ -554,11 +506,11 @@
 
     fn probe(&mut self, instance: String) {
         let now = self.clock.now();
-        COUNTERS.probes.add();
+        COUNTERS.probes.increment();
         self.probed += 1;
         let (errand, until) = (Errand::Probe(self.probed), now + self.connections.connect_timeout);
         self.probes.insert(self.probed, (instance.clone(), now));
-        let allowed = must!(self.connections.health_checks, "probes only where allowed");
+        let allowed = invariant!(self.connections.health_checks, "probes only where allowed");
         if allowed && self.pool.send(&instance, errand, None, until, None, now) {
             self.remind(until, Due::Limit(errand));
         } else {
@@ -567,7 +519,7 @@
     }
 }
 
-fn count(ending: AttemptOutcome) -> &'static Count {
+fn count(ending: AttemptOutcome) -> &'static Metric {
     match ending {
         AttemptOutcome::Success => &COUNTERS.sub_settled,
         AttemptOutcome::Error => &COUNTERS.sub_error,
--- a/crates/proxy-config/src/freshness.rs
+++ b/crates/proxy-config/src/freshness.rs
@@ -30,6 +30,8 @@
     latest_seen: EndpointListVersion,
     /// Since when all full lists were older than [`Self::latest_seen`].
     stale_since: Option<Millis>,
+    /// The list that came last was a full one, and stale.
+    is_last_full_list_stale: bool,
     rolled_back: BTreeSet<Version>,
 }
 
@@ -122,6 +124,12 @@
 
     /// Takes over an endpoint list of discovery. Changes apply to the list in use; only a full list can be the first.
     pub fn apply_endpoint_list(&mut self, version: u64, is_full: bool, now: Millis) -> UpdateResult {
+        let result = self.apply_list_version(version, is_full, now);
+        self.is_last_full_list_stale = is_full && result == UpdateResult::Stale;
+        result
+    }
+
+    fn apply_list_version(&mut self, version: u64, is_full: bool, now: Millis) -> UpdateResult {
         if is_full {
             return self.apply_full_list(version, now);
         }
@@ -174,8 +182,12 @@
         &self.rolled_back
     }
 
-    /// True where the list in use is older than the newest known of: a full one must be fetched.
-    pub fn is_endpoint_list_stale(&self) -> bool {
+    /// A full list must be fetched: the list in use is older than the newest known of, or the last full one was stale.
+    pub fn needs_full_list(&self) -> bool {
+        self.is_endpoint_list_stale() || self.is_last_full_list_stale
+    }
+
+    fn is_endpoint_list_stale(&self) -> bool {
         self.endpoint_list.is_some_and(|list| list < self.latest_seen)
     }
 
