--- /dev/null
+++ b/crates/xds/tests/admission.rs
@@ -0,0 +1,96 @@
+//! Admission of new streams: rate, bound, and priority.
+
+use latchhaven_xds::admission::{Admission, AdmissionResult};
+use proptest::prelude::{prop, prop_assert, prop_assert_eq, proptest};
+
+/// Streams admitted per ms at most.
+const ADMISSION_RATE: f64 = 2.0;
+/// Streams admitted at once at most.
+const MAX_BURST: f64 = 50.0;
+
+#[test]
+fn reconnect_storm_is_admitted_at_the_rate_and_frequent_proxy_waits_behind_others() {
+    let mut admission = Admission::new(10_000);
+    for stream in 0..1000 {
+        let proxy = if stream < 500 { "noisy".to_string() } else { format!("p{stream}") };
+        assert_eq!(admission.request_slot(stream, &proxy, 0.0), AdmissionResult::Queued);
+    }
+    let admitted: Vec<u64> = (0..=230).flat_map(|ms| admission.poll(f64::from(ms))).collect();
+    assert!(admitted.len() >= 505 && admitted.len() <= 512, "{}", admitted.len());
+    assert!(admitted[1..500].iter().all(|stream| *stream >= 500), "one noisy proxy starves nobody");
+}
+
+#[test]
+fn closing_a_stream_without_a_slot_frees_none() {
+    let mut admission = Admission::new(2);
+    assert_eq!(admission.admit_load_reports(1), AdmissionResult::Queued);
+    assert_eq!(admission.admit_load_reports(2), AdmissionResult::Queued);
+    assert_eq!(admission.admit_load_reports(3), AdmissionResult::Full);
+    for stream in [3, 4, 5] {
+        admission.on_stream_closed(stream);
+    }
+    assert_eq!(admission.request_slot(6, "p", 0.0), AdmissionResult::Full);
+    for _ in 0..2 {
+        admission.on_stream_closed(1);
+    }
+    assert_eq!(admission.request_slot(6, "p", 0.0), AdmissionResult::Queued);
+    assert_eq!(admission.admit_load_reports(7), AdmissionResult::Full);
+}
+
+/// Slots that streams occupy, found by filling the free ones of a copy.
+fn occupied_slots(admission: &Admission, max_streams: usize) -> usize {
+    let mut copy = admission.clone();
+    let mut probes = u64::MAX - max_streams as u64..u64::MAX;
+    let free = probes.by_ref().take_while(|probe| copy.admit_load_reports(*probe) == AdmissionResult::Queued);
+    max_streams - free.count()
+}
+
+/// Streams that wait for their admission, found by admitting all on a copy: they are fewer than a burst.
+fn pending_streams(admission: &Admission) -> usize {
+    let mut copy = admission.clone();
+    let count = copy.poll(f64::MAX).len();
+    assert!(!copy.has_pending(), "a burst admits all that may be pending");
+    count
+}
+
+proptest! {
+    #![proptest_config(latchhaven_proptest_config::deterministic())]
+
+    #[test]
+    fn random_streams_stay_within_the_bound_and_the_rate(
+        steps in prop::collection::vec((0u8..3, 0u64..40, 0u8..6), 0..300)
+    ) {
+        const MAX_STREAMS: usize = 30;
+        let mut admission = Admission::new(MAX_STREAMS);
+        let mut now = 0.0;
+        let mut open = Vec::new();
+        let mut next_stream = 0;
+        let mut admitted_in_total = 0.0;
+        for (kind, pick, proxy) in steps {
+            match kind {
+                0 => {
+                    next_stream += 1;
+                    let was_full = occupied_slots(&admission, MAX_STREAMS) == MAX_STREAMS;
+                    let result = admission.request_slot(next_stream, &format!("p{proxy}"), now);
+                    prop_assert_eq!(result == AdmissionResult::Full, was_full);
+                }
+                1 => {
+                    now += pick as f64;
+                    let admitted = admission.poll(now);
+                    admitted_in_total += admitted.len() as f64;
+                    open.extend(admitted);
+                }
+                _ if !open.is_empty() => {
+                    let index = pick as usize % open.len();
+                    admission.on_stream_closed(open.swap_remove(index));
+                }
+                _ => {}
+            }
+            let occupied = occupied_slots(&admission, MAX_STREAMS);
+            let pending = pending_streams(&admission);
+            prop_assert_eq!(open.len() + pending, occupied);
+            prop_assert!(occupied <= MAX_STREAMS);
+            prop_assert!(admitted_in_total <= MAX_BURST + ADMISSION_RATE * now);
+        }
+    }
+}
