--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -4,7 +4,7 @@
 use latchhaven_policy::Policy;
 use latchhaven_policy::Version;
 use latchhaven_policy::{
-    Action, EndpointEntry, EndpointStatus, Event, Millis, RequestClass, RolloutState, UpdateKind, VoteOutcome,
+    Action, EndpointEntry, EndpointStatus, Event, Millis, RolloutState, UpdateKind, VoteOutcome,
 };
 use latchhaven_proxy_config::freshness::{KnownState, UpdateResult};
 use latchhaven_proxy_config::load_reports::{LoadReportAggregator, ProxyReport};
@@ -12,7 +12,7 @@
 use latchhaven_proxy_config::share_ledger::{CanaryShares, ShareLedger};
 use latchhaven_proxy_config::version::{ConfigVersion, RolloutStatus, SignedVersion, VersionSigner};
 use latchhaven_xds::admission::{Admission, AdmissionResult};
-use latchhaven_xds::resources::{ListenerConfig, ResourceSnapshot, ResourceType};
+use latchhaven_xds::resources::{ListenerConfig, ResourceConfig, ResourceSnapshot, ResourceType};
 use latchhaven_xds::stream::StreamEvent;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -50,7 +50,7 @@
     ledger: ShareLedger,
     labels: VersionSigner,
     terms: ProxyConfigSettings,
-    made_of: Arc<(Vec<RequestClass>, ListenerConfig)>,
+    made_of: Arc<ResourceConfig>,
     admission: Admission,
     addresses: BTreeMap<String, SocketAddr>,
     known: BTreeMap<SocketAddr, Known>,
@@ -97,7 +97,7 @@
             gathered: LoadReportAggregator::new(names, platform_only),
             ledger: ShareLedger::new(2 * streams_most),
             labels,
-            made_of: Arc::new((terms.classes.clone(), front)),
+            made_of: Arc::new(ResourceConfig { classes: terms.classes.clone(), listener: front }),
             terms,
             admission: Admission::new(streams_most),
             addresses,
--- a/crates/control-plane/src/driver.rs
+++ b/crates/control-plane/src/driver.rs
@@ -13,7 +13,7 @@
 use latchhaven_simulator_protocol::WireFault;
 use latchhaven_simulator_protocol::terms::{self, Terms};
 use latchhaven_xds::resources::ListenerConfig;
-use latchhaven_xds::server::{self, SentCounters, ServerContext, ServerEvent};
+use latchhaven_xds::server::{self, LoadReportRejected, SentCounters, ServerContext, ServerEvent};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -264,7 +264,8 @@
                 self.core.on_routes_sent(stream, &trial, now)
             }
             ServerEvent::LoadReport { stream, report, result: sound } => {
-                let _ = sound.send(self.core.on_load_report(stream, &report, now));
+                let result = self.core.on_load_report(stream, &report, now);
+                let _ = sound.send(result.map_err(LoadReportRejected::new));
             }
             ServerEvent::StreamClosed { stream } => {
                 self.turns.remove(&stream);
--- a/crates/xds/src/codec.rs
+++ b/crates/xds/src/codec.rs
@@ -1,4 +1,4 @@
-//! Messages on gRPC streams: requests are decoded, answers were encoded before and are shared.
+//! The gRPC codec of all streams: requests are decoded as protobuf messages, responses are chunks encoded earlier.
 
 use bytes::{BufMut, Bytes};
 use prost::Message;
@@ -6,7 +6,7 @@
 use tonic::Status;
 use tonic::codec::{BufferSettings, Codec, DecodeBuf, Decoder, EncodeBuf, Encoder};
 
-/// Reads messages `T`; writes pieces of bytes that are one message together.
+/// Decodes messages `T`; encodes chunks that together are one message.
 pub struct ChunkCodec<T>(PhantomData<T>);
 
 impl<T> Default for ChunkCodec<T> {
@@ -30,15 +30,18 @@
     }
 }
 
+/// Writes the chunks of a message one after the other.
 pub struct ChunkEncoder;
 
 impl Encoder for ChunkEncoder {
     type Item = Vec<Bytes>;
     type Error = Status;
 
-    fn encode(&mut self, pieces: Vec<Bytes>, out: &mut EncodeBuf<'_>) -> Result<(), Status> {
-        out.reserve(pieces.iter().map(Bytes::len).sum());
-        pieces.into_iter().for_each(|piece| out.put(piece));
+    fn encode(&mut self, chunks: Vec<Bytes>, out: &mut EncodeBuf<'_>) -> Result<(), Status> {
+        out.reserve(chunks.iter().map(Bytes::len).sum());
+        for chunk in chunks {
+            out.put(chunk);
+        }
         Ok(())
     }
 
@@ -47,6 +50,7 @@
     }
 }
 
+/// Decodes one protobuf message.
 pub struct MessageDecoder<T>(PhantomData<T>);
 
 impl<T: Message + Default> Decoder for MessageDecoder<T> {
@@ -54,8 +58,10 @@
     type Error = Status;
 
     fn decode(&mut self, src: &mut DecodeBuf<'_>) -> Result<Option<T>, Status> {
-        let read = T::decode(src).map(Some);
-        read.map_err(|fault| Status::invalid_argument(format!("a message cannot be read: {fault}")))
+        match T::decode(src) {
+            Ok(message) => Ok(Some(message)),
+            Err(error) => Err(Status::invalid_argument(format!("a message cannot be read: {error}"))),
+        }
     }
 
     fn buffer_settings(&self) -> BufferSettings {
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -1,13 +1,11 @@
-//! xDS: the resources of a handout, streams as state machines, and thin gRPC drivers round them.
+//! xDS for proxies: the proxy configuration as resources, streams as state machines, and the gRPC server around them.
 //!
-//! - [`resources`]: a handout as clusters, endpoints, listeners and routes, each encoded once a version.
-//! - [`stream`]: one stream of one proxy, pure: what it asks, what it holds, what it is sent next.
-//! - [`admission`]: when a stream may begin, pure: known proxies first, the rest at a bounded rate.
-//! - [`load_stats`]: load reports read into figures, pure.
-//! - [`server`]: the gRPC driver. It decides nothing.
-
-// Until its turn: docs/ROADMAP.md.
-#![allow(clippy::missing_panics_doc, clippy::too_many_lines, missing_docs)]
+//! - [`resources`]: clusters, endpoints, listeners and routes, each encoded once for each version.
+//! - [`stream`]: one stream of one proxy, without I/O: subscriptions, held resources, and the next response.
+//! - [`admission`]: when a stream may begin, without I/O: the rate of new streams and their number are bounded.
+//! - [`load_stats`]: parses load reports, without I/O.
+//! - [`codec`]: the gRPC codec, whose messages are chunks that several streams share.
+//! - [`server`]: the gRPC server. It makes no decisions of its own.
 
 pub mod admission;
 pub mod codec;
--- a/crates/xds/src/load_stats.rs
+++ b/crates/xds/src/load_stats.rs
@@ -1,100 +1,142 @@
-//! Load reports of LRS, read into figures. What does not fit is refused with words that name it.
+//! Parses load reports (LRS). An invalid report is rejected with an error that names the field.
 
 use crate::pb::envoy::config::core::v3::{Address, address, socket_address};
-use crate::pb::envoy::config::endpoint::v3::{ClusterStats, UpstreamLocalityStats};
+use crate::pb::envoy::config::endpoint::v3::{ClusterStats, UpstreamEndpointStats};
 use crate::pb::envoy::service::load_stats::v3::LoadStatsRequest;
 use crate::resources::{REJECT_CLUSTER, parse_cluster_name};
 use latchhaven_policy::Millis;
 use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, ProxyReport};
 use std::net::SocketAddr;
 
-/// The named metric in which proxies and hosts report times: milliseconds of one answer.
+/// The custom metric in which proxies and endpoints report latencies, in ms for one request.
 pub const LATENCY_METRIC: &str = "latency_ms";
-/// Clusters and hosts of one report at most.
-const CLUSTERS_MOST: usize = 1_024;
-const HOSTS_MOST: usize = 20_000;
+/// Clusters in one report at most.
+const MAX_CLUSTERS: usize = 1_024;
+/// Endpoints in one report at most, over all clusters.
+const MAX_ENDPOINTS: usize = 20_000;
+/// The interval of a report without clusters, in ms.
+const DEFAULT_INTERVAL: Millis = 1.0;
+/// Milliseconds in one second.
+const MILLIS_PER_SECOND: f64 = 1000.0;
+/// Nanoseconds in one millisecond.
+const NANOS_PER_MILLI: f64 = 1e6;
 
-/// Reads one report.
+/// Why a load report is invalid. The texts reach the proxy.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum LoadReportError {
+    /// The report has too many clusters.
+    #[error("cluster_stats: more than {}", MAX_CLUSTERS)]
+    TooManyClusters,
+    /// A cluster has no interval.
+    #[error("load_report_interval: missing")]
+    MissingInterval,
+    /// An interval is not a positive duration.
+    #[error("load_report_interval: not above 0")]
+    InvalidInterval,
+    /// A cluster is not one that proxies are sent.
+    #[error("cluster_name: no cluster of ours")]
+    UnknownCluster,
+    /// The report has too many endpoints.
+    #[error("upstream_endpoint_stats: more than {}", MAX_ENDPOINTS)]
+    TooManyEndpoints,
+    /// An endpoint has no address and port.
+    #[error("upstream_endpoint_stats: no address")]
+    MissingAddress,
+    /// A cluster has the same endpoint twice.
+    #[error("upstream_endpoint_stats: a host twice")]
+    DuplicateEndpoint,
+    /// The drops by category are more than all drops.
+    #[error("dropped_requests: more than in all")]
+    InvalidDropCount,
+}
+
+/// Parses one report; `classes` are the names of the request classes.
 ///
 /// # Errors
-/// The field that cannot be.
-pub fn parse_load_report(request: &LoadStatsRequest, products: &[String]) -> Result<ProxyReport, String> {
-    if request.cluster_stats.len() > CLUSTERS_MOST {
-        return Err(format!("cluster_stats: more than {CLUSTERS_MOST}"));
+/// The first field that is invalid.
+pub fn parse_load_report(
+    request: &LoadStatsRequest, classes: &[String],
+) -> Result<ProxyReport, LoadReportError> {
+    if request.cluster_stats.len() > MAX_CLUSTERS {
+        return Err(LoadReportError::TooManyClusters);
     }
-    let mut interval: Option<Millis> = None;
-    let (mut clusters, mut hosts) = (Vec::new(), 0);
+    let mut longest_interval: Option<Millis> = None;
+    let mut endpoint_count = 0;
+    let mut clusters = Vec::new();
     for stats in &request.cluster_stats {
-        let span = stats.load_report_interval.as_ref();
-        let span = span.map(|span| span.seconds as f64 * 1000.0 + f64::from(span.nanos) / 1e6);
-        let span = span.ok_or("load_report_interval: missing")?;
-        if !(span > 0.0 && span.is_finite()) {
-            return Err("load_report_interval: not above 0".to_string());
-        }
-        interval = Some(interval.map_or(span, |longest| longest.max(span)));
+        let interval = parse_interval(stats)?;
+        longest_interval = Some(longest_interval.map_or(interval, |longest| longest.max(interval)));
         if stats.cluster_name == REJECT_CLUSTER {
             continue;
         }
-        let (build, product) =
-            parse_cluster_name(&stats.cluster_name, products).ok_or("cluster_name: no cluster of ours")?;
-        let mut found = Vec::new();
-        for locality in &stats.upstream_locality_stats {
-            hosts += locality.upstream_endpoint_stats.len();
-            if hosts > HOSTS_MOST {
-                return Err(format!("upstream_endpoint_stats: more than {HOSTS_MOST}"));
-            }
-            endpoints(locality, &mut found)?;
+        let (version, class) =
+            parse_cluster_name(&stats.cluster_name, classes).ok_or(LoadReportError::UnknownCluster)?;
+        let endpoints = parse_endpoints(stats, &mut endpoint_count)?;
+        clusters.push(ClusterReport { version, class, endpoints, dropped: parse_dropped(stats)? });
+    }
+    Ok(ProxyReport { interval: longest_interval.unwrap_or(DEFAULT_INTERVAL), clusters })
+}
+
+/// The time that a cluster's counts cover, in ms.
+fn parse_interval(stats: &ClusterStats) -> Result<Millis, LoadReportError> {
+    let interval = stats.load_report_interval.as_ref().ok_or(LoadReportError::MissingInterval)?;
+    let interval = interval.seconds as f64 * MILLIS_PER_SECOND + f64::from(interval.nanos) / NANOS_PER_MILLI;
+    if interval > 0.0 && interval.is_finite() { Ok(interval) } else { Err(LoadReportError::InvalidInterval) }
+}
+
+/// The endpoints of a cluster, sorted by address; `endpoint_count` counts those of the whole report.
+fn parse_endpoints(
+    stats: &ClusterStats, endpoint_count: &mut usize,
+) -> Result<Vec<(SocketAddr, EndpointCounts)>, LoadReportError> {
+    let mut endpoints = Vec::new();
+    for locality in &stats.upstream_locality_stats {
+        *endpoint_count += locality.upstream_endpoint_stats.len();
+        if *endpoint_count > MAX_ENDPOINTS {
+            return Err(LoadReportError::TooManyEndpoints);
         }
-        found.sort_by_key(|(addr, _)| *addr);
-        if found.windows(2).any(|pair| pair[0].0 == pair[1].0) {
-            return Err("upstream_endpoint_stats: a host twice".to_string());
+        for endpoint in &locality.upstream_endpoint_stats {
+            let addr = endpoint.address.as_ref().and_then(parse_address);
+            let addr = addr.ok_or(LoadReportError::MissingAddress)?;
+            endpoints.push((addr, parse_counts(endpoint)));
         }
-        clusters.push(ClusterReport {
-            version: build,
-            class: product,
-            endpoints: found,
-            dropped: dropped(stats)?,
-        });
     }
-    Ok(ProxyReport { interval: interval.unwrap_or(1.0), clusters })
+    endpoints.sort_by_key(|(addr, _)| *addr);
+    if endpoints.windows(2).any(|pair| pair[0].0 == pair[1].0) {
+        return Err(LoadReportError::DuplicateEndpoint);
+    }
+    Ok(endpoints)
 }
 
-/// The sum of drops by category cannot be more than all drops.
-fn dropped(stats: &ClusterStats) -> Result<u64, String> {
-    let named = stats.dropped_requests.iter().try_fold(0u64, |sum, drop| sum.checked_add(drop.dropped_count));
-    match named {
-        Some(named) if named <= stats.total_dropped_requests => Ok(stats.total_dropped_requests),
-        _ => Err("dropped_requests: more than in all".to_string()),
+fn parse_counts(stats: &UpstreamEndpointStats) -> EndpointCounts {
+    let mut counts = EndpointCounts {
+        started: stats.total_issued_requests,
+        succeeded: stats.total_successful_requests,
+        failed: stats.total_error_requests,
+        in_flight: stats.total_requests_in_progress,
+        total_latency: 0.0,
+        latency_samples: 0,
+    };
+    for metric in stats.load_metric_stats.iter().filter(|metric| metric.metric_name == LATENCY_METRIC) {
+        counts.total_latency += metric.total_metric_value;
+        counts.latency_samples =
+            counts.latency_samples.saturating_add(metric.num_requests_finished_with_metric);
     }
+    counts
 }
 
-fn endpoints(
-    stats: &UpstreamLocalityStats, found: &mut Vec<(SocketAddr, EndpointCounts)>,
-) -> Result<(), String> {
-    for one in &stats.upstream_endpoint_stats {
-        let addr =
-            one.address.as_ref().and_then(parse_address).ok_or("upstream_endpoint_stats: no address")?;
-        let mut figures = EndpointCounts {
-            started: one.total_issued_requests,
-            succeeded: one.total_successful_requests,
-            failed: one.total_error_requests,
-            in_flight: one.total_requests_in_progress,
-            total_latency: 0.0,
-            latency_samples: 0,
-        };
-        for metric in one.load_metric_stats.iter().filter(|metric| metric.metric_name == LATENCY_METRIC) {
-            figures.total_latency += metric.total_metric_value;
-            figures.latency_samples =
-                figures.latency_samples.saturating_add(metric.num_requests_finished_with_metric);
-        }
-        found.push((addr, figures));
+/// All dropped requests. The sum of the categories cannot be more.
+fn parse_dropped(stats: &ClusterStats) -> Result<u64, LoadReportError> {
+    let mut categories = stats.dropped_requests.iter();
+    let sum = categories.try_fold(0u64, |sum, category| sum.checked_add(category.dropped_count));
+    match sum {
+        Some(sum) if sum <= stats.total_dropped_requests => Ok(stats.total_dropped_requests),
+        _ => Err(LoadReportError::InvalidDropCount),
     }
-    Ok(())
 }
 
-/// The address and port that an address tells, if it tells these.
-pub fn parse_address(told: &Address) -> Option<SocketAddr> {
-    let Some(address::Address::SocketAddress(socket)) = &told.address else { return None };
+/// The socket address in an xDS address, if it has an IP address and a port.
+pub fn parse_address(address: &Address) -> Option<SocketAddr> {
+    let Some(address::Address::SocketAddress(socket)) = &address.address else { return None };
     let Some(socket_address::PortSpecifier::PortValue(port)) = socket.port_specifier else { return None };
     Some(SocketAddr::new(socket.address.parse().ok()?, u16::try_from(port).ok()?))
 }
--- /dev/null
+++ b/crates/xds/src/resources/encoding.rs
@@ -0,0 +1,112 @@
+//! Encoded resources, content hashes, and small messages that several resource types share.
+
+use super::ResourceType;
+use crate::pb::envoy::config::core::v3 as core;
+use crate::pb::google::protobuf::{Any, Duration, UInt32Value};
+use bytes::{BufMut, Bytes, BytesMut};
+use latchhaven_policy::Millis;
+use prost::Message;
+use prost::encoding::{WireType, encode_key, encode_varint};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+/// Offset basis of FNV-1a with 64 bits.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// Prime of FNV-1a with 64 bits.
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+/// The field `resources` of a `DiscoveryResponse`, and `resource` of the `Resource` in a `DeltaDiscoveryResponse`.
+const RESOURCE_FIELD: u32 = 2;
+/// Bytes that the key and the length of one field take at most, as far as memory is reserved for them.
+const FIELD_HEADER_LENGTH: usize = 8;
+/// Nanoseconds in one millisecond.
+const NANOS_PER_MILLI: f64 = 1e6;
+/// Nanoseconds in one second.
+const NANOS_PER_SECOND: i64 = 1_000_000_000;
+
+/// One encoded resource.
+#[derive(Debug)]
+pub struct Resource {
+    /// Its name, unique within its type.
+    pub name: String,
+    /// Hash of its content: the same at every control service.
+    pub hash: u64,
+    /// Names of the resources that it references: routes reference clusters, a cluster references its endpoints.
+    pub references: BTreeSet<String>,
+    /// The `Any` as protobuf field 2. The number is the same in both forms of the protocol: `resources` of a
+    /// `DiscoveryResponse` and `resource` of an entry in a `DeltaDiscoveryResponse`.
+    pub any: Bytes,
+}
+
+/// A resource whose message is encoded, but not yet wrapped in an `Any`.
+pub(super) struct ResourceMessage {
+    pub(super) name: String,
+    pub(super) references: BTreeSet<String>,
+    pub(super) bytes: Vec<u8>,
+}
+
+impl ResourceMessage {
+    /// Hash of the encoded message.
+    pub(super) fn hash(&self) -> u64 {
+        content_hash(self.bytes.iter().copied())
+    }
+
+    /// Wraps the message, whose hash is known already.
+    pub(super) fn into_resource(self, resource_type: ResourceType, hash: u64) -> Resource {
+        let any = Any { type_url: resource_type.url().to_string(), value: self.bytes };
+        let any = any.encode_to_vec();
+        let mut field = BytesMut::with_capacity(any.len() + FIELD_HEADER_LENGTH);
+        encode_bytes_field(RESOURCE_FIELD, &any, &mut field);
+        Resource { name: self.name, hash, references: self.references, any: field.freeze() }
+    }
+}
+
+/// FNV-1a with 64 bits: distinguishes contents and is the same everywhere. It is no protection against forgery;
+/// version labels are signed by other means.
+pub(crate) fn content_hash(bytes: impl IntoIterator<Item = u8>) -> u64 {
+    let add = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
+    bytes.into_iter().fold(FNV_OFFSET_BASIS, add)
+}
+
+/// Appends one length-delimited field of a message.
+pub(crate) fn encode_bytes_field(tag: u32, bytes: &[u8], out: &mut BytesMut) {
+    encode_key(tag, WireType::LengthDelimited, out);
+    encode_varint(bytes.len() as u64, out);
+    out.put_slice(bytes);
+}
+
+/// A message as `Any`; `type_name` is its full name without the host of type URLs.
+pub(super) fn to_any(type_name: &str, message: &impl Message) -> Any {
+    Any { type_url: format!("type.googleapis.com/{type_name}"), value: message.encode_to_vec() }
+}
+
+/// A number in the wrapper that optional fields use.
+pub(super) fn to_uint32_value(value: u32) -> Option<UInt32Value> {
+    Some(UInt32Value { value })
+}
+
+/// A duration in ms as the protobuf message; negative ones count as zero.
+pub(super) fn to_duration(duration: Millis) -> Option<Duration> {
+    let nanos = (duration.max(0.0) * NANOS_PER_MILLI) as i64;
+    Some(Duration { seconds: nanos / NANOS_PER_SECOND, nanos: (nanos % NANOS_PER_SECOND) as i32 })
+}
+
+/// The config source of everything that a resource references: the aggregated stream.
+pub(super) fn aggregated_config_source() -> core::ConfigSource {
+    let source = core::config_source::ConfigSourceSpecifier::Ads(core::AggregatedConfigSource {});
+    core::ConfigSource {
+        resource_api_version: core::ApiVersion::V3 as i32,
+        config_source_specifier: Some(source),
+        ..core::ConfigSource::default()
+    }
+}
+
+/// A socket address as resources and load reports hold it.
+pub fn to_xds_address(addr: SocketAddr) -> core::Address {
+    let port = core::socket_address::PortSpecifier::PortValue(u32::from(addr.port()));
+    let socket_address = core::SocketAddress {
+        address: addr.ip().to_string(),
+        port_specifier: Some(port),
+        ..core::SocketAddress::default()
+    };
+    core::Address { address: Some(core::address::Address::SocketAddress(socket_address)) }
+}
--- /dev/null
+++ b/crates/xds/src/server/discovery.rs
@@ -0,0 +1,145 @@
+//! Discovery streams: runs the [`Stream`] state machine over gRPC.
+
+use super::services::DiscoveryMethod;
+use super::stream_task::{
+    ResponseFuture, ResponseItem, ResponseSender, ResponseStream, first_request, service_unavailable,
+    spawn_stream, wait_for_admission,
+};
+use super::{ServerContext, ServerEvent};
+use crate::stream::{Stream, StreamError, SubscriptionRequest};
+use bytes::Bytes;
+use std::pin::pin;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+use tokio::select;
+use tokio::sync::mpsc::Permit;
+use tokio::time::sleep;
+use tonic::server::StreamingService;
+use tonic::{Request, Status, Streaming};
+
+/// Time for a reconnected proxy to name the resources it holds before it is sent clusters.
+const NAMING_GRACE: Duration = Duration::from_secs(1);
+
+/// The gRPC service of one discovery stream.
+pub(super) struct DiscoveryService {
+    pub(super) context: ServerContext,
+    pub(super) stream_number: u64,
+    pub(super) method: DiscoveryMethod,
+}
+
+impl<R: Into<SubscriptionRequest> + Send + 'static> StreamingService<R> for DiscoveryService {
+    type Response = Vec<Bytes>;
+    type ResponseStream = ResponseStream;
+    type Future = ResponseFuture;
+
+    fn call(&mut self, request: Request<Streaming<R>>) -> ResponseFuture {
+        let context = self.context.clone();
+        let DiscoveryMethod { incremental, only_type } = self.method;
+        let task = DiscoveryTask {
+            stream: Stream::new(incremental, only_type, context.signer.clone()),
+            stream_number: self.stream_number,
+            incremental,
+            context,
+            is_idle: false,
+        };
+        spawn_stream(self.context.events.clone(), self.stream_number, async move |responses| {
+            task.run(request.into_inner(), &responses).await
+        })
+    }
+}
+
+/// The task of one discovery stream.
+struct DiscoveryTask {
+    stream: Stream,
+    stream_number: u64,
+    incremental: bool,
+    context: ServerContext,
+    /// There is nothing to send until a request, a snapshot, or the end of the naming grace.
+    is_idle: bool,
+}
+
+impl DiscoveryTask {
+    async fn run<R: Into<SubscriptionRequest>>(
+        mut self, mut requests: Streaming<R>, responses: &ResponseSender,
+    ) -> Result<(), Status> {
+        let Some(request) = first_request(&mut requests).await? else { return Ok(()) };
+        self.on_request(request)?;
+        let node = self.stream.node().unwrap_or_default().to_string();
+        wait_for_admission(&self.context.events, self.stream_number, node, false).await?;
+        let mut naming_grace = pin!(sleep(NAMING_GRACE));
+        let mut naming_grace_ended = false;
+        loop {
+            self.report_events().await?;
+            select! {
+                biased;
+                request = requests.message() => {
+                    let Some(request) = request? else { return Ok(()) };
+                    self.on_request(request)?;
+                }
+                // A response is chosen only once there is room for it, so that it is the newest.
+                permit = responses.reserve(), if !self.is_idle => {
+                    let Ok(permit) = permit else { return Ok(()) };
+                    self.send_next_response(permit).await?;
+                }
+                changed = self.context.snapshots.changed() => {
+                    changed.map_err(service_unavailable)?;
+                    self.is_idle = false;
+                }
+                () = &mut naming_grace, if !naming_grace_ended => {
+                    naming_grace_ended = true;
+                    self.is_idle = false;
+                    self.stream.end_naming_grace();
+                }
+            }
+        }
+    }
+
+    fn on_request(&mut self, request: impl Into<SubscriptionRequest>) -> Result<(), Status> {
+        self.stream.on_request(request.into()).map_err(to_status)?;
+        self.is_idle = false;
+        Ok(())
+    }
+
+    async fn report_events(&mut self) -> Result<(), Status> {
+        let events = self.stream.take_events();
+        if events.is_empty() {
+            return Ok(());
+        }
+        let event = ServerEvent::StreamEvents { stream: self.stream_number, events };
+        self.context.events.send(event).await.map_err(service_unavailable)
+    }
+
+    async fn send_next_response(&mut self, permit: Permit<'_, ResponseItem>) -> Result<(), Status> {
+        let snapshot = self.context.snapshots.borrow_and_update().clone();
+        let response = snapshot.and_then(|snapshot| self.stream.next_response(&snapshot));
+        self.is_idle = response.is_none();
+        let Some(response) = response else { return Ok(()) };
+        if let Some(canary_shares) = response.canary_shares {
+            let event = ServerEvent::RoutesSent { stream: self.stream_number, canary_shares };
+            self.context.events.send(event).await.map_err(service_unavailable)?;
+        }
+        self.count_sent(&response.chunks);
+        permit.send(Ok(response.chunks));
+        Ok(())
+    }
+
+    fn count_sent(&self, chunks: &[Bytes]) {
+        let counters = &self.context.counters;
+        let length: usize = chunks.iter().map(Bytes::len).sum();
+        let (messages, bytes) = if self.incremental {
+            (&counters.incremental_messages, &counters.incremental_bytes)
+        } else {
+            (&counters.messages, &counters.bytes)
+        };
+        messages.fetch_add(1, Ordering::Relaxed);
+        bytes.fetch_add(length as u64, Ordering::Relaxed);
+    }
+}
+
+fn to_status(error: StreamError) -> Status {
+    if error.is_resource_exhausted() {
+        Status::resource_exhausted(error.to_string())
+    } else {
+        Status::invalid_argument(error.to_string())
+    }
+}
--- /dev/null
+++ b/crates/xds/src/server/stream_task.rs
@@ -0,0 +1,74 @@
+//! What all streams share: the task that serves a stream, its first request, and its admission.
+
+use super::ServerEvent;
+use bytes::Bytes;
+use std::future::Future;
+use std::pin::Pin;
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::timeout;
+use tokio_stream::wrappers::ReceiverStream;
+use tonic::{Response, Status, Streaming};
+
+/// A stream without a request by then ends.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Limit for the admission of a stream.
+const ADMISSION_TIMEOUT: Duration = Duration::from_secs(30);
+/// Responses on their way on one stream: more would be a queue of outdated ones before a slow reader.
+const MAX_QUEUED_RESPONSES: usize = 1;
+
+/// One response in chunks, or the status that ends the stream.
+pub(super) type ResponseItem = Result<Vec<Bytes>, Status>;
+/// Where the task of a stream puts its responses.
+pub(super) type ResponseSender = mpsc::Sender<ResponseItem>;
+/// The responses of a stream.
+pub(super) type ResponseStream = ReceiverStream<ResponseItem>;
+/// A stream that begins.
+pub(super) type ResponseFuture =
+    Pin<Box<dyn Future<Output = Result<Response<ResponseStream>, Status>> + Send>>;
+
+/// Serves a stream on a task of its own until it ends, and reports its end.
+pub(super) fn spawn_stream<F>(
+    events: mpsc::Sender<ServerEvent>, stream: u64, serve: impl FnOnce(ResponseSender) -> F + Send + 'static,
+) -> ResponseFuture
+where
+    F: Future<Output = Result<(), Status>> + Send + 'static,
+{
+    Box::pin(async move {
+        let (responses, response_stream) = mpsc::channel(MAX_QUEUED_RESPONSES);
+        tokio::spawn(async move {
+            let result = serve(responses.clone()).await;
+            let _ = events.send(ServerEvent::StreamClosed { stream }).await;
+            if let Err(status) = result {
+                let _ = responses.send(Err(status)).await;
+            }
+        });
+        Ok(Response::new(ReceiverStream::new(response_stream)))
+    })
+}
+
+/// The first request of a stream; none: the stream ended.
+pub(super) async fn first_request<R>(requests: &mut Streaming<R>) -> Result<Option<R>, Status> {
+    match timeout(FIRST_REQUEST_TIMEOUT, requests.message()).await {
+        Ok(request) => request,
+        Err(_) => Err(Status::deadline_exceeded("nothing was asked")),
+    }
+}
+
+/// Waits until the stream may begin.
+pub(super) async fn wait_for_admission(
+    events: &mpsc::Sender<ServerEvent>, stream: u64, node: String, reports_loads: bool,
+) -> Result<(), Status> {
+    let (admitted, admission) = oneshot::channel();
+    let opened = ServerEvent::StreamOpened { stream, node, reports_loads, admitted };
+    events.send(opened).await.map_err(service_unavailable)?;
+    match timeout(ADMISSION_TIMEOUT, admission).await {
+        Ok(admission) => admission.map_err(service_unavailable)?,
+        Err(_) => Err(Status::resource_exhausted("too many begin at once: come again later")),
+    }
+}
+
+/// The status of a stream when the receiver of events, or the source of snapshots, is gone.
+pub(super) fn service_unavailable<E>(_: E) -> Status {
+    Status::unavailable("the control service ends")
+}
--- /dev/null
+++ b/crates/xds/src/stream/request_handling.rs
@@ -0,0 +1,225 @@
+//! What a request changes: the node's identity, acknowledgements, and subscriptions.
+
+use super::messages::{StreamError, StreamEvent, SubscriptionRequest};
+use super::type_state::{HeldResource, PendingResponse};
+use super::{INLINE_ENDPOINTS_FEATURE, MAX_NODE_ID_LENGTH, Stream};
+use crate::resources::ResourceType;
+use latchhaven_proxy_config::version::{ConfigVersion, SignedVersion, VersionSigner, split_label};
+use std::collections::BTreeMap;
+
+/// Names of one type that a stream may subscribe to: a configuration has some tens.
+pub(super) const MAX_SUBSCRIBED_NAMES: usize = 1_024;
+/// Bytes of one resource name.
+pub(super) const MAX_NAME_LENGTH: usize = 512;
+/// Resources that a proxy may say it holds: clusters and endpoints of several versions.
+pub(super) const MAX_HELD_RESOURCES: usize = 20_000;
+/// Requests with nonces that were never sent, after which the stream ends.
+const MAX_UNKNOWN_NONCES: u32 = 16;
+/// Bytes of a proxy's reason for a rejection that are kept.
+const MAX_REJECTION_LENGTH: usize = 512;
+
+/// What the nonce of a request refers to.
+enum Nonce {
+    Absent,
+    LatestResponse,
+    EarlierResponse,
+    Unknown,
+}
+
+impl Stream {
+    /// Handles a request.
+    ///
+    /// # Errors
+    /// The request cannot be answered: the stream ends with this error.
+    pub fn on_request(&mut self, mut request: SubscriptionRequest) -> Result<(), StreamError> {
+        if self.node.is_none() {
+            self.identify(&mut request)?;
+        }
+        let resource_type = self.requested_type(&request.type_url)?;
+        check_limits(&request)?;
+        let is_first = self.subscribed(resource_type).is_none();
+        let nonce = self.classify_nonce(resource_type, &request.nonce, is_first);
+        match nonce {
+            Nonce::Unknown => return self.on_unknown_nonce(),
+            // In the full form a late request is void; in the incremental form it still changes the subscription.
+            Nonce::EarlierResponse if !self.incremental => return Ok(()),
+            _ => {}
+        }
+        if is_first {
+            self.record_initial_versions(resource_type, &request);
+        }
+        if matches!(nonce, Nonce::LatestResponse) {
+            self.conclude_pending(resource_type, request.error.take());
+        }
+        self.update_type(resource_type, is_first, request)
+    }
+
+    /// Takes the node's id and features from the first request.
+    fn identify(&mut self, request: &mut SubscriptionRequest) -> Result<(), StreamError> {
+        let node = request.node.take().filter(|node| !node.is_empty());
+        let node = node.ok_or(StreamError::MissingNodeId)?;
+        if node.len() > MAX_NODE_ID_LENGTH {
+            return Err(StreamError::NodeIdTooLong);
+        }
+        self.node = Some(node);
+        if request.features.iter().any(|feature| feature == INLINE_ENDPOINTS_FEATURE) {
+            self.separate_endpoints = false;
+        }
+        Ok(())
+    }
+
+    fn requested_type(&self, type_url: &str) -> Result<ResourceType, StreamError> {
+        match (ResourceType::from_url(type_url), self.only_type) {
+            (Some(ResourceType::LbEndpoint), None) if !self.incremental => {}
+            (Some(resource_type), None) => return Ok(resource_type),
+            (Some(resource_type), Some(only_type)) if resource_type == only_type => return Ok(only_type),
+            (None, Some(only_type)) if type_url.is_empty() => return Ok(only_type),
+            _ => {}
+        }
+        Err(StreamError::UnsupportedType { url: type_url.chars().take(MAX_NODE_ID_LENGTH).collect() })
+    }
+
+    fn classify_nonce(&self, resource_type: ResourceType, nonce: &str, is_first: bool) -> Nonce {
+        if nonce.is_empty() {
+            return Nonce::Absent;
+        }
+        if is_first {
+            return Nonce::Unknown;
+        }
+        if self.types.get(&resource_type).is_some_and(|state| state.nonce == nonce) {
+            return Nonce::LatestResponse;
+        }
+        match nonce.parse::<u64>() {
+            Ok(number) if number > 0 && number <= self.responses => Nonce::EarlierResponse,
+            _ => Nonce::Unknown,
+        }
+    }
+
+    /// Such a request is ignored until there were too many.
+    fn on_unknown_nonce(&mut self) -> Result<(), StreamError> {
+        self.unknown_nonces += 1;
+        if self.unknown_nonces < MAX_UNKNOWN_NONCES { Ok(()) } else { Err(StreamError::UnknownNonce) }
+    }
+
+    /// Records what the proxy holds from an earlier stream: nothing older is sent to it.
+    fn record_initial_versions(&mut self, resource_type: ResourceType, request: &SubscriptionRequest) {
+        let mut versions = InitialVersions::default();
+        let mut held = Vec::new();
+        for initial in &request.initial_versions {
+            if let Some(hash) = versions.read(&initial.label, &self.signer) {
+                held.push((initial.name.clone(), HeldResource { hash, resource: None }));
+            }
+        }
+        versions.read(&request.version, &self.signer);
+        let newest = versions.newest();
+        let state = self.types.entry(resource_type).or_default();
+        state.minimum_version = newest;
+        state.held.extend(held);
+        // Signed versions tell the state of the platform; others only what this proxy claims.
+        self.report_held(resource_type, newest, false);
+        self.report_held(resource_type, versions.newest_signed(), true);
+    }
+
+    fn report_held(&mut self, resource_type: ResourceType, version: Option<ConfigVersion>, is_signed: bool) {
+        let Some(version) = version else { return };
+        let version = SignedVersion { version, content_hash: 0, is_signed };
+        self.events.push(StreamEvent::Holds { resource_type, version });
+    }
+
+    /// The pending response was accepted, or rejected with this error.
+    fn conclude_pending(&mut self, resource_type: ResourceType, error: Option<String>) {
+        let Some(state) = self.types.get_mut(&resource_type) else { return };
+        let Some(pending) = state.pending.take() else { return };
+        match error {
+            Some(message) => self.reject_pending(resource_type, &pending, message),
+            None => {
+                state.on_accepted(pending.content);
+                self.events.extend(pending.canary_shares.map(StreamEvent::Acknowledged));
+            }
+        }
+    }
+
+    fn reject_pending(&mut self, resource_type: ResourceType, pending: &PendingResponse, message: String) {
+        let Some(state) = self.types.get_mut(&resource_type) else { return };
+        let is_repeated = state.on_rejected(pending);
+        if !is_repeated {
+            let message = truncate(message, MAX_REJECTION_LENGTH);
+            self.events.push(StreamEvent::Rejected { resource_type, message });
+        }
+    }
+
+    fn update_type(
+        &mut self, resource_type: ResourceType, is_first: bool, request: SubscriptionRequest,
+    ) -> Result<(), StreamError> {
+        // Which endpoints stay depends on which clusters are held.
+        self.types.entry(ResourceType::Endpoint).or_default().up_to_date_with = None;
+        let state = self.types.entry(resource_type).or_default();
+        state.up_to_date_with = None;
+        state.is_subscribed = true;
+        if self.incremental {
+            return state.update_subscription(resource_type, is_first, request.names, request.unsubscribed);
+        }
+        state.replace_subscription(resource_type, is_first, request.names);
+        Ok(())
+    }
+}
+
+/// The versions in the labels that a proxy names. Hundreds of labels have a few prefixes; each is read once.
+#[derive(Default)]
+struct InitialVersions<'a> {
+    by_prefix: BTreeMap<&'a str, Option<PrefixVersion>>,
+}
+
+#[derive(Clone, Copy)]
+struct PrefixVersion {
+    version: ConfigVersion,
+    is_signed: bool,
+}
+
+impl<'a> InitialVersions<'a> {
+    /// Reads a label. Returns the content hash in it, unless it is no label of ours.
+    fn read(&mut self, label: &'a str, signer: &VersionSigner) -> Option<u64> {
+        let (prefix, content_hash) = split_label(label)?;
+        let parse = || {
+            let (version, is_signed) = signer.parse_prefix(prefix)?;
+            Some(PrefixVersion { version, is_signed })
+        };
+        let version = self.by_prefix.entry(prefix).or_insert_with(parse);
+        version.map(|_| content_hash)
+    }
+
+    /// The join of all versions.
+    fn newest(&self) -> Option<ConfigVersion> {
+        join(self.by_prefix.values().flatten())
+    }
+
+    /// The join of all versions that were signed with the control services' key.
+    fn newest_signed(&self) -> Option<ConfigVersion> {
+        join(self.by_prefix.values().flatten().filter(|prefix| prefix.is_signed))
+    }
+}
+
+fn join<'a>(prefixes: impl Iterator<Item = &'a PrefixVersion>) -> Option<ConfigVersion> {
+    prefixes.map(|prefix| prefix.version).reduce(|newest, version| newest.join(&version))
+}
+
+fn check_limits(request: &SubscriptionRequest) -> Result<(), StreamError> {
+    let is_too_large = request.names.len() > MAX_SUBSCRIBED_NAMES
+        || request.unsubscribed.len() > MAX_HELD_RESOURCES
+        || request.initial_versions.len() > MAX_HELD_RESOURCES;
+    if is_too_large {
+        return Err(StreamError::RequestTooLarge);
+    }
+    let held = request.initial_versions.iter().map(|initial| &initial.name);
+    let mut names = request.names.iter().chain(&request.unsubscribed).chain(held);
+    if names.any(|name| name.len() > MAX_NAME_LENGTH) {
+        return Err(StreamError::NameTooLong);
+    }
+    Ok(())
+}
+
+/// Shortens a text to so many bytes, at a character boundary.
+fn truncate(mut text: String, max_length: usize) -> String {
+    text.truncate(text.floor_char_boundary(max_length));
+    text
+}
--- /dev/null
+++ b/crates/xds/src/stream/response_selection.rs
@@ -0,0 +1,146 @@
+//! What the next response contains.
+
+use super::Stream;
+use super::dependencies::Retained;
+use super::messages::{StreamEvent, StreamResponse};
+use super::response_encoding::ResponseMessage;
+use super::type_state::{PendingResponse, ResponseContent, TypeState, response_hash};
+use crate::resources::{Resource, ResourceSet, ResourceSnapshot, ResourceType, TypeResources};
+use std::collections::BTreeSet;
+use std::sync::Arc;
+
+/// Versions that are gone and whose clusters a reconnected proxy may keep for a while.
+const MAX_RETIRED_VERSIONS: usize = 8;
+
+impl Stream {
+    /// The next response of one type, if one may be sent now.
+    pub(super) fn next_response_of_type(
+        &mut self, resource_type: ResourceType, snapshot: &ResourceSnapshot,
+    ) -> Option<StreamResponse> {
+        if !self.may_respond(resource_type, snapshot) {
+            return None;
+        }
+        let set = snapshot.resources(resource_type, self.separate_endpoints);
+        let state = self.types.get(&resource_type)?;
+        // Most calls find what an earlier one found; clusters depend on the routes that are held as well.
+        if state.up_to_date_with == Some(set.content_hash) && resource_type != ResourceType::Cluster {
+            return None;
+        }
+        let retained = self.retained(resource_type, snapshot);
+        let content = if self.incremental {
+            select_changes(state, &set.resources, &retained)
+        } else if resource_type.is_wildcard() {
+            self.select_all(resource_type, snapshot, &set.resources, &retained)
+        } else {
+            select_new(state, &set.resources)
+        };
+        match content {
+            Some(content) => self.respond(resource_type, snapshot, content),
+            None => {
+                self.on_up_to_date(resource_type, snapshot, set);
+                None
+            }
+        }
+    }
+
+    /// There is nothing to send. Routes that were held all along count as accepted.
+    fn on_up_to_date(
+        &mut self, resource_type: ResourceType, snapshot: &ResourceSnapshot, set: &TypeResources,
+    ) {
+        let Some(state) = self.types.get_mut(&resource_type) else { return };
+        state.up_to_date_with = Some(set.content_hash);
+        if resource_type != ResourceType::Route {
+            return;
+        }
+        let has_reconnected = state.minimum_version.take().is_some();
+        if has_reconnected && state.holds_all_wanted(&set.resources) && !state.held.is_empty() {
+            self.events.push(StreamEvent::Acknowledged(snapshot.canary_shares.clone()));
+        }
+    }
+
+    /// Encodes the response and notes that it is pending.
+    fn respond(
+        &mut self, resource_type: ResourceType, snapshot: &ResourceSnapshot, content: ResponseContent,
+    ) -> Option<StreamResponse> {
+        self.responses += 1;
+        let nonce = self.responses.to_string();
+        let message = ResponseMessage {
+            resource_type,
+            incremental: self.incremental,
+            content_hash: snapshot.resources(resource_type, self.separate_endpoints).content_hash,
+            nonce: &nonce,
+            content: &content,
+        };
+        let chunks = message.encode(snapshot);
+        let canary_shares = (resource_type == ResourceType::Route).then(|| snapshot.canary_shares.clone());
+        let state = self.types.get_mut(&resource_type)?;
+        state.nonce = nonce;
+        state.response_due = false;
+        state.minimum_version = None;
+        state.due_names.clear();
+        let content_hash = response_hash(&content.resources);
+        state.pending = Some(PendingResponse { content, content_hash, canary_shares: canary_shares.clone() });
+        Some(StreamResponse { resource_type, chunks, canary_shares })
+    }
+
+    /// A full response of a wildcard type: all resources, with those that stay.
+    fn select_all(
+        &self, resource_type: ResourceType, snapshot: &ResourceSnapshot, set: &ResourceSet,
+        retained: &Retained<'_>,
+    ) -> Option<ResponseContent> {
+        let state = self.types.get(&resource_type)?;
+        let mut resources: Vec<_> = state.wanted(set).cloned().collect();
+        let absent = state.held.iter().filter(|(name, _)| !set.contains_key(*name));
+        let staying = absent.filter(|(name, _)| retained.contains(name));
+        resources.extend(staying.filter_map(|(_, held)| held.resource.clone()));
+        if resource_type == ResourceType::Cluster && state.wildcard {
+            self.add_retired_clusters(snapshot, retained, &mut resources);
+        }
+        let is_held = resources.len() == state.held.len() && resources.iter().all(|new| state.holds(new));
+        let is_rejected = state.rejected_content == Some(response_hash(&resources));
+        let is_due = (state.response_due || !is_held) && !is_rejected;
+        is_due.then_some(ResponseContent { resources, removed: Vec::new(), replaces_all: true })
+    }
+
+    /// Adds the clusters of versions that are gone, but whose endpoints the proxy names.
+    fn add_retired_clusters(
+        &self, snapshot: &ResourceSnapshot, retained: &Retained<'_>, clusters: &mut Vec<Arc<Resource>>,
+    ) {
+        let endpoints = snapshot.resources(ResourceType::Endpoint, false);
+        let named = self.types.get(&ResourceType::Endpoint).into_iter().flat_map(|state| &state.names);
+        let absent_names =
+            named.filter(|name| !endpoints.resources.contains_key(*name)).take(MAX_RETIRED_VERSIONS);
+        for cluster in retired_names.flat_map(|name| snapshot.retired_clusters(name)) {
+            let is_included = clusters.iter().any(|included| included.name == cluster.name);
+            if retained.contains(&cluster.name) && !is_included {
+                clusters.push(cluster);
+            }
+        }
+        clusters.sort_by(|left, right| left.name.cmp(&right.name));
+    }
+}
+
+/// A full response of a type that is subscribed to by name: what is new, or all of it where more names were added.
+fn select_new(state: &TypeState, set: &ResourceSet) -> Option<ResponseContent> {
+    let wanted = state.wanted(set);
+    let resources: Vec<_> = wanted.filter(|new| state.response_due || !state.holds(new)).cloned().collect();
+    let is_rejected = state.rejected_content == Some(response_hash(&resources));
+    let is_due = !resources.is_empty() && !is_rejected;
+    is_due.then_some(ResponseContent { resources, removed: Vec::new(), replaces_all: false })
+}
+
+/// An incremental response: what changed, and what is gone.
+fn select_changes(state: &TypeState, set: &ResourceSet, retained: &Retained<'_>) -> Option<ResponseContent> {
+    let is_changed = |new: &&Arc<Resource>| {
+        let is_rejected = state.rejected_resources.get(&new.name) == Some(&new.hash);
+        (!state.holds(new) || state.is_due(&new.name)) && !is_rejected
+    };
+    let resources: Vec<_> = state.wanted(set).filter(is_changed).cloned().collect();
+    let absent_names = state.held.keys().filter(|name| !set.contains_key(*name) && !retained.contains(name));
+    let unknown_names =
+        state.due_names.iter().filter(|name| !name.ends_with('*') && !set.contains_key(*name));
+    let removed: BTreeSet<String> = absent_names.chain(unknown_names).cloned().collect();
+    let is_due = !resources.is_empty() || !removed.is_empty();
+    let removed = removed.into_iter().collect();
+    is_due.then_some(ResponseContent { resources, removed, replaces_all: false })
+}
--- /dev/null
+++ b/crates/xds/tests/error_texts.rs
@@ -0,0 +1,46 @@
+//! The texts with which streams end: proxies and operators' logs show them.
+
+use latchhaven_xds::load_stats::LoadReportError;
+use latchhaven_xds::server::LoadReportRejected;
+use latchhaven_xds::stream::StreamError;
+
+#[test]
+fn load_report_error_text_names_the_field() {
+    let texts = [
+        (LoadReportError::TooManyClusters, "cluster_stats: more than 1024"),
+        (LoadReportError::MissingInterval, "load_report_interval: missing"),
+        (LoadReportError::InvalidInterval, "load_report_interval: not above 0"),
+        (LoadReportError::UnknownCluster, "cluster_name: no cluster of ours"),
+        (LoadReportError::TooManyEndpoints, "upstream_endpoint_stats: more than 20000"),
+        (LoadReportError::MissingAddress, "upstream_endpoint_stats: no address"),
+        (LoadReportError::DuplicateEndpoint, "upstream_endpoint_stats: a host twice"),
+        (LoadReportError::InvalidDropCount, "dropped_requests: more than in all"),
+    ];
+    for (error, text) in texts {
+        assert_eq!(error.to_string(), text);
+    }
+}
+
+#[test]
+fn stream_error_has_its_text_and_status() {
+    let unsupported = StreamError::UnsupportedType { url: "x".to_string() };
+    let texts = [
+        (StreamError::MissingNodeId, "node.id: missing in the first request", false),
+        (StreamError::NodeIdTooLong, "node.id: longer than 256 bytes", true),
+        (unsupported, "type_url: 'x' is not served here", false),
+        (StreamError::RequestTooLarge, "more than 1024 names asked for, or 20000 held", true),
+        (StreamError::SubscriptionTooLarge, "more than 1024 names asked for", true),
+        (StreamError::NameTooLong, "a name longer than 512 bytes", true),
+        (StreamError::UnknownNonce, "response_nonce: given to nobody on this stream", false),
+    ];
+    for (error, text, is_resource_exhausted) in texts {
+        assert_eq!(error.to_string(), text);
+        assert_eq!(error.is_resource_exhausted(), is_resource_exhausted, "{text}");
+    }
+}
+
+#[test]
+fn load_report_rejection_keeps_the_text_of_its_reason() {
+    let rejected = LoadReportRejected::new("load_report_interval: not from 1 ms to 1 h");
+    assert_eq!(rejected.to_string(), "load_report_interval: not from 1 ms to 1 h");
+}
