--- /dev/null
+++ b/crates/xds/tests/convergence/control_service.rs
@@ -0,0 +1,141 @@
+//! A control service: what it knows of the platform, and the snapshot that it publishes.
+
+use super::platform::PlatformState;
+use latchhaven_policy::{
+    Canary, DedupScope, EndpointSnapshot, ExposureConfig, Idempotency, PolicySnapshot, RequestClass,
+    RolloutPhase, RolloutState, SlowStartConfig,
+};
+use latchhaven_proxy_config::freshness::KnownState;
+use latchhaven_proxy_config::proxy_config::{self, ProxyConfig, ProxyConfigSettings};
+use latchhaven_proxy_config::share_ledger::ShareLedger;
+use latchhaven_proxy_config::version::VersionSigner;
+use latchhaven_xds::resources::{ListenerConfig, ResourceConfig, ResourceSnapshot};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+fn request_class(name: &str, idempotency: Idempotency) -> RequestClass {
+    RequestClass {
+        name: name.to_string(),
+        idempotency,
+        dedup_scope: DedupScope::All,
+        dedup_window: 5000.0,
+        latency_objective: 600.0,
+        objective_per_work: 0.0,
+        timeout: 2000.0,
+        priority_weight: 1.0,
+        late_value_share: 0.0,
+        streamed: false,
+    }
+}
+
+fn settings() -> ProxyConfigSettings {
+    let exposure =
+        ExposureConfig { allowance: 2.0, stage_caps: vec![0.1], window: 2000.0, ..ExposureConfig::default() };
+    ProxyConfigSettings {
+        classes: vec![
+            request_class("look", Idempotency::Idempotent),
+            request_class("pay", Idempotency::NonIdempotent),
+        ],
+        exposure,
+        slow_start: SlowStartConfig { overload_multiple: 3.0, ..SlowStartConfig::default() },
+        max_attempts: 3,
+        max_in_flight_per_endpoint: 64,
+    }
+}
+
+fn listener_config(separate_endpoints: bool) -> ListenerConfig {
+    ListenerConfig {
+        address: host_address(0),
+        class_header: "x-product".to_string(),
+        key_header: "x-key".to_string(),
+        connect_timeout: 250.0,
+        separate_endpoints,
+    }
+}
+
+fn host_name(index: usize) -> String {
+    format!("s{index}")
+}
+
+fn host_address(index: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 2000 + index as u16))
+}
+
+/// What both control services have in common.
+pub(crate) struct Setup {
+    pub(crate) signer: VersionSigner,
+    pub(crate) separate_endpoints: bool,
+}
+
+/// One control service.
+pub(crate) struct ControlService {
+    pub(crate) known: KnownState,
+    pub(crate) snapshot: Option<ResourceSnapshot>,
+    /// The index of the last platform state that it has seen.
+    pub(crate) last_seen: usize,
+}
+
+impl ControlService {
+    pub(crate) fn new(last_seen: usize) -> Self {
+        ControlService { known: KnownState::default(), snapshot: None, last_seen }
+    }
+
+    pub(crate) fn observe(&mut self, platform: &PlatformState, setup: &Setup) {
+        let rollout = RolloutState { age: platform.now - platform.rollout_since, ..platform.rollout };
+        self.known.apply_rollout_state(&rollout, false, platform.now);
+        self.known.apply_endpoint_list(platform.list_version, true, platform.now);
+        self.publish(platform, setup);
+    }
+
+    fn publish(&mut self, platform: &PlatformState, setup: &Setup) {
+        let Ok(version) = self.known.config_version() else { return };
+        // The rollout may be known, by what proxies hold, to be further than the platform state says.
+        let policy = policy_snapshot(platform, version.rollout.to_state(platform.now));
+        let proxy_config = self.proxy_config(platform, &policy);
+        let listener = listener_config(setup.separate_endpoints);
+        let config = Arc::new(ResourceConfig { classes: settings().classes, listener });
+        let previous = self.snapshot.as_ref();
+        let snapshot = ResourceSnapshot::build(&proxy_config, version, &config, &setup.signer, previous);
+        self.snapshot = Some(snapshot);
+    }
+
+    fn proxy_config(&self, platform: &PlatformState, policy: &PolicySnapshot) -> ProxyConfig {
+        let addresses: BTreeMap<_, _> =
+            (0..platform.hosts.len()).map(|index| (host_name(index), host_address(index))).collect();
+        let mut share_ledger = ShareLedger::new(10);
+        share_ledger.connected(1);
+        share_ledger.set_request_rate(1, vec![1.0, 1.0]);
+        let rolled_back = self.known.rolled_back_versions();
+        proxy_config::build_proxy_config(
+            policy,
+            &settings(),
+            rolled_back,
+            &addresses,
+            &share_ledger,
+            platform.now,
+        )
+    }
+}
+
+/// The policy's view of the endpoints, with the canary of this rollout if it has endpoints.
+fn policy_snapshot(platform: &PlatformState, rollout: RolloutState) -> PolicySnapshot {
+    let has_hosts = platform.hosts.iter().any(|host| host.version == rollout.version);
+    let canary = Canary { version: rollout.version, traffic_cap: rollout.traffic_cap, stage: rollout.stage };
+    let is_canary = rollout.phase != RolloutPhase::Promoted && has_hosts;
+    let endpoints = platform.hosts.iter().enumerate().map(|(index, host)| EndpointSnapshot {
+        endpoint: host_name(index),
+        version: host.version,
+        zone: format!("z{}", index % 2),
+        is_ready: host.is_ready,
+        is_ejected: false,
+        capacity: 1.0,
+        is_warming_up: false,
+    });
+    PolicySnapshot {
+        canaries: if is_canary { vec![canary] } else { Vec::new() },
+        canary_share: if rollout.phase == RolloutPhase::Canary { 0.5 } else { 0.0 },
+        endpoints: endpoints.collect(),
+        ..PolicySnapshot::default()
+    }
+}
--- /dev/null
+++ b/crates/xds/tests/convergence/proxy.rs
@@ -0,0 +1,98 @@
+//! A proxy with its connection to a control service.
+
+use super::control_service::ControlService;
+use super::platform::PlatformState;
+use latchhaven_policy::{Millis, RolloutPhase};
+use latchhaven_proxy_config::version::VersionSigner;
+use latchhaven_test_support::cache::{Cache, Wanted};
+use latchhaven_xds::resources::ResourceType;
+use latchhaven_xds::stream::{Stream, StreamEvent, StreamResponse};
+use std::collections::VecDeque;
+
+/// A stream between a proxy and a control service, with the messages on their way.
+pub(crate) struct Connection {
+    service: usize,
+    pub(crate) stream: Stream,
+    requests: VecDeque<Wanted>,
+    responses: VecDeque<StreamResponse>,
+}
+
+pub(crate) struct Proxy {
+    pub(crate) cache: Cache,
+    pub(crate) connection: Option<Connection>,
+}
+
+impl Proxy {
+    pub(crate) fn new(index: usize) -> Self {
+        Proxy { cache: Cache::new(&format!("p{index}"), index.is_multiple_of(2)), connection: None }
+    }
+
+    pub(crate) fn connect(&mut self, service: usize, signer: &VersionSigner) {
+        let requests = self.cache.open().into();
+        let stream = Stream::new(self.cache.incremental(), None, signer.clone());
+        self.connection = Some(Connection { service, stream, requests, responses: VecDeque::new() });
+    }
+
+    pub(crate) fn disconnect_from(&mut self, service: usize) {
+        self.connection.take_if(|connection| connection.service == service);
+    }
+
+    /// One request reaches the service.
+    pub(crate) fn deliver_request(&mut self, services: &mut [ControlService], now: Millis) {
+        let Some(connection) = &mut self.connection else { return };
+        let Some(request) = connection.requests.pop_front() else { return };
+        connection.stream.on_request(request.into()).expect("the proxy's requests are valid");
+        for event in connection.stream.take_events() {
+            if let StreamEvent::Holds { version, .. } = event {
+                services[connection.service].known.apply_proxy_version(&version, now);
+            }
+        }
+    }
+
+    /// The service has room for one response.
+    pub(crate) fn send_response(&mut self, services: &[ControlService]) {
+        let Some(connection) = &mut self.connection else { return };
+        let snapshot = services[connection.service].snapshot.as_ref();
+        let response = snapshot.and_then(|snapshot| connection.stream.next_response(snapshot));
+        connection.responses.extend(response);
+        assert!(connection.responses.len() <= ResourceType::ALL.len(), "one pending response for each type");
+    }
+
+    /// One response reaches the proxy.
+    pub(crate) fn deliver_response(&mut self, reject: bool) {
+        let Some(connection) = &mut self.connection else { return };
+        let Some(response) = connection.responses.pop_front() else { return };
+        connection.requests.extend(self.cache.take(&response.chunks.concat(), reject));
+        assert_eq!(self.cache.regressions, 0, "a state went back");
+        assert_eq!(self.cache.dangling, 0, "{:?} dangles in {:?}", self.cache.dangles(), self.cache);
+    }
+
+    pub(crate) fn exchange(&mut self, services: &mut [ControlService], now: Millis) {
+        self.deliver_request(services, now);
+        self.send_response(services);
+        self.deliver_response(false);
+    }
+
+    pub(crate) fn assert_converged(&self, services: &[ControlService], platform: &PlatformState) {
+        let connection = self.connection.as_ref().unwrap();
+        let service = &services[connection.service];
+        let snapshot = service.snapshot.as_ref().expect("the service has seen everything");
+        assert_eq!(
+            connection.stream.first_pending_type(snapshot),
+            None,
+            "it holds what the service has: {:?}\n {:?}\n{:?} {:?}",
+            self.cache,
+            service.known,
+            snapshot.version,
+            platform
+        );
+        assert!(self.cache.dangles().is_none());
+        assert!(self.cache.way("look", false).is_some());
+        let route = self.cache.way("pay", false).unwrap();
+        let never_retries_blindly = route.retry_on == "connect-failure,refused-stream" || route.repeats == 0;
+        assert!(never_retries_blindly, "a request that is not idempotent");
+        if matches!(platform.rollout.phase, RolloutPhase::RolledBack | RolloutPhase::RollingBack) {
+            assert_eq!(self.cache.part("look", platform.rollout.version.0), 0);
+        }
+    }
+}
