--- a/crates/xds/src/stream/response_selection.rs
+++ b/crates/xds/src/stream/response_selection.rs
@@ -108,7 +108,7 @@
     ) {
         let endpoints = snapshot.resources(ResourceType::Endpoint, false);
         let named = self.types.get(&ResourceType::Endpoint).into_iter().flat_map(|state| &state.names);
-        let absent_names =
+        let retired_names =
             named.filter(|name| !endpoints.resources.contains_key(*name)).take(MAX_RETIRED_VERSIONS);
         for cluster in retired_names.flat_map(|name| snapshot.retired_clusters(name)) {
             let is_included = clusters.iter().any(|included| included.name == cluster.name);
