--- a/crates/control-plane/src/control_plane/mod.rs
+++ b/crates/control-plane/src/control_plane/mod.rs
@@ -12,14 +12,14 @@
 
 use crate::state_store::PersistedState;
 use host_directory::HostDirectory;
-use latchhaven_policy::{Action, Event, Millis, Policy, RequestClass};
+use latchhaven_policy::{Action, Event, Millis, Policy};
 use latchhaven_proxy_config::freshness::{KnownState, SnapshotUnavailable};
 use latchhaven_proxy_config::load_reports::LoadReportAggregator;
 use latchhaven_proxy_config::proxy_config::ProxyConfigSettings;
 use latchhaven_proxy_config::share_ledger::ShareLedger;
 use latchhaven_proxy_config::version::VersionSigner;
 use latchhaven_xds::admission::Admission;
-use latchhaven_xds::resources::{ListenerConfig, ResourceSnapshot};
+use latchhaven_xds::resources::{ListenerConfig, ResourceConfig, ResourceSnapshot};
 use proxy_registry::ProxyRegistry;
 use schedule::{COALESCING_INTERVAL, Schedule};
 use std::collections::BTreeSet;
@@ -50,7 +50,7 @@
 pub struct ControlPlane {
     policy: Policy,
     settings: ProxyConfigSettings,
-    resource_inputs: Arc<(Vec<RequestClass>, ListenerConfig)>,
+    resource_config: Arc<ResourceConfig>,
     signer: VersionSigner,
     known_state: KnownState,
     hosts: HostDirectory,
@@ -96,7 +96,10 @@
         };
         ControlPlane {
             policy,
-            resource_inputs: Arc::new((settings.classes.clone(), config.listener)),
+            resource_config: Arc::new(ResourceConfig {
+                classes: settings.classes.clone(),
+                listener: config.listener,
+            }),
             settings,
             signer: config.signer,
             known_state,
--- a/crates/control-plane/src/control_plane/publication.rs
+++ b/crates/control-plane/src/control_plane/publication.rs
@@ -62,7 +62,7 @@
     fn build_snapshot(&self, config: &ProxyConfig, version: ConfigVersion) -> Option<Arc<ResourceSnapshot>> {
         let previous = self.snapshot.as_deref();
         let snapshot =
-            ResourceSnapshot::build(config, version, &self.resource_inputs, &self.signer, previous);
+            ResourceSnapshot::build(config, version, &self.resource_config, &self.signer, previous);
         if let Some(previous) = previous
             && previous.version == version
             && snapshot.has_same_resources(previous)
--- a/crates/control-plane/src/driver/event_loop.rs
+++ b/crates/control-plane/src/driver/event_loop.rs
@@ -9,7 +9,7 @@
 use latchhaven_gateway::net::platform::Vote;
 use latchhaven_policy::Millis;
 use latchhaven_xds::resources::ResourceSnapshot;
-use latchhaven_xds::server::ServerEvent;
+use latchhaven_xds::server::{LoadReportRejected, ServerEvent};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -109,7 +109,7 @@
             }
             ServerEvent::LoadReport { stream, report, result } => {
                 let result_sent = self.control_plane.on_load_report(stream, &report, now);
-                let _ = result.send(result_sent.map_err(|error| error.to_string()));
+                let _ = result.send(result_sent.map_err(LoadReportRejected::new));
             }
             ServerEvent::StreamClosed { stream } => {
                 self.pending_admissions.remove(&stream);
