--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: what it is asked for on its command line, its log, and how it ends.
+//! The program `latchhaven`: its command line, its log, and how it ends.
 
 // Until its turn: docs/ROADMAP.md.
 #![allow(unreachable_pub)]
@@ -11,51 +11,65 @@
 use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use std::sync::mpsc;
+use std::thread;
 use std::time::Duration;
 use tokio::task::LocalSet;
 use tracing::Level;
-use tracing_appender::non_blocking::NonBlockingBuilder;
+use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
 
 /// Log lines held for a reader that is behind; further ones are dropped rather than waited for.
-const LOG_LINES: usize = 2048;
-/// The last log lines get so long to be taken.
-const FLUSH: Duration = Duration::from_millis(300);
+const MAX_BUFFERED_LOG_LINES: usize = 2048;
+/// How long the process waits at its end for the last log lines to be taken.
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
+/// The variable that sets the log level where no flag does.
+const LOG_LEVEL_VARIABLE: &str = "LATCHHAVEN_LOG";
 
-/// Routes txns while builds roll out, and judges builds.
+/// Routes requests while software versions roll out, and judges the versions.
 #[derive(Parser)]
 #[command(name = "latchhaven", version)]
-struct Line {
+struct Cli {
     /// How log lines are written, on standard error.
     #[arg(long, global = true, value_enum, default_value = "text")]
-    log_format: Format,
+    log_format: LogFormat,
     /// From which level on lines are written; LATCHHAVEN_LOG holds where this is not given.
     #[arg(long, global = true, value_enum)]
-    log_level: Option<Wanted>,
+    log_level: Option<LogLevel>,
     /// A gateway logs its counters every so many seconds, as on SIGUSR1; not at all where this is not given.
     #[arg(long, value_name = "SECONDS", value_parser = clap::value_parser!(u32).range(1..), global = true)]
     counters_every: Option<u32>,
     #[command(subcommand)]
-    word: Option<Word>,
+    command: Option<Command>,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Format {
+enum LogFormat {
     Text,
     Json,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Wanted {
+enum LogLevel {
     Debug,
     Info,
     Warn,
 }
 
+impl From<LogLevel> for Level {
+    fn from(level: LogLevel) -> Self {
+        match level {
+            LogLevel::Debug => Level::DEBUG,
+            LogLevel::Info => Level::INFO,
+            LogLevel::Warn => Level::WARN,
+        }
+    }
+}
+
 #[derive(Subcommand)]
-enum Word {
-    /// Runs one gateway, configured by BALANCER_CONFIG and its like; also without any word.
+enum Command {
+    /// Runs one gateway, configured by BALANCER_CONFIG and its like; also without any command.
     Serve,
-    /// Runs a control service that hands decisions to other proxies over xDS.
+    /// Runs a control service that publishes decisions to other proxies over xDS.
     Control {
         /// The operator's file, a Starlark script.
         file: PathBuf,
@@ -68,7 +82,7 @@
         #[arg(long, conflicts_with = "files")]
         schema: bool,
     },
-    /// Plays a rollout of a bad and a good build between stand-ins on loopback, in about 30 s.
+    /// Plays a rollout of a bad and a good version between fakes on loopback, in about 30 s.
     Demo {
         /// Seeds the decisions.
         #[arg(long, default_value_t = 1)]
@@ -77,51 +91,67 @@
 }
 
 fn main() -> ExitCode {
-    let line = Line::parse();
-    let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(LOG_LINES);
-    let (log, guard) = builder.finish(io::stderr());
-    let level = match (line.log_level, std::env::var("LATCHHAVEN_LOG").as_deref()) {
-        (Some(Wanted::Debug), _) | (None, Ok("debug")) => Level::DEBUG,
-        (Some(Wanted::Warn), _) | (None, Ok("warn")) => Level::WARN,
-        _ => Level::INFO,
-    };
-    let told = tracing_subscriber::fmt().with_writer(log).with_max_level(level).with_ansi(false);
-    match line.log_format {
-        Format::Text => told.with_target(false).init(),
-        Format::Json => told.json().flatten_event(true).init(),
-    }
-    let ended = match line.word {
-        None | Some(Word::Serve) => {
-            let counted = line.counters_every.map(|seconds| Duration::from_secs(seconds.into()));
-            on_one_thread(serve(counted)).map(|()| ExitCode::SUCCESS)
-        }
-        Some(Word::Control { file }) => control(&file),
-        Some(Word::Check { files, schema }) => Ok(check::check(&files, schema)),
-        Some(Word::Demo { seed }) => demo::demo(seed),
+    let cli = Cli::parse();
+    let log_guard = start_log(cli.log_format, cli.log_level);
+    let counters_interval = cli.counters_every.map(|seconds| Duration::from_secs(seconds.into()));
+    let result = match cli.command {
+        None | Some(Command::Serve) => run_gateway(counters_interval),
+        Some(Command::Control { file }) => run_control_plane(&file),
+        Some(Command::Check { files, schema }) => Ok(check::check(&files, schema)),
+        Some(Command::Demo { seed }) => demo::demo(seed),
     };
-    // Behind a full pipe the guard would wait, and complain where nobody reads either.
-    let (done, flushed) = std::sync::mpsc::channel();
-    std::thread::spawn(move || {
-        drop(guard);
-        let _ = done.send(());
-    });
-    let _ = flushed.recv_timeout(FLUSH);
-    match ended {
+    flush_log(log_guard);
+    match result {
         Ok(code) => code,
-        Err(fault) => {
-            eprintln!("latchhaven: {fault}");
+        Err(error) => {
+            eprintln!("latchhaven: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn control(file: &Path) -> io::Result<ExitCode> {
+/// Starts the log on standard error; a reader that is behind stalls nothing.
+fn start_log(format: LogFormat, level: Option<LogLevel>) -> WorkerGuard {
+    let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_BUFFERED_LOG_LINES);
+    let (writer, guard) = builder.finish(io::stderr());
+    let level = level.map_or_else(log_level_from_environment, Level::from);
+    let subscriber = tracing_subscriber::fmt().with_writer(writer).with_max_level(level).with_ansi(false);
+    match format {
+        LogFormat::Text => subscriber.with_target(false).init(),
+        LogFormat::Json => subscriber.json().flatten_event(true).init(),
+    }
+    guard
+}
+
+fn log_level_from_environment() -> Level {
+    match std::env::var(LOG_LEVEL_VARIABLE).as_deref() {
+        Ok("debug") => Level::DEBUG,
+        Ok("warn") => Level::WARN,
+        _ => Level::INFO,
+    }
+}
+
+/// Has the last log lines written. Behind a full pipe the guard would wait, and complain where nobody reads either.
+fn flush_log(guard: WorkerGuard) {
+    let (flushed, wait) = mpsc::channel();
+    thread::spawn(move || {
+        drop(guard);
+        let _ = flushed.send(());
+    });
+    let _ = wait.recv_timeout(LOG_FLUSH_TIMEOUT);
+}
+
+fn run_gateway(counters_interval: Option<Duration>) -> io::Result<ExitCode> {
+    run_on_one_thread(serve(counters_interval)).map(|()| ExitCode::SUCCESS)
+}
+
+fn run_control_plane(file: &Path) -> io::Result<ExitCode> {
     let (plan, _) = latchhaven_operator_config::read(file).map_err(io::Error::other)?;
-    on_one_thread(latchhaven_control_plane::serve(plan)).map(|()| ExitCode::SUCCESS)
+    run_on_one_thread(latchhaven_control_plane::serve(plan)).map(|()| ExitCode::SUCCESS)
 }
 
 /// One thread and no locks: tasks of a gateway or control service take turns.
-fn on_one_thread(work: impl Future<Output = io::Result<()>>) -> io::Result<()> {
+fn run_on_one_thread(work: impl Future<Output = io::Result<()>>) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, work)
 }
