--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -27,8 +27,8 @@
 fn script(file: &Path) -> Vec<String> {
     match latchhaven_operator_config::read(file) {
         Err(faults) => faults.0.iter().map(ToString::to_string).collect(),
-        Ok((plan, _)) => {
-            let settings = latchhaven_control_plane::settings(&plan);
+        Ok(loaded) => {
+            let settings = latchhaven_control_plane::settings(&loaded.config);
             settings.err().into_iter().map(|why| format!("{}: control.{why}", file.display())).collect()
         }
     }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -116,8 +116,8 @@
 }
 
 fn control(file: &Path) -> io::Result<ExitCode> {
-    let (plan, _) = latchhaven_operator_config::read(file).map_err(io::Error::other)?;
-    on_one_thread(latchhaven_control_plane::serve(plan)).map(|()| ExitCode::SUCCESS)
+    let loaded = latchhaven_operator_config::read(file).map_err(io::Error::other)?;
+    on_one_thread(latchhaven_control_plane::serve(loaded.config)).map(|()| ExitCode::SUCCESS)
 }
 
 /// One thread and no locks: tasks of a gateway or control service take turns.
--- a/crates/control-plane/src/driver.rs
+++ b/crates/control-plane/src/driver.rs
@@ -6,7 +6,7 @@
 use latchhaven_gateway::gateway::Clock;
 use latchhaven_gateway::net::platform::Vote;
 use latchhaven_gateway::net::{NOTES_HELD, Note, VOTES_HELD, list, platform};
-use latchhaven_operator_config::{Evidence, Plan};
+use latchhaven_operator_config::{ControlConfig, OutcomeSource};
 use latchhaven_policy::{Action, Event, OutcomeReport, VoteOutcome};
 use latchhaven_proxy_config::proxy_config;
 use latchhaven_proxy_config::version::VersionSigner;
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 /// What is wrong with them, beginning with the key.
-pub fn settings(plan: &Plan) -> Result<Terms, String> {
+pub fn settings(plan: &ControlConfig) -> Result<Terms, String> {
     terms::read(&plan.settings.to_string()).map_err(|why| match why {
         WireFault::Settings(why) => format!("settings.{why}"),
         why => format!("settings: {why}"),
@@ -52,7 +52,7 @@
 ///
 /// # Errors
 /// Settings that cannot be, a key that cannot be read, or a listener that cannot be had.
-pub async fn serve(plan: Plan) -> io::Result<()> {
+pub async fn serve(plan: ControlConfig) -> io::Result<()> {
     let (mut term, mut int) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
     let mut asked = signal(SignalKind::user_defined1())?;
     let clock = Clock::start();
@@ -80,7 +80,7 @@
     let (keeper, kept) = state_store::open(plan.state.as_deref());
     let labels = VersionSigner::new(key);
     let products: Arc<Vec<String>> = Arc::new(terms.classes.iter().map(|known| known.name.clone()).collect());
-    let platform_only = plan.xds.evidence == Evidence::Platform;
+    let platform_only = plan.xds.evidence == OutcomeSource::Platform;
     let choice = given.start(plan.seed);
     let core =
         ControlPlane::new(choice, terms, front, labels.clone(), plan.xds.streams_most, platform_only, kept);
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,65 +1,88 @@
-//! Operators' files. A file is a Starlark script (functions, loops, `load` of sibling files) that sets
-//! `control`, a dict. It is evaluated within bounds, without clock or chance, and read into [`Plan`], whose
-//! every key is checked. What the platform itself hands over stays JSON and is read elsewhere.
+//! Configuration files of operators.
+//!
+//! A file is a Starlark script (functions, loops, `load` of files in the same folder) that sets `control`, a dict. It is
+//! evaluated within limits of size, steps, memory and depth, without a clock or random numbers, and read into
+//! [`ControlConfig`], whose every key is checked. Settings that the platform hands over stay JSON and are read
+//! elsewhere.
+//!
+//! - `control_config`: the records and their schema.
+//! - `script`: evaluates a script and its loads.
+//! - `error`: what is wrong with a file, and where.
 
-// Until its turn: docs/ROADMAP.md.
-#![allow(missing_docs, unreachable_pub)]
-
-mod records;
+mod control_config;
+mod error;
 mod script;
 
-pub use records::{Evidence, Plan, Xds};
-pub use script::{Fault, line_of};
+pub use control_config::{ControlConfig, OutcomeSource, XdsConfig};
+pub use error::{ConfigError, ConfigErrors, ConfigProblem, LoadError};
 
 use garde::Validate;
+use script::EvaluatedScript;
+use serde_json::Value;
 use std::path::Path;
 
 /// The name that a script has to set.
-const NAME: &str = "control";
+const CONFIG_NAME: &str = "control";
+
+/// A file as read.
+#[derive(Clone, Debug)]
+pub struct LoadedConfig {
+    /// The checked records.
+    pub config: ControlConfig,
+    /// The value that the script set, as it was before it was read into records.
+    pub json: Value,
+}
 
-/// Reads, evaluates and checks a file; its text of JSON comes along, for whoever shows it.
+/// Reads, evaluates and checks a file.
 ///
 /// # Errors
-/// All faults that were found, each with file, line where there is one, and key.
-pub fn read(path: &Path) -> Result<(Plan, serde_json::Value), Faults> {
-    let (value, text) = script::evaluate(path, NAME).map_err(|fault| Faults(vec![fault]))?;
-    let at = |key: &str, why: &str| Fault {
+/// All errors that were found, each with file, line where there is one, and key.
+pub fn read(path: &Path) -> Result<LoadedConfig, ConfigErrors> {
+    let EvaluatedScript { value, text } = script::evaluate(path, CONFIG_NAME)?;
+    let error_at = |key: String, message: String| ConfigError {
         file: path.display().to_string(),
-        line: script::line_of(&text, key),
-        key: Some(key.to_string()),
-        why: why.to_string(),
+        line: line_of(&text, &key),
+        key: Some(key),
+        problem: ConfigProblem::Invalid(message),
     };
-    let plan: Plan = serde_path_to_error::deserialize(&value).map_err(|fault| {
-        let (path, why) = (fault.path().to_string(), fault.inner().to_string());
-        // An unknown or missing key is named in the words only, below the path.
-        let named = why.split('`').nth(1).filter(|_| why.starts_with("unknown field"));
-        let key = match (path.as_str(), named) {
-            (".", Some(name)) => format!("{NAME}.{name}"),
-            (".", None) => NAME.to_string(),
-            (path, Some(name)) if !path.ends_with(name) => format!("{NAME}.{path}.{name}"),
-            (path, _) => format!("{NAME}.{path}"),
-        };
-        Faults(vec![at(&key, &why)])
+    let config: ControlConfig = serde_path_to_error::deserialize(&value).map_err(|error| {
+        let message = error.inner().to_string();
+        error_at(full_key(&error.path().to_string(), &message), message)
     })?;
-    plan.validate().map_err(|report| {
-        let faults = report.iter().map(|(path, why)| at(&format!("{NAME}.{path}"), &why.to_string()));
-        Faults(faults.collect())
+    config.validate().map_err(|report| {
+        let errors =
+            report.iter().map(|(key, error)| error_at(format!("{CONFIG_NAME}.{key}"), error.to_string()));
+        ConfigErrors(errors.collect())
     })?;
-    Ok((plan, value))
+    Ok(LoadedConfig { config, json: value })
 }
 
-/// The JSON schema of `control`, as published in `docs/control-schema.json`.
-pub fn schema() -> serde_json::Value {
-    schemars::schema_for!(Plan).to_value()
+/// The key at which a value does not fit, from its path and the message of the deserializer. An unknown field is named
+/// only in the message, below the path.
+fn full_key(path: &str, message: &str) -> String {
+    let is_unknown_field = message.starts_with("unknown field");
+    let unknown_field = if is_unknown_field { message.split('`').nth(1) } else { None };
+    match (path, unknown_field) {
+        (".", Some(field)) => format!("{CONFIG_NAME}.{field}"),
+        (".", None) => CONFIG_NAME.to_string(),
+        (path, Some(field)) if !path.ends_with(field) => format!("{CONFIG_NAME}.{path}.{field}"),
+        (path, _) => format!("{CONFIG_NAME}.{path}"),
+    }
 }
 
-/// What is wrong with a file: at least one fault.
-#[derive(Debug, thiserror::Error)]
-pub struct Faults(pub Vec<Fault>);
+/// The first line, from 1, that names the last part of a key, in a script or in JSON.
+pub fn line_of(text: &str, key: &str) -> Option<usize> {
+    let is_name = |part: &&str| part.parse::<usize>().is_err();
+    let last_name = key.rsplit('.').find(is_name)?;
+    let name = last_name.split('[').next()?;
+    let quoted = format!("\"{name}\"");
+    let assigned = format!("{name} =");
+    let names_key = |line: &str| line.contains(&quoted) || line.trim_start().starts_with(&assigned);
+    let index = text.lines().position(names_key)?;
+    Some(index + 1)
+}
 
-impl std::fmt::Display for Faults {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let lines: Vec<String> = self.0.iter().map(Fault::to_string).collect();
-        f.write_str(&lines.join("\n"))
-    }
+/// The JSON schema of `control`, as published in `docs/control-schema.json`.
+pub fn schema() -> Value {
+    schemars::schema_for!(ControlConfig).to_value()
 }
--- a/crates/operator-config/src/script.rs
+++ b/crates/operator-config/src/script.rs
@@ -1,5 +1,7 @@
-//! Evaluates a Starlark script within bounds of size, steps, memory and depth.
+//! Evaluates a Starlark script within limits of size, steps, memory and depth.
 
+use crate::error::{ConfigError, ConfigProblem, LoadError};
+use crate::line_of;
 use serde_json::Value;
 use starlark::environment::{FrozenModule, Globals, Module};
 use starlark::eval::{Evaluator, FileLoader};
@@ -7,118 +9,120 @@
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
 
-/// Bytes of one file: a site of thousands of lines has less.
-const FILE_MOST: u64 = 1 << 20;
-/// Calls and loop turns of one file: building records takes thousands.
-const STEPS: u64 = 1_000_000;
-/// Bytes of values.
-const HEAP: usize = 64 << 20;
-/// Calls within calls.
-const DEPTH: usize = 100;
-/// Files that load one another, and files in all: each runs once for every `load`.
-const LOADS_DEEP: usize = 8;
-const LOADS_MOST: usize = 64;
+/// The maximum size of one file in bytes: a site of thousands of lines has less.
+pub(crate) const MAX_FILE_SIZE: u64 = 1 << 20;
+/// The maximum number of calls and loop iterations of one file: to build records takes thousands.
+const MAX_STEPS: u64 = 1_000_000;
+/// The maximum size of all values in bytes.
+const MAX_HEAP_SIZE: usize = 64 << 20;
+/// The maximum depth of calls within calls.
+const MAX_CALL_DEPTH: usize = 100;
+/// The maximum depth of files that load one another.
+const MAX_LOAD_DEPTH: usize = 8;
+/// The maximum number of loads in all; a file is evaluated once for each `load` of it.
+const MAX_LOADS: usize = 64;
 
-/// One thing that is wrong.
-#[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("{file}{}: {}{why}", .line.map(|line| format!(":{line}")).unwrap_or_default(),
-    .key.as_ref().map(|key| format!("{key}: ")).unwrap_or_default())]
-pub struct Fault {
-    pub file: String,
-    /// From 1.
-    pub line: Option<usize>,
-    pub key: Option<String>,
-    pub why: String,
+/// What a script gave.
+pub(crate) struct EvaluatedScript {
+    /// The value of the name that it set.
+    pub(crate) value: Value,
+    /// The script's own text.
+    pub(crate) text: String,
 }
 
-/// Evaluates a file; the value of a name that it sets, and the file's text.
-pub fn evaluate(path: &Path, name: &str) -> Result<(Value, String), Fault> {
+/// Evaluates a file and takes the dict of a name that it sets.
+pub(crate) fn evaluate(path: &Path, name: &str) -> Result<EvaluatedScript, ConfigError> {
+    let text = read_file(path)?;
+    let load_count = RefCell::new(0);
     let folder = path.parent().unwrap_or(Path::new(".")).to_path_buf();
-    let loads = RefCell::new(0);
-    let text = read(path)?;
-    let siblings = Siblings { folder, loads: &loads, deep: 0 };
-    let module = siblings.run(path, &text)?;
-    let here =
-        |why: String| Fault { file: path.display().to_string(), line: None, key: Some(name.into()), why };
-    let value = module.get_option(name).map_err(|fault| here(fault.to_string()))?;
-    let value = value.ok_or_else(|| here("not set".to_string()))?;
-    let value = value.value().to_json_value().map_err(|fault| here(fault.to_string()))?;
+    let loader = ModuleLoader { folder, load_count: &load_count, depth: 0 };
+    let module = loader.evaluate(path, &text)?;
+    let error = |problem| ConfigError { key: Some(name.to_string()), ..error_in(path, problem) };
+    let script_error = |message: String| error(ConfigProblem::Script(message));
+    let exported = module.get_option(name).map_err(|failure| script_error(failure.to_string()))?;
+    let exported = exported.ok_or_else(|| error(ConfigProblem::NotSet))?;
+    let value = exported.value().to_json_value().map_err(|failure| script_error(failure.to_string()))?;
     if !value.is_object() {
-        return Err(Fault { line: line_of(&text, name), ..here("no dict".to_string()) });
+        return Err(ConfigError { line: line_of(&text, name), ..error(ConfigProblem::NotADict) });
     }
-    Ok((value, text))
+    Ok(EvaluatedScript { value, text })
 }
 
-/// The first line that names the last part of a key, if one does.
-pub fn line_of(text: &str, key: &str) -> Option<usize> {
-    let part = key.rsplit('.').find(|part| part.parse::<usize>().is_err())?;
-    let part = part.split('[').next()?;
-    let (quoted, plain) = (format!("\"{part}\""), format!("{part} ="));
-    text.lines()
-        .position(|line| line.contains(&quoted) || line.trim_start().starts_with(&plain))
-        .map(|n| n + 1)
+fn error_in(path: &Path, problem: ConfigProblem) -> ConfigError {
+    ConfigError { file: path.display().to_string(), line: None, key: None, problem }
 }
 
-fn read(path: &Path) -> Result<String, Fault> {
-    let fault = |why: String| Fault { file: path.display().to_string(), line: None, key: None, why };
-    let size = std::fs::metadata(path).map_err(|why| fault(why.to_string()))?;
-    if !size.is_file() || size.len() > FILE_MOST {
-        return Err(fault(format!("no file of at most {FILE_MOST} bytes")));
+fn read_file(path: &Path) -> Result<String, ConfigError> {
+    let unreadable = |error: std::io::Error| error_in(path, ConfigProblem::Unreadable(error.to_string()));
+    let metadata = std::fs::metadata(path).map_err(unreadable)?;
+    if !metadata.is_file() || metadata.len() > MAX_FILE_SIZE {
+        return Err(error_in(path, ConfigProblem::NotAFileWithinLimit));
     }
-    std::fs::read_to_string(path).map_err(|why| fault(why.to_string()))
+    std::fs::read_to_string(path).map_err(unreadable)
 }
 
-/// Loads files beside the first one, and no others.
-struct Siblings<'a> {
+/// Loads files of one folder, and no others.
+struct ModuleLoader<'a> {
     folder: PathBuf,
-    loads: &'a RefCell<usize>,
-    deep: usize,
+    /// Loads so far, of all files of a script.
+    load_count: &'a RefCell<usize>,
+    depth: usize,
 }
 
-impl Siblings<'_> {
-    fn run(&self, path: &Path, text: &str) -> Result<FrozenModule, Fault> {
+impl ModuleLoader<'_> {
+    fn evaluate(&self, path: &Path, text: &str) -> Result<FrozenModule, ConfigError> {
+        let script_error = |error: starlark::Error| located_error(path, &error);
+        let limit_error = |message: String| error_in(path, ConfigProblem::Script(message));
         let file = path.display().to_string();
-        let told = |fault: starlark::Error| Fault {
-            file: fault.span().map_or(file.clone(), |span| span.filename().to_string()),
-            line: fault.span().map(|span| span.resolve_span().begin.line + 1),
-            key: None,
-            why: fault.without_diagnostic().to_string(),
-        };
-        let plain = |why: String| Fault { file: file.clone(), line: None, key: None, why };
-        let ast = AstModule::parse(&file, text.to_string(), &Dialect::Standard).map_err(told)?;
+        let syntax_tree =
+            AstModule::parse(&file, text.to_string(), &Dialect::Standard).map_err(script_error)?;
         let globals = Globals::standard();
         Module::with_temp_heap(|module| {
             {
-                let mut eval = Evaluator::new(&module);
-                eval.set_loader(self);
-                eval.set_max_tick_count(STEPS).map_err(|fault| plain(fault.to_string()))?;
-                eval.set_max_heap_size(HEAP).map_err(|fault| plain(fault.to_string()))?;
-                eval.set_max_callstack_size(DEPTH).map_err(|fault| plain(fault.to_string()))?;
-                eval.eval_module(ast, &globals).map_err(told)?;
+                let mut evaluator = Evaluator::new(&module);
+                evaluator.set_loader(self);
+                evaluator.set_max_tick_count(MAX_STEPS).map_err(|error| limit_error(error.to_string()))?;
+                evaluator.set_max_heap_size(MAX_HEAP_SIZE).map_err(|error| limit_error(error.to_string()))?;
+                evaluator
+                    .set_max_callstack_size(MAX_CALL_DEPTH)
+                    .map_err(|error| limit_error(error.to_string()))?;
+                evaluator.eval_module(syntax_tree, &globals).map_err(script_error)?;
             }
-            module.freeze().map_err(|fault| plain(format!("{fault:?}")))
+            module.freeze().map_err(|error| limit_error(format!("{error:?}")))
         })
     }
-}
 
-impl FileLoader for Siblings<'_> {
-    fn load(&self, path: &str) -> starlark::Result<FrozenModule> {
-        let refuse = |why: String| starlark::Error::new_other(Loading(why));
-        *self.loads.borrow_mut() += 1;
-        // A path would reach beyond the folder; a circle would never end.
-        if path.contains(['/', '\\']) || path.starts_with('.') || path.is_empty() {
-            return Err(refuse(format!("load of '{path}': only files in the same folder, by name")));
+    fn load_file(&self, name: &str) -> Result<FrozenModule, LoadError> {
+        *self.load_count.borrow_mut() += 1;
+        // A path would reach beyond the folder.
+        if name.contains(['/', '\\']) || name.starts_with('.') || name.is_empty() {
+            return Err(LoadError::OutsideFolder(name.to_string()));
         }
-        if self.deep >= LOADS_DEEP || *self.loads.borrow() > LOADS_MOST {
-            return Err(refuse(format!("load of '{path}': too many loads, or in a circle")));
+        // A circle would never end.
+        if self.depth >= MAX_LOAD_DEPTH || *self.load_count.borrow() > MAX_LOADS {
+            return Err(LoadError::TooManyLoads(name.to_string()));
         }
-        let file = self.folder.join(path);
-        let text = read(&file).map_err(|fault| refuse(fault.to_string()))?;
-        let inner = Siblings { folder: self.folder.clone(), loads: self.loads, deep: self.deep + 1 };
-        inner.run(&file, &text).map_err(|fault| refuse(fault.to_string()))
+        let path = self.folder.join(name);
+        let text = read_file(&path)?;
+        let inner =
+            ModuleLoader { folder: self.folder.clone(), load_count: self.load_count, depth: self.depth + 1 };
+        Ok(inner.evaluate(&path, &text)?)
+    }
+}
+
+impl FileLoader for ModuleLoader<'_> {
+    fn load(&self, path: &str) -> starlark::Result<FrozenModule> {
+        self.load_file(path).map_err(starlark::Error::new_other)
     }
 }
 
-#[derive(Debug, thiserror::Error)]
-#[error("{0}")]
-struct Loading(String);
+/// An error of the interpreter, at the place that it names.
+fn located_error(path: &Path, error: &starlark::Error) -> ConfigError {
+    let span = error.span();
+    ConfigError {
+        file: span.map_or_else(|| path.display().to_string(), |span| span.filename().to_string()),
+        line: span.map(|span| span.resolve_span().begin.line + 1),
+        key: None,
+        problem: ConfigProblem::Script(error.without_diagnostic().to_string()),
+    }
+}
