--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -32,8 +32,8 @@
 fn script_faults(file: &Path) -> Vec<String> {
     match latchhaven_operator_config::read(file) {
         Err(faults) => faults.0.iter().map(ToString::to_string).collect(),
-        Ok((plan, _)) => {
-            let fault = latchhaven_control_plane::settings(&plan).err();
+        Ok(loaded) => {
+            let fault = latchhaven_control_plane::settings(&loaded.config).err();
             fault.into_iter().map(|fault| format!("{}: control.{fault}", file.display())).collect()
         }
     }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -146,8 +146,8 @@
 }
 
 fn run_control_plane(file: &Path) -> io::Result<ExitCode> {
-    let (plan, _) = latchhaven_operator_config::read(file).map_err(io::Error::other)?;
-    run_on_one_thread(latchhaven_control_plane::serve(plan)).map(|()| ExitCode::SUCCESS)
+    let loaded = latchhaven_operator_config::read(file).map_err(io::Error::other)?;
+    run_on_one_thread(latchhaven_control_plane::serve(loaded.config)).map(|()| ExitCode::SUCCESS)
 }
 
 /// One thread and no locks: tasks of a gateway or control service take turns.
--- a/crates/control-plane/src/driver/mod.rs
+++ b/crates/control-plane/src/driver/mod.rs
@@ -13,9 +13,9 @@
 mod upstreams;
 mod xds_thread;
 
-pub use settings::{PlanSettingsError, settings};
+pub use settings::{ControlSettingsError, settings};
 
-use latchhaven_operator_config::Plan;
+use latchhaven_operator_config::ControlConfig;
 use signals::Signals;
 use std::io;
 use tokio::select;
@@ -24,9 +24,9 @@
 ///
 /// # Errors
 /// Settings that are not valid, a key that cannot be read, or a listener that cannot be bound.
-pub async fn serve(plan: Plan) -> io::Result<()> {
+pub async fn serve(config: ControlConfig) -> io::Result<()> {
     let mut signals = Signals::install()?;
-    let service = startup::start(plan)?;
+    let service = startup::start(config)?;
     let _platform_address = service.platform_address;
     select! {
         () = signals.stopped(&service.sent_counters) => {}
--- a/crates/control-plane/src/driver/startup.rs
+++ b/crates/control-plane/src/driver/startup.rs
@@ -10,7 +10,7 @@
 use latchhaven_gateway::net::discovery_tasks::DiscoveryTasks;
 use latchhaven_gateway::net::platform::{self, Vote};
 use latchhaven_gateway::net::{NOTES_HELD, Note, VOTES_HELD};
-use latchhaven_operator_config::{Evidence, Plan};
+use latchhaven_operator_config::{ControlConfig, OutcomeSource};
 use latchhaven_policy::Millis;
 use latchhaven_proxy_config::proxy_config::ProxyConfigSettings;
 use latchhaven_proxy_config::version::VersionSigner;
@@ -46,21 +46,22 @@
 }
 
 /// Starts all that the event loop needs.
-pub(super) fn start(plan: Plan) -> io::Result<ControlService> {
+pub(super) fn start(config: ControlConfig) -> io::Result<ControlService> {
     let clock = Clock::start();
-    let signer = VersionSigner::new(read_shared_key(&plan)?);
-    let settings = settings::settings(&plan).map_err(io::Error::other)?.with_subscription();
+    let signer = VersionSigner::new(read_shared_key(&config)?);
+    let settings = settings::settings(&config).map_err(io::Error::other)?.with_subscription();
     let vote_timeout = Duration::from_secs_f64(settings.upstream_connections().vote_timeout / MS_PER_SECOND);
-    let store = state_store::open(plan.state.as_deref());
+    let store = state_store::open(config.state.as_deref());
     let class_names = settings.classes().into_iter().map(|class| class.name).collect();
-    let config = control_plane_config(&plan, &settings, signer.clone());
-    let control_plane = ControlPlane::new(settings.start_policy(plan.seed), config, store.state);
+    let control_plane_config = control_plane_config(&config, &settings, signer.clone());
+    let control_plane =
+        ControlPlane::new(settings.start_policy(config.seed), control_plane_config, store.state);
 
-    let listener = bind(plan.xds.listen)?;
+    let listener = bind(config.xds.listen)?;
     let listening = listener.local_addr()?;
     let (event_sender, gateway_events) = mpsc::channel(NOTES_HELD);
-    let (platform_address, address) = watch::channel(plan.platform);
-    let votes = spawn_platform_tasks(plan.seed, address, vote_timeout, &event_sender);
+    let (platform_address, address) = watch::channel(config.platform);
+    let votes = spawn_platform_tasks(config.seed, address, vote_timeout, &event_sender);
     let (server_event_sender, server_events) = mpsc::channel(MAX_PENDING_SERVER_EVENTS);
     let (snapshot_sender, snapshots) = watch::channel(None);
     let sent_counters = Arc::new(SentCounters::default());
@@ -73,15 +74,15 @@
     };
     let xds_listener = XdsListener {
         listener,
-        allowed_networks: plan.xds.allowed_networks.clone(),
-        max_streams: plan.xds.streams_most,
+        allowed_networks: config.xds.allowed_networks.clone(),
+        max_streams: config.xds.streams_most,
     };
     let xds_server = xds_thread::spawn(xds_listener, context)?;
-    tracing::info!(name = plan.name, %listening, "control service starts");
+    tracing::info!(name = config.name, %listening, "control service starts");
     let driver = ControlPlaneDriver {
         control_plane,
         clock,
-        discovery: SnapshotFirstClient::new(plan.discovery),
+        discovery: SnapshotFirstClient::new(config.discovery),
         discovery_tasks: DiscoveryTasks::new(event_sender),
         votes,
         pending_admissions: BTreeMap::new(),
@@ -91,14 +92,16 @@
     Ok(ControlService { driver, gateway_events, server_events, xds_server, sent_counters, platform_address })
 }
 
-fn read_shared_key(plan: &Plan) -> io::Result<Option<Vec<u8>>> {
-    let Some(path) = &plan.shared_key_file else { return Ok(None) };
+fn read_shared_key(config: &ControlConfig) -> io::Result<Option<Vec<u8>>> {
+    let Some(path) = &config.shared_key_file else { return Ok(None) };
     let key = std::fs::read(path)
         .map_err(|error| io::Error::other(format!("shared_key_file: {}: {error}", path.display())))?;
     Ok(Some(key))
 }
 
-fn control_plane_config(plan: &Plan, settings: &Settings, signer: VersionSigner) -> ControlPlaneConfig {
+fn control_plane_config(
+    config: &ControlConfig, settings: &Settings, signer: VersionSigner,
+) -> ControlPlaneConfig {
     let limits = settings.publishing_limits();
     ControlPlaneConfig {
         proxy_config: ProxyConfigSettings {
@@ -106,18 +109,18 @@
             exposure: limits.exposure,
             slow_start: limits.slow_start,
             max_attempts: limits.max_attempts,
-            max_in_flight_per_endpoint: plan.xds.in_flight_per_host,
+            max_in_flight_per_endpoint: config.xds.in_flight_per_host,
         },
         listener: ListenerConfig {
-            address: plan.xds.listener,
-            class_header: plan.xds.product_header.clone(),
-            key_header: plan.xds.key_header.clone(),
-            connect_timeout: f64::from(plan.xds.connect_within_ms),
-            separate_endpoints: plan.xds.hosts_apart,
+            address: config.xds.listener,
+            class_header: config.xds.product_header.clone(),
+            key_header: config.xds.key_header.clone(),
+            connect_timeout: f64::from(config.xds.connect_within_ms),
+            separate_endpoints: config.xds.hosts_apart,
         },
         signer,
-        max_streams: plan.xds.streams_most,
-        platform_counts_only: plan.xds.evidence == Evidence::Platform,
+        max_streams: config.xds.streams_most,
+        platform_counts_only: config.xds.evidence == OutcomeSource::Platform,
     }
 }
 
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -9,4 +9,4 @@
 mod driver;
 pub mod state_store;
 
-pub use driver::{PlanSettingsError, serve, settings};
+pub use driver::{ControlSettingsError, serve, settings};
