--- a/crates/cli/tests/stories.rs
+++ b/crates/cli/tests/stories.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use latchhaven_gateway::net::list::read as read_list;
-use latchhaven_gateway::net::servers::{Errand, Pool, Stopped};
+use latchhaven_gateway::net::servers::{CancelResult, Pool, UpstreamCall};
 use latchhaven_gateway::net::{Note, write_all};
 use latchhaven_policy::RequestId;
 use latchhaven_policy::{AttemptOutcome, EndpointEntry, LoadReporting, UpstreamConnectionConfig};
@@ -218,8 +218,8 @@
     (Pool::new(most, connections, notes), noted)
 }
 
-const FIRST: Errand = Errand::Submission { id: RequestId(1), n: 0 };
-const SECOND: Errand = Errand::Submission { id: RequestId(2), n: 0 };
+const FIRST: UpstreamCall = UpstreamCall::Attempt { id: RequestId(1), attempt: 0 };
+const SECOND: UpstreamCall = UpstreamCall::Attempt { id: RequestId(2), attempt: 0 };
 
 /// A pool alone, with one connection to a server that idles; tasks go on only where a story waits.
 async fn idling(server: &Server) -> (Pool, mpsc::Receiver<Note>) {
@@ -232,7 +232,7 @@
     let (listing, addr) = up(server.addr);
     pool.relist(&listing, addr);
     assert!(pool.send("s0", FIRST, None, 1000.0, None, 0.0));
-    assert_eq!(pool.stop("s0", FIRST), Stopped::Unwritten);
+    assert_eq!(pool.stop("s0", FIRST), CancelResult::Unwritten);
     let Some(Note::Free { link, first }) = noted.recv().await else { panic!("it never came up") };
     pool.free(link, first, 0.0);
     (pool, noted)
@@ -299,7 +299,7 @@
         let (mut pool, mut noted) = pool(reports);
         let (listing, addr) = up(server.addr);
         pool.relist(&listing, addr);
-        assert!(pool.send("s0", Errand::Probe(1), None, 1000.0, None, 0.0));
+        assert!(pool.send("s0", UpstreamCall::HealthCheck(1), None, 1000.0, None, 0.0));
         let Some(Note::Free { link, first }) = noted.recv().await else { panic!("it never came up") };
         pool.free(link, first, 0.0);
         let Some(Note::Ended { ending, load, .. }) = noted.recv().await else { panic!("it never ended") };
@@ -343,7 +343,7 @@
         let server = Server::start(Does::Serves);
         let (mut pool, mut noted) = idling(&server).await;
         assert!(pool.send("s0", SECOND, None, 1000.0, None, 0.0));
-        assert_eq!(pool.stop("s0", SECOND), Stopped::Unwritten);
+        assert_eq!(pool.stop("s0", SECOND), CancelResult::Unwritten);
         assert!(matches!(noted.recv().await, Some(Note::Over { .. })));
         until("it is closed", || server.seen.lock().unwrap().ended == [0]);
         assert!(server.queries().is_empty());
--- a/crates/control-plane/src/driver/upstreams.rs
+++ b/crates/control-plane/src/driver/upstreams.rs
@@ -4,8 +4,8 @@
 use latchhaven_gateway::discovery::calls::CallId;
 use latchhaven_gateway::net::Note;
 use latchhaven_gateway::net::list::List;
-use latchhaven_gateway::net::platform::{Tally, Vote};
-use latchhaven_policy::{Action, Event, Millis, OutcomeReport, VoteOutcome};
+use latchhaven_gateway::net::platform::Vote;
+use latchhaven_policy::{Action, Event, Millis, VoteOutcome};
 use tokio::time::Instant;
 
 impl ControlPlaneDriver {
@@ -16,7 +16,7 @@
             Note::Stage(rollout) => self.control_plane.on_rollout_state(rollout, now),
             Note::VoteCompleted(outcome) => self.control_plane.on_vote_completed(outcome, now),
             Note::Tally(counts) => {
-                let report = Event::OutcomesReported(outcome_report(counts));
+                let report = Event::OutcomesReported(counts.into());
                 self.control_plane.on_outcome_report(report, now);
             }
             // Those of a gateway's clients and upstreams: a control plane carries no requests.
@@ -65,14 +65,3 @@
         self.discovery_tasks.run(self.discovery.take_commands());
     }
 }
-
-fn outcome_report(counts: Tally) -> OutcomeReport {
-    OutcomeReport {
-        version: counts.build,
-        class: counts.product,
-        attempts: counts.count,
-        failures: counts.failed,
-        mean_latency: counts.took,
-        age: counts.age,
-    }
-}
--- /dev/null
+++ b/crates/gateway/src/gateway/event_loop.rs
@@ -0,0 +1,177 @@
+//! The event loop: events of the drivers in, actions of the decisions out.
+
+use super::Gateway;
+use super::timers::Timer;
+use super::upstream_calls::CallResult;
+use crate::config::Known;
+use crate::counters::COUNTERS;
+use crate::invariant;
+use crate::net::platform::Vote;
+use crate::net::servers::UpstreamCall;
+use crate::net::{NOTES_HELD, Note};
+use latchhaven_policy::{
+    Action, AttemptOutcome, Event, Millis, RolloutState, UpdateKind, Verdict, Version, VoteOutcome,
+};
+use tokio::select;
+use tokio::sync::mpsc;
+use tokio::time::{Instant, sleep_until};
+
+impl Gateway {
+    /// Starts from what was known, and serves until dropped.
+    pub async fn run(mut self, known: Known, mut events: mpsc::Receiver<Note>) {
+        self.start(known);
+        let mut batch = Vec::new();
+        loop {
+            self.wait(&mut events, &mut batch).await;
+            batch.sort_by_key(|event| !is_update(event));
+            let mut policy_events = std::mem::take(&mut self.next_events);
+            for event in batch.drain(..) {
+                self.on_event(event, &mut policy_events);
+            }
+            self.fire_timers(&mut policy_events);
+            if !policy_events.is_empty() {
+                self.decide(policy_events);
+            }
+        }
+    }
+
+    fn start(&mut self, known: Known) {
+        let mut events = Vec::new();
+        if let Some(rollout) = known.news {
+            events.push(Event::RolloutUpdate(self.apply_rollout(rollout)));
+        }
+        self.discovery.restore(known.list.version);
+        events.push(self.apply_list(UpdateKind::CachedSnapshot, known.list));
+        self.decide(events);
+    }
+
+    /// Waits for an event or a timer, and takes all events that are there. Tasks run in the order in which they were
+    /// woken: all that this wake-up brought is there by then.
+    async fn wait(&self, events: &mut mpsc::Receiver<Note>, batch: &mut Vec<Note>) {
+        if self.next_events.is_empty() {
+            let timer = self.timers.next_at().map(|at| self.clock.instant(at));
+            select! {
+                _ = events.recv_many(batch, NOTES_HELD) => {}
+                () = sleep_until(timer.unwrap_or_else(Instant::now)), if timer.is_some() => {}
+            }
+        } else {
+            tokio::task::yield_now().await;
+        }
+        while let Ok(event) = events.try_recv() {
+            batch.push(event);
+        }
+    }
+
+    fn decide(&mut self, events: Vec<Event>) {
+        COUNTERS.batches.increment();
+        let actions = self.policy.handle_events(self.clock.now(), events);
+        for action in actions {
+            self.perform(action);
+        }
+        COUNTERS.now_txns.set(self.requests.len());
+        COUNTERS.now_timers.set(self.timers.len());
+        self.pool.count();
+    }
+
+    fn on_event(&mut self, event: Note, events: &mut Vec<Event>) {
+        match event {
+            Note::Txn { id, statement, came, reply } => {
+                self.on_request(id, statement, came, reply, events);
+            }
+            Note::Gone { id } => self.on_client_disconnected(id, events),
+            Note::GiveUp { id } => events.push(Event::Abandon { id }),
+            Note::Free { link, first } => self.pool.free(link, first, self.clock.now()),
+            Note::NotUp { link } => {
+                if let Some(call) = self.pool.not_up(&link) {
+                    self.on_call_ended(
+                        call,
+                        CallResult::without_answer(AttemptOutcome::ConnectFailed),
+                        events,
+                    );
+                }
+            }
+            Note::Over { link } => self.pool.over(&link),
+            Note::Ended { link, ending, value, load } => {
+                if let Some(call) = self.pool.ended(&link) {
+                    self.on_call_ended(call, CallResult { outcome: ending, value, load }, events);
+                }
+            }
+            Note::List { call, list } => self.on_list_answer(call, list, events),
+            Note::Moved { list } => self.on_discovery_moved(list),
+            Note::Stage(rollout) => events.push(Event::RolloutUpdate(self.apply_rollout(rollout))),
+            Note::VoteCompleted(outcome) => events.push(self.vote_completed(outcome)),
+            Note::Tally(counts) => events.push(outcomes_reported(counts)),
+        }
+    }
+
+    fn vote_completed(&mut self, outcome: VoteOutcome) -> Event {
+        match outcome {
+            VoteOutcome::Counted(rollout) => {
+                let rollout: RolloutState = self.apply_rollout(rollout);
+                Event::VoteCompleted(VoteOutcome::Counted(rollout))
+            }
+            VoteOutcome::NotCounted | VoteOutcome::Unknown => Event::VoteCompleted(outcome),
+        }
+    }
+
+    fn fire_timers(&mut self, events: &mut Vec<Event>) {
+        let now = self.clock.now();
+        while let Some(timer) = self.timers.pop_due(now) {
+            match timer {
+                Timer::Policy(token) => events.push(Event::TimerFired { token }),
+                Timer::CallTimeout(call) => self.stop(call, AttemptOutcome::Timeout, events),
+                Timer::WriteDeadline(call) => self.abort_unsent(call, events),
+            }
+        }
+    }
+
+    fn perform(&mut self, action: Action) {
+        match action {
+            Action::SendAttempt { id, endpoint, timeout, write_within } => {
+                self.send_attempt(id, endpoint, timeout, write_within);
+            }
+            Action::Reject { id, retry_after } => self.reject(id, retry_after),
+            Action::Fail { id } => self.fail(id),
+            Action::CancelAttempt { id, attempt } => {
+                let mut events = Vec::new();
+                self.stop(UpstreamCall::Attempt { id, attempt }, AttemptOutcome::Cancelled, &mut events);
+                self.next_events.append(&mut events);
+            }
+            Action::SetTimer { after, token } => self.set_policy_timer(after, token),
+            Action::HealthCheck { endpoint } => self.check_health(endpoint),
+            Action::CloseIdleConnections { endpoint } => self.pool.close_idle(&endpoint),
+            Action::WatchEndpoints { enabled } => {
+                self.discovery.set_watch(enabled);
+                self.run_discovery_commands();
+            }
+            Action::FetchEndpoints => {
+                self.discovery.fetch();
+                self.run_discovery_commands();
+            }
+            Action::CastVote { version, stage, verdict } => self.cast_vote(version, stage, verdict),
+            Action::Log(line) => tracing::info!("{line}"),
+            // There is no protocol between gateways yet.
+            Action::SendPeerMessage { .. } => {}
+        }
+    }
+
+    fn set_policy_timer(&mut self, after: Millis, token: String) {
+        self.timers.set(self.clock.now() + after, Timer::Policy(token));
+    }
+
+    fn cast_vote(&mut self, version: Version, stage: u32, verdict: Verdict) {
+        let vote = Vote { build: version, stage, verdict, cast: Instant::now() };
+        invariant!(self.votes.try_send(vote).is_ok(), "few votes wait for the platform");
+    }
+}
+
+/// Updates of the list and the platform come before everything that is decided after them.
+fn is_update(event: &Note) -> bool {
+    matches!(event, Note::List { .. } | Note::Stage(_) | Note::VoteCompleted(_) | Note::Tally(_))
+}
+
+fn outcomes_reported(counts: crate::net::platform::Tally) -> Event {
+    COUNTERS.tallies_told.increment();
+    tracing::debug!(tally = ?counts, "platform: tally");
+    Event::OutcomesReported(counts.into())
+}
--- /dev/null
+++ b/crates/gateway/src/gateway/request_table.rs
@@ -0,0 +1,70 @@
+//! Requests that were received and are not finished, with their attempts.
+
+use crate::net::Answer;
+use crate::proto::pg::Statement;
+use latchhaven_policy::{Millis, RequestId};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use tokio::sync::oneshot;
+
+/// One attempt.
+pub(super) struct Attempt {
+    pub(super) endpoint: String,
+    pub(super) started_at: Millis,
+    pub(super) has_ended: bool,
+}
+
+/// A request that is not finished.
+pub(super) struct PendingRequest {
+    pub(super) statement: Rc<Statement>,
+    pub(super) deadline: Millis,
+    /// None: it has its final answer, or the client has gone away.
+    pub(super) reply: Option<oneshot::Sender<Answer>>,
+    pub(super) attempts: Vec<Attempt>,
+}
+
+impl PendingRequest {
+    /// It is answered and all its attempts have ended.
+    fn is_finished(&self) -> bool {
+        self.reply.is_none() && self.attempts.iter().all(|attempt| attempt.has_ended)
+    }
+}
+
+/// The requests that are not finished.
+#[derive(Default)]
+pub(super) struct RequestTable {
+    requests: BTreeMap<RequestId, PendingRequest>,
+}
+
+impl RequestTable {
+    /// Adds a request; false if there was one with its id, which it replaces.
+    pub(super) fn insert(&mut self, id: RequestId, request: PendingRequest) -> bool {
+        self.requests.insert(id, request).is_none()
+    }
+
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
+        self.requests.get_mut(&id)
+    }
+
+    /// The number of attempts so far.
+    pub(super) fn attempt_count(&self, id: RequestId) -> u32 {
+        self.requests.get(&id).map_or(0, |request| request.attempts.len() as u32)
+    }
+
+    /// An attempt that has not ended.
+    pub(super) fn active_attempt(&mut self, id: RequestId, attempt: u32) -> Option<&mut Attempt> {
+        let attempt = self.requests.get_mut(&id)?.attempts.get_mut(attempt as usize)?;
+        (!attempt.has_ended).then_some(attempt)
+    }
+
+    /// Removes a request if it is finished.
+    pub(super) fn remove_if_finished(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(PendingRequest::is_finished) {
+            self.requests.remove(&id);
+        }
+    }
+
+    pub(super) fn len(&self) -> usize {
+        self.requests.len()
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/gateway/requests.rs
@@ -0,0 +1,76 @@
+//! Requests: their arrival, their answer, and clients that go away.
+
+use super::Gateway;
+use super::request_table::PendingRequest;
+use crate::counters::{COUNTERS, Metric};
+use crate::invariant;
+use crate::net::Answer;
+use crate::net::servers::UpstreamCall;
+use crate::proto::pg::Statement;
+use latchhaven_policy::{Event, IncomingRequest, Millis, RequestId};
+use std::rc::Rc;
+use tokio::sync::oneshot;
+
+impl Gateway {
+    /// A request has been read; its last byte came at `arrived_at`.
+    pub(super) fn on_request(
+        &mut self, id: RequestId, statement: Rc<Statement>, arrived_at: Millis,
+        reply: oneshot::Sender<Answer>, events: &mut Vec<Event>,
+    ) {
+        COUNTERS.txns.increment();
+        let now = self.clock.now();
+        let deadline = arrived_at + statement.left;
+        events.push(Event::RequestReceived(IncomingRequest {
+            id,
+            class: statement.product.clone(),
+            tenant: statement.tenant.clone(),
+            sticky_key: statement.item.clone(),
+            time_remaining: deadline - now,
+            queued_for: now - arrived_at,
+            expected_work: statement.work,
+            is_retry: statement.repeat,
+            is_write: statement.write,
+        }));
+        let request = PendingRequest { statement, deadline, reply: Some(reply), attempts: Vec::new() };
+        invariant!(self.requests.insert(id, request), "a request has an id of its own");
+    }
+
+    /// The client of a request has gone away.
+    pub(super) fn on_client_disconnected(&mut self, id: RequestId, events: &mut Vec<Event>) {
+        COUNTERS.clients_gone.increment();
+        if let Some(request) = self.requests.get_mut(id) {
+            request.reply = None;
+            events.push(Event::ClientDisconnected { id });
+        }
+        self.on_answered(id);
+    }
+
+    /// Answers a request: not executed, a retry is harmless.
+    pub(super) fn reject(&mut self, id: RequestId, retry_after: Option<Millis>) {
+        self.answer(id, Answer::Declined { come_back: retry_after }, &COUNTERS.declined);
+    }
+
+    /// Answers a request: failed, its effect is unknown.
+    pub(super) fn fail(&mut self, id: RequestId) {
+        self.answer(id, Answer::Voided, &COUNTERS.voided);
+    }
+
+    fn answer(&mut self, id: RequestId, answer: Answer, counter: &Metric) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let Some(reply) = request.reply.take() else { return };
+        counter.increment();
+        let _ = reply.send(answer);
+        self.on_answered(id);
+    }
+
+    /// A request has its final answer, or its client has gone: attempts that wait for a connection are not sent any
+    /// more, whether the decisions may cancel or not.
+    pub(super) fn on_answered(&mut self, id: RequestId) {
+        let mut events = Vec::new();
+        for attempt in 0..self.requests.attempt_count(id) {
+            self.abort_unsent(UpstreamCall::Attempt { id, attempt }, &mut events);
+        }
+        self.next_events.append(&mut events);
+        self.requests.remove_if_finished(id);
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/gateway/timers.rs
@@ -0,0 +1,53 @@
+//! Timers of the gateway, by microsecond.
+
+use crate::net::servers::UpstreamCall;
+use latchhaven_policy::Millis;
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+
+/// Microseconds in a ms.
+const MICROS_PER_MS: f64 = 1000.0;
+
+/// What is due. Of timers of the same microsecond those that stand first here fire first.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum Timer {
+    /// A timer of the decisions, with its token.
+    Policy(String),
+    /// The gateway stops waiting for the answer to a call.
+    CallTimeout(UpstreamCall),
+    /// A call that is not written by now may not be written any more.
+    WriteDeadline(UpstreamCall),
+}
+
+/// The timers that have not fired.
+#[derive(Default)]
+pub(super) struct Timers {
+    heap: BinaryHeap<Reverse<(u64, Timer)>>,
+}
+
+impl Timers {
+    /// Sets a timer. It never fires early.
+    pub(super) fn set(&mut self, at: Millis, timer: Timer) {
+        let micros = (at.max(0.0) * MICROS_PER_MS).ceil() as u64;
+        self.heap.push(Reverse((micros, timer)));
+    }
+
+    /// When the next one fires.
+    pub(super) fn next_at(&self) -> Option<Millis> {
+        self.heap.peek().map(|Reverse((micros, _))| *micros as f64 / MICROS_PER_MS)
+    }
+
+    /// Takes out the first timer that is due.
+    pub(super) fn pop_due(&mut self, now: Millis) -> Option<Timer> {
+        let now = (now * MICROS_PER_MS) as u64;
+        let Reverse((micros, _)) = self.heap.peek()?;
+        if *micros > now {
+            return None;
+        }
+        self.heap.pop().map(|Reverse((_, timer))| timer)
+    }
+
+    pub(super) fn len(&self) -> usize {
+        self.heap.len()
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/gateway/updates.rs
@@ -0,0 +1,91 @@
+//! Updates of the endpoint list and of the rollout's state.
+
+use super::Gateway;
+use super::rollout_tracker::RolloutChange;
+use crate::counters::COUNTERS;
+use crate::discovery::calls::CallId;
+use crate::discovery::ordered_client::ListDecision;
+use crate::net::list::List;
+use crate::net::list_kind;
+use latchhaven_policy::{Event, RolloutState, UpdateKind};
+use std::net::SocketAddr;
+
+impl Gateway {
+    /// A call for the endpoint list has delivered a list, or failed.
+    pub(super) fn on_list_answer(&mut self, call: CallId, list: Option<List>, events: &mut Vec<Event>) {
+        let Some(list) = list else {
+            if self.discovery.on_failure(call) {
+                events.push(self.endpoint_update_failed());
+            }
+            return;
+        };
+        let decision = self.discovery.on_list(call, list.version, list.whole);
+        self.run_discovery_commands();
+        match decision {
+            ListDecision::Ignored => {}
+            ListDecision::Apply => {
+                COUNTERS.list_changes.increment();
+                tracing::debug!(list.version, list.whole, entries = list.entries.len(), "list: told");
+                events.push(self.apply_list(list_kind(list.whole), list));
+            }
+            ListDecision::Discard { is_current } => {
+                tracing::info!(list.version, list.whole, "list: not newer than the one held, asked for anew");
+                COUNTERS.list_failures.increment();
+                if is_current {
+                    events.push(self.endpoint_update_failed());
+                }
+            }
+        }
+    }
+
+    /// The discovery service is at another address from now on.
+    pub(super) fn on_discovery_moved(&mut self, address: SocketAddr) {
+        let tasks = &self.discovery_tasks;
+        self.discovery.on_address_changed(address, |call| tasks.is_finished(call));
+        self.run_discovery_commands();
+    }
+
+    /// Starts and aborts the calls that the discovery client has decided on.
+    pub(super) fn run_discovery_commands(&mut self) {
+        self.discovery_tasks.run(self.discovery.take_commands());
+    }
+
+    /// Applies a list; attempts that were not yet written to an endpoint that changed are decided anew.
+    pub(super) fn apply_list(&mut self, kind: UpdateKind, list: List) -> Event {
+        let mut unsent = Vec::new();
+        if kind != UpdateKind::Delta {
+            let is_listed = |id: &String| list.entries.iter().any(|(entry, _)| entry.endpoint == *id);
+            for endpoint in self.pool.listed() {
+                if !is_listed(&endpoint) {
+                    unsent.append(&mut self.pool.delist(&endpoint));
+                }
+            }
+        }
+        for (entry, address) in &list.entries {
+            unsent.append(&mut self.pool.relist(entry, *address));
+        }
+        self.return_unsent(unsent);
+        let entries = list.entries.into_iter().map(|(entry, _)| entry).collect();
+        Event::EndpointUpdate { kind, list_version: list.version, entries }
+    }
+
+    /// Takes in a reported state of the rollout; returns the state to go on with.
+    pub(super) fn apply_rollout(&mut self, state: RolloutState) -> RolloutState {
+        COUNTERS.states_told.increment();
+        tracing::debug!(stage = ?state, "platform: state");
+        match self.rollout.apply(state, self.clock.now()) {
+            RolloutChange::Unchanged(state) | RolloutChange::Superseded(state) => state,
+            RolloutChange::Changed(state) => {
+                // Decided under the state before, and not yet written: these would count under the new one.
+                let unsent = self.pool.unwritten();
+                self.return_unsent(unsent);
+                state
+            }
+        }
+    }
+
+    fn endpoint_update_failed(&self) -> Event {
+        let list_version = self.discovery.held_version();
+        Event::EndpointUpdate { kind: UpdateKind::Failed, list_version, entries: Vec::new() }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/gateway/upstream_calls.rs
@@ -0,0 +1,209 @@
+//! Calls to endpoints, attempts and health checks: each is started once and ends once.
+
+use super::Gateway;
+use super::request_table::Attempt;
+use super::timers::Timer;
+use crate::counters::{COUNTERS, Metric};
+use crate::invariant;
+use crate::net::Answer;
+use crate::net::servers::{CancelResult, UpstreamCall};
+use crate::proto::pg;
+use bytes::Bytes;
+use latchhaven_policy::{
+    AttemptOutcome, CompletedAttempt, Event, LoadReport, LoadReporting, Millis, RequestId,
+};
+use std::collections::BTreeMap;
+
+/// How a call ended.
+pub(super) struct CallResult {
+    pub(super) outcome: AttemptOutcome,
+    /// The row of a success: its description, the row, and its completion, as they came.
+    pub(super) value: Option<[Bytes; 3]>,
+    pub(super) load: LoadReport,
+}
+
+impl CallResult {
+    /// The call ended without an answer of the endpoint.
+    pub(super) fn without_answer(outcome: AttemptOutcome) -> Self {
+        CallResult { outcome, value: None, load: LoadReport::default() }
+    }
+}
+
+/// A health check that has not ended.
+struct HealthCheck {
+    endpoint: String,
+    started_at: Millis,
+}
+
+/// The health checks that have not ended, by number.
+#[derive(Default)]
+pub(super) struct HealthChecks {
+    active: BTreeMap<u64, HealthCheck>,
+    last_number: u64,
+}
+
+impl HealthChecks {
+    fn start(&mut self, endpoint: String, started_at: Millis) -> u64 {
+        self.last_number += 1;
+        self.active.insert(self.last_number, HealthCheck { endpoint, started_at });
+        self.last_number
+    }
+}
+
+impl Gateway {
+    /// Starts an attempt; one that cannot be sent ends at once.
+    pub(super) fn send_attempt(
+        &mut self, id: RequestId, endpoint: String, timeout: Option<Millis>, write_within: Option<Millis>,
+    ) {
+        let now = self.clock.now();
+        let write_by = write_within.map(|within| now + within);
+        let Some(request) = self.requests.get_mut(id) else {
+            invariant!(false, "only pending requests are sent on");
+            return;
+        };
+        COUNTERS.submissions.increment();
+        let deadline = timeout.map_or(request.deadline, |timeout| (now + timeout).min(request.deadline));
+        let call = UpstreamCall::Attempt { id, attempt: request.attempts.len() as u32 };
+        request.attempts.push(Attempt { endpoint: endpoint.clone(), started_at: now, has_ended: false });
+        let is_wanted = request.reply.is_some() && deadline > now;
+        let statement = Some(request.statement.clone());
+        let write_by_instant = write_by.map(|at| self.clock.instant(at));
+        if !is_wanted || !self.pool.send(&endpoint, call, statement, deadline, write_by_instant, now) {
+            self.return_unsent(vec![call]);
+            return;
+        }
+        self.timers.set(deadline, Timer::CallTimeout(call));
+        if let Some(write_by) = write_by.filter(|at| *at < deadline) {
+            self.timers.set(write_by, Timer::WriteDeadline(call));
+        }
+    }
+
+    /// Starts a health check; one that cannot be sent ends at once.
+    pub(super) fn check_health(&mut self, endpoint: String) {
+        let now = self.clock.now();
+        COUNTERS.probes.increment();
+        let deadline = now + self.connections.connect_timeout;
+        let call = UpstreamCall::HealthCheck(self.health_checks.start(endpoint.clone(), now));
+        let is_permitted =
+            invariant!(self.connections.health_checks, "health checks are sent only where permitted");
+        if is_permitted && self.pool.send(&endpoint, call, None, deadline, None, now) {
+            self.timers.set(deadline, Timer::CallTimeout(call));
+        } else {
+            self.return_unsent(vec![call]);
+        }
+    }
+
+    /// Calls that were never written end; the decisions hear of it in the next batch.
+    pub(super) fn return_unsent(&mut self, calls: Vec<UpstreamCall>) {
+        let mut events = Vec::new();
+        for call in calls {
+            self.on_call_ended(call, CallResult::without_answer(AttemptOutcome::NotSent), &mut events);
+        }
+        self.next_events.append(&mut events);
+    }
+
+    /// Stops waiting for a call. One that was never written was never executed.
+    pub(super) fn stop(&mut self, call: UpstreamCall, outcome: AttemptOutcome, events: &mut Vec<Event>) {
+        let Some(endpoint) = self.endpoint_of(call) else { return };
+        let outcome = match self.pool.stop(&endpoint, call) {
+            CancelResult::Written => outcome,
+            CancelResult::Unwritten => AttemptOutcome::NotSent,
+            CancelResult::NotFound => {
+                invariant!(false, "a call that has not ended is in the pool");
+                return;
+            }
+        };
+        self.on_call_ended(call, CallResult::without_answer(outcome), events);
+    }
+
+    /// Ends an attempt if its last byte was not written yet.
+    pub(super) fn abort_unsent(&mut self, call: UpstreamCall, events: &mut Vec<Event>) {
+        let UpstreamCall::Attempt { .. } = call else { return };
+        let Some(endpoint) = self.endpoint_of(call) else { return };
+        if self.pool.take_back(&endpoint, call) {
+            self.on_call_ended(call, CallResult::without_answer(AttemptOutcome::NotSent), events);
+        }
+    }
+
+    /// A call has ended. The first value of a request goes to its client at once.
+    pub(super) fn on_call_ended(&mut self, call: UpstreamCall, result: CallResult, events: &mut Vec<Event>) {
+        match call {
+            UpstreamCall::Attempt { id, attempt } => self.on_attempt_ended(id, attempt, result, events),
+            UpstreamCall::HealthCheck(number) => events.extend(self.health_check_completed(number, result)),
+        }
+    }
+
+    fn on_attempt_ended(&mut self, id: RequestId, number: u32, result: CallResult, events: &mut Vec<Event>) {
+        let CallResult { outcome, value, load } = result;
+        outcome_counter(outcome).increment();
+        let Some(attempt) = self.requests.active_attempt(id, number) else {
+            invariant!(false, "an attempt ends once");
+            return;
+        };
+        attempt.has_ended = true;
+        let endpoint = attempt.endpoint.clone();
+        let elapsed = self.clock.now() - attempt.started_at;
+        let Some(request) = self.requests.get_mut(id) else { return };
+        if outcome == AttemptOutcome::Success
+            && let Some(value) = value
+            && let Some(reply) = request.reply.take()
+        {
+            COUNTERS.settled.increment();
+            let _ = reply.send(Answer::Settled(value));
+        }
+        let is_final = request.reply.is_none();
+        events.push(Event::AttemptCompleted(CompletedAttempt {
+            id,
+            attempt: number,
+            endpoint,
+            outcome,
+            is_final,
+            elapsed,
+            load,
+        }));
+        if is_final {
+            self.on_answered(id);
+        }
+    }
+
+    fn health_check_completed(&mut self, number: u64, result: CallResult) -> Option<Event> {
+        let check = self.health_checks.active.remove(&number)?;
+        let reported = match &result.value {
+            Some([_, row, _]) if self.connections.load_reporting == LoadReporting::InHealthChecks => {
+                pg::text_of(row).map(pg::load)
+            }
+            _ => None,
+        };
+        Some(Event::HealthCheckCompleted {
+            endpoint: check.endpoint,
+            outcome: result.outcome,
+            elapsed: self.clock.now() - check.started_at,
+            load: reported.unwrap_or(result.load),
+        })
+    }
+
+    /// The endpoint of a call that has not ended.
+    fn endpoint_of(&mut self, call: UpstreamCall) -> Option<String> {
+        match call {
+            UpstreamCall::Attempt { id, attempt } => {
+                self.requests.active_attempt(id, attempt).map(|attempt| attempt.endpoint.clone())
+            }
+            UpstreamCall::HealthCheck(number) => {
+                self.health_checks.active.get(&number).map(|check| check.endpoint.clone())
+            }
+        }
+    }
+}
+
+fn outcome_counter(outcome: AttemptOutcome) -> &'static Metric {
+    match outcome {
+        AttemptOutcome::Success => &COUNTERS.sub_settled,
+        AttemptOutcome::Error => &COUNTERS.sub_error,
+        AttemptOutcome::Rejected => &COUNTERS.sub_turned_away,
+        AttemptOutcome::Timeout => &COUNTERS.sub_no_answer,
+        AttemptOutcome::ConnectFailed => &COUNTERS.sub_no_connection,
+        AttemptOutcome::ConnectionLost => &COUNTERS.sub_lost,
+        AttemptOutcome::Cancelled => &COUNTERS.sub_recalled,
+        AttemptOutcome::NotSent => &COUNTERS.sub_not_sent,
+    }
+}
--- a/crates/gateway/src/net/mod.rs
+++ b/crates/gateway/src/net/mod.rs
@@ -103,8 +103,6 @@
 pub const ACCEPT_AGAIN: Duration = Duration::from_millis(5);
 /// A connection for votes that idled longer is not used again: the platform closes some before 10 s.
 pub const VOTES_IDLE: Duration = Duration::from_secs(3);
-/// Ages come in whole ms and a little late: states that differ in their beginning by less crossed by chance.
-pub const CROSSING: Millis = 20.0;
 /// Votes that wait for an answer, and notes that wait for the gateway.
 pub const VOTES_HELD: usize = 64;
 pub const NOTES_HELD: usize = 4096;
--- a/crates/gateway/src/net/platform.rs
+++ b/crates/gateway/src/net/platform.rs
@@ -4,7 +4,7 @@
 use crate::counters::COUNTERS;
 use crate::proto::http::{self, Body, Part, Reader};
 use bytes::BytesMut;
-use latchhaven_policy::{Millis, RolloutPhase, RolloutState, Verdict, Version, VoteOutcome};
+use latchhaven_policy::{Millis, OutcomeReport, RolloutPhase, RolloutState, Verdict, Version, VoteOutcome};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use serde::Deserialize;
@@ -35,6 +35,19 @@
     pub age: Millis,
 }
 
+impl From<Tally> for OutcomeReport {
+    fn from(counts: Tally) -> Self {
+        OutcomeReport {
+            version: counts.build,
+            class: counts.product,
+            attempts: counts.count,
+            failures: counts.failed,
+            mean_latency: counts.took,
+            age: counts.age,
+        }
+    }
+}
+
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct State {
--- a/crates/gateway/src/net/servers.rs
+++ b/crates/gateway/src/net/servers.rs
@@ -25,14 +25,21 @@
 
 /// What is sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Errand {
-    Submission { id: RequestId, n: u32 },
-    Probe(u64),
+pub enum UpstreamCall {
+    /// An attempt of a request; attempts are numbered from 0.
+    Attempt {
+        /// The request.
+        id: RequestId,
+        /// The number of the attempt.
+        attempt: u32,
+    },
+    /// A health check, by its number.
+    HealthCheck(u64),
 }
 
-/// An errand that waits for a connection, or goes out on one.
+/// A call that waits for a connection, or goes out on one.
 struct Job {
-    errand: Errand,
+    call: UpstreamCall,
     /// None: a probe.
     statement: Option<Rc<Statement>>,
     until: Millis,
@@ -50,7 +57,7 @@
     stream: OnceCell<TcpStream>,
     over: Cell<bool>,
     written: Cell<bool>,
-    errand: Cell<Option<Errand>>,
+    call: Cell<Option<UpstreamCall>>,
     idle_from: Cell<Instant>,
     pieces: RefCell<Option<Pieces>>,
     wake: Notify,
@@ -83,20 +90,20 @@
     waiting: VecDeque<Job>,
 }
 
-/// Where an errand was when it was stopped.
+/// Where a call was when it was stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stopped {
+pub enum CancelResult {
     /// Its last byte was never written.
     Unwritten,
     Written,
     /// Nothing is out under that name.
-    Unknown,
+    NotFound,
 }
 
 /// All connections to servers.
 pub struct Pool {
     spots: BTreeMap<String, Spot>,
-    carrying: BTreeMap<Errand, Rc<Link>>,
+    carrying: BTreeMap<UpstreamCall, Rc<Link>>,
     open: usize,
     most: usize,
     lives: u64,
@@ -115,7 +122,7 @@
 
     /// Takes over what the list says of an instance; returns what had not been written to it and has to be
     /// decided anew.
-    pub fn relist(&mut self, listing: &EndpointEntry, addr: SocketAddr) -> Vec<Errand> {
+    pub fn relist(&mut self, listing: &EndpointEntry, addr: SocketAddr) -> Vec<UpstreamCall> {
         if listing.status == EndpointStatus::Removed {
             return self.delist(&listing.endpoint);
         }
@@ -138,14 +145,14 @@
         // Connections that are still being opened belong to what was there before.
         (self.lives, spot.life, spot.dialing) = (life, life, 0);
         spot.idle.drain(..).for_each(|link| link.close());
-        spot.waiting.drain(..).map(|job| job.errand).collect()
+        spot.waiting.drain(..).map(|job| job.call).collect()
     }
 
     /// An instance has left the list.
-    pub fn delist(&mut self, instance: &str) -> Vec<Errand> {
+    pub fn delist(&mut self, instance: &str) -> Vec<UpstreamCall> {
         let Some(spot) = self.spots.remove(instance) else { return Vec::new() };
         spot.idle.iter().for_each(|link| link.close());
-        spot.waiting.into_iter().map(|job| job.errand).collect()
+        spot.waiting.into_iter().map(|job| job.call).collect()
     }
 
     /// Notes what is held now.
@@ -159,16 +166,16 @@
     }
 
     /// Everything that waits for a connection, back to be decided anew.
-    pub fn unwritten(&mut self) -> Vec<Errand> {
-        self.spots.values_mut().flat_map(|spot| spot.waiting.drain(..)).map(|job| job.errand).collect()
+    pub fn unwritten(&mut self) -> Vec<UpstreamCall> {
+        self.spots.values_mut().flat_map(|spot| spot.waiting.drain(..)).map(|job| job.call).collect()
     }
 
     /// Sends on an idle connection, or opens one. False: no connection can be had, nothing was sent.
     pub fn send(
-        &mut self, instance: &str, errand: Errand, statement: Option<Rc<Statement>>, until: Millis,
+        &mut self, instance: &str, call: UpstreamCall, statement: Option<Rc<Statement>>, until: Millis,
         by: Option<Instant>, now: Millis,
     ) -> bool {
-        let job = Job { errand, statement, until, by };
+        let job = Job { call, statement, until, by };
         let Some(spot) = self.spots.get_mut(instance) else { return false };
         let fresh = Duration::from_secs_f64(self.connections.idle_timeout * IDLE_SHARE / 1000.0);
         while let Some(link) = spot.idle.pop() {
@@ -196,7 +203,7 @@
             stream: OnceCell::new(),
             over: Cell::new(false),
             written: Cell::new(false),
-            errand: Cell::new(None),
+            call: Cell::new(None),
             idle_from: Cell::new(Instant::now()),
             pieces: RefCell::new(None),
             wake: Notify::new(),
@@ -217,7 +224,7 @@
     }
 
     fn carry(&mut self, link: Rc<Link>, job: Job, now: Millis) {
-        invariant!(link.errand.replace(Some(job.errand)).is_none(), "one txn at a time on a connection");
+        invariant!(link.call.replace(Some(job.call)).is_none(), "one txn at a time on a connection");
         link.written.set(false);
         let pieces = match &job.statement {
             Some(statement) => pg::passed_on(statement, job.until - now).to_vec(),
@@ -228,7 +235,7 @@
         };
         *link.pieces.borrow_mut() = Some((pieces, job.by));
         link.wake.notify_one();
-        self.carrying.insert(job.errand, link);
+        self.carrying.insert(job.call, link);
     }
 
     /// A connection is up or ready again: it takes what waits longest, or idles.
@@ -248,17 +255,17 @@
     }
 
     /// A connection never came up: what waits for it could not be sent.
-    pub fn not_up(&mut self, link: &Rc<Link>) -> Option<Errand> {
+    pub fn not_up(&mut self, link: &Rc<Link>) -> Option<UpstreamCall> {
         self.open -= 1;
         let spot = self.spots.get_mut(&link.instance).filter(|spot| spot.life == link.life)?;
         spot.dialing -= 1;
         // Others may still come up for those that wait.
-        (spot.waiting.len() > spot.dialing).then(|| spot.waiting.pop_front())?.map(|job| job.errand)
+        (spot.waiting.len() > spot.dialing).then(|| spot.waiting.pop_front())?.map(|job| job.call)
     }
 
     /// A connection has ended.
     pub fn over(&mut self, link: &Rc<Link>) {
-        invariant!(link.errand.get().is_none(), "an ended connection carries nothing");
+        invariant!(link.call.get().is_none(), "an ended connection carries nothing");
         self.open -= 1;
         if let Some(spot) = self.spots.get_mut(&link.instance) {
             spot.idle.retain(|idle| !Rc::ptr_eq(idle, link));
@@ -266,33 +273,33 @@
     }
 
     /// What a connection carried has ended; none if it was stopped before.
-    pub fn ended(&mut self, link: &Rc<Link>) -> Option<Errand> {
-        let errand = link.errand.take()?;
-        self.carrying.remove(&errand);
-        Some(errand)
+    pub fn ended(&mut self, link: &Rc<Link>) -> Option<UpstreamCall> {
+        let call = link.call.take()?;
+        self.carrying.remove(&call);
+        Some(call)
     }
 
-    /// Stops an errand: takes it out of the queue, or closes its connection.
-    pub fn stop(&mut self, instance: &str, errand: Errand) -> Stopped {
-        if self.take_back(instance, errand) {
-            return Stopped::Unwritten;
+    /// Stops a call: takes it out of the queue, or closes its connection.
+    pub fn stop(&mut self, instance: &str, call: UpstreamCall) -> CancelResult {
+        if self.take_back(instance, call) {
+            return CancelResult::Unwritten;
         }
-        let Some(link) = self.carrying.remove(&errand) else { return Stopped::Unknown };
-        link.errand.set(None);
+        let Some(link) = self.carrying.remove(&call) else { return CancelResult::NotFound };
+        link.call.set(None);
         link.close();
-        Stopped::Written
+        CancelResult::Written
     }
 
-    /// Stops an errand if its last byte was not written yet; false: it was, or nothing is out under that
+    /// Stops a call if its last byte was not written yet; false: it was, or nothing is out under that
     /// name.
-    pub fn take_back(&mut self, instance: &str, errand: Errand) -> bool {
-        if self.carrying.get(&errand).is_some_and(|link| !link.written.get()) {
-            let link = self.carrying.remove(&errand);
-            link.inspect(|link| link.errand.set(None)).inspect(|link| link.close());
+    pub fn take_back(&mut self, instance: &str, call: UpstreamCall) -> bool {
+        if self.carrying.get(&call).is_some_and(|link| !link.written.get()) {
+            let link = self.carrying.remove(&call);
+            link.inspect(|link| link.call.set(None)).inspect(|link| link.close());
             return true;
         }
         let Some(spot) = self.spots.get_mut(instance) else { return false };
-        let at = spot.waiting.iter().position(|job| job.errand == errand);
+        let at = spot.waiting.iter().position(|job| job.call == call);
         at.and_then(|at| spot.waiting.remove(at)).is_some()
     }
 
@@ -366,7 +373,7 @@
         }
     }
     link.close();
-    if link.errand.get().is_some() && !link.written.get() {
+    if link.call.get().is_some() && !link.written.get() {
         // Handed over just as the connection ended.
         let (ending, value, load) = (AttemptOutcome::ConnectFailed, None, LoadReport::default());
         let _ = notes.send(Note::Ended { link: link.clone(), ending, value, load }).await;
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -2,7 +2,7 @@
 
 use crate::config;
 use crate::counters::COUNTERS;
-use crate::gateway::{Clock, Gateway};
+use crate::gateway::{Clock, Gateway, GatewayParts};
 use crate::net::clients::Clients;
 use crate::net::servers::Pool;
 use crate::net::{CLIENTS_OF_EIGHT, KEPT, LAST_ACCEPTS, NOTES_HELD, Note, VOTES_HELD, platform};
@@ -87,15 +87,15 @@
         }
     });
     let pool = Pool::new(sockets - KEPT - to_clients, connections.clone(), notes.clone());
-    let gateway = Gateway::new(
-        terms.asking().start(seed),
+    let gateway = Gateway::new(GatewayParts {
+        policy: terms.asking().start(seed),
         clock,
         pool,
         connections,
-        addresses.list,
+        discovery_address: addresses.list,
         votes,
-        notes.clone(),
-    );
+        events: notes.clone(),
+    });
     let clients = Clients::new(to_clients, products, clock, notes);
     let (name, listening) = (&addresses.name, listener.local_addr()?);
     tracing::info!(name, %listening, servers = known.list.entries.len(), "gateway starts");
