--- a/crates/cli/tests/stories.rs
+++ b/crates/cli/tests/stories.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use latchhaven_gateway::net::list::read as read_list;
-use latchhaven_gateway::net::servers::{CancelResult, Pool, UpstreamCall};
-use latchhaven_gateway::net::{Note, write_all};
+use latchhaven_gateway::net::upstream::{CancelResult, UpstreamCall, UpstreamPool};
+use latchhaven_gateway::net::{DriverEvent, write_all};
 use latchhaven_policy::RequestId;
 use latchhaven_policy::{AttemptOutcome, EndpointEntry, LoadReporting, UpstreamConnectionConfig};
 use latchhaven_test_support::wire::*;
@@ -178,8 +178,10 @@
         // The driver has not run since: to it this comes between the choice of the connection and the write.
         server.seen.lock().unwrap().open[0].write_all(&row(b"not asked for")).unwrap();
         thread::sleep(Duration::from_millis(50));
-        let Some(Note::Ended { ending, value, .. }) = noted.recv().await else { panic!("it never ended") };
-        assert_eq!((ending, value.is_none()), (AttemptOutcome::NotSent, true));
+        let Some(DriverEvent::CallEnded { result, .. }) = noted.recv().await else {
+            panic!("it never ended")
+        };
+        assert_eq!((result.outcome, result.value.is_none()), (AttemptOutcome::NotSent, true));
         assert!(server.queries().is_empty());
     });
 }
@@ -201,11 +203,11 @@
     read_list(list(1, true, &[host("s0", addr, "up", 1)]).to_string().as_bytes()).unwrap().entries.remove(0)
 }
 
-fn pool(reports: LoadReporting) -> (Pool, mpsc::Receiver<Note>) {
+fn pool(reports: LoadReporting) -> (UpstreamPool, mpsc::Receiver<DriverEvent>) {
     pool_of(4, reports)
 }
 
-fn pool_of(most: usize, reports: LoadReporting) -> (Pool, mpsc::Receiver<Note>) {
+fn pool_of(most: usize, reports: LoadReporting) -> (UpstreamPool, mpsc::Receiver<DriverEvent>) {
     let (notes, noted) = mpsc::channel(16);
     let (idle, dial_within, vote_within, probes) = (9000.0, 5000.0, 500.0, true);
     let connections = UpstreamConnectionConfig {
@@ -215,26 +217,28 @@
         health_checks: probes,
         load_reporting: reports,
     };
-    (Pool::new(most, connections, notes), noted)
+    (UpstreamPool::new(most, connections, notes), noted)
 }
 
 const FIRST: UpstreamCall = UpstreamCall::Attempt { id: RequestId(1), attempt: 0 };
 const SECOND: UpstreamCall = UpstreamCall::Attempt { id: RequestId(2), attempt: 0 };
 
 /// A pool alone, with one connection to a server that idles; tasks go on only where a story waits.
-async fn idling(server: &Server) -> (Pool, mpsc::Receiver<Note>) {
+async fn idling(server: &Server) -> (UpstreamPool, mpsc::Receiver<DriverEvent>) {
     idling_in(pool(LoadReporting::Disabled), server).await
 }
 
 async fn idling_in(
-    (mut pool, mut noted): (Pool, mpsc::Receiver<Note>), server: &Server,
-) -> (Pool, mpsc::Receiver<Note>) {
+    (mut pool, mut noted): (UpstreamPool, mpsc::Receiver<DriverEvent>), server: &Server,
+) -> (UpstreamPool, mpsc::Receiver<DriverEvent>) {
     let (listing, addr) = up(server.addr);
-    pool.relist(&listing, addr);
+    pool.update_endpoint(&listing, addr);
     assert!(pool.send("s0", FIRST, None, 1000.0, None, 0.0));
-    assert_eq!(pool.stop("s0", FIRST), CancelResult::Unwritten);
-    let Some(Note::Free { link, first }) = noted.recv().await else { panic!("it never came up") };
-    pool.free(link, first, 0.0);
+    assert_eq!(pool.cancel("s0", FIRST), CancelResult::Unwritten);
+    let Some(DriverEvent::ConnectionReady { connection, is_first }) = noted.recv().await else {
+        panic!("it never came up")
+    };
+    pool.on_connection_ready(connection, is_first, 0.0);
     (pool, noted)
 }
 
@@ -253,9 +257,13 @@
         assert!(pool.send("s0", SECOND, None, 1000.0, None, 0.0));
         loop {
             match noted.recv().await.unwrap() {
-                Note::Free { link, first } => pool.free(link, first, 0.0),
-                Note::Over { link } => pool.over(&link),
-                Note::Ended { ending, .. } => return assert_eq!(ending, AttemptOutcome::Success),
+                DriverEvent::ConnectionReady { connection, is_first } => {
+                    pool.on_connection_ready(connection, is_first, 0.0)
+                }
+                DriverEvent::ConnectionClosed { connection } => pool.on_connection_closed(&connection),
+                DriverEvent::CallEnded { result, .. } => {
+                    return assert_eq!(result.outcome, AttemptOutcome::Success);
+                }
                 _ => panic!("the txn should not notice"),
             }
         }
@@ -269,16 +277,20 @@
         let (mut pool, mut noted) = idling_in(pool_of(1, LoadReporting::Disabled), &one).await;
         let (mut listing, _) = up(one.addr);
         listing.endpoint = "s1".to_string();
-        pool.relist(&listing, other.addr);
+        pool.update_endpoint(&listing, other.addr);
         // In one moment, before any driver runs: the idle one makes room for the first, and there is none for
         // the next.
         assert!(pool.send("s1", FIRST, None, 1000.0, None, 0.0));
         assert!(!pool.send("s0", SECOND, None, 1000.0, None, 0.0));
         loop {
             match noted.recv().await.unwrap() {
-                Note::Free { link, first } => pool.free(link, first, 0.0),
-                Note::Over { link } => pool.over(&link),
-                Note::Ended { ending, .. } => break assert_eq!(ending, AttemptOutcome::Success),
+                DriverEvent::ConnectionReady { connection, is_first } => {
+                    pool.on_connection_ready(connection, is_first, 0.0)
+                }
+                DriverEvent::ConnectionClosed { connection } => pool.on_connection_closed(&connection),
+                DriverEvent::CallEnded { result, .. } => {
+                    break assert_eq!(result.outcome, AttemptOutcome::Success);
+                }
                 _ => panic!("the other one should come up"),
             }
         }
@@ -298,12 +310,16 @@
         let server = Server::start(Does::Chats);
         let (mut pool, mut noted) = pool(reports);
         let (listing, addr) = up(server.addr);
-        pool.relist(&listing, addr);
+        pool.update_endpoint(&listing, addr);
         assert!(pool.send("s0", UpstreamCall::HealthCheck(1), None, 1000.0, None, 0.0));
-        let Some(Note::Free { link, first }) = noted.recv().await else { panic!("it never came up") };
-        pool.free(link, first, 0.0);
-        let Some(Note::Ended { ending, load, .. }) = noted.recv().await else { panic!("it never ended") };
-        assert_eq!((ending, load.0.len()), (AttemptOutcome::Success, figures));
+        let Some(DriverEvent::ConnectionReady { connection, is_first }) = noted.recv().await else {
+            panic!("it never came up")
+        };
+        pool.on_connection_ready(connection, is_first, 0.0);
+        let Some(DriverEvent::CallEnded { result, .. }) = noted.recv().await else {
+            panic!("it never ended")
+        };
+        assert_eq!((result.outcome, result.load.0.len()), (AttemptOutcome::Success, figures));
         assert_eq!(server.queries(), [(0, asked.to_string())]);
     });
 }
@@ -343,8 +359,8 @@
         let server = Server::start(Does::Serves);
         let (mut pool, mut noted) = idling(&server).await;
         assert!(pool.send("s0", SECOND, None, 1000.0, None, 0.0));
-        assert_eq!(pool.stop("s0", SECOND), CancelResult::Unwritten);
-        assert!(matches!(noted.recv().await, Some(Note::Over { .. })));
+        assert_eq!(pool.cancel("s0", SECOND), CancelResult::Unwritten);
+        assert!(matches!(noted.recv().await, Some(DriverEvent::ConnectionClosed { .. })));
         until("it is closed", || server.seen.lock().unwrap().ended == [0]);
         assert!(server.queries().is_empty());
     });
@@ -358,12 +374,14 @@
         let (listing, old) = up(stuck.addr);
         let new = closed.local_addr().unwrap();
         drop(closed);
-        pool.relist(&listing, old);
+        pool.update_endpoint(&listing, old);
         assert!(pool.send("s0", FIRST, None, 1000.0, None, 0.0));
-        assert_eq!(pool.relist(&listing, new), [FIRST]);
+        assert_eq!(pool.update_endpoint(&listing, new), [FIRST]);
         assert!(pool.send("s0", SECOND, None, 1000.0, None, 0.0));
-        let Some(Note::NotUp { link }) = noted.recv().await else { panic!("it is refused") };
-        assert_eq!(pool.not_up(&link), Some(SECOND));
+        let Some(DriverEvent::ConnectFailed { connection }) = noted.recv().await else {
+            panic!("it is refused")
+        };
+        assert_eq!(pool.on_connect_failed(&connection), Some(SECOND));
     });
 }
 
--- a/crates/control-plane/src/driver/event_loop.rs
+++ b/crates/control-plane/src/driver/event_loop.rs
@@ -4,7 +4,7 @@
 use crate::state_store::StateWriter;
 use latchhaven_gateway::discovery::snapshot_client::SnapshotFirstClient;
 use latchhaven_gateway::gateway::Clock;
-use latchhaven_gateway::net::Note;
+use latchhaven_gateway::net::DriverEvent;
 use latchhaven_gateway::net::discovery_tasks::DiscoveryTasks;
 use latchhaven_gateway::net::platform::Vote;
 use latchhaven_policy::Millis;
@@ -44,7 +44,8 @@
 impl ControlPlaneDriver {
     /// Runs until a channel is closed.
     pub(super) async fn run(
-        mut self, mut gateway_events: mpsc::Receiver<Note>, mut server_events: mpsc::Receiver<ServerEvent>,
+        mut self, mut gateway_events: mpsc::Receiver<DriverEvent>,
+        mut server_events: mpsc::Receiver<ServerEvent>,
     ) {
         let mut gateway_batch = Vec::new();
         let mut server_batch = Vec::new();
--- a/crates/control-plane/src/driver/startup.rs
+++ b/crates/control-plane/src/driver/startup.rs
@@ -9,7 +9,7 @@
 use latchhaven_gateway::gateway::Clock;
 use latchhaven_gateway::net::discovery_tasks::DiscoveryTasks;
 use latchhaven_gateway::net::platform::{self, Vote};
-use latchhaven_gateway::net::{NOTES_HELD, Note, VOTES_HELD};
+use latchhaven_gateway::net::{DriverEvent, MAX_PENDING_EVENTS, MAX_PENDING_VOTES};
 use latchhaven_operator_config::{Evidence, Plan};
 use latchhaven_policy::Millis;
 use latchhaven_proxy_config::proxy_config::ProxyConfigSettings;
@@ -35,7 +35,7 @@
 pub(super) struct ControlService {
     pub(super) driver: ControlPlaneDriver,
     /// From discovery and the platform.
-    pub(super) gateway_events: mpsc::Receiver<Note>,
+    pub(super) gateway_events: mpsc::Receiver<DriverEvent>,
     /// From the streams of proxies.
     pub(super) server_events: mpsc::Receiver<ServerEvent>,
     /// How serving proxies ended.
@@ -58,7 +58,7 @@
 
     let listener = bind(plan.xds.listen)?;
     let listening = listener.local_addr()?;
-    let (event_sender, gateway_events) = mpsc::channel(NOTES_HELD);
+    let (event_sender, gateway_events) = mpsc::channel(MAX_PENDING_EVENTS);
     let (platform_address, address) = watch::channel(plan.platform);
     let votes = spawn_platform_tasks(plan.seed, address, vote_timeout, &event_sender);
     let (server_event_sender, server_events) = mpsc::channel(MAX_PENDING_SERVER_EVENTS);
@@ -131,9 +131,9 @@
 /// Starts the feed of rollout states and the task that casts votes.
 fn spawn_platform_tasks(
     seed: u64, address: watch::Receiver<Option<SocketAddr>>, vote_timeout: Duration,
-    events: &mpsc::Sender<Note>,
+    events: &mpsc::Sender<DriverEvent>,
 ) -> mpsc::Sender<Vote> {
-    let (votes, cast_votes) = mpsc::channel(VOTES_HELD);
+    let (votes, cast_votes) = mpsc::channel(MAX_PENDING_VOTES);
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let feed_rng = Pcg64Mcg::from_rng(&mut rng);
     tokio::task::spawn_local(platform::feed(address.clone(), feed_rng, events.clone()));
--- a/crates/control-plane/src/driver/upstreams.rs
+++ b/crates/control-plane/src/driver/upstreams.rs
@@ -2,7 +2,7 @@
 
 use super::event_loop::ControlPlaneDriver;
 use latchhaven_gateway::discovery::calls::CallId;
-use latchhaven_gateway::net::Note;
+use latchhaven_gateway::net::DriverEvent;
 use latchhaven_gateway::net::list::List;
 use latchhaven_gateway::net::platform::Vote;
 use latchhaven_policy::{Action, Event, Millis, VoteOutcome};
@@ -10,12 +10,12 @@
 
 impl ControlPlaneDriver {
     /// Takes in what a task of discovery or the platform brings.
-    pub(super) fn on_gateway_event(&mut self, event: Note, now: Millis) {
+    pub(super) fn on_gateway_event(&mut self, event: DriverEvent, now: Millis) {
         match event {
-            Note::List { call, list } => self.on_list_answer(call, list, now),
-            Note::Stage(rollout) => self.control_plane.on_rollout_state(rollout, now),
-            Note::VoteCompleted(outcome) => self.control_plane.on_vote_completed(outcome, now),
-            Note::Tally(counts) => {
+            DriverEvent::EndpointList { call, list } => self.on_list_answer(call, list, now),
+            DriverEvent::Rollout(rollout) => self.control_plane.on_rollout_state(rollout, now),
+            DriverEvent::VoteCompleted(outcome) => self.control_plane.on_vote_completed(outcome, now),
+            DriverEvent::Outcomes(counts) => {
                 let report = Event::OutcomesReported(counts.into());
                 self.control_plane.on_outcome_report(report, now);
             }
--- a/crates/gateway/src/gateway/event_loop.rs
+++ b/crates/gateway/src/gateway/event_loop.rs
@@ -2,23 +2,20 @@
 
 use super::Gateway;
 use super::timers::Timer;
-use super::upstream_calls::CallResult;
 use crate::config::Known;
 use crate::counters::COUNTERS;
 use crate::invariant;
-use crate::net::platform::Vote;
-use crate::net::servers::UpstreamCall;
-use crate::net::{NOTES_HELD, Note};
-use latchhaven_policy::{
-    Action, AttemptOutcome, Event, Millis, RolloutState, UpdateKind, Verdict, Version, VoteOutcome,
-};
+use crate::net::platform::{Tally, Vote};
+use crate::net::upstream::{CallResult, UpstreamCall};
+use crate::net::{DriverEvent, MAX_PENDING_EVENTS};
+use latchhaven_policy::{Action, AttemptOutcome, Event, Millis, UpdateKind, Verdict, Version, VoteOutcome};
 use tokio::select;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
 impl Gateway {
     /// Starts from what was known, and serves until dropped.
-    pub async fn run(mut self, known: Known, mut events: mpsc::Receiver<Note>) {
+    pub async fn run(mut self, known: Known, mut events: mpsc::Receiver<DriverEvent>) {
         self.start(known);
         let mut batch = Vec::new();
         loop {
@@ -47,11 +44,11 @@
 
     /// Waits for an event or a timer, and takes all events that are there. Tasks run in the order in which they were
     /// woken: all that this wake-up brought is there by then.
-    async fn wait(&self, events: &mut mpsc::Receiver<Note>, batch: &mut Vec<Note>) {
+    async fn wait(&self, events: &mut mpsc::Receiver<DriverEvent>, batch: &mut Vec<DriverEvent>) {
         if self.next_events.is_empty() {
             let timer = self.timers.next_at().map(|at| self.clock.instant(at));
             select! {
-                _ = events.recv_many(batch, NOTES_HELD) => {}
+                _ = events.recv_many(batch, MAX_PENDING_EVENTS) => {}
                 () = sleep_until(timer.unwrap_or_else(Instant::now)), if timer.is_some() => {}
             }
         } else {
@@ -70,19 +67,21 @@
         }
         COUNTERS.now_txns.set(self.requests.len());
         COUNTERS.now_timers.set(self.timers.len());
-        self.pool.count();
+        self.pool.record_metrics();
     }
 
-    fn on_event(&mut self, event: Note, events: &mut Vec<Event>) {
+    fn on_event(&mut self, event: DriverEvent, events: &mut Vec<Event>) {
         match event {
-            Note::Txn { id, statement, came, reply } => {
-                self.on_request(id, statement, came, reply, events);
+            DriverEvent::RequestReceived { id, statement, arrived_at, reply } => {
+                self.on_request(id, statement, arrived_at, reply, events);
             }
-            Note::Gone { id } => self.on_client_disconnected(id, events),
-            Note::GiveUp { id } => events.push(Event::Abandon { id }),
-            Note::Free { link, first } => self.pool.free(link, first, self.clock.now()),
-            Note::NotUp { link } => {
-                if let Some(call) = self.pool.not_up(&link) {
+            DriverEvent::ClientDisconnected { id } => self.on_client_disconnected(id, events),
+            DriverEvent::Abandon { id } => events.push(Event::Abandon { id }),
+            DriverEvent::ConnectionReady { connection, is_first } => {
+                self.pool.on_connection_ready(connection, is_first, self.clock.now());
+            }
+            DriverEvent::ConnectFailed { connection } => {
+                if let Some(call) = self.pool.on_connect_failed(&connection) {
                     self.on_call_ended(
                         call,
                         CallResult::without_answer(AttemptOutcome::ConnectFailed),
@@ -90,24 +89,24 @@
                     );
                 }
             }
-            Note::Over { link } => self.pool.over(&link),
-            Note::Ended { link, ending, value, load } => {
-                if let Some(call) = self.pool.ended(&link) {
-                    self.on_call_ended(call, CallResult { outcome: ending, value, load }, events);
+            DriverEvent::ConnectionClosed { connection } => self.pool.on_connection_closed(&connection),
+            DriverEvent::CallEnded { connection, result } => {
+                if let Some(call) = self.pool.on_call_ended(&connection) {
+                    self.on_call_ended(call, result, events);
                 }
             }
-            Note::List { call, list } => self.on_list_answer(call, list, events),
-            Note::Moved { list } => self.on_discovery_moved(list),
-            Note::Stage(rollout) => events.push(Event::RolloutUpdate(self.apply_rollout(rollout))),
-            Note::VoteCompleted(outcome) => events.push(self.vote_completed(outcome)),
-            Note::Tally(counts) => events.push(outcomes_reported(counts)),
+            DriverEvent::EndpointList { call, list } => self.on_list_answer(call, list, events),
+            DriverEvent::DiscoveryMoved { address } => self.on_discovery_moved(address),
+            DriverEvent::Rollout(rollout) => events.push(Event::RolloutUpdate(self.apply_rollout(rollout))),
+            DriverEvent::VoteCompleted(outcome) => events.push(self.vote_completed(outcome)),
+            DriverEvent::Outcomes(counts) => events.push(outcomes_reported(counts)),
         }
     }
 
     fn vote_completed(&mut self, outcome: VoteOutcome) -> Event {
         match outcome {
             VoteOutcome::Counted(rollout) => {
-                let rollout: RolloutState = self.apply_rollout(rollout);
+                let rollout = self.apply_rollout(rollout);
                 Event::VoteCompleted(VoteOutcome::Counted(rollout))
             }
             VoteOutcome::NotCounted | VoteOutcome::Unknown => Event::VoteCompleted(outcome),
@@ -166,11 +165,17 @@
 }
 
 /// Updates of the list and the platform come before everything that is decided after them.
-fn is_update(event: &Note) -> bool {
-    matches!(event, Note::List { .. } | Note::Stage(_) | Note::VoteCompleted(_) | Note::Tally(_))
+fn is_update(event: &DriverEvent) -> bool {
+    matches!(
+        event,
+        DriverEvent::EndpointList { .. }
+            | DriverEvent::Rollout(_)
+            | DriverEvent::VoteCompleted(_)
+            | DriverEvent::Outcomes(_)
+    )
 }
 
-fn outcomes_reported(counts: crate::net::platform::Tally) -> Event {
+fn outcomes_reported(counts: Tally) -> Event {
     COUNTERS.tallies_told.increment();
     tracing::debug!(tally = ?counts, "platform: tally");
     Event::OutcomesReported(counts.into())
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -19,10 +19,10 @@
 pub use clock::Clock;
 
 use crate::discovery::ordered_client::EndpointListClient;
-use crate::net::Note;
+use crate::net::DriverEvent;
 use crate::net::discovery_tasks::DiscoveryTasks;
 use crate::net::platform::Vote;
-use crate::net::servers::Pool;
+use crate::net::upstream::UpstreamPool;
 use latchhaven_policy::{Event, Policy, UpstreamConnectionConfig};
 use request_table::RequestTable;
 use rollout_tracker::RolloutTracker;
@@ -38,7 +38,7 @@
     /// The clock that the drivers use as well.
     pub clock: Clock,
     /// The connections to endpoints.
-    pub pool: Pool,
+    pub pool: UpstreamPool,
     /// What is permitted on these.
     pub connections: UpstreamConnectionConfig,
     /// The discovery service.
@@ -46,7 +46,7 @@
     /// Votes for the platform.
     pub votes: mpsc::Sender<Vote>,
     /// Where calls for the endpoint list send their answers.
-    pub events: mpsc::Sender<Note>,
+    pub events: mpsc::Sender<DriverEvent>,
 }
 
 /// The gateway's state.
@@ -55,7 +55,7 @@
     clock: Clock,
     requests: RequestTable,
     health_checks: HealthChecks,
-    pool: Pool,
+    pool: UpstreamPool,
     connections: UpstreamConnectionConfig,
     timers: Timers,
     /// Events that actions brought about, for the next batch.
--- a/crates/gateway/src/gateway/requests.rs
+++ b/crates/gateway/src/gateway/requests.rs
@@ -5,7 +5,7 @@
 use crate::counters::{COUNTERS, Metric};
 use crate::invariant;
 use crate::net::Answer;
-use crate::net::servers::UpstreamCall;
+use crate::net::upstream::UpstreamCall;
 use crate::proto::pg::Statement;
 use latchhaven_policy::{Event, IncomingRequest, Millis, RequestId};
 use std::rc::Rc;
@@ -47,12 +47,12 @@
 
     /// Answers a request: not executed, a retry is harmless.
     pub(super) fn reject(&mut self, id: RequestId, retry_after: Option<Millis>) {
-        self.answer(id, Answer::Declined { come_back: retry_after }, &COUNTERS.declined);
+        self.answer(id, Answer::Rejected { retry_after }, &COUNTERS.declined);
     }
 
     /// Answers a request: failed, its effect is unknown.
     pub(super) fn fail(&mut self, id: RequestId) {
-        self.answer(id, Answer::Voided, &COUNTERS.voided);
+        self.answer(id, Answer::Failed, &COUNTERS.voided);
     }
 
     fn answer(&mut self, id: RequestId, answer: Answer, counter: &Metric) {
--- a/crates/gateway/src/gateway/timers.rs
+++ b/crates/gateway/src/gateway/timers.rs
@@ -1,6 +1,6 @@
 //! Timers of the gateway, by microsecond.
 
-use crate::net::servers::UpstreamCall;
+use crate::net::upstream::UpstreamCall;
 use latchhaven_policy::Millis;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/crates/gateway/src/gateway/updates.rs
+++ b/crates/gateway/src/gateway/updates.rs
@@ -6,7 +6,7 @@
 use crate::discovery::calls::CallId;
 use crate::discovery::ordered_client::ListDecision;
 use crate::net::list::List;
-use crate::net::list_kind;
+use crate::net::update_kind;
 use latchhaven_policy::{Event, RolloutState, UpdateKind};
 use std::net::SocketAddr;
 
@@ -26,7 +26,7 @@
             ListDecision::Apply => {
                 COUNTERS.list_changes.increment();
                 tracing::debug!(list.version, list.whole, entries = list.entries.len(), "list: told");
-                events.push(self.apply_list(list_kind(list.whole), list));
+                events.push(self.apply_list(update_kind(list.whole), list));
             }
             ListDecision::Discard { is_current } => {
                 tracing::info!(list.version, list.whole, "list: not newer than the one held, asked for anew");
@@ -55,14 +55,14 @@
         let mut unsent = Vec::new();
         if kind != UpdateKind::Delta {
             let is_listed = |id: &String| list.entries.iter().any(|(entry, _)| entry.endpoint == *id);
-            for endpoint in self.pool.listed() {
+            for endpoint in self.pool.endpoints() {
                 if !is_listed(&endpoint) {
-                    unsent.append(&mut self.pool.delist(&endpoint));
+                    unsent.append(&mut self.pool.remove_endpoint(&endpoint));
                 }
             }
         }
         for (entry, address) in &list.entries {
-            unsent.append(&mut self.pool.relist(entry, *address));
+            unsent.append(&mut self.pool.update_endpoint(entry, *address));
         }
         self.return_unsent(unsent);
         let entries = list.entries.into_iter().map(|(entry, _)| entry).collect();
@@ -77,7 +77,7 @@
             RolloutChange::Unchanged(state) | RolloutChange::Superseded(state) => state,
             RolloutChange::Changed(state) => {
                 // Decided under the state before, and not yet written: these would count under the new one.
-                let unsent = self.pool.unwritten();
+                let unsent = self.pool.take_queued();
                 self.return_unsent(unsent);
                 state
             }
--- a/crates/gateway/src/gateway/upstream_calls.rs
+++ b/crates/gateway/src/gateway/upstream_calls.rs
@@ -6,29 +6,11 @@
 use crate::counters::{COUNTERS, Metric};
 use crate::invariant;
 use crate::net::Answer;
-use crate::net::servers::{CancelResult, UpstreamCall};
+use crate::net::upstream::{CallResult, CancelResult, UpstreamCall};
 use crate::proto::pg;
-use bytes::Bytes;
-use latchhaven_policy::{
-    AttemptOutcome, CompletedAttempt, Event, LoadReport, LoadReporting, Millis, RequestId,
-};
+use latchhaven_policy::{AttemptOutcome, CompletedAttempt, Event, LoadReporting, Millis, RequestId};
 use std::collections::BTreeMap;
 
-/// How a call ended.
-pub(super) struct CallResult {
-    pub(super) outcome: AttemptOutcome,
-    /// The row of a success: its description, the row, and its completion, as they came.
-    pub(super) value: Option<[Bytes; 3]>,
-    pub(super) load: LoadReport,
-}
-
-impl CallResult {
-    /// The call ended without an answer of the endpoint.
-    pub(super) fn without_answer(outcome: AttemptOutcome) -> Self {
-        CallResult { outcome, value: None, load: LoadReport::default() }
-    }
-}
-
 /// A health check that has not ended.
 struct HealthCheck {
     endpoint: String,
@@ -105,7 +87,7 @@
     /// Stops waiting for a call. One that was never written was never executed.
     pub(super) fn stop(&mut self, call: UpstreamCall, outcome: AttemptOutcome, events: &mut Vec<Event>) {
         let Some(endpoint) = self.endpoint_of(call) else { return };
-        let outcome = match self.pool.stop(&endpoint, call) {
+        let outcome = match self.pool.cancel(&endpoint, call) {
             CancelResult::Written => outcome,
             CancelResult::Unwritten => AttemptOutcome::NotSent,
             CancelResult::NotFound => {
@@ -120,7 +102,7 @@
     pub(super) fn abort_unsent(&mut self, call: UpstreamCall, events: &mut Vec<Event>) {
         let UpstreamCall::Attempt { .. } = call else { return };
         let Some(endpoint) = self.endpoint_of(call) else { return };
-        if self.pool.take_back(&endpoint, call) {
+        if self.pool.abort_unsent(&endpoint, call) {
             self.on_call_ended(call, CallResult::without_answer(AttemptOutcome::NotSent), events);
         }
     }
@@ -149,7 +131,7 @@
             && let Some(reply) = request.reply.take()
         {
             COUNTERS.settled.increment();
-            let _ = reply.send(Answer::Settled(value));
+            let _ = reply.send(Answer::Success(value));
         }
         let is_final = request.reply.is_none();
         events.push(Event::AttemptCompleted(CompletedAttempt {
--- a/crates/gateway/src/net/clients.rs
+++ b/crates/gateway/src/net/clients.rs
@@ -1,10 +1,11 @@
 //! Clients: accepts them, reads their queries one after another, writes each one's answer.
 
+use super::io::{has_unread_bytes, is_closed_by_peer};
 use super::{
     ACCEPT_AGAIN, ANSWER_SLOW, Answer, CLIENT_FAULTS, CLIENT_FIRST, CLIENT_HALF, CLIENT_IDLE,
-    CLIENT_IDLE_LEAST, CLIENT_SILENT_LEAST, CLIENT_STALL, GONE_LOOK, HELD, KILL_AFTER, KILL_COUNTED,
-    LARGE_AT_ONCE, LAST_CLOSES, LAST_FIRST, LAST_TAKES, LINGER, LINGER_BYTES, LOGGED_OF, Note, QUIET,
-    TURNED_AWAY_AT_ONCE, ended, read_some, unread, write_all,
+    CLIENT_IDLE_LEAST, CLIENT_SILENT_LEAST, CLIENT_STALL, DriverEvent, GONE_LOOK, HELD, KILL_AFTER,
+    KILL_COUNTED, LARGE_AT_ONCE, LAST_CLOSES, LAST_FIRST, LAST_TAKES, LINGER, LINGER_BYTES, LOGGED_OF, QUIET,
+    TURNED_AWAY_AT_ONCE, read_some, write_all,
 };
 use crate::arrivals::Arrivals;
 use crate::counters::{COUNTERS, Metric};
@@ -88,13 +89,13 @@
         // All that waited unread counts as come with its first byte: a later one may have less time than is
         // right.
         self.came.hold(self.buf.len(), self.seen.unwrap_or(now));
-        self.seen = self.seen.filter(|_| unread(stream));
+        self.seen = self.seen.filter(|_| has_unread_bytes(stream));
     }
 }
 
 /// Notes that nothing was read since a moment, where something waits.
 fn waits(seen: &mut Option<Millis>, stream: &TcpStream, since: Millis) {
-    *seen = seen.or_else(|| unread(stream).then_some(since));
+    *seen = seen.or_else(|| has_unread_bytes(stream).then_some(since));
 }
 
 /// All connections of clients.
@@ -114,12 +115,12 @@
     /// How long after that the process may be killed, less a moment.
     ends_within: Duration,
     clock: Clock,
-    notes: mpsc::Sender<Note>,
+    notes: mpsc::Sender<DriverEvent>,
 }
 
 impl Clients {
     pub fn new(
-        most: usize, products: Vec<RequestClass>, clock: Clock, notes: mpsc::Sender<Note>,
+        most: usize, products: Vec<RequestClass>, clock: Clock, notes: mpsc::Sender<DriverEvent>,
     ) -> Rc<Self> {
         let longest = products.iter().map(|product| product.timeout).fold(0.0, f64::max);
         let keyed =
@@ -350,11 +351,14 @@
         let (reply, answer) = oneshot::channel();
         let id = statement.id.clone();
         self.ids.borrow_mut().insert(id.clone());
-        let _ = self.notes.send(Note::Txn { id: RequestId(number), statement, came, reply }).await;
+        let _ = self
+            .notes
+            .send(DriverEvent::RequestReceived { id: RequestId(number), statement, arrived_at: came, reply })
+            .await;
         let answered = self.answer(stream, seat, inbox, RequestId(number), answer).await;
         self.ids.borrow_mut().remove(&id);
         if answered.is_err() {
-            let _ = self.notes.send(Note::Gone { id: RequestId(number) }).await;
+            let _ = self.notes.send(DriverEvent::ClientDisconnected { id: RequestId(number) }).await;
         }
         answered
     }
@@ -407,7 +411,7 @@
             () = leaves => {
                 // A full read gives up its turn, and then this comes first.
                 let read = inbox.buf.len() > held;
-                let read = read || unread(stream) && read_some(stream, &mut inbox.buf).await? > 0;
+                let read = read || has_unread_bytes(stream) && read_some(stream, &mut inbox.buf).await? > 0;
                 Ok(if read { More::Read } else { More::Closing })
             }
             () = sleep_until(until) => Ok(late),
@@ -464,7 +468,7 @@
                 // What is behind this one has to be answered as well.
                 () = self.last_moment(seat), if behind && !given_up => {
                     given_up = true;
-                    let _ = self.notes.send(Note::GiveUp { id }).await;
+                    let _ = self.notes.send(DriverEvent::Abandon { id }).await;
                 }
                 read = read_some(stream, buf), if reads => {
                     if read? == 0 {
@@ -479,12 +483,12 @@
         };
         invariant!(given.is_ok(), "every txn gets an answer");
         let (ready, since) = (Bytes::from_static(pg::READY), self.clock.now());
-        let written = match given.unwrap_or(Answer::Voided) {
-            Answer::Settled([described, row, complete]) => {
+        let written = match given.unwrap_or(Answer::Failed) {
+            Answer::Success([described, row, complete]) => {
                 write(stream, &[described, row, complete, ready]).await
             }
-            Answer::Declined { come_back } => write(stream, &[declined(come_back), ready]).await,
-            Answer::Voided => {
+            Answer::Rejected { retry_after } => write(stream, &[declined(retry_after), ready]).await,
+            Answer::Failed => {
                 write(stream, &[pg::error(false, pg::INTERNAL, "voided: it may have run", None), ready]).await
             }
         };
@@ -547,7 +551,7 @@
 
 /// Waits until a client has ended its sending, without reading what it sent before that.
 async fn has_ended(stream: &TcpStream, mut looks: impl FnMut()) {
-    while !ended(stream) {
+    while !is_closed_by_peer(stream) {
         looks();
         sleep(GONE_LOOK).await;
     }
--- a/crates/gateway/src/net/discovery_tasks.rs
+++ b/crates/gateway/src/net/discovery_tasks.rs
@@ -1,6 +1,6 @@
 //! Carries out the commands of a discovery client: one task per call.
 
-use super::{Note, list};
+use super::{DriverEvent, list};
 use crate::discovery::calls::{CallId, DiscoveryCommand};
 use std::collections::BTreeMap;
 use tokio::sync::mpsc;
@@ -10,12 +10,12 @@
 pub struct DiscoveryTasks {
     /// Finished tasks are dropped when the next call starts.
     tasks: BTreeMap<CallId, AbortHandle>,
-    notes: mpsc::Sender<Note>,
+    notes: mpsc::Sender<DriverEvent>,
 }
 
 impl DiscoveryTasks {
     /// No tasks yet; their answers go to `notes`.
-    pub fn new(notes: mpsc::Sender<Note>) -> Self {
+    pub fn new(notes: mpsc::Sender<DriverEvent>) -> Self {
         DiscoveryTasks { tasks: BTreeMap::new(), notes }
     }
 
--- /dev/null
+++ b/crates/gateway/src/net/io.rs
@@ -0,0 +1,117 @@
+//! Reading and writing of sockets.
+
+use bytes::{Bytes, BytesMut};
+use socket2::SockRef;
+use std::io::{self, IoSlice};
+use std::mem::MaybeUninit;
+use std::task::{Context, Poll, Waker};
+use tokio::io::Interest;
+use tokio::net::TcpStream;
+use tokio::task::yield_now;
+
+/// Bytes that a read takes at most at once; a connection holds at most a message and this.
+const MAX_READ: usize = 16 * 1024;
+/// Pieces that one system call writes at most.
+const MAX_PIECES_PER_WRITE: usize = 8;
+
+/// Nothing may be written on this idle connection: its peer has ended it, or sent what nobody asked for.
+pub fn is_unusable(stream: &TcpStream) -> bool {
+    let peeked = SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
+    !matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
+}
+
+/// Bytes have come that were not read.
+pub fn has_unread_bytes(stream: &TcpStream) -> bool {
+    matches!(SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]), Ok(count) if count > 0)
+}
+
+/// The peer has ended its sending, also behind bytes that were not read.
+pub fn is_closed_by_peer(stream: &TcpStream) -> bool {
+    if matches!(SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]), Ok(0)) {
+        return true;
+    }
+    let ready = std::pin::pin!(stream.ready(Interest::READABLE));
+    let polled = ready.poll(&mut Context::from_waker(Waker::noop()));
+    matches!(polled, Poll::Ready(Ok(ready)) if ready.is_read_closed())
+}
+
+/// Reads what is there, up to 16 KiB; 0: the peer has ended its sending.
+///
+/// # Errors
+/// The socket's.
+pub async fn read_some(stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<usize> {
+    loop {
+        stream.readable().await?;
+        if buffer.is_empty() && buffer.capacity() > 2 * MAX_READ {
+            *buffer = BytesMut::new();
+        }
+        buffer.reserve(MAX_READ);
+        match stream.try_read_buf(buffer) {
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+            Ok(read) if read >= MAX_READ => {
+                // A peer that never stops sending is always ready: its task would never let others run.
+                // Whoever drops this here finds what was read in the buffer.
+                yield_now().await;
+                return Ok(read);
+            }
+            read => return read,
+        }
+    }
+}
+
+/// Writes all pieces, several with one system call. An error says that the last byte was not written.
+///
+/// # Errors
+/// The socket's.
+pub async fn write_all(stream: &TcpStream, pieces: &[Bytes]) -> io::Result<()> {
+    let mut cursor = WriteCursor { pieces, piece: 0, offset: 0 };
+    loop {
+        cursor.skip_written_pieces();
+        if cursor.is_at_end() {
+            return Ok(());
+        }
+        let (slices, count) = cursor.slices();
+        match stream.try_write_vectored(&slices[..count]) {
+            Ok(written) => cursor.advance(written),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => stream.writable().await?,
+            Err(error) => return Err(error),
+        }
+    }
+}
+
+/// How far pieces have been written.
+struct WriteCursor<'a> {
+    pieces: &'a [Bytes],
+    piece: usize,
+    /// Bytes of the present piece that were written.
+    offset: usize,
+}
+
+impl<'a> WriteCursor<'a> {
+    fn is_at_end(&self) -> bool {
+        self.piece >= self.pieces.len()
+    }
+
+    fn skip_written_pieces(&mut self) {
+        while !self.is_at_end() && self.offset >= self.pieces[self.piece].len() {
+            self.offset -= self.pieces[self.piece].len();
+            self.piece += 1;
+        }
+    }
+
+    fn advance(&mut self, written: usize) {
+        self.offset += written;
+    }
+
+    /// What is to be written next, and in how many slices.
+    fn slices(&self) -> ([IoSlice<'a>; MAX_PIECES_PER_WRITE], usize) {
+        let mut slices = [IoSlice::new(&[]); MAX_PIECES_PER_WRITE];
+        let mut count = 0;
+        for (slot, piece) in slices.iter_mut().zip(&self.pieces[self.piece..]) {
+            let written = if count == 0 { self.offset } else { 0 };
+            *slot = IoSlice::new(&piece[written..]);
+            count += 1;
+        }
+        (slices, count)
+    }
+}
--- a/crates/gateway/src/net/list.rs
+++ b/crates/gateway/src/net/list.rs
@@ -1,6 +1,6 @@
 //! The list of instances: read from the service in whole, or watched.
 
-use super::{DIAL, LIST_CALL, LIST_SILENCE, Note, read_some, write_all};
+use super::{CONNECT_TIMEOUT, DriverEvent, read_some, write_all};
 use crate::counters::COUNTERS;
 use crate::discovery::calls::CallId;
 use crate::proto::http::{self, Body, Part, Reader};
@@ -10,10 +10,16 @@
 use serde::Deserialize;
 use std::io;
 use std::net::SocketAddr;
+use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout, timeout_at};
 
+/// A watch without a sign of life for so long is ended: discovery sends one every 2 s.
+const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(3500);
+/// A call that brings nothing by then has failed: discovery gives up after 2 s itself.
+const LIST_CALL_TIMEOUT: Duration = Duration::from_millis(3000);
+
 /// The list, or changes to it, with the address of each instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct List {
@@ -91,7 +97,7 @@
 }
 
 /// Watches from a version on, until the connection ends. Every way out is told as a failed call.
-pub async fn watch(addr: SocketAddr, after: u64, call_id: CallId, notes: mpsc::Sender<Note>) {
+pub async fn watch(addr: SocketAddr, after: u64, call_id: CallId, notes: mpsc::Sender<DriverEvent>) {
     let path = format!("/v1/servers?watch=1&after={after}");
     let why = watched(addr, &path, after, call_id, &notes)
         .await
@@ -99,37 +105,38 @@
         .unwrap_or_else(|| "the watch ended".to_string());
     tracing::info!(why, "list: watch over");
     COUNTERS.list_failures.increment();
-    let _ = notes.send(Note::List { call: call_id, list: None }).await;
+    let _ = notes.send(DriverEvent::EndpointList { call: call_id, list: None }).await;
 }
 
 /// Asks for the whole list once.
-pub async fn fetch(addr: SocketAddr, call_id: CallId, notes: mpsc::Sender<Note>) {
-    let list = timeout(LIST_CALL, fetched(addr)).await.unwrap_or_else(|_| Err("no answer".to_string()));
+pub async fn fetch(addr: SocketAddr, call_id: CallId, notes: mpsc::Sender<DriverEvent>) {
+    let list =
+        timeout(LIST_CALL_TIMEOUT, fetched(addr)).await.unwrap_or_else(|_| Err("no answer".to_string()));
     if let Err(why) = &list {
         tracing::info!(why, "list: call failed");
         COUNTERS.list_failures.increment();
     }
-    let _ = notes.send(Note::List { call: call_id, list: list.ok() }).await;
+    let _ = notes.send(DriverEvent::EndpointList { call: call_id, list: list.ok() }).await;
 }
 
 async fn call(addr: SocketAddr, path: &str) -> io::Result<TcpStream> {
     COUNTERS.list_calls.increment();
-    let stream = timeout(DIAL, TcpStream::connect(addr)).await??;
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await??;
     stream.set_nodelay(true)?;
     write_all(&stream, &[http::get(&addr.to_string(), path)]).await?;
     Ok(stream)
 }
 
 async fn watched(
-    addr: SocketAddr, path: &str, after: u64, call_id: CallId, notes: &mpsc::Sender<Note>,
+    addr: SocketAddr, path: &str, after: u64, call_id: CallId, notes: &mpsc::Sender<DriverEvent>,
 ) -> Result<(), String> {
     let stream = call(addr, path).await.map_err(|fault| fault.to_string())?;
     let (mut reader, mut pieces, mut buf) = (Reader::default(), Pieces::default(), BytesMut::new());
-    let (mut answered, mut silence, mut heard) = (false, LIST_CALL, Instant::now());
+    let (mut answered, mut silence, mut heard) = (false, LIST_CALL_TIMEOUT, Instant::now());
     loop {
         let part = reader.next(&mut buf).map_err(|fault| fault.to_string())?;
         match part {
-            Some(Part::Head { status: 200, .. }) => silence = LIST_SILENCE,
+            Some(Part::Head { status: 200, .. }) => silence = WATCH_SILENCE_TIMEOUT,
             Some(Part::Head { status, .. }) => return Err(format!("status {status}")),
             Some(Part::End) => return Ok(()),
             Some(Part::Body(piece)) => {
@@ -144,7 +151,7 @@
                         Piece::Object(list) => read(&list)?,
                     };
                     answered = true;
-                    let _ = notes.send(Note::List { call: call_id, list: Some(list) }).await;
+                    let _ = notes.send(DriverEvent::EndpointList { call: call_id, list: Some(list) }).await;
                 }
             }
             None => match timeout_at(heard + silence, read_some(&stream, &mut buf)).await {
--- a/crates/gateway/src/net/mod.rs
+++ b/crates/gateway/src/net/mod.rs
@@ -1,44 +1,41 @@
-//! Thin drivers between sockets and state machines, by peer. Nothing here decides a txn's way or a vote.
+//! Drivers between sockets and the gateway's state machines, by peer. They decide neither routes nor votes.
+//!
+//! - [`clients`]: clients of the gateway.
+//! - [`upstream`]: connections to endpoints.
+//! - [`list`], [`discovery_tasks`]: the discovery service.
+//! - [`platform`]: the feed of rollout states, and votes.
+//! - [`io`]: reading and writing of sockets.
 
 pub mod clients;
 pub mod discovery_tasks;
+pub mod io;
 pub mod list;
 pub mod platform;
-pub mod servers;
+pub mod upstream;
 
-use bytes::{Bytes, BytesMut};
-use latchhaven_policy::RequestId;
-use latchhaven_policy::{AttemptOutcome, LoadReport, Millis, RolloutState, UpdateKind, VoteOutcome};
-use socket2::SockRef;
-use std::io::{self, IoSlice};
-use std::mem::MaybeUninit;
+pub use io::{is_unusable, read_some, write_all};
+
+use crate::discovery::calls::CallId;
+use crate::proto::pg::Statement;
+use bytes::Bytes;
+use latchhaven_policy::{Millis, RequestId, RolloutState, UpdateKind, VoteOutcome};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::task::{Context, Poll, Waker};
 use std::time::Duration;
-use tokio::io::Interest;
-use tokio::net::TcpStream;
 use tokio::sync::oneshot;
-use tokio::task::yield_now;
+use upstream::{CallResult, UpstreamConnection};
 
-use crate::discovery::calls::CallId;
-use crate::proto::pg::Statement;
+/// Votes that wait for an answer: the decisions cast one at a time and few behind it.
+pub const MAX_PENDING_VOTES: usize = 64;
+/// Events that wait for the gateway; a driver that has more waits.
+pub const MAX_PENDING_EVENTS: usize = 4096;
+/// A connection to discovery or the platform that is not up by then never comes up.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-// Mechanics: figures of buffers, descriptors and times that decide no txn's way.
-/// Descriptors kept for everything but clients and servers: the list, the feed, votes, the runtime, logs.
-pub const KEPT: usize = 48;
-/// Of the rest, how many of eight go to clients; servers get the others.
-pub const CLIENTS_OF_EIGHT: usize = 4;
-/// A read takes at most so much at once; a connection holds at most a message and this.
-pub const READ: usize = 16 * 1024;
 /// While a txn is open so much is read behind it, to see its client go; a message may be longer than that on
 /// so many connections at once, so that all together fit a small memory.
 pub const HELD: usize = 16 * 1024;
 pub const LARGE_AT_ONCE: usize = 24;
-/// An answer longer than the first is read on so many connections at once, and counted until its client has
-/// it.
-pub const LARGE_ANSWER: usize = 64 * 1024;
-pub const LARGE_ANSWERS_AT_ONCE: usize = 12;
 /// A client gets so long to take an answer, and to finish what it has begun to write.
 pub const CLIENT_STALL: Duration = Duration::from_secs(5);
 pub const CLIENT_HALF: Duration = Duration::from_secs(2);
@@ -79,141 +76,100 @@
 pub const CLIENT_SILENT_LEAST: Duration = Duration::from_millis(50);
 /// Queries that cannot be taken, until the connection ends with them.
 pub const CLIENT_FAULTS: u32 = 8;
-/// A server gets so long to become ready again after its answer.
-pub const SETTLE: Duration = Duration::from_millis(500);
-/// Idle connections to servers are closed at this share of the time at which those close them.
-pub const IDLE_SHARE: f64 = 0.8;
-/// After SIGTERM connections are accepted for so long: the front hands them out for 0.4 s at most.
-pub const LAST_ACCEPTS: Duration = Duration::from_millis(550);
-/// The list shows a sign of life every 2 s, the feed every 1 s: silence past this ends them.
-pub const LIST_SILENCE: Duration = Duration::from_millis(3500);
-pub const FEED_SILENCE: Duration = Duration::from_millis(3000);
-/// A connection to the list or the platform that is not up by then never comes up.
-pub const DIAL: Duration = Duration::from_millis(1000);
-/// A call for the list that brings nothing by then has failed: the service gives up after 2 s itself.
-pub const LIST_CALL: Duration = Duration::from_millis(3000);
-/// A lost feed is opened again after this, doubling up to the most, each time less a random half.
-pub const FEED_AGAIN: Duration = Duration::from_millis(100);
-pub const FEED_AGAIN_MOST: Duration = Duration::from_millis(1600);
 /// So many clients over their share are told that there are too many; while there are more, none is accepted.
 pub const TURNED_AWAY_AT_ONCE: usize = 16;
 /// Of lines that peers can bring about at will, one of so many is logged.
 pub const LOGGED_OF: u64 = 100;
 /// When no connection can be accepted for want of descriptors, the next try is after this.
 pub const ACCEPT_AGAIN: Duration = Duration::from_millis(5);
-/// A connection for votes that idled longer is not used again: the platform closes some before 10 s.
-pub const VOTES_IDLE: Duration = Duration::from_secs(3);
-/// Votes that wait for an answer, and notes that wait for the gateway.
-pub const VOTES_HELD: usize = 64;
-pub const NOTES_HELD: usize = 4096;
+/// Descriptors kept for everything but clients and servers: the list, the feed, votes, the runtime, logs.
+pub const KEPT: usize = 48;
+/// Of the rest, how many of eight go to clients; servers get the others.
+pub const CLIENTS_OF_EIGHT: usize = 4;
+/// After SIGTERM connections are accepted for so long: the front hands them out for 0.4 s at most.
+pub const LAST_ACCEPTS: Duration = Duration::from_millis(550);
 
 /// What a driver has seen, for the gateway.
-pub enum Note {
-    /// A txn's last byte has come.
-    Txn { id: RequestId, statement: Rc<Statement>, came: Millis, reply: oneshot::Sender<Answer> },
-    /// The client of a txn has gone away.
-    Gone { id: RequestId },
-    /// The process ends, and others wait behind this txn.
-    GiveUp { id: RequestId },
-    /// A connection to a server is up, or ready again.
-    Free { link: Rc<servers::Link>, first: bool },
-    /// A connection to a server never came up.
-    NotUp { link: Rc<servers::Link> },
-    /// A connection to a server has ended.
-    Over { link: Rc<servers::Link> },
-    /// What was sent on a connection has ended.
-    Ended { link: Rc<servers::Link>, ending: AttemptOutcome, value: Option<[Bytes; 3]>, load: LoadReport },
-    /// The list or changes to it, by the call with this id; none: the call failed.
-    List { call: CallId, list: Option<list::List> },
-    /// The list is to be had at another address from now on.
-    Moved { list: SocketAddr },
-    /// News of the newest build.
-    Stage(RolloutState),
+pub enum DriverEvent {
+    /// A request's last byte has come.
+    RequestReceived {
+        /// The request.
+        id: RequestId,
+        /// What it asks for.
+        statement: Rc<Statement>,
+        /// When its last byte came.
+        arrived_at: Millis,
+        /// Takes its final answer.
+        reply: oneshot::Sender<Answer>,
+    },
+    /// The client of a request has gone away.
+    ClientDisconnected {
+        /// The request.
+        id: RequestId,
+    },
+    /// The process ends, and other requests wait behind this one.
+    Abandon {
+        /// The request.
+        id: RequestId,
+    },
+    /// A connection to an endpoint is up, or ready again.
+    ConnectionReady {
+        /// The connection.
+        connection: Rc<UpstreamConnection>,
+        /// It has just come up.
+        is_first: bool,
+    },
+    /// A connection to an endpoint could not be opened.
+    ConnectFailed {
+        /// The connection.
+        connection: Rc<UpstreamConnection>,
+    },
+    /// A connection to an endpoint has ended.
+    ConnectionClosed {
+        /// The connection.
+        connection: Rc<UpstreamConnection>,
+    },
+    /// The call on a connection has ended.
+    CallEnded {
+        /// The connection.
+        connection: Rc<UpstreamConnection>,
+        /// How it ended.
+        result: CallResult,
+    },
+    /// A call for the endpoint list has delivered a list or a delta, or has failed.
+    EndpointList {
+        /// The call.
+        call: CallId,
+        /// None: it has failed.
+        list: Option<list::List>,
+    },
+    /// The discovery service is at another address from now on.
+    DiscoveryMoved {
+        /// The new address.
+        address: SocketAddr,
+    },
+    /// The state of the newest version's rollout.
+    Rollout(RolloutState),
     /// A vote was answered, or will not be.
     VoteCompleted(VoteOutcome),
-    /// A tally of the platform.
-    Tally(platform::Tally),
+    /// Outcomes that the platform counted.
+    Outcomes(platform::Tally),
 }
 
 /// The final answer to a client.
 pub enum Answer {
-    Settled([Bytes; 3]),
-    Declined { come_back: Option<Millis> },
-    Voided,
-}
-
-/// How a list came: changes where not whole.
-pub fn list_kind(whole: bool) -> UpdateKind {
-    if whole { UpdateKind::Snapshot } else { UpdateKind::Delta }
-}
-
-/// True where nothing may be written on an idle connection: its peer has ended it, or said what nobody asked.
-pub fn unfit(stream: &TcpStream) -> bool {
-    let peeked = SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
-    !matches!(peeked, Err(fault) if fault.kind() == io::ErrorKind::WouldBlock)
-}
-
-/// True where bytes have come that were not read.
-pub fn unread(stream: &TcpStream) -> bool {
-    matches!(SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]), Ok(count) if count > 0)
-}
-
-/// True where a peer has ended its sending, also behind bytes that were not read.
-pub fn ended(stream: &TcpStream) -> bool {
-    if matches!(SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]), Ok(0)) {
-        return true;
-    }
-    let ready = std::pin::pin!(stream.ready(Interest::READABLE));
-    let looked = ready.poll(&mut Context::from_waker(Waker::noop()));
-    matches!(looked, Poll::Ready(Ok(ready)) if ready.is_read_closed())
-}
-
-/// Reads what is there, up to one read's worth; 0: the peer has ended its sending.
-pub async fn read_some(stream: &TcpStream, buf: &mut BytesMut) -> io::Result<usize> {
-    loop {
-        stream.readable().await?;
-        if buf.is_empty() && buf.capacity() > 2 * READ {
-            *buf = BytesMut::new();
-        }
-        buf.reserve(READ);
-        match stream.try_read_buf(buf) {
-            Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => {}
-            Ok(read) if read >= READ => {
-                // A peer that never stops sending is always ready: its task would never let others run.
-                // Whoever drops this here finds what was read in the buffer.
-                yield_now().await;
-                return Ok(read);
-            }
-            read => return read,
-        }
-    }
+    /// The row: its description, the row, and its completion, as the endpoint sent them.
+    Success([Bytes; 3]),
+    /// Not executed: a retry is harmless.
+    Rejected {
+        /// ms after which the client should retry.
+        retry_after: Option<Millis>,
+    },
+    /// Failed: its effect is unknown.
+    Failed,
 }
 
-/// Writes pieces gathered; `Err` tells that the last byte was not written.
-pub async fn write_all(stream: &TcpStream, pieces: &[Bytes]) -> io::Result<()> {
-    let (mut piece, mut from) = (0, 0);
-    while piece < pieces.len() {
-        if from >= pieces[piece].len() {
-            (piece, from) = (piece + 1, 0);
-            continue;
-        }
-        let mut slices = [IoSlice::new(&[]); 8];
-        let mut count = 0;
-        for (slot, rest) in slices.iter_mut().zip(&pieces[piece..]) {
-            *slot = IoSlice::new(if count == 0 { &rest[from..] } else { rest });
-            count += 1;
-        }
-        match stream.try_write_vectored(&slices[..count]) {
-            Ok(mut written) => {
-                while piece < pieces.len() && written >= pieces[piece].len() - from {
-                    written -= pieces[piece].len() - from;
-                    (piece, from) = (piece + 1, 0);
-                }
-                from += written;
-            }
-            Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => stream.writable().await?,
-            Err(fault) => return Err(fault),
-        }
-    }
-    Ok(())
+/// The kind of an update that delivers a snapshot or a delta.
+pub fn update_kind(is_snapshot: bool) -> UpdateKind {
+    if is_snapshot { UpdateKind::Snapshot } else { UpdateKind::Delta }
 }
--- a/crates/gateway/src/net/platform.rs
+++ b/crates/gateway/src/net/platform.rs
@@ -1,6 +1,6 @@
 //! The platform: its feed on a connection of its own, and votes, one after another, on another one.
 
-use super::{DIAL, FEED_AGAIN, FEED_AGAIN_MOST, FEED_SILENCE, Note, VOTES_IDLE, read_some, unfit, write_all};
+use super::{CONNECT_TIMEOUT, DriverEvent, is_unusable, read_some, write_all};
 use crate::counters::COUNTERS;
 use crate::proto::http::{self, Body, Part, Reader};
 use bytes::BytesMut;
@@ -17,6 +17,15 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
+/// A feed without a sign of life for so long is ended: the platform sends one every 1 s.
+const FEED_SILENCE_TIMEOUT: Duration = Duration::from_millis(3000);
+/// A lost feed is opened again after this, doubling up to the maximum, each time less a random half.
+const FEED_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// The longest time after which a lost feed is opened again.
+const MAX_FEED_RETRY_INTERVAL: Duration = Duration::from_millis(1600);
+/// A connection for votes that idled longer is not used again: the platform closes some before 10 s.
+const MAX_VOTE_CONNECTION_IDLE: Duration = Duration::from_secs(3);
+
 /// What the platform counted over a period.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
@@ -126,8 +135,10 @@
 
 /// Keeps a feed open; a lost one is opened again, later each time it brings nothing. One at a new address is open
 /// before the earlier one is let go: what is told while none stands is not told again.
-pub async fn feed(mut at: watch::Receiver<Option<SocketAddr>>, mut rng: Pcg64Mcg, notes: mpsc::Sender<Note>) {
-    let (mut again, mut held) = (FEED_AGAIN, None::<Feed>);
+pub async fn feed(
+    mut at: watch::Receiver<Option<SocketAddr>>, mut rng: Pcg64Mcg, notes: mpsc::Sender<DriverEvent>,
+) {
+    let (mut again, mut held) = (FEED_RETRY_INTERVAL, None::<Feed>);
     loop {
         let addr = *at.borrow_and_update();
         let opened = {
@@ -143,7 +154,7 @@
         let mut lines = 0;
         match opened {
             None => {
-                again = FEED_AGAIN;
+                again = FEED_RETRY_INTERVAL;
                 continue;
             }
             Some(Ok(feed)) => {
@@ -154,19 +165,19 @@
                         lost(why, &mut held);
                     }
                     Ok(()) = at.changed() => {
-                        again = FEED_AGAIN;
+                        again = FEED_RETRY_INTERVAL;
                         continue;
                     }
                 }
             }
             Some(Err(why)) => tracing::info!(why, "platform: feed not opened"),
         }
-        again = if lines > 0 { FEED_AGAIN } else { (2 * again).min(FEED_AGAIN_MOST) };
+        again = if lines > 0 { FEED_RETRY_INTERVAL } else { (2 * again).min(MAX_FEED_RETRY_INTERVAL) };
         let wait = sleep(again.mul_f64(rng.random_range(0.5..1.0)));
         let wait = async {
             select! {
                 () = wait => {}
-                Ok(()) = at.changed() => again = FEED_AGAIN,
+                Ok(()) = at.changed() => again = FEED_RETRY_INTERVAL,
             }
         };
         let mut wait = pin!(wait);
@@ -185,7 +196,7 @@
 }
 
 /// Tells what a feed brings until it is lost; why that is.
-async fn told_by(held: &mut Option<Feed>, notes: &mpsc::Sender<Note>) -> String {
+async fn told_by(held: &mut Option<Feed>, notes: &mpsc::Sender<DriverEvent>) -> String {
     match held {
         Some(feed) => feed.tell(notes).await.err().unwrap_or_else(|| "it ended".to_string()),
         None => "none is open".to_string(),
@@ -209,7 +220,8 @@
         let Some(addr) = addr else { return std::future::pending().await };
         let text = |fault: std::io::Error| fault.to_string();
         let opening = async {
-            let stream = timeout(DIAL, TcpStream::connect(addr)).await.map_err(|_| "no connection")?;
+            let stream =
+                timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await.map_err(|_| "no connection")?;
             let stream = stream.map_err(text)?;
             stream.set_nodelay(true).map_err(text)?;
             write_all(&stream, &[http::get(&addr.to_string(), "/v1/feed")]).await.map_err(text)?;
@@ -227,21 +239,22 @@
                 }
             }
         };
-        let opened =
-            timeout(FEED_SILENCE, opening).await.unwrap_or_else(|_| Err("no head in time".to_string()));
+        let opened = timeout(FEED_SILENCE_TIMEOUT, opening)
+            .await
+            .unwrap_or_else(|_| Err("no head in time".to_string()));
         opened.inspect(|_| COUNTERS.feed_opened.increment())
     }
 
     /// Tells line by line. Nothing is lost where this is dropped and called again.
-    async fn tell(&mut self, notes: &mpsc::Sender<Note>) -> Result<(), String> {
+    async fn tell(&mut self, notes: &mpsc::Sender<DriverEvent>) -> Result<(), String> {
         loop {
             let Ok(place) = notes.reserve().await else { return Ok(()) };
             if let Some(line) = self.body.line() {
                 // Only whole lines are signs of life: one that never ends is none.
                 (self.lines, self.heard) = (self.lines + 1, Instant::now());
                 match told(&line) {
-                    Ok(Told::State(news)) => place.send(Note::Stage(news)),
-                    Ok(Told::Tally(tally)) => place.send(Note::Tally(tally)),
+                    Ok(Told::State(news)) => place.send(DriverEvent::Rollout(news)),
+                    Ok(Told::Tally(tally)) => place.send(DriverEvent::Outcomes(tally)),
                     Ok(Told::Nothing) => {}
                     Err(_) if line.trim_ascii().is_empty() => {}
                     // Where one line is spoilt, what follows it may be out of step.
@@ -253,7 +266,8 @@
                 Some(Part::Head { .. } | Part::End) => return Ok(()),
                 Some(Part::Body(piece)) => self.body.add(&piece).map_err(|fault| fault.to_string())?,
                 None => {
-                    let read = timeout_at(self.heard + FEED_SILENCE, read_some(&self.stream, &mut self.buf));
+                    let read =
+                        timeout_at(self.heard + FEED_SILENCE_TIMEOUT, read_some(&self.stream, &mut self.buf));
                     match read.await.map_err(|_| "no sign of life".to_string())? {
                         Ok(0) => return Ok(()),
                         read => drop(read.map_err(|fault| fault.to_string())?),
@@ -284,7 +298,7 @@
 /// Casts votes in order, each at most once; a connection stays open for the next one.
 pub async fn votes(
     at: watch::Receiver<Option<SocketAddr>>, within: Duration, mut queue: mpsc::Receiver<Vote>,
-    notes: mpsc::Sender<Note>,
+    notes: mpsc::Sender<DriverEvent>,
 ) {
     let mut open = None;
     while let Some(vote) = queue.recv().await {
@@ -319,7 +333,7 @@
                 VoteOutcome::Unknown
             }
         };
-        let _ = notes.send(Note::VoteCompleted(completed)).await;
+        let _ = notes.send(DriverEvent::VoteCompleted(completed)).await;
     }
 }
 
@@ -333,7 +347,7 @@
     let mut buf = BytesMut::new();
     // The platform closes what idles, and what is written to such a connection may have been carried out.
     let alive = |(stream, of, since): &(TcpStream, SocketAddr, Instant)| {
-        *of == addr && since.elapsed() < VOTES_IDLE && !unfit(stream)
+        *of == addr && since.elapsed() < MAX_VOTE_CONNECTION_IDLE && !is_unusable(stream)
     };
     let stream = match open.take().filter(alive) {
         Some((stream, ..)) => stream,
@@ -366,7 +380,7 @@
     let (status, last) = answer.ok_or("no answer")?;
     let outcome = outcome(status, &body.take())?;
     // Only what was read whole leaves a connection in step.
-    if !last && buf.is_empty() && !unfit(&stream) {
+    if !last && buf.is_empty() && !is_unusable(&stream) {
         *open = Some((stream, addr, Instant::now()));
     }
     Ok(outcome)
--- /dev/null
+++ b/crates/gateway/src/net/upstream/pool.rs
@@ -0,0 +1,324 @@
+//! The pool of connections to endpoints.
+
+use super::connection::{self, OutgoingQuery, UpstreamConnection};
+use super::{CancelResult, IDLE_TIMEOUT_FRACTION, MS_PER_SECOND, UpstreamCall};
+use crate::counters::COUNTERS;
+use crate::invariant;
+use crate::net::{DriverEvent, is_unusable};
+use crate::proto::pg::{self, Statement};
+use latchhaven_policy::{EndpointEntry, EndpointStatus, LoadReporting, Millis, UpstreamConnectionConfig};
+use std::collections::{BTreeMap, VecDeque};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::{Semaphore, mpsc};
+use tokio::time::Instant;
+
+/// Answers above [`LARGE_ANSWER`](super::exchange::LARGE_ANSWER) that are held at once, until their clients have them:
+/// all together fit a small memory.
+const MAX_LARGE_ANSWERS: usize = 12;
+
+/// A call that waits for a connection, or goes out on one.
+struct QueuedCall {
+    call: UpstreamCall,
+    /// None: a health check.
+    statement: Option<Rc<Statement>>,
+    /// When the gateway stops waiting for the answer.
+    deadline: Millis,
+    /// Its last byte may not be written later.
+    write_by: Option<Instant>,
+}
+
+/// An endpoint of the list.
+struct UpstreamEndpoint {
+    address: SocketAddr,
+    /// Changes with the address, version or start of what is behind the endpoint's id.
+    incarnation: u64,
+    entry: EndpointEntry,
+    idle: Vec<Rc<UpstreamConnection>>,
+    /// Connections of this incarnation that are being opened.
+    connecting: usize,
+    queue: VecDeque<QueuedCall>,
+}
+
+impl UpstreamEndpoint {
+    fn new(entry: &EndpointEntry, address: SocketAddr, incarnation: u64) -> Self {
+        UpstreamEndpoint {
+            address,
+            incarnation,
+            entry: entry.clone(),
+            idle: Vec::new(),
+            connecting: 0,
+            queue: VecDeque::new(),
+        }
+    }
+
+    /// What is behind the id stays the same, and goes on to take what was sent to it.
+    fn is_continued_by(&self, entry: &EndpointEntry, address: SocketAddr) -> bool {
+        let is_same = self.address == address
+            && self.entry.version == entry.version
+            && self.entry.started_at == entry.started_at;
+        is_same && (self.entry.status == entry.status || entry.status == EndpointStatus::Ready)
+    }
+
+    /// Closes idle connections; connections that are being opened belong to the incarnation before. The calls that
+    /// were queued.
+    fn begin_incarnation(&mut self, incarnation: u64) -> Vec<UpstreamCall> {
+        self.incarnation = incarnation;
+        self.connecting = 0;
+        self.close_idle();
+        self.take_queue()
+    }
+
+    fn close_idle(&mut self) {
+        for connection in self.idle.drain(..) {
+            connection.close();
+        }
+    }
+
+    fn take_queue(&mut self) -> Vec<UpstreamCall> {
+        self.queue.drain(..).map(|queued| queued.call).collect()
+    }
+}
+
+/// All connections to endpoints.
+pub struct UpstreamPool {
+    endpoints: BTreeMap<String, UpstreamEndpoint>,
+    /// The calls that were handed to a connection.
+    active: BTreeMap<UpstreamCall, Rc<UpstreamConnection>>,
+    open: usize,
+    max_open: usize,
+    last_incarnation: u64,
+    config: UpstreamConnectionConfig,
+    large_answers: Arc<Semaphore>,
+    events: mpsc::Sender<DriverEvent>,
+}
+
+impl UpstreamPool {
+    /// A pool of at most `max_open` connections, without endpoints.
+    pub fn new(max_open: usize, config: UpstreamConnectionConfig, events: mpsc::Sender<DriverEvent>) -> Self {
+        UpstreamPool {
+            endpoints: BTreeMap::new(),
+            active: BTreeMap::new(),
+            open: 0,
+            max_open,
+            last_incarnation: 0,
+            config,
+            large_answers: Arc::new(Semaphore::new(MAX_LARGE_ANSWERS)),
+            events,
+        }
+    }
+
+    /// Applies an entry of the list; returns the calls that were not written and have to be decided anew.
+    pub fn update_endpoint(&mut self, entry: &EndpointEntry, address: SocketAddr) -> Vec<UpstreamCall> {
+        if entry.status == EndpointStatus::Removed {
+            return self.remove_endpoint(&entry.endpoint);
+        }
+        if let Some(endpoint) = self.endpoints.get_mut(&entry.endpoint) {
+            let is_continued = endpoint.is_continued_by(entry, address);
+            endpoint.entry = entry.clone();
+            endpoint.address = address;
+            if is_continued {
+                return Vec::new();
+            }
+            self.last_incarnation += 1;
+            return endpoint.begin_incarnation(self.last_incarnation);
+        }
+        self.last_incarnation += 1;
+        let endpoint = UpstreamEndpoint::new(entry, address, self.last_incarnation);
+        self.endpoints.insert(entry.endpoint.clone(), endpoint);
+        Vec::new()
+    }
+
+    /// Removes an endpoint that has left the list; returns the calls that were not written.
+    pub fn remove_endpoint(&mut self, endpoint: &str) -> Vec<UpstreamCall> {
+        let Some(mut endpoint) = self.endpoints.remove(endpoint) else { return Vec::new() };
+        endpoint.close_idle();
+        endpoint.take_queue()
+    }
+
+    /// Sets the metrics of what is held now.
+    pub fn record_metrics(&self) {
+        COUNTERS.now_servers.set(self.endpoints.len());
+        COUNTERS.now_server_connections.set(self.open);
+    }
+
+    /// The endpoints of the list.
+    pub fn endpoints(&self) -> Vec<String> {
+        self.endpoints.keys().cloned().collect()
+    }
+
+    /// Takes out all calls that wait for a connection, to be decided anew.
+    pub fn take_queued(&mut self) -> Vec<UpstreamCall> {
+        self.endpoints.values_mut().flat_map(UpstreamEndpoint::take_queue).collect()
+    }
+
+    /// Sends a call on an idle connection, or opens one. False: no connection can be had, nothing was sent. `write_by`:
+    /// its last byte may not be written later.
+    pub fn send(
+        &mut self, endpoint: &str, call: UpstreamCall, statement: Option<Rc<Statement>>, deadline: Millis,
+        write_by: Option<Instant>, now: Millis,
+    ) -> bool {
+        if !self.endpoints.contains_key(endpoint) {
+            return false;
+        }
+        let queued = QueuedCall { call, statement, deadline, write_by };
+        if let Some(connection) = self.take_idle(endpoint) {
+            self.start_call(connection, queued, now);
+            return true;
+        }
+        if self.open >= self.max_open && !self.make_room() {
+            return false;
+        }
+        self.open_connection(endpoint, queued)
+    }
+
+    /// A connection is up or ready again: it takes the call that has waited longest, or idles.
+    pub fn on_connection_ready(&mut self, connection: Rc<UpstreamConnection>, is_first: bool, now: Millis) {
+        let Some(endpoint) = self.endpoints.get_mut(&connection.endpoint) else { return connection.close() };
+        if endpoint.incarnation != connection.incarnation || connection.is_closed.get() {
+            return connection.close();
+        }
+        endpoint.connecting -= usize::from(is_first);
+        match endpoint.queue.pop_front() {
+            Some(queued) => self.start_call(connection, queued, now),
+            None => {
+                connection.idle_since.set(Instant::now());
+                endpoint.idle.push(connection);
+            }
+        }
+    }
+
+    /// A connection could not be opened. The call that cannot be sent for this, if there is one.
+    pub fn on_connect_failed(&mut self, connection: &Rc<UpstreamConnection>) -> Option<UpstreamCall> {
+        self.open -= 1;
+        let endpoint = self.endpoints.get_mut(&connection.endpoint)?;
+        if endpoint.incarnation != connection.incarnation {
+            return None;
+        }
+        endpoint.connecting -= 1;
+        // Others may still come up for those that wait.
+        if endpoint.queue.len() <= endpoint.connecting {
+            return None;
+        }
+        endpoint.queue.pop_front().map(|queued| queued.call)
+    }
+
+    /// A connection has ended.
+    pub fn on_connection_closed(&mut self, connection: &Rc<UpstreamConnection>) {
+        invariant!(connection.call.get().is_none(), "an ended connection carries nothing");
+        self.open -= 1;
+        if let Some(endpoint) = self.endpoints.get_mut(&connection.endpoint) {
+            endpoint.idle.retain(|idle| !Rc::ptr_eq(idle, connection));
+        }
+    }
+
+    /// The call on a connection has ended; none if it was cancelled before.
+    pub fn on_call_ended(&mut self, connection: &Rc<UpstreamConnection>) -> Option<UpstreamCall> {
+        let call = connection.call.take()?;
+        self.active.remove(&call);
+        Some(call)
+    }
+
+    /// Cancels a call: takes it out of the queue, or closes its connection.
+    pub fn cancel(&mut self, endpoint: &str, call: UpstreamCall) -> CancelResult {
+        if self.abort_unsent(endpoint, call) {
+            return CancelResult::Unwritten;
+        }
+        let Some(connection) = self.active.remove(&call) else { return CancelResult::NotFound };
+        connection.call.set(None);
+        connection.close();
+        CancelResult::Written
+    }
+
+    /// Cancels a call if its last byte was not written yet; false: it was, or there is no such call.
+    pub fn abort_unsent(&mut self, endpoint: &str, call: UpstreamCall) -> bool {
+        if let Some(connection) = self.active.get(&call)
+            && !connection.is_written.get()
+        {
+            connection.call.set(None);
+            connection.close();
+            self.active.remove(&call);
+            return true;
+        }
+        let Some(endpoint) = self.endpoints.get_mut(endpoint) else { return false };
+        let Some(position) = endpoint.queue.iter().position(|queued| queued.call == call) else {
+            return false;
+        };
+        endpoint.queue.remove(position).is_some()
+    }
+
+    /// Closes the idle connections to an endpoint.
+    pub fn close_idle(&mut self, endpoint: &str) {
+        if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
+            endpoint.close_idle();
+        }
+    }
+
+    /// The connection that has idled shortest and can be used; unusable ones are closed.
+    fn take_idle(&mut self, endpoint: &str) -> Option<Rc<UpstreamConnection>> {
+        let max_idle_ms = self.config.idle_timeout * IDLE_TIMEOUT_FRACTION;
+        let max_idle = Duration::from_secs_f64(max_idle_ms / MS_PER_SECOND);
+        let endpoint = self.endpoints.get_mut(endpoint)?;
+        while let Some(connection) = endpoint.idle.pop() {
+            let is_usable = !connection.is_closed.get()
+                && connection.idle_since.get().elapsed() < max_idle
+                && !connection.stream.get().is_none_or(is_unusable);
+            if is_usable {
+                return Some(connection);
+            }
+            connection.close();
+        }
+        None
+    }
+
+    /// Opens a connection for a call, which waits in the queue meanwhile.
+    fn open_connection(&mut self, id: &str, queued: QueuedCall) -> bool {
+        self.open += 1;
+        COUNTERS.server_connections_most.record_max(self.open);
+        COUNTERS.server_dials.increment();
+        let Some(endpoint) = self.endpoints.get_mut(id) else { return false };
+        endpoint.queue.push_back(queued);
+        endpoint.connecting += 1;
+        let connection = Rc::new(UpstreamConnection::new(id, endpoint.incarnation));
+        let address = endpoint.address;
+        let task = connection::run(
+            connection,
+            address,
+            self.config.clone(),
+            self.large_answers.clone(),
+            self.events.clone(),
+        );
+        tokio::task::spawn_local(task);
+        true
+    }
+
+    /// Closes the connection that has idled longest; its descriptor is free a moment later.
+    fn make_room(&mut self) -> bool {
+        let idle_longest = |endpoint: &&mut UpstreamEndpoint| {
+            endpoint.idle.iter().map(|connection| connection.idle_since.get()).min()
+        };
+        let endpoints = self.endpoints.values_mut().filter(|endpoint| !endpoint.idle.is_empty());
+        let Some(endpoint) = endpoints.min_by_key(idle_longest) else { return false };
+        let connection = endpoint.idle.remove(0);
+        connection.close();
+        true
+    }
+
+    fn start_call(&mut self, connection: Rc<UpstreamConnection>, queued: QueuedCall, now: Millis) {
+        let previous = connection.call.replace(Some(queued.call));
+        invariant!(previous.is_none(), "one call at a time on a connection");
+        connection.is_written.set(false);
+        let pieces = match &queued.statement {
+            Some(statement) => pg::passed_on(statement, queued.deadline - now).to_vec(),
+            None if self.config.load_reporting == LoadReporting::InHealthChecks => {
+                vec![pg::query("SHOW load")]
+            }
+            None => vec![pg::query("SELECT 1")],
+        };
+        connection.outgoing.replace(Some(OutgoingQuery { pieces, write_by: queued.write_by }));
+        connection.wake.notify_one();
+        self.active.insert(queued.call, connection);
+    }
+}
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -4,8 +4,10 @@
 use crate::counters::COUNTERS;
 use crate::gateway::{Clock, Gateway, GatewayParts};
 use crate::net::clients::Clients;
-use crate::net::servers::Pool;
-use crate::net::{CLIENTS_OF_EIGHT, KEPT, LAST_ACCEPTS, NOTES_HELD, Note, VOTES_HELD, platform};
+use crate::net::upstream::UpstreamPool;
+use crate::net::{
+    CLIENTS_OF_EIGHT, DriverEvent, KEPT, LAST_ACCEPTS, MAX_PENDING_EVENTS, MAX_PENDING_VOTES, platform,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::io;
@@ -63,8 +65,8 @@
     let (addresses, sockets, known, seed, terms) = config::read(env).map_err(io::Error::other)?;
     let listener = listen_soon(addresses.listen).await?;
 
-    let (notes, noted) = mpsc::channel(NOTES_HELD);
-    let (votes, cast) = mpsc::channel(VOTES_HELD);
+    let (notes, noted) = mpsc::channel(MAX_PENDING_EVENTS);
+    let (votes, cast) = mpsc::channel(MAX_PENDING_VOTES);
     let to_clients = (sockets - KEPT) * CLIENTS_OF_EIGHT / 8;
     let (connections, products) = (terms.connections(), terms.products());
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -79,14 +81,14 @@
             match config::read_again(env) {
                 Ok((list, addr)) => {
                     tracing::info!(%list, platform = ?addr, "configuration read anew");
-                    let _ = moves.send(Note::Moved { list }).await;
+                    let _ = moves.send(DriverEvent::DiscoveryMoved { address: list }).await;
                     platform.send_if_modified(|held| std::mem::replace(held, addr) != addr);
                 }
-                Err(fault) => tracing::warn!(%fault, "configuration unfit, the earlier one stays"),
+                Err(fault) => tracing::warn!(%fault, "configuration is_unusable, the earlier one stays"),
             }
         }
     });
-    let pool = Pool::new(sockets - KEPT - to_clients, connections.clone(), notes.clone());
+    let pool = UpstreamPool::new(sockets - KEPT - to_clients, connections.clone(), notes.clone());
     let gateway = Gateway::new(GatewayParts {
         policy: terms.asking().start(seed),
         clock,
