--- a/crates/control-plane/src/driver/upstreams.rs
+++ b/crates/control-plane/src/driver/upstreams.rs
@@ -2,21 +2,21 @@
 
 use super::event_loop::ControlPlaneDriver;
 use latchhaven_gateway::discovery::calls::CallId;
-use latchhaven_gateway::net::Note;
+use latchhaven_gateway::net::DriverEvent;
 use latchhaven_gateway::net::list::List;
-use latchhaven_gateway::net::platform::{Tally, Vote};
-use latchhaven_policy::{Action, Event, Millis, OutcomeReport, VoteOutcome};
+use latchhaven_gateway::net::platform::Vote;
+use latchhaven_policy::{Action, Event, Millis, VoteOutcome};
 use tokio::time::Instant;
 
 impl ControlPlaneDriver {
     /// Takes in what a task of discovery or the platform brings.
-    pub(super) fn on_gateway_event(&mut self, event: Note, now: Millis) {
+    pub(super) fn on_gateway_event(&mut self, event: DriverEvent, now: Millis) {
         match event {
-            Note::List { call, list } => self.on_list_answer(call, list, now),
-            Note::Stage(rollout) => self.control_plane.on_rollout_state(rollout, now),
-            Note::VoteCompleted(outcome) => self.control_plane.on_vote_completed(outcome, now),
-            Note::Tally(counts) => {
-                let report = Event::OutcomesReported(outcome_report(counts));
+            DriverEvent::EndpointList { call, list } => self.on_list_answer(call, list, now),
+            DriverEvent::Rollout(rollout) => self.control_plane.on_rollout_state(rollout, now),
+            DriverEvent::VoteCompleted(outcome) => self.control_plane.on_vote_completed(outcome, now),
+            DriverEvent::Outcomes(counts) => {
+                let report = Event::OutcomesReported(counts.into());
                 self.control_plane.on_outcome_report(report, now);
             }
             // Those of a gateway's clients and upstreams: a control plane carries no requests.
@@ -65,14 +65,3 @@
         self.discovery_tasks.run(self.discovery.take_commands());
     }
 }
-
-fn outcome_report(counts: Tally) -> OutcomeReport {
-    OutcomeReport {
-        version: counts.build,
-        class: counts.product,
-        attempts: counts.count,
-        failures: counts.failed,
-        mean_latency: counts.took,
-        age: counts.age,
-    }
-}
