--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -84,7 +84,7 @@
                     let _ = moves.send(DriverEvent::DiscoveryMoved { address: list }).await;
                     platform.send_if_modified(|held| std::mem::replace(held, addr) != addr);
                 }
-                Err(fault) => tracing::warn!(%fault, "configuration is_unusable, the earlier one stays"),
+                Err(fault) => tracing::warn!(%fault, "configuration unfit, the earlier one stays"),
             }
         }
     });
