--- a/crates/client/examples/counter_terminal.rs
+++ b/crates/client/examples/counter_terminal.rs
@@ -1,26 +1,36 @@
-//! A counter terminal that takes a payment: what is unknown is looked up, never asked again.
+//! A counter terminal that takes a payment: one whose outcome is unknown is looked up, never sent again.
 
-use latchhaven_client::{Client, Once, OnceOnly, Terms};
+use latchhaven_client::{Client, ClientConfig, NonIdempotentOutcome, NonIdempotentRequest};
+
+/// Times that a rejected payment is sent.
+const MAX_TRIES: usize = 3;
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let gateways: Result<Vec<_>, _> = std::env::args().skip(1).map(|addr| addr.parse()).collect();
-    let client = Client::start(Terms::new(gateways?));
-    let (product, item, doc) = ("take-payment".to_string(), "receipt-77".to_string(), vec![0x9f, 0x03]);
-    let mut payment = OnceOnly { product, item, doc, expiry: 4_000.0, revenue: 2.0 };
-    for _ in 0..3 {
-        match client.once(payment).await {
-            Once::Settled(value) => {
+    let gateways: Result<Vec<_>, _> = std::env::args().skip(1).map(|address| address.parse()).collect();
+    let client = Client::start(ClientConfig::new(gateways?));
+    let mut payment = NonIdempotentRequest {
+        class: "take-payment".to_string(),
+        item: "receipt-77".to_string(),
+        document: vec![0x9f, 0x03],
+        timeout: 4_000.0,
+        priority_weight: 2.0,
+    };
+    for _ in 0..MAX_TRIES {
+        match client.send_non_idempotent(payment).await {
+            NonIdempotentOutcome::Succeeded(value) => {
                 println!("paid: {} bytes", value.len());
                 return Ok(());
             }
-            // It never ran, and is given back: the customer may be asked whether to go on.
-            Once::Declined(again) => payment = again,
-            Once::Unknown => {
+            // It was not executed, and is given back: the customer may be asked whether to go on.
+            NonIdempotentOutcome::Rejected(unsent) => payment = unsent,
+            NonIdempotentOutcome::Unknown => {
                 println!("unknown: look the receipt up before anything is done again");
                 return Ok(());
             }
-            Once::Unfit(call) => return Err(format!("cannot be sent: {call:?}").into()),
+            NonIdempotentOutcome::InvalidName(request) => {
+                return Err(format!("cannot be sent: {request:?}").into());
+            }
         }
     }
     println!("not taken: the gateways are busy");
--- a/crates/client/examples/phone_desk.rs
+++ b/crates/client/examples/phone_desk.rs
@@ -1,26 +1,40 @@
-//! A phone desk that places orders: many at once, each with the key by which hosts drop repeats.
+//! A phone desk that places orders: many at once, each with the key by which endpoints drop duplicates.
 
-use latchhaven_client::{Client, Referenced, Terms};
+use latchhaven_client::{AttemptCounts, Client, ClientConfig, KeyedRequest};
+
+/// Orders that are placed at once.
+const ORDERS: u8 = 20;
+
+fn order(number: u8) -> KeyedRequest {
+    KeyedRequest {
+        class: "place-order".to_string(),
+        item: format!("order-{number}"),
+        document: vec![number],
+        key: format!("desk-4-{number}"),
+        dedup_window: 10_000.0,
+        timeout: 3_000.0,
+        priority_weight: 3.0,
+    }
+}
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let gateways: Result<Vec<_>, _> = std::env::args().skip(1).map(|addr| addr.parse()).collect();
-    let client = Client::start(Terms::new(gateways?));
-    let orders = (0..20).map(|n| {
+    let gateways: Result<Vec<_>, _> = std::env::args().skip(1).map(|address| address.parse()).collect();
+    let client = Client::start(ClientConfig::new(gateways?));
+    let mut tasks = Vec::new();
+    for number in 0..ORDERS {
         let client = client.clone();
-        tokio::spawn(async move {
-            let (product, item, doc) = ("place-order".to_string(), format!("order-{n}"), vec![n as u8]);
-            let key = format!("desk-4-{n}");
-            let order =
-                Referenced { product, item, doc, key, remember: 10_000.0, expiry: 3_000.0, revenue: 3.0 };
-            (order.item.clone(), client.refer(&order).await)
-        })
-    });
-    for order in orders.collect::<Vec<_>>() {
-        let (item, placed) = order.await?;
-        println!("{item}: {}", placed.map_or_else(|failure| failure.to_string(), |_| "placed".to_string()));
+        let request = order(number);
+        tasks.push(tokio::spawn(async move { (client.send_keyed(&request).await, request) }));
+    }
+    for task in tasks {
+        let (result, request) = task.await?;
+        match result {
+            Ok(_) => println!("{}: placed", request.item),
+            Err(error) => println!("{}: {error}", request.item),
+        }
     }
-    let (written, repeated) = client.tries();
-    println!("{written} tries, {repeated} of them repeats");
+    let AttemptCounts { written, retries } = client.attempt_counts();
+    println!("{written} tries, {retries} of them repeats");
     Ok(())
 }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,22 +1,30 @@
-//! A client of latchhaven's gateways that keeps deadlines, repeats only what may be repeated, honours refusals and
-//! comes back over time.
+//! A client of latchhaven's gateways. It keeps deadlines, retries only what may be retried, honours rejections, and
+//! spreads its reconnects over time.
 //!
 //! Decisions are pure modules, driven alike by sockets and by simulated time:
-//! - [`call`]: what one call does next, given how its tries ended.
-//! - [`budget`]: how many tries beyond the first a process may make.
-//! - [`pool`]: which connections are opened, kept and closed, and who gets one.
-//! - [`wire`]: the clients' side of the protocol; a parser that knows no socket.
+//! - [`call`]: what one call does next, given the outcomes of its attempts.
+//! - [`retry_budget`]: how many retries a process may make.
+//! - [`pool`]: which connections are opened, kept and closed, and which call gets one.
+//! - [`wire`]: the client side of the protocol; a parser without sockets.
+//! - [`time`]: points in time and spans.
 //!
-//! [`client`] is the thin driver round them on tokio.
+//! [`client`] drives them on tokio, for the requests in [`request`] and as set up by [`config`].
 
-// Until its turn: docs/ROADMAP.md.
-#![allow(missing_docs)]
-
-pub mod budget;
 pub mod call;
 pub mod client;
+pub mod config;
+mod connection;
 pub mod pool;
+mod pool_driver;
+pub mod request;
+pub mod retry_budget;
+pub mod time;
 pub mod wire;
 
-pub use call::{Effect, Moment, Ms};
-pub use client::{Client, Failure, InquiryLike, Once, OnceOnly, Referenced, Terms, Value};
+pub use call::Idempotency;
+pub use client::{AttemptCounts, Client};
+pub use config::ClientConfig;
+pub use request::{
+    IdempotentRequest, KeyedRequest, NonIdempotentOutcome, NonIdempotentRequest, RequestError, Value,
+};
+pub use time::{Millis, Timestamp};
--- a/crates/client/src/pool.rs
+++ b/crates/client/src/pool.rs
@@ -1,478 +1,314 @@
-//! Which connections are opened, kept and closed, and which call gets one. Pure: a driver carries out what it says.
+//! Which connections are opened, kept and closed, and which call gets one. Pure: a driver carries out the actions.
 //!
-//! A process sticks to one gateway, by a rank of its own, so that processes share gateways evenly. When that is lost,
-//! all processes lose it at once: each comes back, there or to the next by its rank, at a moment of its own within some
-//! seconds; first with one connection, and with more once that has answered.
+//! A process stays with one gateway, by ranks of its own, so that processes spread evenly over gateways. When a gateway
+//! is lost, all its processes lose it at once: each reconnects, to it or to the next by rank, after a random delay of
+//! some seconds; first with one connection, and with more once that was used.
 
-use crate::call::Ms;
+mod gateway;
+mod queue;
+
+use crate::time::Millis;
+use gateway::Gateway;
+use queue::CallQueue;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// After a loss the first dial is at a moment drawn from so many ms, doubling with each further failure.
-const RETURN: Ms = 4_000.0;
-const RETURN_MOST: Ms = 10_000.0;
-/// ms in which a crowd of a thousand returns, where a gateway tells its size: it takes that many in as it can.
-const RETURN_A_THOUSAND: Ms = 500.0;
-/// Queries in a row without any answer, none from another, that tell of a gateway that is lost and says nothing.
-const SILENT: u32 = 2;
-/// A gateway that answered for so long has no failures behind it.
-const SOUND: Ms = 30_000.0;
-/// One of so many connections goes to whoever waits longest, whatever it waits with.
-const FAIR: u64 = 4;
+/// Attempts in a row without any answer after which a gateway counts as lost.
+const MAX_CONSECUTIVE_TIMEOUTS: u32 = 2;
 /// The age at which a connection is closed varies by this part, so that those opened together do not end together.
-const AGE_VARIES: f64 = 0.2;
+const AGE_JITTER: f64 = 0.2;
 
-/// What bounds a pool.
+/// Limits of a pool.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    /// Connections at once, and those being opened.
-    pub connections: usize,
-    pub dials: usize,
-    /// Calls that wait for one.
-    pub waiting: usize,
-    /// ms after which an idle connection, and any, is closed: before gateways do.
-    pub idle: Ms,
-    pub age: Ms,
+pub struct PoolLimits {
+    /// Connections at most, those being opened included.
+    pub max_connections: usize,
+    /// Connections being opened at most.
+    pub max_connecting: usize,
+    /// Calls at most that wait for a connection.
+    pub max_queued_calls: usize,
+    /// Time in ms after which an idle connection is closed: before gateways close theirs.
+    pub idle_timeout: Millis,
+    /// Time in ms after which any connection is closed.
+    pub max_age: Millis,
 }
 
-/// What is to be done.
+/// What a driver has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Do {
-    /// Open a connection to a gateway, by its place in the list.
-    Dial {
-        link: u64,
+pub enum PoolAction {
+    /// Opens a connection.
+    Connect {
+        /// The id of the new connection.
+        connection: u64,
+        /// The index of the gateway.
         gateway: usize,
     },
-    /// This call gets this connection.
-    Give {
+    /// Gives a connection to a call.
+    Assign {
+        /// The call.
         call: u64,
-        link: u64,
+        /// The connection.
+        connection: u64,
     },
+    /// Closes an idle connection.
     Close {
-        link: u64,
+        /// The connection.
+        connection: u64,
     },
-    /// Too many wait: this call gets none.
-    Turn {
+    /// Tells a call that it gets no connection: too many wait.
+    Reject {
+        /// The call.
         call: u64,
     },
 }
 
-#[derive(Clone, Debug, Default)]
-struct Gateway {
-    /// Smaller ones go first for this process.
-    rank: f64,
-    failures: u32,
-    /// Not dialled before.
-    until: Ms,
-    /// It answered last at; none: since its last failure it has not.
-    answered: Option<Ms>,
-    /// Queries in a row on which nothing came.
-    silent: u32,
-}
-
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum State {
-    Dialling,
-    Idle(Ms),
+enum ConnectionState {
+    Connecting,
+    IdleSince(Millis),
     Busy,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Link {
+struct Connection {
     gateway: usize,
-    state: State,
-    ends: Ms,
+    state: ConnectionState,
+    /// When it is closed once it is idle.
+    expires_at: Millis,
 }
 
-#[derive(Clone, Copy, Debug)]
-struct Waiter {
-    call: u64,
-    /// Higher ones go first when room is short.
-    worth: f64,
-    came: u64,
+impl Connection {
+    fn idle_since(&self) -> Option<Millis> {
+        match self.state {
+            ConnectionState::IdleSince(since) => Some(since),
+            ConnectionState::Connecting | ConnectionState::Busy => None,
+        }
+    }
 }
 
-/// The connections of one process.
+/// The connections of one process, and the calls that wait for one.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    bounds: Bounds,
+    limits: PoolLimits,
     gateways: Vec<Gateway>,
-    links: BTreeMap<u64, Link>,
-    waiting: Vec<Waiter>,
-    next: u64,
-    given: u64,
+    connections: BTreeMap<u64, Connection>,
+    queue: CallQueue,
+    /// The last id that was assigned, to a connection or to a place in the queue.
+    last_id: u64,
     rng: Pcg64Mcg,
-    /// No gateway is dialled before: the one that this process stuck to was just lost.
-    moves: Ms,
+    /// No gateway is connected to before: the one that this process stayed with was just lost.
+    reconnect_at: Millis,
 }
 
 impl Pool {
-    /// A pool for so many gateways; the seed ranks them and spreads returns.
-    pub fn new(gateways: usize, bounds: Bounds, seed: u64) -> Self {
+    /// A pool for so many gateways; the seed ranks them and spreads reconnects.
+    pub fn new(gateway_count: usize, limits: PoolLimits, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let gateway = |rank: f64| Gateway { rank, ..Gateway::default() };
-        let gateways = (0..gateways).map(|_| gateway(rng.random())).collect();
-        let (links, waiting) = Default::default();
-        Pool { bounds, gateways, links, waiting, next: 0, given: 0, rng, moves: f64::NEG_INFINITY }
+        let gateways = (0..gateway_count).map(|_| Gateway::with_rank(rng.random())).collect();
+        Pool {
+            limits,
+            gateways,
+            connections: BTreeMap::new(),
+            queue: CallQueue::default(),
+            last_id: 0,
+            rng,
+            reconnect_at: f64::NEG_INFINITY,
+        }
     }
 
-    /// A call wants a connection.
-    pub fn want(&mut self, call: u64, worth: f64, now: Ms) -> Vec<Do> {
-        self.next += 1;
-        self.waiting.push(Waiter { call, worth, came: self.next });
-        let mut todo = Vec::new();
-        if self.waiting.len() > self.bounds.waiting {
-            // The one worth least goes, and of those the newest: it has lost least.
-            let least = self
-                .waiting
-                .iter()
-                .enumerate()
-                .min_by(|(_, a), (_, b)| a.worth.total_cmp(&b.worth).then(b.came.cmp(&a.came)));
-            if let Some(n) = least.map(|(n, _)| n) {
-                todo.push(Do::Turn { call: self.waiting.remove(n).call });
-            }
+    /// A call asks for a connection. Where too many wait, the one with the lowest priority is rejected.
+    pub fn acquire(&mut self, call: u64, priority_weight: f64, now: Millis) -> Vec<PoolAction> {
+        self.last_id += 1;
+        self.queue.push(call, priority_weight, self.last_id);
+        let mut actions = Vec::new();
+        if self.queue.len() > self.limits.max_queued_calls
+            && let Some(call) = self.queue.remove_lowest_priority()
+        {
+            actions.push(PoolAction::Reject { call });
         }
-        todo.extend(self.turn(now));
-        todo
+        actions.extend(self.poll(now));
+        actions
     }
 
-    /// A call wants none any more.
-    pub fn unwant(&mut self, call: u64) {
-        self.waiting.retain(|waiter| waiter.call != call);
+    /// A call no longer waits for a connection.
+    pub fn cancel_acquire(&mut self, call: u64) {
+        self.queue.remove(call);
     }
 
-    /// A connection is up.
-    pub fn up(&mut self, link: u64, now: Ms) -> Vec<Do> {
-        let age = self.bounds.age * (1.0 - AGE_VARIES * self.rng.random::<f64>());
-        if let Some(link) = self.links.get_mut(&link) {
-            (link.state, link.ends) = (State::Idle(now), now + age);
+    /// A connection was established.
+    pub fn on_connected(&mut self, connection: u64, now: Millis) -> Vec<PoolAction> {
+        let max_age = self.limits.max_age * (1.0 - AGE_JITTER * self.rng.random::<f64>());
+        if let Some(connection) = self.connections.get_mut(&connection) {
+            connection.state = ConnectionState::IdleSince(now);
+            connection.expires_at = now + max_age;
         }
-        self.turn(now)
+        self.poll(now)
     }
 
-    /// A connection did not come up.
-    pub fn not_up(&mut self, link: u64, now: Ms) -> Vec<Do> {
-        if let Some(link) = self.links.remove(&link) {
-            self.failed(link.gateway, None, now);
+    /// A connection could not be established.
+    pub fn on_connect_failed(&mut self, connection: u64, now: Millis) -> Vec<PoolAction> {
+        if let Some(connection) = self.connections.remove(&connection) {
+            self.gateway_failed(connection.gateway, None, now);
         }
-        self.turn(now)
+        self.poll(now)
     }
 
-    /// A call is done with a connection, which may be used again.
-    pub fn free(&mut self, link: u64, now: Ms) -> Vec<Do> {
-        if let Some(link) = self.links.get_mut(&link) {
-            link.state = State::Idle(now);
-            let gateway = &mut self.gateways[link.gateway];
-            (gateway.answered, gateway.silent) = (Some(now), 0);
+    /// A call got its answer on a connection, which may be used again.
+    pub fn release(&mut self, connection: u64, now: Millis) -> Vec<PoolAction> {
+        if let Some(connection) = self.connections.get_mut(&connection) {
+            connection.state = ConnectionState::IdleSince(now);
+            self.gateways[connection.gateway].on_answer(now);
         }
-        self.turn(now)
+        self.poll(now)
     }
 
-    /// Nothing came on a connection as long as was waited, and it was closed.
-    pub fn silent(&mut self, link: u64, now: Ms) -> Vec<Do> {
-        if let Some(link) = self.links.remove(&link) {
-            let gateway = &mut self.gateways[link.gateway];
-            gateway.silent += 1;
-            if gateway.silent >= SILENT {
-                self.failed(link.gateway, None, now);
+    /// No answer came on a connection in time, and it was closed.
+    pub fn on_timeout(&mut self, connection: u64, now: Millis) -> Vec<PoolAction> {
+        if let Some(connection) = self.connections.remove(&connection) {
+            let gateway = &mut self.gateways[connection.gateway];
+            gateway.consecutive_timeouts += 1;
+            if gateway.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS {
+                self.gateway_failed(connection.gateway, None, now);
             }
         }
-        self.turn(now)
+        self.poll(now)
     }
 
-    /// A call gave a connection up: the gateway did nothing wrong.
-    pub fn dropped(&mut self, link: u64, now: Ms) -> Vec<Do> {
-        self.links.remove(&link);
-        self.turn(now)
+    /// A call was cancelled and its connection closed: the gateway did not fail.
+    pub fn discard(&mut self, connection: u64, now: Millis) -> Vec<PoolAction> {
+        self.connections.remove(&connection);
+        self.poll(now)
     }
 
-    /// A connection ended. Where nothing was under way on it that is no failure; where something was, its gateway is
-    /// lost, and all that is open there with it. `crowd`: how many come back, where the gateway told it.
-    pub fn broke(&mut self, link: u64, crowd: Option<u64>, now: Ms) -> Vec<Do> {
-        let Some(link) = self.links.remove(&link) else { return Vec::new() };
-        if link.state == State::Busy {
-            self.failed(link.gateway, crowd, now);
+    /// A connection broke. An idle one is no failure; where it was in use its gateway is lost, with all connections
+    /// to it. `reconnecting_clients`: how many reconnect, where the gateway told it.
+    pub fn on_connection_lost(
+        &mut self, connection: u64, reconnecting_clients: Option<u64>, now: Millis,
+    ) -> Vec<PoolAction> {
+        let Some(connection) = self.connections.remove(&connection) else { return Vec::new() };
+        if connection.state == ConnectionState::Busy {
+            self.gateway_failed(connection.gateway, reconnecting_clients, now);
         }
-        self.turn(now)
+        self.poll(now)
     }
 
-    fn failed(&mut self, n: usize, crowd: Option<u64>, now: Ms) {
-        let gateway = &mut self.gateways[n];
+    fn gateway_failed(&mut self, gateway: usize, reconnecting_clients: Option<u64>, now: Millis) {
+        let gateway = &mut self.gateways[gateway];
         // Connections break together: the loss of one gateway is one failure.
-        if gateway.until > now {
+        if gateway.retry_at > now {
             return;
         }
-        let sound = gateway.answered.is_some_and(|at| now - at < SOUND && gateway.failures > 0);
-        gateway.failures = if sound { 1 } else { gateway.failures + 1 };
-        (gateway.answered, gateway.silent) = (None, 0);
-        let told = crowd.map_or(0.0, |crowd| RETURN_A_THOUSAND * crowd as f64 / 1000.0);
-        let span = (RETURN * f64::from(1u32 << (gateway.failures - 1).min(8))).min(RETURN_MOST).max(told);
-        gateway.until = now + span * self.rng.random::<f64>();
-        // Neither are the others dialled at once: all processes that lost this one would move at the same moment.
-        self.moves = self.moves.max(now + RETURN.max(told) * self.rng.random::<f64>());
-    }
-
-    /// Gives connections out, and opens and closes some.
-    pub fn turn(&mut self, now: Ms) -> Vec<Do> {
-        let mut todo = Vec::new();
-        let over = |link: &Link| match link.state {
-            State::Idle(since) => now - since >= self.bounds.idle || now >= link.ends,
-            _ => false,
-        };
-        let ended: Vec<u64> = self.links.iter().filter(|(_, link)| over(link)).map(|(n, _)| *n).collect();
-        for link in ended {
-            self.links.remove(&link);
-            todo.push(Do::Close { link });
-        }
-        loop {
-            // The one used last: the others may idle out.
-            let idle = self.links.iter().filter_map(|(n, link)| match link.state {
-                State::Idle(since) => Some((*n, since)),
-                _ => None,
-            });
-            let Some((link, _)) = idle.max_by(|a, b| a.1.total_cmp(&b.1)) else { break };
-            let Some(call) = self.first() else { break };
-            if let Some(link) = self.links.get_mut(&link) {
-                link.state = State::Busy;
-            }
-            todo.push(Do::Give { call, link });
-        }
-        todo.extend(self.dial(now));
-        todo
-    }
-
-    /// Who gets the next connection: whoever is worth most, and now and then whoever waits longest.
-    fn first(&mut self) -> Option<u64> {
-        self.given += 1;
-        let fair = self.given.is_multiple_of(FAIR);
-        let first = self.waiting.iter().enumerate().min_by(|(_, a), (_, b)| {
-            let worth = if fair { std::cmp::Ordering::Equal } else { b.worth.total_cmp(&a.worth) };
-            worth.then(a.came.cmp(&b.came))
-        });
-        let n = first.map(|(n, _)| n)?;
-        Some(self.waiting.remove(n).call)
+        gateway.on_failure(now);
+        let reconnect_spread = gateway::reconnect_spread(reconnecting_clients);
+        gateway.retry_at = now + gateway.max_delay(reconnect_spread) * self.rng.random::<f64>();
+        // Nor are the others connected to at once: all processes that lost this one would do so at the same time.
+        let move_at = now + gateway::max_move_delay(reconnect_spread) * self.rng.random::<f64>();
+        self.reconnect_at = self.reconnect_at.max(move_at);
     }
 
-    /// One more call waits than connections are being opened, and one more may be.
-    fn room(&self) -> bool {
-        let dialling = self.links.values().filter(|link| link.state == State::Dialling).count();
-        let room = self.links.len() < self.bounds.connections && dialling < self.bounds.dials;
-        room && self.waiting.len() > dialling
+    /// Closes, assigns and opens connections. To be called at [`Pool::next_poll_at`] at the latest.
+    pub fn poll(&mut self, now: Millis) -> Vec<PoolAction> {
+        let mut actions = self.close_expired(now);
+        self.assign_idle(&mut actions);
+        self.connect_for_queued(now, &mut actions);
+        actions
     }
 
-    /// Gateways that may be dialled once their time has come. Half open, after a failure, one gets a single connection
-    /// until it has answered.
-    fn dialled(&self) -> impl Iterator<Item = (usize, &Gateway)> {
-        let open: BTreeSet<usize> = self.links.values().map(|link| link.gateway).collect();
-        let may = move |(n, gateway): &(usize, &Gateway)| {
-            gateway.answered.is_some() || gateway.failures == 0 || !open.contains(n)
+    fn close_expired(&mut self, now: Millis) -> Vec<PoolAction> {
+        let idle_timeout = self.limits.idle_timeout;
+        let is_expired = |connection: &Connection| {
+            connection
+                .idle_since()
+                .is_some_and(|since| now - since >= idle_timeout || now >= connection.expires_at)
         };
-        self.gateways.iter().enumerate().filter(may)
+        let mut actions = Vec::new();
+        self.connections.retain(|&id, connection| {
+            let expired = is_expired(connection);
+            if expired {
+                actions.push(PoolAction::Close { connection: id });
+            }
+            !expired
+        });
+        actions
     }
 
-    /// Opens as many as wait, within the bounds, to the first gateway by rank that may be dialled.
-    fn dial(&mut self, now: Ms) -> Vec<Do> {
-        let mut todo = Vec::new();
-        while self.room() && now >= self.moves {
-            let found = self.dialled().filter(|(_, gateway)| gateway.until <= now);
-            let found = found.min_by(|(_, a), (_, b)| a.rank.total_cmp(&b.rank));
-            let Some(gateway) = found.map(|(n, _)| n) else { break };
-            self.next += 1;
-            let link = self.next;
-            self.links.insert(link, Link { gateway, state: State::Dialling, ends: f64::INFINITY });
-            todo.push(Do::Dial { link, gateway });
+    fn assign_idle(&mut self, actions: &mut Vec<PoolAction>) {
+        while let Some(id) = self.last_used_idle() {
+            let Some(call) = self.queue.pop() else { return };
+            if let Some(connection) = self.connections.get_mut(&id) {
+                connection.state = ConnectionState::Busy;
+            }
+            actions.push(PoolAction::Assign { call, connection: id });
         }
-        todo
     }
 
-    /// When [`Pool::turn`] is to be called next, at the latest.
-    pub fn next(&self) -> Ms {
-        let links = self.links.values().map(|link| match link.state {
-            State::Idle(since) => (since + self.bounds.idle).min(link.ends),
-            _ => f64::INFINITY,
-        });
-        // Where no room is left, or a gateway's one connection has yet to answer, only an event changes that.
-        let dial = self.dialled().filter(|_| self.room()).map(|(_, gateway)| gateway.until.max(self.moves));
-        let dial = dial.fold(f64::INFINITY, f64::min);
-        links.fold(dial, f64::min)
+    /// The idle connection that was used last, so that the others may time out.
+    fn last_used_idle(&self) -> Option<u64> {
+        let idle =
+            self.connections.iter().filter_map(|(id, connection)| Some((*id, connection.idle_since()?)));
+        let (id, _) = idle.max_by(|left, right| left.1.total_cmp(&right.1))?;
+        Some(id)
     }
 
-    /// Connections that are open or being opened.
-    pub fn open(&self) -> usize {
-        self.links.len()
+    /// More calls wait than connections are being opened, and one more may be.
+    fn needs_connection(&self) -> bool {
+        let is_connecting = |connection: &&Connection| connection.state == ConnectionState::Connecting;
+        let connecting = self.connections.values().filter(is_connecting).count();
+        let is_allowed =
+            self.connections.len() < self.limits.max_connections && connecting < self.limits.max_connecting;
+        is_allowed && self.queue.len() > connecting
     }
 
-    /// Calls that wait.
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn bounds() -> Bounds {
-        Bounds { connections: 4, dials: 2, waiting: 8, idle: 1_500.0, age: 60_000.0 }
+    /// Gateways that may be connected to once their time has come. Half open: after a failure a gateway gets a single
+    /// connection until it has answered.
+    fn available_gateways(&self) -> impl Iterator<Item = (usize, &Gateway)> {
+        let in_use: BTreeSet<usize> =
+            self.connections.values().map(|connection| connection.gateway).collect();
+        let is_available =
+            move |(index, gateway): &(usize, &Gateway)| !gateway.is_unproven() || !in_use.contains(index);
+        self.gateways.iter().enumerate().filter(is_available)
     }
 
-    fn dials(todo: &[Do]) -> Vec<(u64, usize)> {
-        let dial =
-            |one: &Do| if let Do::Dial { link, gateway } = one { Some((*link, *gateway)) } else { None };
-        todo.iter().filter_map(dial).collect()
+    /// Opens connections for queued calls within the limits, to the first available gateway by rank.
+    fn connect_for_queued(&mut self, now: Millis, actions: &mut Vec<PoolAction>) {
+        while self.needs_connection() && now >= self.reconnect_at {
+            let due = self.available_gateways().filter(|(_, gateway)| gateway.retry_at <= now);
+            let first = due.min_by(|(_, left), (_, right)| left.rank.total_cmp(&right.rank));
+            let Some((gateway, _)) = first else { return };
+            self.last_id += 1;
+            let connection = self.last_id;
+            let state = ConnectionState::Connecting;
+            self.connections.insert(connection, Connection { gateway, state, expires_at: f64::INFINITY });
+            actions.push(PoolAction::Connect { connection, gateway });
+        }
     }
 
-    /// Ten thousand processes lose a gateway at once: when each dials again, and where.
-    #[test]
-    fn a_crowd_returns_over_seconds_and_shares_the_survivors() {
-        let (mut by_tenth, mut by_gateway) = ([0u32; 120], [0u32; 5]);
-        for seed in 0..10_000 {
-            let mut pool = Pool::new(5, bounds(), seed);
-            let todo = pool.want(1, 1.0, 0.0);
-            let (link, lost) = dials(&todo)[0];
-            assert!(pool.up(link, 5.0).contains(&Do::Give { call: 1, link }));
-            pool.broke(link, None, 10.0);
-            let mut todo = pool.want(2, 1.0, 10.0);
-            let mut now = 10.0;
-            while dials(&todo).is_empty() {
-                now = pool.next().max(now);
-                todo = pool.turn(now);
-                assert!(now < 12_000.0, "{pool:?}");
+    /// When [`Pool::poll`] is to be called next, at the latest.
+    pub fn next_poll_at(&self) -> Millis {
+        // Where no connection may be opened, or a gateway's single one has yet to answer, only an event changes that.
+        let mut next_poll_at = f64::INFINITY;
+        if self.needs_connection() {
+            for (_, gateway) in self.available_gateways() {
+                next_poll_at = gateway.retry_at.max(self.reconnect_at).min(next_poll_at);
             }
-            by_tenth[((now - 10.0) / 100.0) as usize] += 1;
-            by_gateway[dials(&todo)[0].1] += 1;
-            assert!(dials(&todo)[0].1 != lost || now - 10.0 > 0.0);
         }
-        let peak = by_tenth.iter().max().unwrap();
-        assert!(*peak < 400, "of 10,000 in a tenth of a second: {peak}");
-        assert!(by_gateway.iter().all(|count| (1_500..2_500).contains(count)), "{by_gateway:?}");
-    }
-
-    #[test]
-    fn an_idle_connection_that_is_closed_is_no_failure() {
-        let mut pool = Pool::new(1, bounds(), 1);
-        let (link, _) = dials(&pool.want(1, 1.0, 0.0))[0];
-        pool.up(link, 1.0);
-        pool.free(link, 2.0);
-        pool.broke(link, None, 3.0);
-        assert_eq!(dials(&pool.want(2, 1.0, 4.0)).len(), 1, "dialled at once");
-    }
-
-    #[test]
-    fn a_gateway_that_comes_back_gets_one_connection_until_it_has_answered() {
-        let mut pool = Pool::new(1, bounds(), 1);
-        let (link, _) = dials(&pool.want(0, 1.0, 0.0))[0];
-        pool.up(link, 1.0);
-        pool.broke(link, None, 2.0);
-        let todo: Vec<Do> = (1..6).flat_map(|call| pool.want(call, 1.0, 3.0)).collect();
-        assert!(dials(&todo).is_empty());
-        let at = pool.next();
-        let first = dials(&pool.turn(at));
-        assert_eq!(first.len(), 1);
-        assert!(dials(&pool.up(first[0].0, at + 1.0)).is_empty(), "half open");
-        assert_eq!(dials(&pool.free(first[0].0, at + 2.0)).len(), 2, "as many as may be dialled at once");
-    }
-
-    #[test]
-    fn a_gateway_that_takes_queries_and_says_nothing_is_lost_after_two() {
-        let mut pool = Pool::new(2, bounds(), 1);
-        let mut todo = pool.want(0, 1.0, 0.0);
-        let first = dials(&todo)[0].1;
-        for call in 1..3 {
-            let (link, gateway) = dials(&todo)[0];
-            assert_eq!(gateway, first);
-            pool.up(link, 1.0);
-            todo = pool.silent(link, 2.0);
-            todo.extend(pool.want(call, 1.0, 2.0));
+        for connection in self.connections.values() {
+            if let Some(since) = connection.idle_since() {
+                let closes_at = (since + self.limits.idle_timeout).min(connection.expires_at);
+                next_poll_at = next_poll_at.min(closes_at);
+            }
         }
-        assert!(dials(&todo).is_empty());
-        let todo = pool.turn(pool.next());
-        assert!(!dials(&todo).is_empty());
+        next_poll_at
     }
 
-    #[test]
-    fn payments_go_first_when_room_is_short_and_others_are_not_starved() {
-        let mut pool = Pool::new(1, Bounds { connections: 1, waiting: 100, ..bounds() }, 1);
-        let (link, _) = dials(&pool.want(0, 1.0, 0.0))[0];
-        pool.up(link, 1.0);
-        (1..=40).for_each(|call| drop(pool.want(call, if call > 20 { 3.0 } else { 1.0 }, 2.0)));
-        let mut order = Vec::new();
-        for n in 0..40 {
-            let given = pool.free(link, 3.0 + f64::from(n));
-            order.extend(given.into_iter().filter_map(|one| match one {
-                Do::Give { call, .. } => Some(call),
-                _ => None,
-            }));
-        }
-        let payments = order.iter().take(20).filter(|call| **call > 20).count();
-        assert!((14..=16).contains(&payments) && order.len() == 40, "{order:?}");
-        let mut pool = Pool::new(1, Bounds { waiting: 2, ..bounds() }, 1);
-        pool.want(1, 1.0, 0.0);
-        pool.want(2, 3.0, 0.0);
-        assert!(pool.want(3, 3.0, 0.0).contains(&Do::Turn { call: 1 }));
+    /// Connections that are open or being opened.
+    pub fn connection_count(&self) -> usize {
+        self.connections.len()
     }
 
-    proptest! {
-        #![proptest_config(latchhaven_proptest_config::deterministic())]
-
-        /// Over any order of events: bounds hold, each call is given one connection or turned away once, and no
-        /// connection is two calls'.
-        #[test]
-        fn bounds_hold_and_no_connection_is_two_calls(
-            steps in prop::collection::vec((0u8..7, any::<usize>(), 0.0f64..3_000.0), 0..200), seed: u64
-        ) {
-            let mut pool = Pool::new(3, bounds(), seed);
-            let (mut dialling, mut busy, mut idle) = (Vec::new(), Vec::new(), BTreeSet::new());
-            let (mut now, mut calls, mut ended) = (0.0, 0u64, BTreeSet::new());
-            for (kind, pick, passes) in steps {
-                let take = |from: &mut Vec<u64>| (!from.is_empty()).then(|| from.swap_remove(pick % from.len()));
-                let todo = match kind {
-                    0 | 1 => {
-                        calls += 1;
-                        pool.want(calls, (pick % 3) as f64, now)
-                    }
-                    2 => match take(&mut dialling) {
-                        Some(link) => {
-                            idle.insert(link);
-                            pool.up(link, now)
-                        }
-                        None => Vec::new(),
-                    },
-                    3 => take(&mut dialling).map_or(Vec::new(), |link| pool.not_up(link, now)),
-                    4 => match take(&mut busy) {
-                        Some(link) => {
-                            idle.insert(link);
-                            pool.free(link, now)
-                        }
-                        None => Vec::new(),
-                    },
-                    5 => take(&mut busy).map_or(Vec::new(), |link| pool.broke(link, None, now)),
-                    _ => {
-                        now += passes;
-                        pool.turn(now)
-                    }
-                };
-                for one in todo {
-                    match one {
-                        Do::Dial { link, gateway } => {
-                            prop_assert!(gateway < 3);
-                            dialling.push(link);
-                        }
-                        Do::Give { call, link } => {
-                            prop_assert!(idle.remove(&link) && ended.insert(call));
-                            busy.push(link);
-                        }
-                        Do::Close { link } => prop_assert!(idle.remove(&link)),
-                        Do::Turn { call } => prop_assert!(ended.insert(call)),
-                    }
-                }
-                prop_assert!(pool.next() > now, "it would be looked at again and again");
-                prop_assert!(pool.open() <= 4 && dialling.len() <= 2 && pool.waiting() <= 8);
-                prop_assert_eq!(pool.open(), dialling.len() + busy.len() + idle.len());
-                prop_assert_eq!(calls as usize, ended.len() + pool.waiting());
-            }
-        }
+    /// Calls that wait for a connection.
+    pub fn queued_calls(&self) -> usize {
+        self.queue.len()
     }
 }
--- /dev/null
+++ b/crates/client/src/pool/queue.rs
@@ -0,0 +1,64 @@
+//! The calls that wait for a connection.
+
+/// One connection in so many goes to the call that waits longest, whatever its priority.
+const FAIR_INTERVAL: u64 = 4;
+
+#[derive(Clone, Copy, Debug)]
+struct QueuedCall {
+    call: u64,
+    /// Higher ones go first.
+    priority_weight: f64,
+    /// Grows with each call that is queued.
+    sequence: u64,
+}
+
+/// Calls by priority, with a share for those that wait longest.
+#[derive(Clone, Debug, Default)]
+pub(super) struct CallQueue {
+    calls: Vec<QueuedCall>,
+    /// How often a call was asked for.
+    pops: u64,
+}
+
+impl CallQueue {
+    pub(super) fn len(&self) -> usize {
+        self.calls.len()
+    }
+
+    /// Adds a call; its sequence number must be higher than those before.
+    pub(super) fn push(&mut self, call: u64, priority_weight: f64, sequence: u64) {
+        self.calls.push(QueuedCall { call, priority_weight, sequence });
+    }
+
+    /// Removes a call, if it waits.
+    pub(super) fn remove(&mut self, call: u64) {
+        self.calls.retain(|queued| queued.call != call);
+    }
+
+    /// Removes the call with the lowest priority, and of those the newest: it has waited least.
+    pub(super) fn remove_lowest_priority(&mut self) -> Option<u64> {
+        let calls = self.calls.iter().enumerate();
+        let lowest = calls.min_by(|(_, left), (_, right)| {
+            let by_priority = left.priority_weight.total_cmp(&right.priority_weight);
+            by_priority.then(right.sequence.cmp(&left.sequence))
+        });
+        let (index, _) = lowest?;
+        Some(self.calls.remove(index).call)
+    }
+
+    /// Removes the call that gets the next connection.
+    pub(super) fn pop(&mut self) -> Option<u64> {
+        self.pops += 1;
+        let calls = self.calls.iter().enumerate();
+        let first = if self.pops.is_multiple_of(FAIR_INTERVAL) {
+            calls.min_by_key(|(_, queued)| queued.sequence)
+        } else {
+            calls.min_by(|(_, left), (_, right)| {
+                let by_priority = right.priority_weight.total_cmp(&left.priority_weight);
+                by_priority.then(left.sequence.cmp(&right.sequence))
+            })
+        };
+        let (index, _) = first?;
+        Some(self.calls.remove(index).call)
+    }
+}
--- /dev/null
+++ b/crates/client/src/pool_driver.rs
@@ -0,0 +1,185 @@
+//! The task that owns the pool and carries out its actions.
+
+use crate::config::ClientConfig;
+use crate::connection::GatewayConnection;
+use crate::pool::{Pool, PoolAction};
+use crate::time::{Millis, to_duration};
+use std::collections::{BTreeMap, VecDeque};
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+use tokio::select;
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::{sleep, timeout};
+
+/// The longest time between two looks at the pool and at idle connections.
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// The shortest time in ms between two looks at the pool.
+const MIN_POLL_INTERVAL: Millis = 0.5;
+
+/// A call's request for a connection.
+pub(crate) struct AcquireRequest {
+    pub(crate) call: u64,
+    pub(crate) priority_weight: f64,
+    /// Dropped where the call gets no connection.
+    pub(crate) reply: oneshot::Sender<Box<GatewayConnection>>,
+}
+
+/// What happened to a connection, by its id, or to a call. There is one event at most under way for each.
+pub(crate) enum ConnectionEvent {
+    Connected(Box<GatewayConnection>),
+    ConnectFailed(u64),
+    /// It may be used again.
+    Released(Box<GatewayConnection>),
+    Lost(u64),
+    /// No answer came in time.
+    TimedOut(u64),
+    /// Its call was cancelled.
+    Discarded(u64),
+    /// This call no longer waits for a connection.
+    AcquireCancelled(u64),
+}
+
+/// Owns the pool, its idle connections, and the calls that wait for one.
+pub(crate) struct PoolDriver {
+    pool: Pool,
+    started_at: Instant,
+    gateways: Vec<SocketAddr>,
+    connect_timeout: Duration,
+    idle: BTreeMap<u64, Box<GatewayConnection>>,
+    waiting: BTreeMap<u64, oneshot::Sender<Box<GatewayConnection>>>,
+    events: mpsc::UnboundedSender<ConnectionEvent>,
+}
+
+impl PoolDriver {
+    /// `events`: the sender of the events that [`PoolDriver::run`] receives.
+    pub(crate) fn new(config: &ClientConfig, events: mpsc::UnboundedSender<ConnectionEvent>) -> Self {
+        PoolDriver {
+            pool: Pool::new(config.gateways.len(), config.pool_limits(), config.seed),
+            started_at: Instant::now(),
+            gateways: config.gateways.clone(),
+            connect_timeout: to_duration(config.connect_timeout),
+            idle: BTreeMap::new(),
+            waiting: BTreeMap::new(),
+            events,
+        }
+    }
+
+    fn now(&self) -> Millis {
+        self.started_at.elapsed().as_secs_f64() * 1000.0
+    }
+
+    /// Runs until the last clone of the client is gone; connections in use are dropped with their calls.
+    pub(crate) async fn run(
+        mut self, mut requests: mpsc::Receiver<AcquireRequest>,
+        mut events: mpsc::UnboundedReceiver<ConnectionEvent>,
+    ) {
+        loop {
+            let until_next_poll = (self.pool.next_poll_at() - self.now()).max(MIN_POLL_INTERVAL);
+            let poll_delay = to_duration(until_next_poll).min(MAX_POLL_INTERVAL);
+            let actions = select! {
+                biased;
+                event = events.recv() => match event {
+                    Some(event) => self.on_event(event),
+                    None => return,
+                },
+                request = requests.recv() => match request {
+                    Some(request) => self.on_acquire(request),
+                    None => return,
+                },
+                () = sleep(poll_delay) => {
+                    self.remove_unusable();
+                    self.pool.poll(self.now())
+                }
+            };
+            self.carry_out(actions);
+        }
+    }
+
+    fn on_acquire(&mut self, request: AcquireRequest) -> Vec<PoolAction> {
+        let AcquireRequest { call, priority_weight, reply } = request;
+        self.remove_unusable();
+        self.waiting.insert(call, reply);
+        self.pool.acquire(call, priority_weight, self.now())
+    }
+
+    /// Removes idle connections that their gateways have closed: that is no failure.
+    fn remove_unusable(&mut self) {
+        let unusable = self.idle.values().filter(|connection| connection.is_unusable());
+        let unusable: Vec<u64> = unusable.map(|connection| connection.id).collect();
+        for connection in unusable {
+            self.idle.remove(&connection);
+            let actions = self.pool.on_connection_lost(connection, None, self.now());
+            self.carry_out(actions);
+        }
+    }
+
+    fn on_event(&mut self, event: ConnectionEvent) -> Vec<PoolAction> {
+        let now = self.now();
+        match event {
+            ConnectionEvent::Connected(connection) => {
+                let id = connection.id;
+                self.idle.insert(id, connection);
+                self.pool.on_connected(id, now)
+            }
+            ConnectionEvent::ConnectFailed(connection) => self.pool.on_connect_failed(connection, now),
+            ConnectionEvent::Released(connection) => self.on_released(connection, now),
+            ConnectionEvent::Lost(connection) => self.pool.on_connection_lost(connection, None, now),
+            ConnectionEvent::TimedOut(connection) => self.pool.on_timeout(connection, now),
+            ConnectionEvent::Discarded(connection) => self.pool.discard(connection, now),
+            ConnectionEvent::AcquireCancelled(call) => {
+                self.waiting.remove(&call);
+                self.pool.cancel_acquire(call);
+                Vec::new()
+            }
+        }
+    }
+
+    fn on_released(&mut self, connection: Box<GatewayConnection>, now: Millis) -> Vec<PoolAction> {
+        let id = connection.id;
+        if connection.is_unusable() || connection.has_unread_bytes() {
+            return self.pool.discard(id, now);
+        }
+        self.idle.insert(id, connection);
+        self.pool.release(id, now)
+    }
+
+    fn carry_out(&mut self, actions: Vec<PoolAction>) {
+        let mut actions = VecDeque::from(actions);
+        while let Some(action) = actions.pop_front() {
+            match action {
+                PoolAction::Connect { connection, gateway } => self.connect(connection, gateway),
+                PoolAction::Assign { call, connection } => actions.extend(self.assign(call, connection)),
+                PoolAction::Close { connection } => drop(self.idle.remove(&connection)),
+                PoolAction::Reject { call } => drop(self.waiting.remove(&call)),
+            }
+        }
+    }
+
+    fn connect(&self, connection: u64, gateway: usize) {
+        let address = self.gateways[gateway];
+        let connect_timeout = self.connect_timeout;
+        let events = self.events.clone();
+        tokio::spawn(async move {
+            let connected = timeout(connect_timeout, GatewayConnection::connect(connection, address)).await;
+            let event = match connected {
+                Ok(Some(connection)) => ConnectionEvent::Connected(Box::new(connection)),
+                _ => ConnectionEvent::ConnectFailed(connection),
+            };
+            let _ = events.send(event);
+        });
+    }
+
+    /// Gives a connection to a call; where the call is gone the connection is idle again.
+    fn assign(&mut self, call: u64, connection: u64) -> Vec<PoolAction> {
+        let reply = self.waiting.remove(&call);
+        let Some(idle) = self.idle.remove(&connection) else { return Vec::new() };
+        let result = match reply {
+            Some(reply) => reply.send(idle),
+            None => Err(idle),
+        };
+        let Err(unclaimed) = result else { return Vec::new() };
+        let now = self.now();
+        self.idle.insert(connection, unclaimed);
+        self.pool.release(connection, now)
+    }
+}
--- /dev/null
+++ b/crates/client/src/wire/query.rs
@@ -0,0 +1,89 @@
+//! The bytes of a query and of the startup message.
+
+use bytes::Bytes;
+
+/// The longest name in bytes.
+const MAX_NAME_LENGTH: usize = 128;
+/// Version 3.0 of the protocol.
+const PROTOCOL_VERSION: u32 = 3 << 16;
+
+/// The first message on a connection.
+pub fn startup_message() -> Bytes {
+    let parameters = b"user\0app\0database\0shop\0\0";
+    let mut bytes = Vec::with_capacity(8 + parameters.len());
+    bytes.extend((parameters.len() as u32 + 8).to_be_bytes());
+    bytes.extend(PROTOCOL_VERSION.to_be_bytes());
+    bytes.extend(parameters);
+    Bytes::from(bytes)
+}
+
+/// One attempt of a request.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Query<'a> {
+    /// The id of the attempt, new with each.
+    pub id: &'a str,
+    /// The name of the request class.
+    pub class: &'a str,
+    /// The tenant, where there is one.
+    pub tenant: Option<&'a str>,
+    /// The id of the item.
+    pub item: &'a str,
+    /// The document to write; none: the item is read.
+    pub document: Option<&'a [u8]>,
+    /// The idempotency key, where there is one.
+    pub key: Option<&'a str>,
+    /// The time in ms for which the answer is waited for.
+    pub time_remaining: u64,
+    /// It is not the first attempt.
+    pub is_retry: bool,
+}
+
+/// True for names that need no quoting in a statement or its comment.
+pub fn is_plain_name(name: &str) -> bool {
+    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.' | b':');
+    !name.is_empty() && name.len() <= MAX_NAME_LENGTH && name.bytes().all(is_plain)
+}
+
+impl Query<'_> {
+    /// True where all names are plain.
+    pub fn has_plain_names(&self) -> bool {
+        let names = [Some(self.id), Some(self.class), self.tenant, Some(self.item), self.key];
+        names.into_iter().flatten().all(is_plain_name)
+    }
+
+    /// The query message; none where a name is not plain.
+    pub fn encode(&self) -> Option<Bytes> {
+        if !self.has_plain_names() {
+            return None;
+        }
+        let text = self.statement() + &self.comment();
+        let mut bytes = vec![b'Q'];
+        bytes.extend((text.len() as u32 + 5).to_be_bytes());
+        bytes.extend(text.bytes());
+        bytes.push(0);
+        Some(Bytes::from(bytes))
+    }
+
+    fn statement(&self) -> String {
+        let item = self.item;
+        let Some(document) = self.document else {
+            return format!("SELECT doc FROM items WHERE id = '{item}'");
+        };
+        let digits: String = document.iter().map(|byte| format!("{byte:02x}")).collect();
+        format!(r"INSERT INTO items (id, doc) VALUES ('{item}', '\x{digits}') RETURNING doc")
+    }
+
+    /// The comment that gateways read.
+    fn comment(&self) -> String {
+        let mut text = format!(" /* id={},c={}", self.id, self.class);
+        if let Some(tenant) = self.tenant {
+            text.push_str(&format!(",t={tenant}"));
+        }
+        text.push_str(&format!(",d={}", self.time_remaining));
+        if let Some(key) = self.key {
+            text.push_str(&format!(",k={key}"));
+        }
+        text.push_str(if self.is_retry { ",r=1 */" } else { " */" });
+        text
+    }
+}
--- /dev/null
+++ b/crates/client/tests/retry_budget.rs
@@ -0,0 +1,18 @@
+//! How many retries a process may make.
+
+use latchhaven_client::retry_budget::RetryBudget;
+
+#[test]
+fn retries_are_a_share_of_first_attempts_and_a_small_reserve() {
+    let mut budget = RetryBudget::default();
+    let mut retries = 0;
+    for number in 0..10_000 {
+        let now = f64::from(number);
+        budget.on_first_attempt(now);
+        retries += u32::from(budget.try_spend(now));
+    }
+    assert!((1_000..=1_010).contains(&retries), "{retries}");
+    // Then the process is idle for a minute, and one call fails again and again.
+    let retries = (0..100).filter(|number| budget.try_spend(70_000.0 + f64::from(*number))).count();
+    assert_eq!(retries, 2);
+}
--- /dev/null
+++ b/crates/client/tests/wire.rs
@@ -0,0 +1,164 @@
+//! The bytes of queries, and answers read from bytes.
+
+use bytes::{Bytes, BytesMut};
+use latchhaven_client::wire::{
+    Answer, AnswerReader, MalformedMessage, ProtocolError, Query, startup_message,
+};
+use proptest::prelude::*;
+
+fn message(kind: u8, body: &[u8]) -> Vec<u8> {
+    [&[kind][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
+}
+
+fn ready() -> Vec<u8> {
+    message(b'Z', b"I")
+}
+
+/// An error whose fields are separated by `|`.
+fn error(fields: &str) -> Vec<u8> {
+    message(b'E', fields.replace('|', "\0").as_bytes())
+}
+
+fn row(value: &[u8]) -> Vec<u8> {
+    let data = [&[0, 1][..], &(value.len() as u32).to_be_bytes(), value].concat();
+    [message(b'T', b"\0\x01doc\0"), message(b'D', &data), message(b'C', b"SELECT 1\0")].concat()
+}
+
+/// Answers as bytes, and as they are read.
+fn answers() -> Vec<(Vec<u8>, Answer)> {
+    let rejected = |retry_after, is_fatal| Answer::Rejected { retry_after, is_fatal };
+    vec![
+        ([row(b"abc"), ready()].concat(), Answer::Value(Bytes::from_static(b"abc"))),
+        ([message(b'R', &[0; 4]), message(b'S', b"a\0b\0"), ready()].concat(), Answer::Ready),
+        ([error("SERROR|C53300|Mno|D120||"), ready()].concat(), rejected(Some(120), false)),
+        (error("SFATAL|C57P03|Mstarting||"), rejected(None, true)),
+        (
+            [error("SERROR|CXX000|Mno||"), ready()].concat(),
+            Answer::Failed { code: "XX000".to_string(), is_fatal: false },
+        ),
+        ([row(b"abc"), error("SERROR|C53300|M||"), ready()].concat(), rejected(None, false)),
+    ]
+}
+
+fn read(bytes: &[u8]) -> Result<Option<Answer>, ProtocolError> {
+    AnswerReader::default().read(&mut BytesMut::from(bytes))
+}
+
+#[test]
+fn answer_is_read_alike_at_every_split() {
+    for (bytes, expected) in answers() {
+        for at in 0..=bytes.len() {
+            let mut reader = AnswerReader::default();
+            let mut buffer = BytesMut::from(&bytes[..at]);
+            let first = reader.read(&mut buffer).unwrap();
+            if at < bytes.len() {
+                assert_eq!(first, None, "at {at}");
+            }
+            buffer.extend_from_slice(&bytes[at..]);
+            let answer = first.or_else(|| reader.read(&mut buffer).unwrap());
+            assert_eq!(answer.as_ref(), Some(&expected), "at {at}");
+            assert!(buffer.is_empty());
+        }
+    }
+}
+
+#[test]
+fn malformed_answer_is_an_error_and_never_a_rejection() {
+    let two_rows = [row(b"a"), row(b"b")].concat();
+    let row_without_end = [message(b'D', b"\0\x01\0\0\0\x01a"), ready()].concat();
+    for (bytes, expected) in [
+        (message(b'E', b"SERROR\0C53300\0Mno"), "an error without its end"),
+        (message(b'E', b"SERROR\0C53300\0C57P03\0\0"), "an error with two codes"),
+        (message(b'E', b"SERROR\0Mno\0\0"), "an error without a code"),
+        (message(b'E', b"SERROR\0C53300\0M\xff\0\0"), "an error that is no text"),
+        (message(b'E', b"SERROR\0\0C53300\0\0"), "an empty field"),
+        (message(b'x', b""), "an unknown kind"),
+        ([message(b'D', b"\0\x02"), ready()].concat(), "a short row"),
+        ([message(b'D', b"\0\x01\xff\xff\xff\xff"), ready()].concat(), "a row of another form"),
+        (two_rows, "a second row, or one behind an error"),
+        (row_without_end, "a row without its end"),
+        (vec![b'D', 0, 0, 0, 1], "a length below 4"),
+    ] {
+        let error = read(&bytes).expect_err(expected);
+        assert_eq!(error.to_string(), format!("no message of this protocol: {expected}"));
+    }
+    let too_long = read(&[b'D', 0x7f, 0xff, 0xff, 0xff]).expect_err("too long");
+    assert_eq!(too_long.to_string(), "a message of 2147483647 bytes");
+    assert_eq!(read(&message(b'x', b"")), Err(ProtocolError::Malformed(MalformedMessage::UnknownKind)));
+}
+
+#[test]
+fn query_has_the_form_of_the_protocol_and_none_with_an_unsafe_name() {
+    let read = Query {
+        id: "9b1f",
+        class: "basket",
+        tenant: Some("acme"),
+        item: "7f3a",
+        document: None,
+        key: None,
+        time_remaining: 480,
+        is_retry: false,
+    };
+    let text = |query: &Query| {
+        query.encode().map(|bytes| String::from_utf8(bytes[5..bytes.len() - 1].to_vec()).unwrap())
+    };
+    assert_eq!(
+        text(&read).unwrap(),
+        "SELECT doc FROM items WHERE id = '7f3a' /* id=9b1f,c=basket,t=acme,d=480 */"
+    );
+    let write =
+        Query { document: Some(&[0x9f, 3]), key: Some("5c0f"), tenant: None, is_retry: true, ..read.clone() };
+    let expected = r"INSERT INTO items (id, doc) VALUES ('7f3a', '\x9f03') RETURNING doc /* id=9b1f,c=basket,d=480,k=5c0f,r=1 */";
+    assert_eq!(text(&write).unwrap(), expected);
+    for name in ["", "a'b", "a,b", "a*/", "a b", "ä", &"x".repeat(200)] {
+        assert_eq!(text(&Query { item: name, ..read.clone() }), None, "{name}");
+        assert_eq!(text(&Query { key: Some(name), ..read.clone() }), None, "{name}");
+    }
+}
+
+#[test]
+fn messages_have_their_kind_and_length() {
+    let query = Query {
+        id: "1",
+        class: "c",
+        tenant: None,
+        item: "i",
+        document: None,
+        key: None,
+        time_remaining: 2,
+        is_retry: false,
+    };
+    let encoded = query.encode().unwrap();
+    let text = b"SELECT doc FROM items WHERE id = 'i' /* id=1,c=c,d=2 */\0";
+    assert_eq!(encoded, message(b'Q', text));
+    assert_eq!(&startup_message()[..], b"\0\0\0\x20\0\x03\0\0user\0app\0database\0shop\0\0");
+}
+
+proptest! {
+    #![proptest_config(latchhaven_proptest_config::deterministic())]
+
+    #[test]
+    fn any_bytes_are_read_without_panic(
+        bytes in prop::collection::vec(any::<u8>(), 0..300), at in 0usize..300
+    ) {
+        let at = at.min(bytes.len());
+        let mut reader = AnswerReader::default();
+        let mut buffer = BytesMut::from(&bytes[..at]);
+        if reader.read(&mut buffer).is_ok() {
+            buffer.extend_from_slice(&bytes[at..]);
+            while let Ok(Some(_)) = reader.read(&mut buffer) {}
+        }
+    }
+
+    #[test]
+    fn corrupted_answer_is_never_read_as_a_value_of_another_length(
+        index in 0usize..6, at in 0usize..80, to: u8
+    ) {
+        let (mut bytes, expected) = answers().swap_remove(index);
+        let at = at % bytes.len();
+        bytes[at] = to;
+        if let (Ok(Some(Answer::Value(value))), Answer::Value(original)) = (read(&bytes), expected) {
+            prop_assert_eq!(value.len(), original.len());
+        }
+    }
+}
--- a/crates/experiments/src/crowd.rs
+++ b/crates/experiments/src/crowd.rs
@@ -3,9 +3,10 @@
 
 use crate::agenda::Agenda;
 use clap::Args;
-use latchhaven_client::budget::Budget;
-use latchhaven_client::call::{Call, Effect, End, Moment, Next, Verdict};
-use latchhaven_client::pool::{Bounds, Do, Pool};
+use latchhaven_client::call::{AttemptOutcome, Call, CallOutcome, Idempotency, NextStep};
+use latchhaven_client::pool::{Pool, PoolAction, PoolLimits};
+use latchhaven_client::retry_budget::RetryBudget;
+use latchhaven_client::time::Timestamp;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp1};
 use rand_pcg::Pcg64Mcg;
@@ -46,8 +47,12 @@
 /// A message takes so long.
 const WAY: Ms = 1.0;
 /// A payment in so many calls is referenced, or once-only.
-const KINDS: [Effect; 4] =
-    [Effect::InquiryLike, Effect::InquiryLike, Effect::Referenced { remember: REMEMBER }, Effect::OnceOnly];
+const KINDS: [Idempotency; 4] = [
+    Idempotency::Idempotent,
+    Idempotency::Idempotent,
+    Idempotency::IdempotencyKey { dedup_window: REMEMBER },
+    Idempotency::NonIdempotent,
+];
 const REVENUE: [f64; 4] = [1.0, 1.0, 2.0, 3.0];
 /// The wait of those that wait the same time, and the first of those that double it.
 const FIXED: Ms = 1_000.0;
@@ -101,7 +106,7 @@
 
 struct ClientState {
     pool: Pool,
-    budget: Budget,
+    budget: RetryBudget,
     rng: Pcg64Mcg,
     /// Gateways of open links.
     links: BTreeMap<u64, usize>,
@@ -151,11 +156,17 @@
 
 impl Crowd {
     fn new(style: Style, sizes: &Sizes) -> Self {
-        let bounds = Bounds { connections: 1, dials: 1, waiting: 16, idle: 30_000.0, age: 600_000.0 };
+        let bounds = PoolLimits {
+            max_connections: 1,
+            max_connecting: 1,
+            max_queued_calls: 16,
+            idle_timeout: 30_000.0,
+            max_age: 600_000.0,
+        };
         let mut rng = Pcg64Mcg::seed_from_u64(sizes.seed);
         let clients = (0..sizes.clients).map(|n| ClientState {
             pool: Pool::new(sizes.gateways, bounds, sizes.seed.wrapping_mul(1_000_003) ^ n as u64),
-            budget: Budget::default(),
+            budget: RetryBudget::default(),
             rng: Pcg64Mcg::seed_from_u64(sizes.seed ^ (n as u64) << 20),
             links: BTreeMap::new(),
             looks: f64::INFINITY,
@@ -189,8 +200,8 @@
         self.agenda.push(at, what);
     }
 
-    fn moment(&self) -> Moment {
-        Moment { steady: self.now, wall: 1e12 + self.now }
+    fn moment(&self) -> Timestamp {
+        Timestamp { monotonic: self.now, wall: 1e12 + self.now }
     }
 
     fn play(mut self, until: Ms) -> Count {
@@ -220,7 +231,7 @@
         let id = self.next;
         let now = self.moment();
         let mut call = Call::new(KINDS[kind], EXPIRY, 5.0, now);
-        call.begin(&mut self.clients[client].budget, &now);
+        call.start(&mut self.clients[client].budget, &now);
         let came = self.now;
         self.count.asked += REVENUE[kind];
         self.calls.insert(id, CallState { client, kind, came, call, sent: None, waiting: false, tries: 0 });
@@ -234,22 +245,22 @@
         };
         call.waiting = true;
         let (client, worth) = (call.client, REVENUE[call.kind]);
-        let todo = self.clients[client].pool.want(id, worth, self.now);
+        let todo = self.clients[client].pool.acquire(id, worth, self.now);
         self.carry_out(client, todo);
     }
 
     fn look(&mut self, client: usize) {
         self.clients[client].looks = f64::INFINITY;
-        let todo = self.clients[client].pool.turn(self.now);
+        let todo = self.clients[client].pool.poll(self.now);
         self.carry_out(client, todo);
     }
 
     /// The library's pool holds connections for all styles; the others dial as they like.
-    fn carry_out(&mut self, client: usize, todo: Vec<Do>) {
+    fn carry_out(&mut self, client: usize, todo: Vec<PoolAction>) {
         let mut todo = VecDeque::from(todo);
         while let Some(one) = todo.pop_front() {
             match one {
-                Do::Dial { link, gateway } => {
+                PoolAction::Connect { connection: link, gateway } => {
                     let gateway = match self.style {
                         Style::Library => gateway,
                         _ => self.clients[client].rng.random_range(0..self.gateways.len()),
@@ -257,11 +268,11 @@
                     *self.count.dials.entry((self.now / 1000.0) as u64).or_default() += 1;
                     self.push(self.now + WAY, What::Arrive { client, link, gateway });
                 }
-                Do::Give { call, link } => {
+                PoolAction::Assign { call, connection: link } => {
                     let now = self.moment();
                     let may = self.calls.get_mut(&call).filter(|call| call.waiting).is_some_and(|call| {
                         call.waiting = false;
-                        call.call.write(&now).is_some()
+                        call.call.begin_attempt(&now).is_some()
                     });
                     if may {
                         let state = self.calls.get_mut(&call).expect("open");
@@ -269,18 +280,18 @@
                         let gateway = self.clients[client].links[&link];
                         self.work(gateway, Work::Txn { client, link, call });
                     } else {
-                        todo.extend(self.clients[client].pool.free(link, self.now));
+                        todo.extend(self.clients[client].pool.release(link, self.now));
                     }
                 }
-                Do::Close { link } => drop(self.clients[client].links.remove(&link)),
-                Do::Turn { call } => {
+                PoolAction::Close { connection: link } => drop(self.clients[client].links.remove(&link)),
+                PoolAction::Reject { call } => {
                     if let Some(call) = self.calls.get_mut(&call) {
                         call.waiting = false;
                     }
                 }
             }
         }
-        let next = self.clients[client].pool.next();
+        let next = self.clients[client].pool.next_poll_at();
         if next < self.clients[client].looks && next.is_finite() {
             self.clients[client].looks = next;
             self.push(next.max(self.now + 0.1), What::Look(client));
@@ -302,8 +313,8 @@
         state.links.remove(&link);
         state.failures += 1;
         let todo = match self.style {
-            Style::Library => state.pool.not_up(link, self.now),
-            _ => state.pool.dropped(link, self.now),
+            Style::Library => state.pool.on_connect_failed(link, self.now),
+            _ => state.pool.discard(link, self.now),
         };
         if self.style == Style::Library {
             return self.carry_out(client, todo);
@@ -312,7 +323,7 @@
         let wait = self.wait(client);
         for one in todo {
             match one {
-                Do::Dial { link, .. } => {
+                PoolAction::Connect { connection: link, .. } => {
                     let gateway = self.clients[client].rng.random_range(0..self.gateways.len());
                     let at = self.now + wait;
                     *self.count.dials.entry((at / 1000.0) as u64).or_default() += 1;
@@ -363,7 +374,7 @@
                 self.gateways[gateway].handshakes -= 1;
                 if self.clients[client].links.contains_key(&link) {
                     self.clients[client].failures = 0;
-                    let todo = self.clients[client].pool.up(link, self.now);
+                    let todo = self.clients[client].pool.on_connected(link, self.now);
                     self.carry_out(client, todo);
                 } else {
                     self.count.wasted += self.each * HANDSHAKE;
@@ -377,12 +388,12 @@
                     *self.count.effects.entry(call).or_default() += 1;
                 }
                 if open {
-                    self.ended(call, End::Settled);
+                    self.ended(call, AttemptOutcome::Success);
                     self.clients[client].failures = 0;
                     if std::mem::take(&mut self.clients[client].struck) {
                         self.count.served_again.push(self.now - LOST);
                     }
-                    let todo = self.clients[client].pool.free(link, self.now);
+                    let todo = self.clients[client].pool.release(link, self.now);
                     self.carry_out(client, todo);
                 } else {
                     self.count.wasted += self.each;
@@ -392,12 +403,12 @@
         self.begin(gateway);
     }
 
-    fn ended(&mut self, id: u64, end: End) {
+    fn ended(&mut self, id: u64, end: AttemptOutcome) {
         let now = self.moment();
         let Some(state) = self.calls.get_mut(&id) else { return };
         let Some((sent, _)) = state.sent.take() else { return };
         let client = state.client;
-        if end == End::Settled {
+        if end == AttemptOutcome::Success {
             if self.now - state.came <= SLA {
                 self.count.in_time += REVENUE[state.kind];
             }
@@ -409,20 +420,20 @@
             self.clients[client].failures += 1;
             let came = state.came;
             let (wait, expires) = (self.wait(client), came + EXPIRY);
-            let began = Moment { steady: came, wall: 1e12 + came };
+            let began = Timestamp { monotonic: came, wall: 1e12 + came };
             let Some(state) = self.calls.get_mut(&id) else { return };
-            state.call = Call::new(Effect::InquiryLike, EXPIRY, 5.0, began);
+            state.call = Call::new(Idempotency::Idempotent, EXPIRY, 5.0, began);
             if self.now + wait < expires {
                 self.push(self.now + wait, What::Try(id));
             }
             return;
         }
-        let sent = Moment { steady: sent, wall: 1e12 + sent };
+        let sent = Timestamp { monotonic: sent, wall: 1e12 + sent };
         let clients = &mut self.clients[client];
-        match state.call.ended(end, sent, &mut clients.budget, &mut clients.rng, &now) {
-            Next::Try { after, .. } => self.push(self.now + after, What::Try(id)),
-            Next::Give(verdict) => {
-                self.count.unknown += u64::from(verdict == Verdict::Unknown);
+        match state.call.on_attempt_ended(end, sent, &mut clients.budget, &mut clients.rng, &now) {
+            NextStep::Attempt { backoff: after, .. } => self.push(self.now + after, What::Try(id)),
+            NextStep::Finish(verdict) => {
+                self.count.unknown += u64::from(verdict == CallOutcome::Unknown);
                 self.calls.remove(&id);
             }
         }
@@ -432,7 +443,7 @@
     fn expire(&mut self, id: u64) {
         let Some(state) = self.calls.remove(&id) else { return };
         let (client, sent) = (state.client, state.sent);
-        self.clients[client].pool.unwant(id);
+        self.clients[client].pool.cancel_acquire(id);
         if state.kind == 3 && sent.is_some() {
             // Kept for the count of its effect only.
             self.calls.insert(id, CallState { sent: None, waiting: false, ..state });
@@ -440,8 +451,8 @@
         if let Some((_, link)) = sent {
             self.clients[client].links.remove(&link);
             let todo = match self.style {
-                Style::Library => self.clients[client].pool.silent(link, self.now),
-                _ => self.clients[client].pool.dropped(link, self.now),
+                Style::Library => self.clients[client].pool.on_timeout(link, self.now),
+                _ => self.clients[client].pool.discard(link, self.now),
             };
             self.carry_out(client, todo);
         }
@@ -474,17 +485,17 @@
                     if self.calls[&id].kind == 3 && self.rng.random::<f64>() < 0.5 {
                         *self.count.effects.entry(id).or_default() += 1;
                     }
-                    self.ended(id, End::Lost);
+                    self.ended(id, AttemptOutcome::ConnectionLost);
                 }
                 let state = &mut self.clients[client];
                 let todo = match self.style {
-                    Style::Library => state.pool.broke(link, None, self.now),
-                    _ => state.pool.dropped(link, self.now),
+                    Style::Library => state.pool.on_connection_lost(link, None, self.now),
+                    _ => state.pool.discard(link, self.now),
                 };
                 self.carry_out(client, todo);
                 // Apps of their own dial at once, whether they ask or not: they hold a connection.
                 if self.style != Style::Library {
-                    let todo = self.clients[client].pool.want(u64::MAX - client as u64, 0.0, self.now);
+                    let todo = self.clients[client].pool.acquire(u64::MAX - client as u64, 0.0, self.now);
                     self.carry_out(client, todo);
                 }
             }
