--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,9 +1,13 @@
 //! `demo`: stand-ins, a gateway and a control service on loopback, and a rollout of a good and a bad build.
 
-use latchhaven_test_support::machine::Machine;
-use latchhaven_test_support::proxy::{Goes, Orders, Proxy};
-use latchhaven_test_support::site::{Site, plan};
-use latchhaven_test_support::wire::{self, Client, Does, Server, host, select, spawn, startup, state};
+use latchhaven_test_support::fake_load_reports::{ClusterOutcome, ClusterOutcomes, ReportedLoad};
+use latchhaven_test_support::fake_platform::{FakePlatform, control_config};
+use latchhaven_test_support::fake_proxy::{FakeProxy, ProxyBehavior};
+use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
+use latchhaven_test_support::gateway::{gateway_config, spawn_gateway};
+use latchhaven_test_support::platform_messages::{host, rollout_state};
+use latchhaven_test_support::postgres::{Client, outcome, select, startup};
+use latchhaven_test_support::process::{Process, wait_for_address};
 use serde_json::{Value, json};
 use std::io;
 use std::net::SocketAddr;
@@ -41,19 +45,23 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-fn entry(n: usize, server: &Server, build: u32, since: u64) -> Value {
+fn entry(n: usize, server: &FakeServer, build: u32, since: u64) -> Value {
     let mut entry = host(&format!("s{n}"), server.addr, "up", build);
     entry["born_ms"] = json!(since);
     entry
 }
 
 /// Has hosts begin anew with a build; a bad one fails every third txn.
-fn begin(site: &Site, servers: &[Server], which: std::ops::Range<usize>, build: u32, bad: bool) {
+fn begin(site: &FakePlatform, servers: &[FakeServer], which: std::ops::Range<usize>, build: u32, bad: bool) {
     let list: Vec<Value> = which.clone().map(|n| entry(n, &servers[n], build, born())).collect();
     for server in &servers[which] {
-        server.set(if bad { Does::FailsOneIn(3, "XX000") } else { Does::ServesAfter(2) });
+        server.set_behavior(if bad {
+            ServerBehavior::FailOneIn(3, "XX000")
+        } else {
+            ServerBehavior::SucceedAfter(2)
+        });
     }
-    site.change(&list);
+    site.update_hosts(&list);
 }
 
 /// One client: asks one txn after another.
@@ -62,16 +70,16 @@
     while !over.load(Relaxed) {
         let mut client = Client::connect(gateway);
         client.send(&startup());
-        client.answer();
+        client.read_response();
         while !over.load(Relaxed) {
             asked += 1;
-            let answer = client.ask(&select(&format!("c{number}n{asked}"), "look", 1500));
+            let answer = client.query(&select(&format!("c{number}n{asked}"), "look", 1500));
             if answer.is_empty() {
                 break;
             }
-            let count = match wire::outcome(&answer) {
+            let count = match outcome(&answer) {
                 Ok(_) => &counts.settled,
-                Err(code) if code == "53300" || code == "57P03" => &counts.declined,
+                Err(code) if code.0 == "53300" || code.0 == "57P03" => &counts.declined,
                 Err(_) => &counts.failed,
             };
             count.fetch_add(1, Relaxed);
@@ -85,33 +93,36 @@
 /// # Errors
 /// What keeps the stand-ins from starting.
 pub fn demo(seed: u64) -> io::Result<ExitCode> {
-    let servers: Vec<Server> = (0..HOSTS).map(|_| Server::start(Does::ServesAfter(2))).collect();
+    let servers: Vec<FakeServer> =
+        (0..HOSTS).map(|_| FakeServer::start(ServerBehavior::SucceedAfter(2))).collect();
     let list: Vec<Value> = servers.iter().enumerate().map(|(n, server)| entry(n, server, 1, 0)).collect();
-    let site = Site::start(5, list.clone(), state(1, 0, "COMPLETE", 1.0));
-    let mut config = wire::config(&list, site.list.addr, site.platform.addr);
+    let site = FakePlatform::start(5, list.clone(), rollout_state(1, 0, "COMPLETE", 1.0));
+    let mut config = gateway_config(&list, site.discovery.addr, site.feed.addr);
     config["seed"] = json!(format!("{seed:x}"));
     config["settings"]["domain"]["caps"] = json!(CAPS);
-    let (mut gateway, log, _, path) = spawn(&config.to_string());
-    let listening = wire::listening(&log);
+    let mut gateway = spawn_gateway(&config.to_string());
+    let listening = wait_for_address(&gateway.log);
     let file = std::env::temp_dir().join(format!("latchhaven-demo-{}.star", std::process::id()));
     let at = SocketAddr::from(([127, 0, 0, 1], 0));
-    std::fs::write(&file, plan("demo", site.list.addr, site.platform.addr, at, false, ""))?;
-    let mut control = Machine::control(&file);
+    std::fs::write(&file, control_config("demo", site.discovery.addr, site.feed.addr, at, false, ""))?;
+    let mut control = Process::start_control(&file);
     println!("gateway on {listening}, control service on {}, {HOSTS} hosts, {PROXIES} proxies", control.addr);
 
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
-    let (orders, ordered) = watch::channel(Orders { service: Some(control.addr), ..Orders::default() });
+    let (orders, ordered) =
+        watch::channel(ProxyBehavior { service: Some(control.addr), ..ProxyBehavior::default() });
     let bad = Arc::new(AtomicU64::new(0));
     let failing = bad.clone();
-    let goes: Goes = Arc::new(move |cluster| {
+    let outcomes: ClusterOutcomes = Arc::new(move |cluster| {
         let fails = cluster.starts_with(&format!("b{}/", failing.load(Relaxed)));
-        (if fails { 0.33 } else { 0.0 }, 4.0)
+        ClusterOutcome { failure_share: if fails { 0.33 } else { 0.0 }, mean_latency: 4.0 }
     });
-    let proxies: Vec<Proxy> = (0..PROXIES).map(|n| Proxy::new(n, n % 2 == 1)).collect();
+    let proxies: Vec<FakeProxy> = (0..PROXIES).map(|n| FakeProxy::new(n, n % 2 == 1)).collect();
     for proxy in &proxies {
         runtime.spawn(proxy.clone().run(ordered.clone(), seed, Arc::new(|_, _, _| ())));
-        let products = &["look", "book", "pay"];
-        runtime.spawn(proxy.clone().reports(ordered.clone(), seed, products, 200, goes.clone()));
+        let classes = &["look", "book", "pay"];
+        let load = ReportedLoad { classes, requests: 200, outcomes: outcomes.clone() };
+        runtime.spawn(proxy.clone().run_load_reports(ordered.clone(), seed, load));
     }
     let (counts, over) = (Arc::new(Counts::default()), Arc::new(AtomicBool::new(false)));
     for number in 0..CLIENTS {
@@ -129,16 +140,16 @@
         rows.push((build, is_bad, end, [0, 1, 2].map(|n| after[n] - before[n])));
     }
     over.store(true, Relaxed);
-    orders.send_modify(|order| order.ends = true);
+    orders.send_modify(|order| order.stops = true);
     println!("\nbuild  is    ended            txns  settled  declined  failed");
     for (build, is_bad, end, [settled, declined, failed]) in &rows {
         let (is, all) = (if *is_bad { "bad" } else { "good" }, settled + declined + failed);
         println!("{build:>5}  {is:<4}  {end:<14} {all:>6} {settled:>8} {declined:>9} {failed:>7}");
     }
-    let _ = gateway.kill();
-    let _ = gateway.wait();
+    let _ = gateway.child.kill();
+    let _ = gateway.child.wait();
     control.kill();
-    let _ = (std::fs::remove_file(&file), std::fs::remove_file(&path));
+    let _ = (std::fs::remove_file(&file), std::fs::remove_file(&gateway.config_path));
     runtime.shutdown_background();
     let held = rows.iter().all(|(_, is_bad, end, _)| (end == "sent back") == *is_bad && end != "undecided");
     Ok(if held { ExitCode::SUCCESS } else { ExitCode::FAILURE })
@@ -146,11 +157,11 @@
 
 /// One build from its first stage until it is released or withdrawn: the platform's part.
 fn rollout(
-    site: &Site, servers: &[Server], build: u32, bad: bool, start: Instant, proxies: &[Proxy],
-    counts: &Counts,
+    site: &FakePlatform, servers: &[FakeServer], build: u32, bad: bool, start: Instant,
+    proxies: &[FakeProxy], counts: &Counts,
 ) -> String {
     let say = |what: &str| {
-        let parts = proxies.iter().map(|proxy| f64::from(proxy.cache().part("look", build)) / 1e4);
+        let parts = proxies.iter().map(|proxy| f64::from(proxy.cache().version_share("look", build)) / 1e4);
         let parts: Vec<String> = parts.map(|part| format!("{part:.0}%")).collect();
         let (settled, failed) = (counts.settled.load(Relaxed), counts.failed.load(Relaxed));
         let at = start.elapsed().as_secs_f64();
@@ -160,39 +171,41 @@
         );
     };
     let (began, mut stage, mut since, mut said) = (Instant::now(), 0, Instant::now(), Instant::now());
-    site.rollout(build, 0, "IN_PROGRESS", CAPS[0]);
+    site.update_rollout(build, 0, "IN_PROGRESS", CAPS[0]);
     begin(site, servers, 0..PLACES[0], build, bad);
     say("on trial, stage 0");
     while began.elapsed() < BUILD_MOST {
         thread::sleep(LOOK);
         let votes = site.votes();
         let voted = |word: &str| {
-            votes.iter().any(|(of, at, vote)| *of == u64::from(build) && *at == stage as u64 && vote == word)
+            votes.iter().any(|vote| {
+                vote.version == u64::from(build) && vote.stage == stage as u64 && vote.word == word
+            })
         };
         if said.elapsed() >= Duration::from_secs(1) {
             said = Instant::now();
             say(&format!("on trial, stage {stage}"));
         }
         if voted("reject") {
-            site.rollout(build, stage as u32, "ROLLING_BACK", 0.0);
+            site.update_rollout(build, stage as u32, "ROLLING_BACK", 0.0);
             say("voted back");
             thread::sleep(SOAK);
             begin(site, servers, 0..PLACES[stage], 1, false);
-            site.rollout(build, stage as u32, "ROLLED_BACK", 0.0);
+            site.update_rollout(build, stage as u32, "ROLLED_BACK", 0.0);
             thread::sleep(SOAK);
             say("withdrawn");
             return "sent back".to_string();
         }
         if voted("approve") && since.elapsed() >= SOAK {
             if stage + 1 == CAPS.len() {
-                site.rollout(build, stage as u32, "COMPLETE", 1.0);
+                site.update_rollout(build, stage as u32, "COMPLETE", 1.0);
                 begin(site, servers, PLACES[stage]..HOSTS, build, bad);
                 thread::sleep(SOAK);
                 say("released");
                 return "released".to_string();
             }
             (stage, since) = (stage + 1, Instant::now());
-            site.rollout(build, stage as u32, "IN_PROGRESS", CAPS[stage]);
+            site.update_rollout(build, stage as u32, "IN_PROGRESS", CAPS[stage]);
             begin(site, servers, PLACES[stage - 1]..PLACES[stage], build, bad);
             say(&format!("on to stage {stage}"));
         }
--- a/crates/cli/tests/control.rs
+++ b/crates/cli/tests/control.rs
@@ -4,11 +4,14 @@
 #![allow(clippy::unwrap_used)]
 
 use bytes::Bytes;
-use latchhaven_test_support::cache::Cache;
-use latchhaven_test_support::machine::Machine;
-use latchhaven_test_support::proxy::{Orders, Proxy, dial, report};
-use latchhaven_test_support::site::{Site, plan};
-use latchhaven_test_support::wire::{host, program, state, until};
+use latchhaven_test_support::fake_load_reports::send_load_reports;
+use latchhaven_test_support::fake_platform::{FakePlatform, control_config};
+use latchhaven_test_support::fake_proxy::{FakeProxy, ProxyBehavior, connect};
+use latchhaven_test_support::platform_messages::{host, rollout_state};
+use latchhaven_test_support::process::Process;
+use latchhaven_test_support::process::program;
+use latchhaven_test_support::resource_cache::ResourceCache;
+use latchhaven_test_support::wait::wait_until;
 use latchhaven_xds::codec::ChunkCodec;
 use latchhaven_xds::pb::envoy::config::core::v3::Node;
 use latchhaven_xds::pb::envoy::config::endpoint::v3::ClusterStats;
@@ -34,8 +37,8 @@
 
 /// A service on a site of three hosts; its folder is removed with it.
 struct Scene {
-    site: Site,
-    control: Machine,
+    site: FakePlatform,
+    control: Process,
     folder: PathBuf,
     runtime: Runtime,
 }
@@ -47,11 +50,11 @@
         std::fs::create_dir_all(&folder).unwrap();
         let hosts =
             (0..3).map(|n| host(&format!("s{n}"), SocketAddr::from(([127, 0, 0, 9], 5000 + n)), "up", 1));
-        let site = Site::start(5, hosts.collect(), state(1, 0, "COMPLETE", 1.0));
+        let site = FakePlatform::start(5, hosts.collect(), rollout_state(1, 0, "COMPLETE", 1.0));
         let more = more(&folder.display().to_string());
-        let text = change(plan(name, site.list.addr, site.platform.addr, ANY, false, &more));
+        let text = change(control_config(name, site.discovery.addr, site.feed.addr, ANY, false, &more));
         std::fs::write(folder.join("control.star"), text).unwrap();
-        let control = Machine::control(&folder.join("control.star"));
+        let control = Process::start_control(&folder.join("control.star"));
         let runtime =
             tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
         Scene { site, control, folder, runtime }
@@ -62,23 +65,25 @@
     }
 
     /// A sound proxy, which must go on being served.
-    fn proxy(&self, number: usize) -> (Proxy, watch::Sender<Orders>) {
-        let orders = Orders { service: Some(self.control.addr), ..Orders::default() };
+    fn proxy(&self, number: usize) -> (FakeProxy, watch::Sender<ProxyBehavior>) {
+        let orders = ProxyBehavior { service: Some(self.control.addr), ..ProxyBehavior::default() };
         let (orders, ordered) = watch::channel(orders);
-        let proxy = Proxy::new(number, number % 2 == 1);
+        let proxy = FakeProxy::new(number, number % 2 == 1);
         self.runtime.spawn(proxy.clone().run(ordered, 1, Arc::new(|_, _, _| ())));
         (proxy, orders)
     }
 
     /// The proxy hears of a change that is made now. What it holds tells, not a version: one that came back
     /// holding just what is handed out is rightly sent nothing. One of the two states it does not hold yet.
-    fn serves(&self, proxy: &Proxy) {
+    fn serves(&self, proxy: &FakeProxy) {
         let addr = SocketAddr::from(([127, 0, 0, 9], 5000));
         for health in ["draining", "up"] {
-            self.site.change(&[host("s0", addr, health, 1)]);
-            until("the proxy hears of a change", || {
-                let held = |cache: &Cache| cache.hosts("b1/pay").0.into_iter().find(|host| host.addr == addr);
-                holds(proxy, |cache| held(cache).is_some_and(|host| host.healthy == (health == "up")))
+            self.site.update_hosts(&[host("s0", addr, health, 1)]);
+            wait_until("the proxy hears of a change", || {
+                let held = |cache: &ResourceCache| {
+                    cache.cluster_endpoints("b1/pay").endpoints.into_iter().find(|host| host.addr == addr)
+                };
+                holds(proxy, |cache| held(cache).is_some_and(|host| host.is_healthy == (health == "up")))
             });
         }
     }
@@ -87,7 +92,7 @@
     fn ends(&self, path: &'static str, requests: Vec<Bytes>) -> Option<Status> {
         let addr = self.control.addr;
         self.runtime.block_on(async move {
-            let mut grpc = Grpc::new(dial(addr).await.unwrap());
+            let mut grpc = Grpc::new(connect(addr).await.unwrap());
             grpc.ready().await.unwrap();
             let (asks, asked) = mpsc::channel(requests.len().max(1));
             for request in requests {
@@ -119,7 +124,7 @@
     }
 }
 
-fn holds(proxy: &Proxy, what: impl Fn(&Cache) -> bool) -> bool {
+fn holds(proxy: &FakeProxy, what: impl Fn(&ResourceCache) -> bool) -> bool {
     what(&proxy.cache())
 }
 
@@ -224,7 +229,9 @@
         let status = scene.runtime.block_on(async {
             sends.send(first).await.unwrap();
             sends.send(LoadStatsRequest { node, cluster_stats }).await.unwrap();
-            timeout(Duration::from_secs(10), report(scene.control.addr, sent)).await.expect("it ends")
+            timeout(Duration::from_secs(10), send_load_reports(scene.control.addr, sent))
+                .await
+                .expect("it ends")
         });
         let status = status.expect_err(words);
         assert!(status.code() == Code::InvalidArgument && status.message().contains(words), "{status:?}");
@@ -243,7 +250,7 @@
     }
     scene.serves(&served);
     let (late, _late_orders) = scene.proxy(1);
-    until("one that comes now begins", || holds(&late, |cache| cache.way("pay", false).is_some()));
+    wait_until("one that comes now begins", || holds(&late, |cache| cache.route("pay", false).is_some()));
 }
 
 #[test]
@@ -259,7 +266,7 @@
         },
     );
     let dialled = scene.runtime.block_on(async {
-        let Ok(channel) = dial(scene.control.addr).await else { return false };
+        let Ok(channel) = connect(scene.control.addr).await else { return false };
         let mut grpc = Grpc::new(channel);
         if grpc.ready().await.is_err() {
             return false;
@@ -277,17 +284,20 @@
 fn proxies_keep_what_they_have_while_the_service_is_dead_and_its_return_empties_nothing() {
     let more = |folder: &str| format!("\"state\": \"{folder}/state.redb\",");
     let mut scene = Scene::start("death", more, |text| text);
-    let (proxies, orders): (Vec<Proxy>, Vec<_>) = (0..4).map(|n| scene.proxy(n)).unzip();
+    let (proxies, orders): (Vec<FakeProxy>, Vec<_>) = (0..4).map(|n| scene.proxy(n)).unzip();
     proxies.iter().for_each(|proxy| scene.serves(proxy));
-    let whole = |proxy: &Proxy| {
-        holds(proxy, |cache| cache.part("pay", 1) == 1_000_000 && cache.hosts("b1/pay").0.len() == 3)
+    let whole = |proxy: &FakeProxy| {
+        holds(proxy, |cache| {
+            cache.version_share("pay", 1) == 1_000_000
+                && cache.cluster_endpoints("b1/pay").endpoints.len() == 3
+        })
     };
     assert!(proxies.iter().all(whole));
     for _ in 0..3 {
-        until("the state is on disk", || !scene.control.logged("state: written").is_empty());
+        wait_until("the state is on disk", || !scene.control.logged("state: written").is_empty());
         scene.control.kill();
         assert!(proxies.iter().all(whole), "a death empties nothing");
-        scene.control = Machine::control(&scene.folder.join("control.star"));
+        scene.control = Process::start_control(&scene.folder.join("control.star"));
         assert_eq!(scene.control.logged("found=true").len(), 1, "what was handed out is found again");
         let addr = scene.control.addr;
         orders.iter().for_each(|orders| orders.send_modify(|order| order.service = Some(addr)));
@@ -302,7 +312,7 @@
     let folder = std::env::temp_dir().join(format!("latchhaven-check-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("control.star");
-    let good = plan("a", ANY, ANY, ANY, false, "");
+    let good = control_config("a", ANY, ANY, ANY, false, "");
     let endless = format!(
         "def f():\n    for a in range(100000):\n        for b in range(100000):\n            pass\nf()\n{good}"
     );
--- a/crates/cli/tests/stories.rs
+++ b/crates/cli/tests/stories.rs
@@ -9,7 +9,15 @@
 use latchhaven_gateway::net::{Note, write_all};
 use latchhaven_policy::RequestId;
 use latchhaven_policy::{AttemptOutcome, EndpointEntry, LoadReporting, UpstreamConnectionConfig};
-use latchhaven_test_support::wire::*;
+use latchhaven_test_support::fake_http::{FakeHttpService, HttpReply, STREAM_HEAD, chunk, response};
+use latchhaven_test_support::fake_server::{FakeServer, ReceivedQuery, ServerBehavior};
+use latchhaven_test_support::gateway::{Gateway, gateway_config, spawn_gateway, use_long_timeouts};
+use latchhaven_test_support::platform_messages::{endpoint_list, host, rollout_state, start_feed};
+use latchhaven_test_support::postgres::{
+    Client, QueryResponse, SqlState, TypedMessage, insert, message, outcome, query, row, select, startup,
+};
+use latchhaven_test_support::process::{program, read_log};
+use latchhaven_test_support::wait::wait_until;
 use rstest::rstest;
 use serde_json::{Value, json};
 use std::io::{Read, Write};
@@ -20,60 +28,55 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-fn insert(id: &str, product: &str, wait: u32) -> String {
-    let statement = r"INSERT INTO items (id, doc) VALUES ('7f', '\x9f03') RETURNING doc";
-    format!("{statement} /* d={wait},k=5c,id={id},t=acme,c={product} */")
-}
-
 #[rstest]
-#[case::settled(Does::Serves, "sub_settled", Ok("a1"))]
-#[case::among_notices(Does::Chats, "sub_settled", Ok("a1"))]
-#[case::error(Does::Fails("XX000"), "sub_error", Err("XX000"))]
-#[case::queue_full(Does::Fails("53300"), "sub_turned_away", Err("53300"))]
-#[case::starting(Does::EndsWith("57P03"), "sub_turned_away", Err("53300"))]
-#[case::lost_after_the_query(Does::Resets, "sub_lost", Err("XX000"))]
-#[case::lost_within_the_row(Does::CutsShort, "sub_lost", Err("XX000"))]
-#[case::no_message(Does::Babbles, "sub_error", Err("XX000"))]
-#[case::endless(Does::Endless, "sub_error", Err("XX000"))]
-#[case::a_code_in_noise(Does::GarblesCode, "sub_error", Err("XX000"))]
-#[case::silent(Does::Silent, "sub_no_answer", Err("XX000"))]
-#[case::never_up(Does::NeverUp, "sub_no_connection", Err("53300"))]
+#[case::settled(ServerBehavior::Succeed, "sub_settled", Ok("a1"))]
+#[case::among_notices(ServerBehavior::SucceedAmongNotices, "sub_settled", Ok("a1"))]
+#[case::error_response(ServerBehavior::Fail("XX000"), "sub_error", Err("XX000"))]
+#[case::queue_full(ServerBehavior::Fail("53300"), "sub_turned_away", Err("53300"))]
+#[case::starting(ServerBehavior::FailAndClose("57P03"), "sub_turned_away", Err("53300"))]
+#[case::lost_after_the_query(ServerBehavior::Reset, "sub_lost", Err("XX000"))]
+#[case::lost_within_the_row(ServerBehavior::TruncateRow, "sub_lost", Err("XX000"))]
+#[case::no_message(ServerBehavior::RespondGarbage, "sub_error", Err("XX000"))]
+#[case::endless(ServerBehavior::EndlessRow, "sub_error", Err("XX000"))]
+#[case::a_code_in_noise(ServerBehavior::UndecodableError, "sub_error", Err("XX000"))]
+#[case::silent(ServerBehavior::NeverRespond, "sub_no_answer", Err("XX000"))]
+#[case::never_up(ServerBehavior::NeverHandshake, "sub_no_connection", Err("53300"))]
 fn each_way_a_submission_ends_is_told_as_what_it_is(
-    #[case] does: Does, #[case] counter: &str, #[case] told: Result<&str, &str>,
+    #[case] does: ServerBehavior, #[case] counter: &str, #[case] told: Result<&str, &str>,
 ) {
-    let server = Server::start(does);
+    let server = FakeServer::start(does);
     let gateway = Gateway::start(&[&server]);
-    let answer = gateway.client().ask(&insert("a1", "pay", 1000));
-    assert_eq!(outcome(&answer), told.map(str::to_string).map_err(str::to_string));
-    assert_eq!(answer.iter().filter(|(kind, _)| *kind == b'Z').count(), 1);
+    let answer = gateway.client().query(&insert("a1", "pay", 1000));
+    assert_eq!(outcome(&answer), told.map(str::to_string).map_err(SqlState::from));
+    assert_eq!(answer.iter().filter(|message| message.kind == b'Z').count(), 1);
     assert!(gateway.counter(counter) >= 1, "{counter}");
     // A once-only txn that may have run goes nowhere else; one that provably never ran may.
     let ran = told != Err("53300");
     assert!(!ran || gateway.counter("submissions") == 1);
     assert_eq!(gateway.counter("broken_assertions"), 0);
     let queries = server.queries();
-    assert!(queries.iter().all(|(_, text)| text.starts_with("INSERT INTO items (id, doc) VALUES ('7f',")));
+    assert!(queries.iter().all(|query| query.text.starts_with("INSERT INTO items (id, doc) VALUES ('7f',")));
 }
 
 #[test]
 fn a_refused_connection_never_ran() {
-    let server = Server::start(Does::Serves);
+    let server = FakeServer::start(ServerBehavior::Succeed);
     let mut gone = server.clone();
     let closed = TcpListener::bind("127.0.0.1:0").unwrap();
     gone.addr = closed.local_addr().unwrap();
     drop(closed);
     let gateway = Gateway::start(&[&gone]);
-    assert_eq!(outcome(&gateway.client().ask(&insert("a1", "pay", 900))), Err("53300".to_string()));
+    assert_eq!(outcome(&gateway.client().query(&insert("a1", "pay", 900))), Err(SqlState::from("53300")));
     assert!(gateway.counter("sub_no_connection") >= 1);
     assert!(server.queries().is_empty());
 }
 
 #[test]
 fn a_statement_goes_on_byte_for_byte_but_for_the_time_left() {
-    let server = Server::start(Does::Serves);
+    let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start(&[&server]);
-    assert_eq!(outcome(&gateway.client().ask(&insert("a1", "pay", 1900))), Ok("a1".to_string()));
-    let text = server.queries()[0].1.clone();
+    assert_eq!(outcome(&gateway.client().query(&insert("a1", "pay", 1900))), Ok("a1".to_string()));
+    let text = server.queries()[0].text.clone();
     let wait = text.split("d=").nth(1).unwrap().split(',').next().unwrap().parse::<u32>().unwrap();
     assert!((1..=1900).contains(&wait), "{wait}");
     assert_eq!(text, insert("a1", "pay", wait));
@@ -81,16 +84,17 @@
 
 #[test]
 fn a_silent_server_is_left_by_closing_before_another_copy_goes_out() {
-    let (silent, other) = (Server::start(Does::Silent), Server::start(Does::Silent));
+    let (silent, other) =
+        (FakeServer::start(ServerBehavior::NeverRespond), FakeServer::start(ServerBehavior::NeverRespond));
     let gateway = Gateway::start(&[&silent, &other]);
     let mut client = gateway.client();
     client.send(&query(&select("a1", "look", 1500)));
-    until("both are tried", || silent.queries().len() + other.queries().len() >= 2);
+    wait_until("both are tried", || silent.queries().len() + other.queries().len() >= 2);
     let first = if silent.queries().is_empty() { &other } else { &silent };
-    until("the first connection is ended", || first.seen.lock().unwrap().ended.contains(&0));
-    assert_eq!(outcome(&client.answer()), Err("53300".to_string()));
+    wait_until("the first connection is ended", || first.seen.lock().unwrap().ended.contains(&0));
+    assert_eq!(outcome(&client.read_response()), Err(SqlState::from("53300")));
     // What was told to be recalled is over: nothing of it is out any more.
-    until("all are ended", || {
+    wait_until("all are ended", || {
         [&silent, &other].iter().all(|server| {
             let seen = server.seen.lock().unwrap();
             seen.ended.len() == seen.connections
@@ -101,37 +105,40 @@
 
 #[test]
 fn an_answer_after_its_recall_goes_nowhere() {
-    let (late, good) = (Server::start(Does::ServesAfter(450)), Server::start(Does::ServesAfter(450)));
+    let (late, good) = (
+        FakeServer::start(ServerBehavior::SucceedAfter(450)),
+        FakeServer::start(ServerBehavior::SucceedAfter(450)),
+    );
     let gateway = Gateway::start(&[&late, &good]);
     let mut client = gateway.client();
     client.send(&query(&select("a1", "look", 1900)));
-    until("one is asked", || late.queries().len() + good.queries().len() == 1);
+    wait_until("one is asked", || late.queries().len() + good.queries().len() == 1);
     let quick = if late.queries().is_empty() { &late } else { &good };
-    quick.set(Does::Serves);
-    assert_eq!(outcome(&client.answer()), Ok("a1".to_string()));
+    quick.set_behavior(ServerBehavior::Succeed);
+    assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
     thread::sleep(Duration::from_millis(300));
     // Had the late row come through, this would be answered with it.
-    assert_eq!(outcome(&client.ask(&select("a2", "look", 1900))), Ok("a2".to_string()));
+    assert_eq!(outcome(&client.query(&select("a2", "look", 1900))), Ok("a2".to_string()));
 }
 
 #[test]
 fn connections_are_used_again_one_txn_at_a_time() {
-    let server = Server::start(Does::Serves);
+    let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start(&[&server]);
     let mut client = gateway.client();
     for n in 0..5 {
-        assert_eq!(outcome(&client.ask(&select(&format!("a{n}"), "look", 900))), Ok(format!("a{n}")));
+        assert_eq!(outcome(&client.query(&select(&format!("a{n}"), "look", 900))), Ok(format!("a{n}")));
     }
     assert_eq!(server.seen.lock().unwrap().connections, 1);
-    server.set(Does::ServesAfter(100));
+    server.set_behavior(ServerBehavior::SucceedAfter(100));
     let mut others: Vec<Client> = (0..2).map(|_| gateway.client()).collect();
     others
         .iter_mut()
         .enumerate()
         .for_each(|(n, other)| other.send(&query(&select(&format!("b{n}"), "look", 900))));
-    let got: Vec<_> = others.iter_mut().map(|other| outcome(&other.answer())).collect();
+    let got: Vec<_> = others.iter_mut().map(|other| outcome(&other.read_response())).collect();
     assert_eq!(got, [Ok("b0".to_string()), Ok("b1".to_string())]);
-    let (one, two) = (server.queries()[5].0, server.queries()[6].0);
+    let (one, two) = (server.queries()[5].connection, server.queries()[6].connection);
     assert_ne!(one, two);
 }
 
@@ -139,20 +146,20 @@
 #[case::at_once(0)]
 #[case::a_moment_later(30)]
 fn a_second_copy_behind_an_answer_is_nobodys_answer(#[case] pause: u64) {
-    let server = Server::start(Does::Twice(pause));
+    let server = FakeServer::start(ServerBehavior::RespondTwice(pause));
     let gateway = Gateway::start(&[&server]);
     let mut client = gateway.client();
     for n in 0..5 {
-        assert_eq!(outcome(&client.ask(&insert(&format!("a{n}"), "pay", 1900))), Ok(format!("a{n}")));
-        until("the connection is let go", || server.seen.lock().unwrap().ended.len() == n + 1);
+        assert_eq!(outcome(&client.query(&insert(&format!("a{n}"), "pay", 1900))), Ok(format!("a{n}")));
+        wait_until("the connection is let go", || server.seen.lock().unwrap().ended.len() == n + 1);
     }
     assert_eq!((server.queries().len(), gateway.counter("sub_settled")), (5, 5));
 }
 
 #[test]
 fn large_values_pass_though_only_some_are_held_at_once() {
-    let server = Server::start(Does::Large(400_000));
-    let gateway = Gateway::start_with(&[&server], patient);
+    let server = FakeServer::start(ServerBehavior::LargeValue(400_000));
+    let gateway = Gateway::start_with(&[&server], use_long_timeouts);
     let mut clients: Vec<Client> = (0..16).map(|_| gateway.client()).collect();
     for round in 0..2 {
         let asks = |(n, client): (usize, &mut Client)| {
@@ -160,19 +167,19 @@
         };
         clients.iter_mut().enumerate().for_each(asks);
         for client in &mut clients {
-            assert_eq!(outcome(&client.answer()).unwrap().len(), 400_000);
+            assert_eq!(outcome(&client.read_response()).unwrap().len(), 400_000);
         }
     }
     assert_eq!((gateway.counter("server_spoilt"), gateway.counter("submissions")), (0, 32));
     // One that is said to be far larger is no value, and nobody waits for it.
-    server.set(Does::Large(600_000));
-    assert_eq!(outcome(&clients[0].ask(&insert("b", "pay", 15_000))), Err("XX000".to_string()));
+    server.set_behavior(ServerBehavior::LargeValue(600_000));
+    assert_eq!(outcome(&clients[0].query(&insert("b", "pay", 15_000))), Err(SqlState::from("XX000")));
 }
 
 #[test]
 fn what_comes_unasked_as_a_txn_is_handed_over_is_not_its_answer() {
     alone(async {
-        let server = Server::start(Does::Serves);
+        let server = FakeServer::start(ServerBehavior::Succeed);
         let (mut pool, mut noted) = idling(&server).await;
         assert!(pool.send("s0", SECOND, None, 1000.0, None, 0.0));
         // The driver has not run since: to it this comes between the choice of the connection and the write.
@@ -186,19 +193,22 @@
 
 #[test]
 fn a_server_that_ends_idle_connections_costs_no_txn() {
-    let server = Server::start(Does::ServesOnce);
+    let server = FakeServer::start(ServerBehavior::SucceedAndClose);
     let gateway = Gateway::start(&[&server]);
     let mut client = gateway.client();
     for n in 0..10 {
-        assert_eq!(outcome(&client.ask(&insert(&format!("a{n}"), "pay", 900))), Ok(format!("a{n}")));
-        until("the end is seen", || server.seen.lock().unwrap().ended.len() == n + 1);
+        assert_eq!(outcome(&client.query(&insert(&format!("a{n}"), "pay", 900))), Ok(format!("a{n}")));
+        wait_until("the end is seen", || server.seen.lock().unwrap().ended.len() == n + 1);
     }
     assert_eq!(gateway.counter("sub_lost"), 0);
 }
 
 /// An instance that is up at this address.
 fn up(addr: SocketAddr) -> (EndpointEntry, SocketAddr) {
-    read_list(list(1, true, &[host("s0", addr, "up", 1)]).to_string().as_bytes()).unwrap().entries.remove(0)
+    read_list(endpoint_list(1, true, &[host("s0", addr, "up", 1)]).to_string().as_bytes())
+        .unwrap()
+        .entries
+        .remove(0)
 }
 
 fn pool(reports: LoadReporting) -> (Pool, mpsc::Receiver<Note>) {
@@ -222,12 +232,12 @@
 const SECOND: Errand = Errand::Submission { id: RequestId(2), n: 0 };
 
 /// A pool alone, with one connection to a server that idles; tasks go on only where a story waits.
-async fn idling(server: &Server) -> (Pool, mpsc::Receiver<Note>) {
+async fn idling(server: &FakeServer) -> (Pool, mpsc::Receiver<Note>) {
     idling_in(pool(LoadReporting::Disabled), server).await
 }
 
 async fn idling_in(
-    (mut pool, mut noted): (Pool, mpsc::Receiver<Note>), server: &Server,
+    (mut pool, mut noted): (Pool, mpsc::Receiver<Note>), server: &FakeServer,
 ) -> (Pool, mpsc::Receiver<Note>) {
     let (listing, addr) = up(server.addr);
     pool.relist(&listing, addr);
@@ -246,10 +256,10 @@
 #[test]
 fn a_connection_that_ended_unseen_is_not_used() {
     alone(async {
-        let server = Server::start(Does::Serves);
+        let server = FakeServer::start(ServerBehavior::Succeed);
         let (mut pool, mut noted) = idling(&server).await;
-        server.end_all();
-        until("the end has come", || server.seen.lock().unwrap().ended.len() == 1);
+        server.close_connections();
+        wait_until("the end has come", || server.seen.lock().unwrap().ended.len() == 1);
         assert!(pool.send("s0", SECOND, None, 1000.0, None, 0.0));
         loop {
             match noted.recv().await.unwrap() {
@@ -265,7 +275,8 @@
 #[test]
 fn a_connection_that_makes_room_as_it_would_be_picked_carries_nothing() {
     alone(async {
-        let (one, other) = (Server::start(Does::Serves), Server::start(Does::Serves));
+        let (one, other) =
+            (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
         let (mut pool, mut noted) = idling_in(pool_of(1, LoadReporting::Disabled), &one).await;
         let (mut listing, _) = up(one.addr);
         listing.endpoint = "s1".to_string();
@@ -282,7 +293,7 @@
                 _ => panic!("the other one should come up"),
             }
         }
-        until("the idle one is closed", || one.seen.lock().unwrap().ended == [0]);
+        wait_until("the idle one is closed", || one.seen.lock().unwrap().ended == [0]);
         assert_eq!((one.queries().len(), other.queries().len()), (0, 1));
     });
 }
@@ -295,7 +306,7 @@
     #[case] reports: LoadReporting, #[case] asked: &'static str, #[case] figures: usize,
 ) {
     alone(async move {
-        let server = Server::start(Does::Chats);
+        let server = FakeServer::start(ServerBehavior::SucceedAmongNotices);
         let (mut pool, mut noted) = pool(reports);
         let (listing, addr) = up(server.addr);
         pool.relist(&listing, addr);
@@ -304,7 +315,7 @@
         pool.free(link, first, 0.0);
         let Some(Note::Ended { ending, load, .. }) = noted.recv().await else { panic!("it never ended") };
         assert_eq!((ending, load.0.len()), (AttemptOutcome::Success, figures));
-        assert_eq!(server.queries(), [(0, asked.to_string())]);
+        assert_eq!(server.queries(), [ReceivedQuery { connection: 0, text: asked.to_string() }]);
     });
 }
 
@@ -326,26 +337,27 @@
 
 #[test]
 fn a_vote_without_a_connection_was_not_carried_out() {
-    let (earlier, trial) = (Server::start(Does::Serves), Server::start(Does::Serves));
+    let (earlier, trial) =
+        (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
     let gateway = Gateway::start_with(&[&earlier, &trial], |config| {
         let closed = TcpListener::bind("127.0.0.1:0").unwrap();
         config["known"]["hosts"][1]["release"] = json!(2);
-        config["pipeline"]["news"] = state(2, 0, "IN_PROGRESS", 0.5);
+        config["pipeline"]["news"] = rollout_state(2, 0, "IN_PROGRESS", 0.5);
         config["pipeline"]["address"] = json!(closed.local_addr().unwrap().to_string());
     });
-    until("its end is told", || gateway.counter("votes_not_counted") >= 1);
+    wait_until("its end is told", || gateway.counter("votes_not_counted") >= 1);
     assert_eq!((gateway.counter("votes_counted"), gateway.counter("votes_unsure")), (0, 0));
 }
 
 #[test]
 fn what_is_stopped_before_its_last_byte_is_told_so_and_never_comes() {
     alone(async {
-        let server = Server::start(Does::Serves);
+        let server = FakeServer::start(ServerBehavior::Succeed);
         let (mut pool, mut noted) = idling(&server).await;
         assert!(pool.send("s0", SECOND, None, 1000.0, None, 0.0));
         assert_eq!(pool.stop("s0", SECOND), Stopped::Unwritten);
         assert!(matches!(noted.recv().await, Some(Note::Over { .. })));
-        until("it is closed", || server.seen.lock().unwrap().ended == [0]);
+        wait_until("it is closed", || server.seen.lock().unwrap().ended == [0]);
         assert!(server.queries().is_empty());
     });
 }
@@ -353,7 +365,8 @@
 #[test]
 fn connections_still_opened_to_what_was_there_before_are_not_waited_for() {
     alone(async {
-        let (stuck, closed) = (Server::start(Does::NeverUp), TcpListener::bind("127.0.0.1:0").unwrap());
+        let (stuck, closed) =
+            (FakeServer::start(ServerBehavior::NeverHandshake), TcpListener::bind("127.0.0.1:0").unwrap());
         let (mut pool, mut noted) = pool(LoadReporting::Disabled);
         let (listing, old) = up(stuck.addr);
         let new = closed.local_addr().unwrap();
@@ -369,19 +382,19 @@
 
 #[test]
 fn idle_connections_are_closed_before_the_server_does() {
-    let server = Server::start(Does::Serves);
+    let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start_with(&[&server], |config| {
         config["settings"]["permissions"]["conn-idle-s"] = json!(0.3);
     });
-    gateway.client().ask(&select("a1", "look", 900));
-    until("it is closed", || server.seen.lock().unwrap().ended == [0]);
+    gateway.client().query(&select("a1", "look", 900));
+    wait_until("it is closed", || server.seen.lock().unwrap().ended == [0]);
 }
 
 #[rstest]
 #[case::whole(1)]
 #[case::byte_by_byte(usize::MAX)]
 fn startup_and_queries_in_one_piece_are_answered_in_order(#[case] pieces: usize) {
-    let server = Server::start(Does::Serves);
+    let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start(&[&server]);
     let mut client = Client::connect(gateway.addr);
     let ssl = [&8u32.to_be_bytes()[..], &80_877_103u32.to_be_bytes()].concat();
@@ -393,10 +406,13 @@
     let all = [startup(), query(&select("a1", "look", 1900)), query(" "), query(&insert("a2", "book", 1900))]
         .concat();
     all.chunks(all.len().div_ceil(pieces)).for_each(|piece| client.send(piece));
-    client.answer();
-    assert_eq!(outcome(&client.answer()), Ok("a1".to_string()));
-    assert_eq!(client.answer(), [(b'I', vec![]), (b'Z', b"I".to_vec())]);
-    assert_eq!(outcome(&client.answer()), Ok("a2".to_string()));
+    client.read_response();
+    assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
+    assert_eq!(
+        client.read_response(),
+        [TypedMessage { kind: b'I', body: vec![] }, TypedMessage { kind: b'Z', body: b"I".to_vec() }]
+    );
+    assert_eq!(outcome(&client.read_response()), Ok("a2".to_string()));
 }
 
 #[rstest]
@@ -411,13 +427,13 @@
     "42601"
 )]
 fn a_bad_query_gets_an_error_and_the_next_one_is_served(#[case] text: &str, #[case] code: &str) {
-    let server = Server::start(Does::Serves);
+    let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start(&[&server]);
     let mut client = gateway.client();
-    let answer = client.ask(text);
-    assert_eq!(outcome(&answer), Err(code.to_string()));
-    assert_eq!(answer.last(), Some(&(b'Z', b"I".to_vec())));
-    assert_eq!(outcome(&client.ask(&select("a2", "look", 900))), Ok("a2".to_string()));
+    let answer = client.query(text);
+    assert_eq!(outcome(&answer), Err(SqlState::from(code)));
+    assert_eq!(answer.last(), Some(&TypedMessage { kind: b'Z', body: b"I".to_vec() }));
+    assert_eq!(outcome(&client.query(&select("a2", "look", 900))), Ok("a2".to_string()));
     assert_eq!(server.queries().len(), 1);
 }
 
@@ -427,30 +443,30 @@
 #[case::unknown_type(b"\x01\0\0\0\x04".to_vec())]
 #[case::no_terminator(message(b'Q', b"SELECT 1"))]
 fn a_broken_stream_ends_with_a_fatal_error_and_touches_no_other(#[case] bytes: Vec<u8>) {
-    let server = Server::start(Does::Serves);
+    let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start(&[&server]);
     let (mut broken, mut sound) = (gateway.client(), gateway.client());
-    let answer = broken.ask("");
-    assert_eq!(answer[0].0, b'I');
+    let answer = broken.query("");
+    assert_eq!(answer[0].kind, b'I');
     broken.send(&bytes);
-    let answer = broken.answer();
-    assert_eq!(outcome(&answer), Err("08P01".to_string()));
-    assert!(answer[0].1.starts_with(b"SFATAL\0"));
+    let answer = broken.read_response();
+    assert_eq!(outcome(&answer), Err(SqlState::from("08P01")));
+    assert!(answer[0].body.starts_with(b"SFATAL\0"));
     assert_eq!(broken.0.read(&mut [0]).unwrap(), 0);
-    assert_eq!(outcome(&sound.ask(&select("a2", "look", 900))), Ok("a2".to_string()));
+    assert_eq!(outcome(&sound.query(&select("a2", "look", 900))), Ok("a2".to_string()));
 }
 
 #[test]
 fn extended_queries_are_declined_and_cancels_and_terminates_end() {
-    let server = Server::start(Does::Serves);
+    let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start(&[&server]);
     let mut client = gateway.client();
     client.send(
         &[message(b'P', b"\0SELECT 1\0\0\0"), message(b'B', b"\0\0\0\0\0\0\0\0"), message(b'S', b"")]
             .concat(),
     );
-    let answer = client.answer();
-    assert_eq!(outcome(&answer), Err("0A000".to_string()));
+    let answer = client.read_response();
+    assert_eq!(outcome(&answer), Err(SqlState::from("0A000")));
     assert_eq!(answer.len(), 2);
     client.send(&message(b'X', b""));
     assert_eq!(client.0.read(&mut [0]).unwrap(), 0);
@@ -461,33 +477,33 @@
 
 #[test]
 fn a_client_that_vanishes_is_told_at_once_and_its_submission_is_called_back() {
-    let server = Server::start(Does::Silent);
+    let server = FakeServer::start(ServerBehavior::NeverRespond);
     let gateway = Gateway::start(&[&server]);
     let mut client = gateway.client();
     client.send(&query(&insert("a1", "pay", 60_000)));
-    until("it is asked", || server.queries().len() == 1);
+    wait_until("it is asked", || server.queries().len() == 1);
     drop(client);
-    until("it is called back", || server.seen.lock().unwrap().ended == [0]);
+    wait_until("it is called back", || server.seen.lock().unwrap().ended == [0]);
     assert_eq!((gateway.counter("clients_gone"), gateway.counter("sub_recalled")), (1, 1));
 }
 
 #[test]
 fn a_client_that_reads_nothing_holds_up_no_other() {
-    let server = Server::start(Does::Serves);
+    let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start(&[&server]);
     let mut lazy = gateway.client();
     lazy.0.set_write_timeout(Some(Duration::from_millis(200))).unwrap();
     let many = query(&select("a1", "look", 900)).repeat(2000);
     // Its answers fill what the machine holds for it; then nothing more of it is read.
     while lazy.0.write_all(&many).is_ok() && lazy.0.peek(&mut [0]).is_err() {}
-    assert_eq!(outcome(&gateway.client().ask(&select("b1", "look", 1900))), Ok("b1".to_string()));
+    assert_eq!(outcome(&gateway.client().query(&select("b1", "look", 1900))), Ok("b1".to_string()));
 }
 
 #[test]
 fn a_full_set_of_descriptors_turns_new_clients_away_and_serves_the_others() {
-    let server = Server::start(Does::Silent);
+    let server = FakeServer::start(ServerBehavior::NeverRespond);
     let gateway = Gateway::start_with(&[&server], |config| {
-        patient(config);
+        use_long_timeouts(config);
         config["limits"]["sockets"] = json!(64);
     });
     // Of the 16 descriptors that are left 8 are for clients.
@@ -495,13 +511,13 @@
     let asks =
         |(n, client): (usize, &mut Client)| client.send(&query(&select(&format!("a{n}"), "look", 15_000)));
     busy.iter_mut().enumerate().for_each(asks);
-    until("all are taken", || gateway.counter("txns") == 8);
+    wait_until("all are taken", || gateway.counter("txns") == 8);
     let mut more = Client::connect(gateway.addr);
     more.send(&startup());
-    assert_eq!(outcome(&more.answer()), Err("53300".to_string()));
+    assert_eq!(outcome(&more.read_response()), Err(SqlState::from("53300")));
     // One that leaves makes room, and so does one that idles.
     drop(busy.pop());
-    until("it is gone", || gateway.counter("clients_gone") == 1);
+    wait_until("it is gone", || gateway.counter("clients_gone") == 1);
     let _idle = gateway.client();
     thread::sleep(Duration::from_millis(60));
     gateway.client();
@@ -513,10 +529,10 @@
 #[case::asks_nothing(b"", b"Q\0\0\0\x05\0")]
 #[case::half_a_query(b"", b"Q\0\0\0\x40SELECT")]
 fn a_connection_that_asks_nothing_whole_ends_in_time(#[case] before: &[u8], #[case] after: &[u8]) {
-    let server = Server::start(Does::Serves);
+    let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start(&[&server]);
     let mut usual = gateway.client();
-    assert_eq!(outcome(&usual.ask(&select("a1", "look", 900))), Ok("a1".to_string()));
+    assert_eq!(outcome(&usual.query(&select("a1", "look", 900))), Ok("a1".to_string()));
     let mut silent = if after.is_empty() { Client::connect(gateway.addr) } else { gateway.client() };
     silent.send(&[before, after].concat());
     let mut all = Vec::new();
@@ -524,16 +540,16 @@
     assert!(all.windows(5).any(|code| code == b"08P01"), "{all:?}");
     // One that was answered and stays is let go without a word; others go on.
     assert_eq!(usual.0.read(&mut [0]).unwrap(), 0);
-    assert_eq!(outcome(&gateway.client().ask(&select("a2", "look", 900))), Ok("a2".to_string()));
+    assert_eq!(outcome(&gateway.client().query(&select("a2", "look", 900))), Ok("a2".to_string()));
     assert_eq!(gateway.counter("clients_late"), 1);
 }
 
 #[test]
 fn byte_by_byte_a_command_gets_no_more_time() {
-    let server = Server::start(Does::Serves);
+    let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start(&[&server]);
     let mut client = gateway.client();
-    client.ask(&select("a1", "look", 900));
+    client.query(&select("a1", "look", 900));
     let drips = query(&select("a2", "look", 900)).into_iter().cycle();
     let mut slow = client.0.try_clone().unwrap();
     thread::spawn(move || {
@@ -544,70 +560,70 @@
             thread::sleep(Duration::from_millis(100));
         }
     });
-    until("it is over", || gateway.counter("broken_streams") + gateway.counter("clients_late") == 1);
-    assert_eq!(outcome(&client.answer()), Err("08P01".to_string()));
+    wait_until("it is over", || gateway.counter("broken_streams") + gateway.counter("clients_late") == 1);
+    assert_eq!(outcome(&client.read_response()), Err(SqlState::from("08P01")));
 }
 
 #[test]
 fn hundreds_that_say_nothing_whole_keep_no_usual_client_out() {
-    let server = Server::start(Does::Serves);
+    let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start_with(&[&server], |config| config["limits"]["sockets"] = json!(64));
     let mut rude: Vec<Client> = (0..200).map(|_| Client::connect(gateway.addr)).collect();
     rude.iter_mut().for_each(|client| drop(client.0.write_all(b"\0\0\0")));
     // There are seats for 8: whoever has been there for 50 ms without asking makes room. Where all came just
     // now, a client is turned away, by an error that says so, and comes again.
     let mut usual = Client::connect(gateway.addr);
-    until("a usual client is served", || {
+    wait_until("a usual client is served", || {
         usual.send(&[startup(), query(&select("a1", "look", 1900))].concat());
-        let first = usual.answer();
-        let turned_away = outcome(&first) == Err("53300".to_string());
+        let first = usual.read_response();
+        let turned_away = outcome(&first) == Err(SqlState::from("53300"));
         if turned_away {
             usual = Client::connect(gateway.addr);
         } else {
-            assert_eq!(outcome(&usual.answer()), Ok("a1".to_string()), "{first:?}");
+            assert_eq!(outcome(&usual.read_response()), Ok("a1".to_string()), "{first:?}");
         }
         !turned_away
     });
-    until("the others are let go", || gateway.counter("clients_let_go") > 100);
-    assert_eq!(outcome(&usual.ask(&select("a2", "look", 900))), Ok("a2".to_string()));
+    wait_until("the others are let go", || gateway.counter("clients_let_go") > 100);
+    assert_eq!(outcome(&usual.query(&select("a2", "look", 900))), Ok("a2".to_string()));
 }
 
 #[test]
 fn the_id_of_an_open_txn_is_nobody_elses() {
-    let server = Server::start(Does::ServesAfter(200));
+    let server = FakeServer::start(ServerBehavior::SucceedAfter(200));
     let gateway = Gateway::start(&[&server]);
     let (mut one, mut other) = (gateway.client(), gateway.client());
     one.send(&query(&insert("a1", "pay", 1900)));
-    until("it is asked", || server.queries().len() == 1);
-    assert_eq!(outcome(&other.ask(&insert("a1", "pay", 1900))), Err("42710".to_string()));
-    assert_eq!(outcome(&one.answer()), Ok("a1".to_string()));
+    wait_until("it is asked", || server.queries().len() == 1);
+    assert_eq!(outcome(&other.query(&insert("a1", "pay", 1900))), Err(SqlState::from("42710")));
+    assert_eq!(outcome(&one.read_response()), Ok("a1".to_string()));
     assert_eq!(server.queries().len(), 1);
     // Ids are held no longer than their txns.
-    assert_eq!(outcome(&other.ask(&insert("a1", "pay", 1900))), Ok("a1".to_string()));
+    assert_eq!(outcome(&other.query(&insert("a1", "pay", 1900))), Ok("a1".to_string()));
 }
 
 #[test]
 fn a_connection_with_fault_after_fault_ends() {
-    let server = Server::start(Does::Serves);
+    let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start(&[&server]);
     let mut client = gateway.client();
     client.send(&query("SELECT 1").repeat(200));
-    let answers: Vec<Answer> = (0..8).map(|_| client.answer()).collect();
-    assert!(answers.iter().all(|answer| outcome(answer) == Err("42601".to_string())));
-    assert!(answers[7][0].1.starts_with(b"SFATAL\0"));
+    let answers: Vec<QueryResponse> = (0..8).map(|_| client.read_response()).collect();
+    assert!(answers.iter().all(|answer| outcome(answer) == Err(SqlState::from("42601"))));
+    assert!(answers[7][0].body.starts_with(b"SFATAL\0"));
     assert!(client.0.read(&mut [0]).map_or(true, |count| count == 0));
     assert_eq!(gateway.counter("bad_queries"), 8);
 }
 
 #[test]
 fn running_out_of_descriptors_neither_ends_nor_blocks_the_gateway() {
-    let server = Server::start(Does::Serves);
+    let server = FakeServer::start(ServerBehavior::Succeed);
     let mut gateway = Gateway::start(&[&server]);
     let mut client = gateway.client();
-    client.ask(&select("a1", "look", 900));
-    server.set(Does::ServesAfter(400));
+    client.query(&select("a1", "look", 900));
+    server.set_behavior(ServerBehavior::SucceedAfter(400));
     client.send(&query(&select("a2", "look", 1900)));
-    until("it is taken", || server.queries().len() == 2);
+    wait_until("it is taken", || server.queries().len() == 2);
     let limit = |files: &str| {
         let pid = gateway.pid().to_string();
         let done = std::process::Command::new("prlimit")
@@ -618,42 +634,42 @@
     limit("3");
     let mut late = Client::connect(gateway.addr);
     late.send(&[startup(), query(&select("b1", "look", 60_000))].concat());
-    until("accepting fails", || gateway.logged("accept failed"));
-    assert_eq!(outcome(&client.answer()), Ok("a2".to_string()));
+    wait_until("accepting fails", || gateway.logged("accept failed"));
+    assert_eq!(outcome(&client.read_response()), Ok("a2".to_string()));
     limit("256");
-    late.answer();
-    assert_eq!(outcome(&late.answer()), Ok("b1".to_string()));
-    assert!(gateway.alive());
+    late.read_response();
+    assert_eq!(outcome(&late.read_response()), Ok("b1".to_string()));
+    assert!(gateway.is_alive());
 }
 
 #[test]
 fn the_list_is_watched_from_the_version_held_and_its_changes_count_at_once() {
-    let (old, new) = (Server::start(Does::Serves), Server::start(Does::Serves));
-    let gateway = Gateway::watching(&[&old], |_| ());
+    let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
+    let gateway = Gateway::start_watching(&[&old], |_| ());
     let changes = [host("s0", old.addr, "draining", 1), host("s1", new.addr, "up", 1)];
-    let line = list(6, false, &changes).to_string() + "\n";
+    let line = endpoint_list(6, false, &changes).to_string() + "\n";
     // Cut anywhere, also within a chunk.
     let (one, two) = line.split_at(line.len() / 2);
-    gateway.list.write(&chunk(one));
-    gateway.list.write(&chunk(two));
-    until("it is read", || gateway.counter("list_changes") == 2);
+    gateway.discovery.write(&chunk(one));
+    gateway.discovery.write(&chunk(two));
+    wait_until("it is read", || gateway.counter("list_changes") == 2);
     let mut client = gateway.client();
     for n in 0..4 {
-        assert_eq!(outcome(&client.ask(&select(&format!("a{n}"), "look", 1900))), Ok(format!("a{n}")));
+        assert_eq!(outcome(&client.query(&select(&format!("a{n}"), "look", 1900))), Ok(format!("a{n}")));
     }
     assert_eq!((old.queries().len(), new.queries().len()), (0, 4));
 }
 
 #[test]
 fn an_id_that_returns_at_another_address_is_found_there() {
-    let (old, new) = (Server::start(Does::Serves), Server::start(Does::Serves));
+    let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
     let gateway = Gateway::start(&[&old]);
     let mut client = gateway.client();
-    client.ask(&select("a1", "look", 900));
-    until("the list is watched", || gateway.list.count("watch") == 1);
-    gateway.list.tell(&list(9, true, &[host("s0", new.addr, "up", 1)]));
-    until("the old connection is dropped", || old.seen.lock().unwrap().ended == [0]);
-    assert_eq!(outcome(&client.ask(&select("a2", "look", 1900))), Ok("a2".to_string()));
+    client.query(&select("a1", "look", 900));
+    wait_until("the list is watched", || gateway.discovery.count_calls("watch") == 1);
+    gateway.discovery.send_line(&endpoint_list(9, true, &[host("s0", new.addr, "up", 1)]));
+    wait_until("the old connection is dropped", || old.seen.lock().unwrap().ended == [0]);
+    assert_eq!(outcome(&client.query(&select("a2", "look", 1900))), Ok("a2".to_string()));
     assert_eq!((old.queries().len(), new.queries().len()), (1, 1));
 }
 
@@ -661,68 +677,71 @@
     "{\"seq\":7,\"whole\":true,\"hosts\":[{\"host\":\"a\",\"dial\":\"1.2.3.4:5\",\"health\":\"odd\"}]}\n";
 
 #[rstest]
-#[case::unavailable(Says::Last(answer(503, "")))]
-#[case::broken_json(Says::Bytes(format!("{STREAM}{}", chunk("{\"seq\":7,\n"))))]
-#[case::unknown_health(Says::Bytes(format!("{STREAM}{}", chunk(ODD_HEALTH))))]
-#[case::no_http(Says::Bytes("220 ready\r\n\r\n".to_string()))]
-#[case::cut_off(Says::Last(format!("{STREAM}5\r\nab")))]
-#[case::silent(Says::Nothing)]
-fn a_call_for_the_list_that_fails_is_told_and_made_again_while_txns_are_served(#[case] says: Says) {
-    let server = Server::start(Does::Serves);
-    let gateway = Gateway::watching(&[&server], |_| ());
-    gateway.list.set(move |_| says.clone());
-    gateway.list.end_streams();
-    until("it is asked again and again", || {
-        gateway.list.count("watch") >= 3 && gateway.counter("list_failures") >= 2
+#[case::unavailable(HttpReply::Close(response(503, "")))]
+#[case::broken_json(HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", chunk("{\"seq\":7,\n"))))]
+#[case::unknown_health(HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", chunk(ODD_HEALTH))))]
+#[case::no_http(HttpReply::KeepOpen("220 ready\r\n\r\n".to_string()))]
+#[case::cut_off(HttpReply::Close(format!("{STREAM_HEAD}5\r\nab")))]
+#[case::silent(HttpReply::Nothing)]
+fn a_call_for_the_list_that_fails_is_told_and_made_again_while_txns_are_served(#[case] says: HttpReply) {
+    let server = FakeServer::start(ServerBehavior::Succeed);
+    let gateway = Gateway::start_watching(&[&server], |_| ());
+    gateway.discovery.set_reply(move |_| says.clone());
+    gateway.discovery.close_streams();
+    wait_until("it is asked again and again", || {
+        gateway.discovery.count_calls("watch") >= 3 && gateway.counter("list_failures") >= 2
     });
-    assert_eq!(outcome(&gateway.client().ask(&select("a1", "look", 900))), Ok("a1".to_string()));
+    assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 900))), Ok("a1".to_string()));
 }
 
 #[test]
 fn a_watch_without_a_sign_of_life_is_ended() {
-    let server = Server::start(Does::Serves);
+    let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start(&[&server]);
-    until("silence is noticed", || gateway.logged("no sign of life") && gateway.list.count("watch") >= 2);
+    wait_until("silence is noticed", || {
+        gateway.logged("no sign of life") && gateway.discovery.count_calls("watch") >= 2
+    });
 }
 
 #[test]
 fn a_lost_feed_is_opened_again_and_a_spoilt_line_ends_it() {
-    let server = Server::start(Does::Serves);
+    let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start(&[&server]);
-    until("the feed is open", || gateway.platform.count("GET /v1/feed") == 1);
+    wait_until("the feed is open", || gateway.platform.count_calls("GET /v1/feed") == 1);
     let sample = json!({"version": 1, "kind": "look", "requests": 57, "failures": 2, "avgMs": 18.5});
     let sample = json!({"type": "SAMPLE", "object": sample});
     gateway.platform.write(&chunk(&format!("{{}}\n{sample}\n{{nonsense\n{sample}\n")));
-    until("it is open again", || gateway.platform.count("GET /v1/feed") == 2);
+    wait_until("it is open again", || gateway.platform.count_calls("GET /v1/feed") == 2);
     // What stands behind the spoilt line is not taken over.
     assert_eq!(gateway.counter("tallies_told"), 1);
-    gateway.platform.end_streams();
-    until("it is open again", || gateway.platform.count("GET /v1/feed") == 3);
+    gateway.platform.close_streams();
+    wait_until("it is open again", || gateway.platform.count_calls("GET /v1/feed") == 3);
 }
 
 #[rstest]
-#[case::counts(Says::Bytes(answer(200, &state(2, 1, "IN_PROGRESS", 1.0).to_string())), "votes_counted")]
-#[case::busy(Says::Bytes(answer(429, r#"{"error":"BUSY"}"#)), "votes_not_counted")]
-#[case::stale(Says::Bytes(answer(409, r#"{"error":"STALE"}"#)), "votes_not_counted")]
-#[case::failed(Says::Bytes(answer(500, r#"{"error":"FAILED"}"#)), "votes_not_counted")]
-#[case::syntax(Says::Bytes(answer(400, r#"{"error":"SYNTAX"}"#)), "votes_not_counted")]
-#[case::cut_off(Says::Last("HTTP/1.1 200 OK\r\nContent-Le".to_string()), "votes_unsure")]
-#[case::unreadable(Says::Bytes(answer(200, "{}")), "votes_unsure")]
-#[case::noise_behind(Says::Bytes(answer(200, &(state(2, 1, "IN_PROGRESS", 1.0).to_string() + "x"))), "votes_unsure")]
-#[case::words_cut_off(Says::Bytes(answer(429, "{\"error\":\"BU")), "votes_unsure")]
-#[case::other_words(Says::Bytes(answer(409, "{\"error\":\"BUSY\"}")), "votes_unsure")]
-#[case::silent(Says::Nothing, "votes_unsure")]
-fn each_way_a_vote_ends_is_told_as_what_it_is(#[case] says: Says, #[case] counter: &str) {
-    let (earlier, trial) = (Server::start(Does::Serves), Server::start(Does::Serves));
-    let platform = feed(state(2, 0, "IN_PROGRESS", 0.5), move |_| says.clone());
-    let gateway = Gateway::start_among(&[&earlier, &trial], platform, |config| {
+#[case::counts(HttpReply::KeepOpen(response(200, &rollout_state(2, 1, "IN_PROGRESS", 1.0).to_string())), "votes_counted")]
+#[case::busy(HttpReply::KeepOpen(response(429, r#"{"error":"BUSY"}"#)), "votes_not_counted")]
+#[case::stale(HttpReply::KeepOpen(response(409, r#"{"error":"STALE"}"#)), "votes_not_counted")]
+#[case::failed(HttpReply::KeepOpen(response(500, r#"{"error":"FAILED"}"#)), "votes_not_counted")]
+#[case::syntax(HttpReply::KeepOpen(response(400, r#"{"error":"SYNTAX"}"#)), "votes_not_counted")]
+#[case::cut_off(HttpReply::Close("HTTP/1.1 200 OK\r\nContent-Le".to_string()), "votes_unsure")]
+#[case::unreadable(HttpReply::KeepOpen(response(200, "{}")), "votes_unsure")]
+#[case::noise_behind(HttpReply::KeepOpen(response(200, &(rollout_state(2, 1, "IN_PROGRESS", 1.0).to_string() + "x"))), "votes_unsure")]
+#[case::words_cut_off(HttpReply::KeepOpen(response(429, "{\"error\":\"BU")), "votes_unsure")]
+#[case::other_words(HttpReply::KeepOpen(response(409, "{\"error\":\"BUSY\"}")), "votes_unsure")]
+#[case::silent(HttpReply::Nothing, "votes_unsure")]
+fn each_way_a_vote_ends_is_told_as_what_it_is(#[case] says: HttpReply, #[case] counter: &str) {
+    let (earlier, trial) =
+        (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
+    let platform = start_feed(&rollout_state(2, 0, "IN_PROGRESS", 0.5), move |_| says.clone());
+    let gateway = Gateway::start_with_platform(&[&earlier, &trial], platform, |config| {
         config["known"]["hosts"][1]["release"] = json!(2);
-        config["pipeline"]["news"] = state(2, 0, "IN_PROGRESS", 0.5);
+        config["pipeline"]["news"] = rollout_state(2, 0, "IN_PROGRESS", 0.5);
     });
-    until("it is voted on", || gateway.platform.count("POST /v1/ballots") > 0);
-    until("its end is told", || gateway.counter(counter) >= 1);
+    wait_until("it is voted on", || gateway.platform.count_calls("POST /v1/ballots") > 0);
+    wait_until("its end is told", || gateway.counter(counter) >= 1);
     let calls = gateway.platform.calls.lock().unwrap().clone();
-    let body = &calls.iter().find(|(line, _)| line.contains("ballots")).unwrap().1;
+    let body = &calls.iter().find(|call| call.request_line.contains("ballots")).unwrap().body;
     let vote: Value = serde_json::from_str(body).unwrap();
     assert_eq!(vote, json!({"version": 2, "step": 0, "vote": "approve"}));
     let others =
@@ -733,42 +752,42 @@
 
 #[test]
 fn what_was_taken_before_a_stop_is_answered_and_the_exit_is_clean() {
-    let server = Server::start(Does::ServesAfter(300));
+    let server = FakeServer::start(ServerBehavior::SucceedAfter(300));
     let mut gateway = Gateway::start(&[&server]);
     let (mut busy, mut idle) = (gateway.client(), gateway.client());
-    assert_eq!(outcome(&idle.ask(&select("a0", "look", 1900))), Ok("a0".to_string()));
+    assert_eq!(outcome(&idle.query(&select("a0", "look", 1900))), Ok("a0".to_string()));
     busy.send(&query(&select("a1", "look", 1900)));
-    until("it is taken", || server.queries().len() == 2);
+    wait_until("it is taken", || server.queries().len() == 2);
     gateway.signal("TERM");
     assert_eq!(idle.0.read(&mut [0]).unwrap(), 0);
     // The front hands out connections for a while yet.
     let mut late = gateway.client();
-    assert_eq!(outcome(&late.ask(&select("b1", "look", 1900))), Ok("b1".to_string()));
-    assert_eq!(outcome(&busy.answer()), Ok("a1".to_string()));
+    assert_eq!(outcome(&late.query(&select("b1", "look", 1900))), Ok("b1".to_string()));
+    assert_eq!(outcome(&busy.read_response()), Ok("a1".to_string()));
     assert_eq!(busy.0.read(&mut [0]).unwrap(), 0);
-    assert_eq!(gateway.ended(), Some(0));
+    assert_eq!(gateway.wait_for_exit(), Some(0));
     assert!(gateway.logged(" settled=3 "));
 }
 
 #[test]
 fn after_a_kill_it_starts_again_at_its_address_from_what_is_known() {
-    let server = Server::start(Does::Serves);
+    let server = FakeServer::start(ServerBehavior::Succeed);
     let mut first = Gateway::start(&[&server]);
     let addr = first.addr;
     let mut client = first.client();
-    client.ask(&select("a1", "look", 900));
+    client.query(&select("a1", "look", 900));
     first.signal("KILL");
-    first.ended();
+    first.wait_for_exit();
     let second = Gateway::start_with(&[&server], |config| config["listen"] = json!(addr.to_string()));
-    assert_eq!(outcome(&second.client().ask(&select("a2", "look", 900))), Ok("a2".to_string()));
+    assert_eq!(outcome(&second.client().query(&select("a2", "look", 900))), Ok("a2".to_string()));
 }
 
 #[test]
 fn a_log_that_nobody_reads_stalls_nothing() {
-    let server = Server::start(Does::Serves);
+    let server = FakeServer::start(ServerBehavior::Succeed);
     let mut gateway = Gateway::start(&[&server]);
-    until("the feed is open", || gateway.platform.count("GET /v1/feed") == 1);
-    gateway.unread.store(true, SeqCst);
+    wait_until("the feed is open", || gateway.platform.count_calls("GET /v1/feed") == 1);
+    gateway.log_paused.store(true, SeqCst);
     // More than the pipe holds.
     for _ in 0..300 {
         gateway.signal("USR1");
@@ -776,106 +795,103 @@
     }
     let mut client = gateway.client();
     for n in 0..20 {
-        assert_eq!(outcome(&client.ask(&select(&format!("a{n}"), "look", 900))), Ok(format!("a{n}")));
+        assert_eq!(outcome(&client.query(&select(&format!("a{n}"), "look", 900))), Ok(format!("a{n}")));
     }
     gateway.signal("TERM");
-    assert_eq!(gateway.ended(), Some(0));
-    gateway.unread.store(false, SeqCst);
+    assert_eq!(gateway.wait_for_exit(), Some(0));
+    gateway.log_paused.store(false, SeqCst);
 }
 
 #[test]
 fn of_two_states_that_cross_the_later_one_stands() {
-    let (earlier, trial) = (Server::start(Does::Serves), Server::start(Does::Serves));
+    let (earlier, trial) =
+        (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
     // The feed tells of stage 1; the answer to a vote comes after it and was written before it.
-    let mut old = state(2, 0, "IN_PROGRESS", 0.5);
+    let mut old = rollout_state(2, 0, "IN_PROGRESS", 0.5);
     old["observedAgoMs"] = json!(60_000);
-    let platform = feed(state(2, 1, "IN_PROGRESS", 1.0), move |_| Says::Bytes(answer(200, &old.to_string())));
-    let gateway = Gateway::start_among(&[&earlier, &trial], platform, |config| {
+    let platform = start_feed(&rollout_state(2, 1, "IN_PROGRESS", 1.0), move |_| {
+        HttpReply::KeepOpen(response(200, &old.to_string()))
+    });
+    let gateway = Gateway::start_with_platform(&[&earlier, &trial], platform, |config| {
         config["known"]["hosts"][1]["release"] = json!(2);
-        config["pipeline"]["news"] = state(2, 1, "IN_PROGRESS", 1.0);
+        config["pipeline"]["news"] = rollout_state(2, 1, "IN_PROGRESS", 1.0);
         config["settings"]["domain"]["vote-ttl-s"] = json!(1.0);
     });
     let mut client = gateway.client();
     let mut n = 0;
-    until("it is voted on twice", || {
+    wait_until("it is voted on twice", || {
         n += 1;
-        client.ask(&select(&format!("a{n}"), "look", 900));
+        client.query(&select(&format!("a{n}"), "look", 900));
         gateway.counter("votes_counted") >= 2
     });
     let calls = gateway.platform.calls.lock().unwrap().clone();
-    let votes = calls.iter().filter(|(line, _)| line.contains("ballots"));
-    assert!(votes.map(|(_, body)| body).all(|body| body.contains("\"step\":1")), "{calls:?}");
-}
-
-/// Txns and connections may take long: what a story does meanwhile needs no haste.
-fn patient(config: &mut Value) {
-    config["settings"]["permissions"]["dial-timeout-s"] = json!(60.0);
-    for class in config["settings"]["classes"].as_array_mut().unwrap() {
-        (class["aim-s"], class["hard-limit-s"]) = (json!(30.0), json!(60.0));
-    }
+    let votes = calls.iter().filter(|call| call.request_line.contains("ballots"));
+    assert!(votes.map(|call| &call.body).all(|body| body.contains("\"step\":1")), "{calls:?}");
 }
 
 #[test]
 fn what_waits_for_a_connection_is_decided_anew_when_the_list_changes() {
-    let (stuck, good) = (Server::start(Does::NeverUp), Server::start(Does::Serves));
-    let gateway = Gateway::watching(&[&stuck], patient);
+    let (stuck, good) =
+        (FakeServer::start(ServerBehavior::NeverHandshake), FakeServer::start(ServerBehavior::Succeed));
+    let gateway = Gateway::start_watching(&[&stuck], use_long_timeouts);
     let mut client = gateway.client();
     client.send(&query(&insert("a1", "pay", 15_000)));
-    until("a connection is waited for", || stuck.seen.lock().unwrap().connections == 1);
-    gateway.list.tell(&list(9, true, &[host("s0", good.addr, "up", 1)]));
-    assert_eq!(outcome(&client.answer()), Ok("a1".to_string()));
+    wait_until("a connection is waited for", || stuck.seen.lock().unwrap().connections == 1);
+    gateway.discovery.send_line(&endpoint_list(9, true, &[host("s0", good.addr, "up", 1)]));
+    assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
     assert_eq!(gateway.counter("sub_not_sent"), 1);
 }
 
 #[test]
 fn what_waits_for_a_connection_is_decided_anew_when_the_platform_tells_of_a_change() {
-    let stuck = Server::start(Does::NeverUp);
-    let gateway = Gateway::start_with(&[&stuck], patient);
+    let stuck = FakeServer::start(ServerBehavior::NeverHandshake);
+    let gateway = Gateway::start_with(&[&stuck], use_long_timeouts);
     let mut client = gateway.client();
     client.send(&query(&insert("a1", "pay", 15_000)));
-    until("a connection is waited for", || stuck.seen.lock().unwrap().connections == 1);
-    let told = json!({"type": "ROLLOUT", "object": state(2, 0, "IN_PROGRESS", 0.1)});
-    gateway.platform.tell(&told);
-    until("it is sent anew", || stuck.seen.lock().unwrap().connections == 2);
-    stuck.set(Does::Serves);
-    assert_eq!(outcome(&client.answer()), Ok("a1".to_string()));
+    wait_until("a connection is waited for", || stuck.seen.lock().unwrap().connections == 1);
+    let told = json!({"type": "ROLLOUT", "object": rollout_state(2, 0, "IN_PROGRESS", 0.1)});
+    gateway.platform.send_line(&told);
+    wait_until("it is sent anew", || stuck.seen.lock().unwrap().connections == 2);
+    stuck.set_behavior(ServerBehavior::Succeed);
+    assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
 }
 
 #[test]
 fn a_connection_that_comes_up_with_news_of_its_server_carries_nothing() {
-    let (stuck, good) = (Server::start(Does::NeverUp), Server::start(Does::Serves));
-    let gateway = Gateway::watching(&[&stuck], patient);
+    let (stuck, good) =
+        (FakeServer::start(ServerBehavior::NeverHandshake), FakeServer::start(ServerBehavior::Succeed));
+    let gateway = Gateway::start_watching(&[&stuck], use_long_timeouts);
     let mut client = gateway.client();
     client.send(&query(&insert("a1", "pay", 15_000)));
-    until("a connection is waited for", || stuck.seen.lock().unwrap().connections == 1);
+    wait_until("a connection is waited for", || stuck.seen.lock().unwrap().connections == 1);
     gateway.signal("STOP");
-    stuck.set(Does::Serves);
+    stuck.set_behavior(ServerBehavior::Succeed);
     thread::sleep(Duration::from_millis(100));
-    gateway.list.tell(&list(9, true, &[host("s0", good.addr, "up", 1)]));
+    gateway.discovery.send_line(&endpoint_list(9, true, &[host("s0", good.addr, "up", 1)]));
     gateway.signal("CONT");
-    assert_eq!(outcome(&client.answer()), Ok("a1".to_string()));
+    assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
     assert_eq!((stuck.queries().len(), good.queries().len()), (0, 1));
 }
 
 #[test]
 fn what_waits_for_a_connection_takes_one_that_is_ready_again() {
-    let server = Server::start(Does::Serves);
-    let gateway = Gateway::start_with(&[&server], patient);
+    let server = FakeServer::start(ServerBehavior::Succeed);
+    let gateway = Gateway::start_with(&[&server], use_long_timeouts);
     let (mut one, mut two) = (gateway.client(), gateway.client());
-    assert_eq!(outcome(&one.ask(&select("a1", "look", 15_000))), Ok("a1".to_string()));
-    server.set(Does::ServesAfter(150));
+    assert_eq!(outcome(&one.query(&select("a1", "look", 15_000))), Ok("a1".to_string()));
+    server.set_behavior(ServerBehavior::SucceedAfter(150));
     one.send(&query(&insert("a2", "pay", 15_000)));
-    until("it is asked", || server.queries().len() == 2);
-    server.set(Does::NeverUp);
+    wait_until("it is asked", || server.queries().len() == 2);
+    server.set_behavior(ServerBehavior::NeverHandshake);
     two.send(&query(&insert("a3", "pay", 15_000)));
-    assert_eq!(outcome(&one.answer()), Ok("a2".to_string()));
-    assert_eq!(outcome(&two.answer()), Ok("a3".to_string()));
+    assert_eq!(outcome(&one.read_response()), Ok("a2".to_string()));
+    assert_eq!(outcome(&two.read_response()), Ok("a3".to_string()));
 }
 
 #[test]
 fn after_standing_still_all_that_came_is_heard_before_anything_is_sent() {
-    let (old, new) = (Server::start(Does::Serves), Server::start(Does::Serves));
-    let gateway = Gateway::watching(&[&old], |_| ());
+    let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
+    let gateway = Gateway::start_watching(&[&old], |_| ());
     let mut clients: Vec<Client> = (0..80).map(|_| gateway.client()).collect();
     gateway.signal("STOP");
     clients
@@ -883,10 +899,10 @@
         .enumerate()
         .for_each(|(n, client)| client.send(&query(&select(&format!("a{n}"), "look", 1900))));
     let changes = [host("s0", old.addr, "draining", 1), host("s1", new.addr, "up", 1)];
-    gateway.list.tell(&list(6, false, &changes));
+    gateway.discovery.send_line(&endpoint_list(6, false, &changes));
     thread::sleep(Duration::from_millis(200));
     gateway.signal("CONT");
-    clients.iter_mut().for_each(|client| assert_eq!(client.answer().last().unwrap().0, b'Z'));
+    clients.iter_mut().for_each(|client| assert_eq!(client.read_response().last().unwrap().kind, b'Z'));
     assert!(old.queries().is_empty() && !new.queries().is_empty());
 }
 
@@ -907,15 +923,16 @@
     #[case] at: &str, #[case] value: Value, #[case] named: &str,
 ) {
     let nobody = "127.0.0.1:9".parse().unwrap();
-    let mut faulty = config(&[host("s0", nobody, "up", 1)], nobody, nobody);
+    let mut faulty = gateway_config(&[host("s0", nobody, "up", 1)], nobody, nobody);
     *faulty.pointer_mut(at).unwrap() = value;
     ends_with(&faulty.to_string(), named);
 }
 
 fn ends_with(config: &str, named: &str) {
-    let (mut child, log, ..) = spawn(config);
+    let process = spawn_gateway(config);
+    let (mut child, log) = (process.child, process.log);
     assert_eq!(child.wait().unwrap().code(), Some(1));
-    until("it says why", || !log.lock().unwrap().is_empty());
+    wait_until("it says why", || !log.lock().unwrap().is_empty());
     let lines = log.lock().unwrap().clone();
     assert!(lines.len() == 1 && lines[0].contains(named), "{lines:?}");
 }
@@ -937,16 +954,16 @@
 fn counters_are_logged_unasked_where_wanted() {
     let nobody = "127.0.0.1:9".parse().unwrap();
     let path = std::env::temp_dir().join(format!("latchhaven-counted-{}.json", std::process::id()));
-    std::fs::write(&path, config(&[], nobody, nobody).to_string()).unwrap();
+    std::fs::write(&path, gateway_config(&[], nobody, nobody).to_string()).unwrap();
     let start = |every: &str| {
         let mut command = std::process::Command::new(program());
         command.args(["--counters-every", every]).env_clear().env("BALANCER_CONFIG", &path);
         command.stderr(std::process::Stdio::piped()).spawn().unwrap()
     };
     let mut counted = start("1");
-    let (log, _) = logged(&mut counted);
+    let log = read_log(&mut counted).log;
     let lines = || log.lock().unwrap().iter().filter(|line| line.contains("counters: txns=0")).count();
-    until("they are logged again and again", || lines() >= 2);
+    wait_until("they are logged again and again", || lines() >= 2);
     counted.kill().unwrap();
     assert_eq!(start("0").wait().unwrap().code(), Some(2));
 }
@@ -954,120 +971,131 @@
 #[test]
 fn a_file_that_is_no_json_ends_the_start_and_unknown_keys_do_not() {
     ends_with("{\"name\": ", "BALANCER_CONFIG");
-    let server = Server::start(Does::Serves);
+    let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start_with(&[&server], |config| {
         config["colour"] = json!("green");
         config["settings"]["domain"]["mood"] = json!([1]);
     });
-    assert_eq!(outcome(&gateway.client().ask(&select("a1", "look", 900))), Ok("a1".to_string()));
+    assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 900))), Ok("a1".to_string()));
 }
 
 #[test]
 fn a_half_closed_client_is_gone() {
-    let server = Server::start(Does::Silent);
+    let server = FakeServer::start(ServerBehavior::NeverRespond);
     let gateway = Gateway::start(&[&server]);
     let mut client = gateway.client();
     client.send(&query(&select("a1", "look", 60_000)));
     client.0.shutdown(Shutdown::Write).unwrap();
-    until("it is gone", || gateway.counter("clients_gone") == 1);
+    wait_until("it is gone", || gateway.counter("clients_gone") == 1);
 }
 
 #[test]
 fn a_new_configuration_moves_the_list_the_feed_and_votes_and_nothing_else() {
-    let (earlier, trial) = (Server::start(Does::ServesAfter(300)), Server::start(Does::Serves));
-    let gateway = Gateway::watching(&[&earlier], |_| ());
-    until("the feed is open", || gateway.platform.count("GET /v1/feed") == 1);
+    let (earlier, trial) =
+        (FakeServer::start(ServerBehavior::SucceedAfter(300)), FakeServer::start(ServerBehavior::Succeed));
+    let gateway = Gateway::start_watching(&[&earlier], |_| ());
+    wait_until("the feed is open", || gateway.platform.count_calls("GET /v1/feed") == 1);
     let mut client = gateway.client();
     client.send(&query(&select("a1", "look", 1900)));
-    until("it is asked", || earlier.queries().len() == 1);
-    let new_list = Service::start(|_| Says::Bytes(format!("{STREAM}{}", chunk("\n"))));
-    let new = feed(state(1, 0, "COMPLETE", 1.0), |_| Says::Nothing);
+    wait_until("it is asked", || earlier.queries().len() == 1);
+    let new_list = FakeHttpService::start(|_| HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", chunk("\n"))));
+    let new = start_feed(&rollout_state(1, 0, "COMPLETE", 1.0), |_| HttpReply::Nothing);
     let mut config = gateway.config.clone();
     config["discovery"] = json!(new_list.addr.to_string());
     config["pipeline"]["address"] = json!(new.addr.to_string());
     gateway.reconfigure(&config.to_string());
-    until("both are called", || new_list.count("watch=1&after=5 ") == 1 && new.count("GET /v1/feed") == 1);
-    assert_eq!(outcome(&client.answer()), Ok("a1".to_string()));
+    wait_until("both are called", || {
+        new_list.count_calls("watch=1&after=5 ") == 1 && new.count_calls("GET /v1/feed") == 1
+    });
+    assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
     // The earlier ones are let go once the new ones tell, and are not called again; more signals harm
     // nothing.
-    until("the earlier watch is let go", || gateway.list.let_go());
-    until("the earlier feed is let go", || gateway.platform.let_go());
+    wait_until("the earlier watch is let go", || gateway.discovery.all_streams_closed());
+    wait_until("the earlier feed is let go", || gateway.platform.all_streams_closed());
     (0..3).for_each(|_| gateway.signal("HUP"));
-    until("it is read again", || gateway.logs("configuration read anew") >= 2);
-    new_list.tell(&list(9, false, &[host("s1", trial.addr, "up", 2)]));
-    new.tell(&json!({"type": "ROLLOUT", "object": state(2, 0, "IN_PROGRESS", 0.5)}));
-    until("votes go to the new address", || new.count("POST /v1/ballots") > 0);
-    assert_eq!((new_list.count("watch"), new.count("GET /v1/feed")), (1, 1));
-    assert_eq!((gateway.list.count("watch"), gateway.platform.count("")), (1, 1));
+    wait_until("it is read again", || gateway.count_logged("configuration read anew") >= 2);
+    new_list.send_line(&endpoint_list(9, false, &[host("s1", trial.addr, "up", 2)]));
+    new.send_line(&json!({"type": "ROLLOUT", "object": rollout_state(2, 0, "IN_PROGRESS", 0.5)}));
+    wait_until("votes go to the new address", || new.count_calls("POST /v1/ballots") > 0);
+    assert_eq!((new_list.count_calls("watch"), new.count_calls("GET /v1/feed")), (1, 1));
+    assert_eq!((gateway.discovery.count_calls("watch"), gateway.platform.count_calls("")), (1, 1));
     assert_eq!((earlier.seen.lock().unwrap().connections, gateway.counter("feed_lost")), (1, 0));
 }
 
 #[test]
 fn a_watch_that_is_being_asked_for_again_is_asked_for_at_the_new_address_at_once() {
-    let server = Server::start(Does::Serves);
-    let gateway = Gateway::watching(&[&server], |_| ());
-    gateway.list.set(|_| Says::Nothing);
-    gateway.list.end_streams();
-    until("it is asked again", || gateway.list.count("watch") == 2);
-    let new = Service::start(|_| Says::Bytes(format!("{STREAM}{}", chunk("\n"))));
+    let server = FakeServer::start(ServerBehavior::Succeed);
+    let gateway = Gateway::start_watching(&[&server], |_| ());
+    gateway.discovery.set_reply(|_| HttpReply::Nothing);
+    gateway.discovery.close_streams();
+    wait_until("it is asked again", || gateway.discovery.count_calls("watch") == 2);
+    let new = FakeHttpService::start(|_| HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", chunk("\n"))));
     let mut config = gateway.config.clone();
     config["discovery"] = json!(new.addr.to_string());
     gateway.reconfigure(&config.to_string());
-    until("it is asked there", || new.count("watch") == 1);
+    wait_until("it is asked there", || new.count_calls("watch") == 1);
     // The earlier call comes to its end without a word: this is no failure of the new one.
     let failures = gateway.counter("list_failures");
-    gateway.list.end_streams();
+    gateway.discovery.close_streams();
     thread::sleep(Duration::from_millis(300));
-    assert_eq!((gateway.counter("list_failures"), new.count("watch")), (failures, 1));
+    assert_eq!((gateway.counter("list_failures"), new.count_calls("watch")), (failures, 1));
 }
 
 #[rstest]
 #[case::half_written("{\"name\": \"n0\", \"lis", "BALANCER_CONFIG")]
 #[case::wrong("{\"discovery\": \"nowhere\", \"name\": \"n0\", \"listen\": \"127.0.0.1:0\"}", "discovery")]
 fn an_unfit_new_configuration_changes_nothing_and_says_why(#[case] text: &str, #[case] named: &str) {
-    let server = Server::start(Does::Serves);
-    let mut gateway = Gateway::watching(&[&server], |_| ());
+    let server = FakeServer::start(ServerBehavior::Succeed);
+    let mut gateway = Gateway::start_watching(&[&server], |_| ());
     gateway.reconfigure(text);
-    until("it says why", || gateway.logged("configuration unfit") && gateway.logged(named));
-    assert_eq!(outcome(&gateway.client().ask(&select("a1", "look", 900))), Ok("a1".to_string()));
-    assert_eq!((gateway.list.count("watch"), gateway.platform.count("feed")), (1, 1));
+    wait_until("it says why", || gateway.logged("configuration unfit") && gateway.logged(named));
+    assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 900))), Ok("a1".to_string()));
+    assert_eq!((gateway.discovery.count_calls("watch"), gateway.platform.count_calls("feed")), (1, 1));
     // While it stops a signal more changes nothing either.
-    server.set(Does::ServesAfter(400));
+    server.set_behavior(ServerBehavior::SucceedAfter(400));
     let mut busy = gateway.client();
     busy.send(&query(&select("a2", "look", 1900)));
-    until("it is asked", || server.queries().len() == 2);
+    wait_until("it is asked", || server.queries().len() == 2);
     gateway.signal("TERM");
     gateway.signal("HUP");
-    assert_eq!(outcome(&busy.answer()), Ok("a2".to_string()));
-    assert_eq!(gateway.ended(), Some(0));
+    assert_eq!(outcome(&busy.read_response()), Ok("a2".to_string()));
+    assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
 #[test]
 fn a_line_that_never_ends_is_no_sign_of_life() {
-    let server = Server::start(Does::Serves);
-    let gateway = Gateway::watching(&[&server], |_| ());
-    until("the feed is open", || gateway.platform.count("GET /v1/feed") == 1);
-    until("both are opened anew", || {
+    let server = FakeServer::start(ServerBehavior::Succeed);
+    let gateway = Gateway::start_watching(&[&server], |_| ());
+    wait_until("the feed is open", || gateway.platform.count_calls("GET /v1/feed") == 1);
+    wait_until("both are opened anew", || {
         gateway.platform.write(&chunk("x"));
-        gateway.list.write(&chunk("x"));
+        gateway.discovery.write(&chunk("x"));
         thread::sleep(Duration::from_millis(100));
-        gateway.platform.count("GET /v1/feed") >= 2 && gateway.list.count("watch") >= 2
+        gateway.platform.count_calls("GET /v1/feed") >= 2 && gateway.discovery.count_calls("watch") >= 2
     });
 }
 
 #[test]
 fn many_lives_leave_nothing_behind() {
-    let server = Server::start(Does::Serves);
-    let gateway = Gateway::watching(&[&server], |_| ());
+    let server = FakeServer::start(ServerBehavior::Succeed);
+    let gateway = Gateway::start_watching(&[&server], |_| ());
     for n in 0..300 {
         let id = format!("life{n}");
-        gateway.list.tell(&list(6 + 2 * n, false, &[host(&id, server.addr, "up", 2 + n as u32)]));
-        gateway.list.tell(&list(7 + 2 * n, false, &[host(&id, server.addr, "removed", 2 + n as u32)]));
+        gateway.discovery.send_line(&endpoint_list(
+            6 + 2 * n,
+            false,
+            &[host(&id, server.addr, "up", 2 + n as u32)],
+        ));
+        gateway.discovery.send_line(&endpoint_list(
+            7 + 2 * n,
+            false,
+            &[host(&id, server.addr, "removed", 2 + n as u32)],
+        ));
         let mut client = gateway.client();
-        client.ask(&select(&format!("a{n}"), "look", 900).replace("acme", &format!("t{n}")));
+        client.query(&select(&format!("a{n}"), "look", 900).replace("acme", &format!("t{n}")));
     }
-    until("all are told", || gateway.counter("list_changes") >= 600);
-    until("all is over", || {
+    wait_until("all are told", || gateway.counter("list_changes") >= 600);
+    wait_until("all is over", || {
         gateway.counter("now_client_connections") == 0 && gateway.counter("now_timers") < 5
     });
     assert_eq!((gateway.counter("now_txns"), gateway.counter("now_servers")), (0, 1));
--- a/crates/control-plane/tests/cases.rs
+++ b/crates/control-plane/tests/cases.rs
@@ -11,7 +11,7 @@
 use latchhaven_proxy_config::proxy_config::ProxyConfigSettings;
 use latchhaven_proxy_config::version::VersionSigner;
 use latchhaven_simulator_protocol::terms;
-use latchhaven_test_support::cache::{Cache, Wanted};
+use latchhaven_test_support::resource_cache::{CacheRequest, ResourceCache};
 use latchhaven_xds::resources::{ListenerConfig, ResourceSnapshot, ResourceType};
 use latchhaven_xds::stream::{Stream, SubscriptionRequest};
 use std::net::SocketAddr;
@@ -139,15 +139,20 @@
 }
 
 struct Proxy {
-    cache: Cache,
+    cache: ResourceCache,
     node: String,
-    stream: Option<(u64, Stream, Vec<Wanted>)>,
+    stream: Option<(u64, Stream, Vec<CacheRequest>)>,
     refuses: bool,
 }
 
 impl Proxy {
     fn new(node: &str, incremental: bool) -> Self {
-        Proxy { cache: Cache::new(node, incremental), node: node.to_string(), stream: None, refuses: false }
+        Proxy {
+            cache: ResourceCache::new(node, incremental),
+            node: node.to_string(),
+            stream: None,
+            refuses: false,
+        }
     }
 
     fn connect(&mut self, service: &mut Service) {
@@ -155,8 +160,8 @@
         let number = service.streams;
         assert!(service.core.request_stream(number, self.node.clone(), service.now));
         service.pass(20.0);
-        let stream = Stream::new(self.cache.incremental(), None, service.labels.clone());
-        self.stream = Some((number, stream, self.cache.open()));
+        let stream = Stream::new(self.cache.is_incremental(), None, service.labels.clone());
+        self.stream = Some((number, stream, self.cache.initial_requests()));
     }
 
     fn leave(&mut self, service: &mut Service) {
@@ -171,7 +176,12 @@
         while self.step(service) {
             answers += 1;
         }
-        assert_eq!((self.cache.regressions, self.cache.dangling), (0, 0), "{:?}", self.cache.dangles());
+        assert_eq!(
+            (self.cache.regressions, self.cache.dangling),
+            (0, 0),
+            "{:?}",
+            self.cache.dangling_reference()
+        );
         answers
     }
 
@@ -192,14 +202,15 @@
         if let Some(trial) = &answer.canary_shares {
             service.core.on_routes_sent(*number, trial, service.now);
         }
-        *asks = self
-            .cache
-            .take(&answer.chunks.concat(), self.refuses && answer.resource_type == ResourceType::Route);
+        *asks = self.cache.apply_response(
+            &answer.chunks.concat(),
+            self.refuses && answer.resource_type == ResourceType::Route,
+        );
         true
     }
 
     fn part(&self, build: Version) -> f64 {
-        f64::from(self.cache.part("look", build.0)) / 1e6
+        f64::from(self.cache.version_share("look", build.0)) / 1e6
     }
 }
 
@@ -329,7 +340,8 @@
     let mut other = Proxy::new("other", false);
     other.connect(&mut foreign);
     other.talk(&mut foreign);
-    let basis = |proxy: &Proxy| proxy.cache.basis(ResourceType::Route).map(|basis| basis.rollout.status);
+    let basis =
+        |proxy: &Proxy| proxy.cache.newest_version(ResourceType::Route).map(|basis| basis.rollout.status);
     assert_ne!(basis(&other), basis(&proxies[1]), "and moves nobody else");
 }
 
@@ -383,7 +395,7 @@
         answers.retain(|answers| *answers > 3);
         assert!(answers.is_empty(), "what was refused is not sent in a loop");
     }
-    assert!(proxies[..2].iter().all(|proxy| proxy.part(Version(2)) == held && proxy.cache.refused >= 1));
+    assert!(proxies[..2].iter().all(|proxy| proxy.part(Version(2)) == held && proxy.cache.rejected >= 1));
     let sum: f64 = proxies.iter().map(|proxy| proxy.part(Version(2))).sum::<f64>() / 4.0;
     assert!(sum <= 0.3, "{sum}");
     assert!(proxies[2].part(Version(2)) < 0.15 && proxies[3].part(Version(2)) < 0.15);
@@ -462,7 +474,7 @@
             proxy.connect(&mut again);
             proxy.talk(&mut again);
             assert_eq!(proxy.part(Version(2)), 0.0);
-            assert!(proxy.cache.way("pay", false).is_some(), "after {steps} steps");
+            assert!(proxy.cache.route("pay", false).is_some(), "after {steps} steps");
         }
     }
 }
@@ -541,9 +553,9 @@
             })
             .unwrap();
         let bytes = stream.next_response(&snapshot).unwrap().chunks.concat();
-        let mut cache = Cache::new("old", true);
-        cache.take(&bytes, false);
-        assert_eq!(cache.inline("b1"), if within { 2 } else { 0 });
+        let mut cache = ResourceCache::new("old", true);
+        cache.apply_response(&bytes, false);
+        assert_eq!(cache.inline_endpoint_count("b1"), if within { 2 } else { 0 });
     }
 }
 
@@ -551,8 +563,8 @@
 fn a_host_drains_goes_and_is_back_at_its_address_with_another_build() {
     let (mut service, mut proxies) = settled(2);
     let health = |proxy: &Proxy, cluster: &str| {
-        let (hosts, _) = proxy.cache.hosts(cluster);
-        hosts.into_iter().find(|host| host.addr == addr(2)).map(|host| host.healthy)
+        let hosts = proxy.cache.cluster_endpoints(cluster).endpoints;
+        hosts.into_iter().find(|host| host.addr == addr(2)).map(|host| host.is_healthy)
     };
     assert_eq!(health(&proxies[0], "b1/pay"), Some(true));
     type Step<'a> = (&'a [(u16, Version, bool)], Option<bool>, Option<bool>);
--- a/crates/experiments/src/day.rs
+++ b/crates/experiments/src/day.rs
@@ -11,7 +11,7 @@
 use latchhaven_proxy_config::proxy_config::ProxyConfigSettings;
 use latchhaven_proxy_config::version::VersionSigner;
 use latchhaven_simulator_protocol::terms;
-use latchhaven_test_support::cache::{Cache, Wanted};
+use latchhaven_test_support::resource_cache::{CacheRequest, CachedEndpoint, ResourceCache};
 use latchhaven_xds::resources::{ListenerConfig, ResourceSnapshot, parse_cluster_name};
 use latchhaven_xds::stream::Stream;
 use rand::{RngExt, SeedableRng};
@@ -160,9 +160,9 @@
 }
 
 struct ProxyState {
-    cache: Cache,
+    cache: ResourceCache,
     stream: Stream,
-    asks: Vec<Wanted>,
+    asks: Vec<CacheRequest>,
     in_flight: Vec<u32>,
     reported: BTreeMap<(String, usize), EndpointCounts>,
 }
@@ -279,8 +279,8 @@
             day.proxies = (0..sizes.fronts)
                 .map(|n| {
                     core.request_stream(n as u64, format!("p{n}"), 0.0);
-                    let mut cache = Cache::new(&format!("p{n}"), n % 2 == 1);
-                    let asks = cache.open();
+                    let mut cache = ResourceCache::new(&format!("p{n}"), n % 2 == 1);
+                    let asks = cache.initial_requests();
                     let stream = Stream::new(n % 2 == 1, None, labels.clone());
                     ProxyState {
                         cache,
@@ -506,35 +506,35 @@
     /// A proxy draws a cluster for a new txn.
     fn route(&mut self, id: RequestId) {
         let (front, product) = (self.txns[&id].front, self.txns[&id].product);
-        let Some(way) = self.proxies[front].cache.way(PRODUCTS[product], false).cloned() else {
+        let Some(way) = self.proxies[front].cache.route(PRODUCTS[product], false).cloned() else {
             return self.close(id, false);
         };
         let mut draw = self.rng.random_range(0..1_000_000u32);
-        let drawn = way.parts.iter().find(|(_, part)| {
-            let here = draw < *part;
-            draw = draw.saturating_sub(*part);
+        let drawn = way.clusters.iter().find(|cluster| {
+            let here = draw < cluster.weight;
+            draw = draw.saturating_sub(cluster.weight);
             here
         });
-        let cluster = drawn.map(|(cluster, _)| cluster.clone()).unwrap_or_default();
-        let (_, repeats) = self.proxies[front].cache.hosts(&cluster);
+        let cluster = drawn.map(|cluster| cluster.name.clone()).unwrap_or_default();
+        let repeats = self.proxies[front].cache.cluster_endpoints(&cluster).allows_retries;
         let txn = self.txns.get_mut(&id).expect("open");
         (txn.cluster, txn.retry_on) = (cluster, way.retry_on);
-        txn.repeats = if repeats { way.repeats } else { 0 };
+        txn.repeats = if repeats { way.max_retries } else { 0 };
         self.pick(id);
     }
 
     /// Two random choices among the healthy hosts of the cluster that was drawn.
     fn pick(&mut self, id: RequestId) {
         let (front, cluster) = (self.txns[&id].front, self.txns[&id].cluster.clone());
-        let (hosts, _) = self.proxies[front].cache.hosts(&cluster);
-        let healthy: Vec<_> = hosts.iter().filter(|host| host.healthy).collect();
+        let hosts = self.proxies[front].cache.cluster_endpoints(&cluster).endpoints;
+        let healthy: Vec<_> = hosts.iter().filter(|host| host.is_healthy).collect();
         if healthy.is_empty() {
             return self.close(id, false);
         }
         let number = |addr: SocketAddr| usize::from(addr.port() - 5000) + 250 * usize::from(last_of(addr));
         let mut pick = || healthy[self.rng.random_range(0..healthy.len())];
         let (one, other) = (pick(), pick());
-        let load = |host: &latchhaven_test_support::cache::Host| {
+        let load = |host: &CachedEndpoint| {
             f64::from(self.proxies[front].in_flight[number(host.addr)] + 1) / f64::from(host.weight)
         };
         let n = number(if load(other) < load(one) { other.addr } else { one.addr });
@@ -731,7 +731,7 @@
                 core.on_stream_events(n as u64, proxy.stream.take_events(), now);
                 let Some(answer) = answer else { break };
                 answer.canary_shares.iter().for_each(|trial| core.on_routes_sent(n as u64, trial, now));
-                proxy.asks = proxy.cache.take(&answer.chunks.concat(), false);
+                proxy.asks = proxy.cache.apply_response(&answer.chunks.concat(), false);
             }
         }
     }
--- a/crates/experiments/src/xds.rs
+++ b/crates/experiments/src/xds.rs
@@ -5,10 +5,12 @@
 use hdrhistogram::Histogram;
 use latchhaven_policy::Version;
 use latchhaven_proxy_config::version::{RolloutStatus, RolloutVersion};
-use latchhaven_test_support::machine::Machine;
-use latchhaven_test_support::proxy::{Goes, Orders, Proxy, Seen};
-use latchhaven_test_support::site::{Site, plan};
-use latchhaven_test_support::wire::{host, state};
+use latchhaven_test_support::fake_load_reports::{ClusterOutcome, ReportedLoad};
+use latchhaven_test_support::fake_platform::{FakePlatform, control_config};
+use latchhaven_test_support::fake_proxy::{FakeProxy, ProxyBehavior, ResponseObserver};
+use latchhaven_test_support::platform_messages::{host, rollout_state};
+use latchhaven_test_support::process::Process;
+use latchhaven_test_support::resource_cache::ResourceCache;
 use latchhaven_xds::resources::ResourceType;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -117,16 +119,16 @@
 
 impl Story {
     /// The next decision at the site; none where it only goes on.
-    fn step(&mut self, site: &Site, hosts: usize) -> Mark {
+    fn step(&mut self, site: &FakePlatform, hosts: usize) -> Mark {
         self.turn += 1;
         if !self.turn.is_multiple_of(3) {
             // A host drains, or the one that did is back.
             if let Some(n) = self.drained.take() {
-                return Mark::List(site.change(&[entry(n, "up", 1)]));
+                return Mark::List(site.update_hosts(&[entry(n, "up", 1)]));
             }
             let n = self.rng.random_range(self.trial.len()..hosts);
             self.drained = Some(n);
-            return Mark::List(site.change(&[entry(n, "draining", 1)]));
+            return Mark::List(site.update_hosts(&[entry(n, "draining", 1)]));
         }
         let (build, stage) = (self.build, self.stage);
         match (self.trial.is_empty(), stage) {
@@ -136,7 +138,7 @@
                 // The build's state first: its hosts are on trial from the moment that they are listed.
                 self.tell(site, "IN_PROGRESS", 0, CAPS[0]);
                 let list: Vec<Value> = self.trial.iter().map(|n| entry(*n, "up", build + 1)).collect();
-                Mark::List(site.change(&list))
+                Mark::List(site.update_hosts(&list))
             }
             (false, 0) => {
                 self.stage = 1;
@@ -152,13 +154,13 @@
                 self.tell(site, "ROLLED_BACK", 1, 0.0);
                 let list: Vec<Value> =
                     std::mem::take(&mut self.trial).iter().map(|n| entry(*n, "up", 1)).collect();
-                Mark::List(site.change(&list))
+                Mark::List(site.update_hosts(&list))
             }
         }
     }
 
-    fn tell(&mut self, site: &Site, status: &str, stage: u32, cap: f64) {
-        site.rollout(self.build, stage, status, cap);
+    fn tell(&mut self, site: &FakePlatform, status: &str, stage: u32, cap: f64) {
+        site.update_rollout(self.build, stage, status, cap);
         self.caps.push((Instant::now(), self.build, cap));
     }
 
@@ -187,7 +189,7 @@
     let folder = std::env::temp_dir().join(format!("latchhaven-experiments-{}", std::process::id()));
     let _ = std::fs::create_dir_all(&folder);
     let list: Vec<Value> = (0..sizes.hosts).map(|n| entry(n, "up", 1)).collect();
-    let site = Site::start(1, list, state(1, 0, "COMPLETE", 1.0));
+    let site = FakePlatform::start(1, list, rollout_state(1, 0, "COMPLETE", 1.0));
     let key = folder.join("versions.key");
     let _ = std::fs::write(&key, "of the lab");
     let more = format!(
@@ -197,16 +199,19 @@
     );
     let file = folder.join("control.star");
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-    let _ = std::fs::write(&file, plan("lab", site.list.addr, site.platform.addr, listen, true, &more));
-    let mut control = Machine::control(&file);
+    let _ = std::fs::write(
+        &file,
+        control_config("lab", site.discovery.addr, site.feed.addr, listen, true, &more),
+    );
+    let mut control = Process::start_control(&file);
 
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
     let tracks: Arc<Vec<Mutex<Track>>> = Arc::new((0..sizes.proxies).map(|_| Mutex::default()).collect());
     let noted = tracks.clone();
-    let seen: Seen = Arc::new(move |number, cache, at| {
-        let news = cache.basis(ResourceType::Route).map(|basis| basis.rollout);
+    let seen: ResponseObserver = Arc::new(move |number, cache, at| {
+        let news = cache.newest_version(ResourceType::Route).map(|basis| basis.rollout);
         let list = [ResourceType::Endpoint, ResourceType::LbEndpoint]
-            .map(|kind| cache.basis(kind).map_or(0, |basis| basis.endpoints.version));
+            .map(|kind| cache.newest_version(kind).map_or(0, |basis| basis.endpoints.version));
         let mut track = noted[number].lock().unwrap_or_else(PoisonError::into_inner);
         let list = list[0].max(list[1]);
         if track.steps.last().is_none_or(|last| last.1 != news || last.2 != list) {
@@ -215,28 +220,26 @@
     });
     // Two groups: those to which nothing happens, and those that are cut off or refuse.
     let odd = (sizes.proxies as f64 * sizes.nack.max(sizes.partition)).round() as usize;
-    let order = Orders { service: Some(control.addr), ..Orders::default() };
+    let order = ProxyBehavior { service: Some(control.addr), ..ProxyBehavior::default() };
     let (calm, calm_orders) = watch::channel(order.clone());
     let (struck, struck_orders) = watch::channel(order);
     let mut rng = Pcg64Mcg::seed_from_u64(sizes.seed);
-    let proxies: Vec<Proxy> =
-        (0..sizes.proxies).map(|n| Proxy::new(n, rng.random::<f64>() < sizes.incremental)).collect();
+    let proxies: Vec<FakeProxy> =
+        (0..sizes.proxies).map(|n| FakeProxy::new(n, rng.random::<f64>() < sizes.incremental)).collect();
     let began = Instant::now();
     for proxy in &proxies {
         let orders = if proxy.number < odd { struck_orders.clone() } else { calm_orders.clone() };
         runtime.spawn(proxy.clone().run(orders, sizes.seed, seen.clone()));
     }
     // Txns of each product that a proxy carries in a second; all go well.
-    let goes: Goes = Arc::new(|_| (0.0, 20.0));
+    let load = ReportedLoad {
+        classes: &["look", "book", "pay"],
+        requests: TXNS,
+        outcomes: Arc::new(|_| ClusterOutcome { failure_share: 0.0, mean_latency: 20.0 }),
+    };
     for proxy in &proxies {
         let orders = if proxy.number < odd { struck_orders.clone() } else { calm_orders.clone() };
-        runtime.spawn(proxy.clone().reports(
-            orders,
-            sizes.seed,
-            &["look", "book", "pay"],
-            TXNS,
-            goes.clone(),
-        ));
+        runtime.spawn(proxy.clone().run_load_reports(orders, sizes.seed, load.clone()));
     }
     let holds = |mark: Mark, n: usize| {
         let track = tracks[n].lock().unwrap_or_else(PoisonError::into_inner);
@@ -276,14 +279,14 @@
         if start.elapsed() >= third && struck_at.is_none() {
             struck_at = Some(Instant::now());
             if sizes.nack > 0.0 {
-                struck.send_modify(|order| order.refuses = true);
+                struck.send_modify(|order| order.rejects_routes = true);
             }
             if sizes.partition > 0.0 {
                 struck.send_modify(|order| order.service = None);
             }
             if sizes.reconnect_all {
-                calm.send_modify(|order| order.resets += 1);
-                struck.send_modify(|order| order.resets += 1);
+                calm.send_modify(|order| order.reconnects += 1);
+                struck.send_modify(|order| order.reconnects += 1);
             }
             if sizes.kill_control {
                 control.kill();
@@ -291,7 +294,7 @@
             }
         }
         if back.is_none() && down.is_some_and(|at: Instant| at.elapsed() >= Duration::from_secs(2)) {
-            control = Machine::control(&file);
+            control = Process::start_control(&file);
             back = Some(Instant::now());
             let addr = control.addr;
             for orders in [&calm, &struck] {
@@ -302,12 +305,14 @@
             mended_at = Some(Instant::now());
             let addr = control.addr;
             if odd > 0 {
-                struck.send_modify(|order| *order = Orders { service: Some(addr), ..Orders::default() });
+                struck.send_modify(|order| {
+                    *order = ProxyBehavior { service: Some(addr), ..ProxyBehavior::default() }
+                });
             }
         }
         // What all proxies give to the build on trial, each with the same traffic.
         let build = story.build;
-        let part = |n: usize| f64::from(proxies[n].cache().part("look", build)) / 1e6;
+        let part = |n: usize| f64::from(proxies[n].cache().version_share("look", build)) / 1e6;
         let (stuck, rest): (f64, f64) = ((0..odd).map(part).sum(), (odd..sizes.proxies).map(part).sum());
         let count = sizes.proxies as f64;
         let (given, cap) = ((stuck + rest) / count, story.binds(build));
@@ -327,7 +332,8 @@
     let newest = decisions.iter().rev().find(|decision| matches!(decision.mark, Mark::News { .. }));
     let converged = [end, newest.map(|decision| decision.mark)].into_iter().flatten();
     let converged: Option<Vec<u64>> = converged.map(|mark| all_hold(mark, SETTLES)).collect();
-    let (cpu, peak) = control.used();
+    let usage = control.resource_usage();
+    let (cpu, peak) = (usage.cpu_seconds, usage.peak_memory_mib);
     let counters = control.counters();
     let lasted = began.elapsed().as_secs_f64();
     let (mut within, mut after) =
@@ -356,11 +362,10 @@
             }
         }
     }
-    let sum = |count: fn(&latchhaven_test_support::cache::Cache) -> u64| -> u64 {
-        proxies.iter().map(|proxy| count(&proxy.cache())).sum()
-    };
+    let sum =
+        |count: fn(&ResourceCache) -> u64| -> u64 { proxies.iter().map(|proxy| count(&proxy.cache())).sum() };
     let (regressions, dangling, refused) =
-        (sum(|cache| cache.regressions), sum(|cache| cache.dangling), sum(|cache| cache.refused));
+        (sum(|cache| cache.regressions), sum(|cache| cache.dangling), sum(|cache| cache.rejected));
     let recovered = back.map(|back| {
         let mark = decisions.iter().rfind(|decision| decision.at <= back).map(|decision| decision.mark);
         let first = |n: usize| {
--- /dev/null
+++ b/crates/test-support/src/fake_http.rs
@@ -0,0 +1,194 @@
+//! An HTTP service whose replies can be changed, and whose open streams can be written to.
+
+use crate::{lock, serve_connections};
+use serde_json::Value;
+use std::io::{Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicU32, Ordering::SeqCst};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+/// The head of a response whose chunks follow as they come.
+pub const STREAM_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+/// How long the end of a stream is looked for.
+const CLOSE_CHECK_TIMEOUT: Duration = Duration::from_millis(2);
+
+/// A complete response.
+pub fn response(status: u16, body: &str) -> String {
+    format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+}
+
+/// One chunk of a stream.
+pub fn chunk(text: &str) -> String {
+    format!("{:x}\r\n{text}\r\n", text.len())
+}
+
+/// What the service does with one call.
+#[derive(Clone, Debug)]
+pub enum HttpReply {
+    /// Writes these bytes; the connection stays open.
+    KeepOpen(String),
+    /// Writes these bytes and closes the connection.
+    Close(String),
+    /// Does not respond.
+    Nothing,
+}
+
+impl HttpReply {
+    /// A stream that begins with this line.
+    pub fn stream(line: &str) -> Self {
+        HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", chunk(&format!("{line}\n"))))
+    }
+
+    fn text(&self) -> &str {
+        match self {
+            HttpReply::KeepOpen(text) | HttpReply::Close(text) => text,
+            HttpReply::Nothing => "",
+        }
+    }
+}
+
+/// A call that the service received.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct HttpCall {
+    /// The request line: method, path and version.
+    pub request_line: String,
+    /// The body.
+    pub body: String,
+}
+
+type ReplyFunction = Box<dyn Fn(&str) -> HttpReply + Send>;
+
+/// The service: it records calls and replies by their request lines.
+#[derive(Clone)]
+pub struct FakeHttpService {
+    /// Where it listens.
+    pub addr: SocketAddr,
+    /// The calls that were replied to, in order.
+    pub calls: Arc<Mutex<Vec<HttpCall>>>,
+    reply: Arc<Mutex<ReplyFunction>>,
+    streams: Arc<Mutex<Vec<TcpStream>>>,
+    received: Arc<AtomicU32>,
+}
+
+impl FakeHttpService {
+    /// Starts a service.
+    ///
+    /// # Panics
+    /// Its socket cannot be opened.
+    pub fn start(reply: impl Fn(&str) -> HttpReply + Send + 'static) -> Self {
+        let reply: ReplyFunction = Box::new(reply);
+        let mut service = FakeHttpService {
+            addr: SocketAddr::from(([127, 0, 0, 1], 0)),
+            calls: Arc::default(),
+            reply: Arc::new(Mutex::new(reply)),
+            streams: Arc::default(),
+            received: Arc::default(),
+        };
+        let served = service.clone();
+        service.addr = serve_connections(move |stream, _| served.serve(stream));
+        service
+    }
+
+    fn serve(&self, mut stream: TcpStream) {
+        while let Some(call) = read_call(&mut stream) {
+            self.received.fetch_add(1, SeqCst);
+            let Some(reply) = self.reply_to(&call, &mut stream) else { return };
+            lock(&self.calls).push(call);
+            if matches!(reply, HttpReply::Close(_)) {
+                let _ = stream.shutdown(Shutdown::Both);
+                return;
+            }
+        }
+    }
+
+    /// Writes the reply; none where the connection has ended.
+    fn reply_to(&self, call: &HttpCall, stream: &mut TcpStream) -> Option<HttpReply> {
+        // Locked from the reply until the stream is listed: a change in between would neither be in the reply nor
+        // be written to the stream.
+        let mut streams = lock(&self.streams);
+        let reply = lock(&self.reply)(&call.request_line);
+        stream.write_all(reply.text().as_bytes()).ok()?;
+        if reply.text().starts_with(STREAM_HEAD) {
+            streams.push(stream.try_clone().expect("a second handle of the socket"));
+        }
+        Some(reply)
+    }
+
+    /// Calls that were received, replied to or not.
+    pub fn received_calls(&self) -> u32 {
+        self.received.load(SeqCst)
+    }
+
+    /// Changes its replies.
+    pub fn set_reply(&self, reply: impl Fn(&str) -> HttpReply + Send + 'static) {
+        *lock(&self.reply) = Box::new(reply);
+    }
+
+    /// Writes to all open streams.
+    pub fn write(&self, text: &str) {
+        self.write_with(|| text.to_string());
+    }
+
+    /// Writes one line to all open streams.
+    pub fn send_line(&self, line: &Value) {
+        self.send_line_with(|| line.clone());
+    }
+
+    /// Writes one line to all open streams. It is made while no stream can begin: a stream that begins later is
+    /// answered from the state that the line reports.
+    pub fn send_line_with(&self, make_line: impl FnOnce() -> Value) {
+        self.write_with(|| chunk(&format!("{}\n", make_line())));
+    }
+
+    fn write_with(&self, make_text: impl FnOnce() -> String) {
+        let mut streams = lock(&self.streams);
+        let text = make_text();
+        streams.retain_mut(|stream| stream.write_all(text.as_bytes()).is_ok());
+    }
+
+    /// True where the peers have closed all streams.
+    ///
+    /// # Panics
+    /// A socket refuses a read timeout.
+    pub fn all_streams_closed(&self) -> bool {
+        let mut streams = lock(&self.streams);
+        streams.iter_mut().all(|stream| {
+            stream.set_read_timeout(Some(CLOSE_CHECK_TIMEOUT)).expect("a read timeout");
+            matches!(stream.peek(&mut [0]), Ok(0))
+        })
+    }
+
+    /// Closes all streams.
+    pub fn close_streams(&self) {
+        for stream in lock(&self.streams).drain(..) {
+            let _ = stream.shutdown(Shutdown::Both);
+        }
+    }
+
+    /// Calls so far whose request line contains this.
+    pub fn count_calls(&self, part: &str) -> usize {
+        lock(&self.calls).iter().filter(|call| call.request_line.contains(part)).count()
+    }
+}
+
+/// Reads one call.
+fn read_call(stream: &mut TcpStream) -> Option<HttpCall> {
+    let mut head = Vec::new();
+    let mut byte = [0];
+    while !head.ends_with(b"\r\n\r\n") {
+        stream.read_exact(&mut byte).ok()?;
+        head.push(byte[0]);
+    }
+    let head = String::from_utf8(head).expect("a head in UTF-8");
+    let mut body = vec![0; content_length(&head)];
+    stream.read_exact(&mut body).ok()?;
+    let request_line = head.lines().next().expect("a request line").to_string();
+    Some(HttpCall { request_line, body: String::from_utf8(body).expect("a body in UTF-8") })
+}
+
+fn content_length(head: &str) -> usize {
+    let Some(rest) = head.split("Content-Length: ").nth(1) else { return 0 };
+    let length = rest.lines().next().expect("the header's line");
+    length.parse().expect("a length")
+}
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,22 +1,48 @@
-//! Stand-ins on loopback, for tests, the demonstration and the lab.
+//! Fakes on loopback for tests, the demonstration and experiments, and the program as a child process.
 //!
-//! - [`wire`]: hosts, list, platform and clients on PostgreSQL's protocol, and the program as a child.
-//! - [`site`]: a list and a platform that hold a state, tell it, and take votes.
-//! - [`cache`]: what a proxy that speaks xDS holds, as real ones do; pure.
-//! - [`proxy`]: such a proxy on a socket.
-//! - [`machine`]: a control service as a child, and what it uses.
+//! - [`wait`]: bounded waits.
+//! - [`postgres`]: messages of the PostgreSQL protocol, and a client.
+//! - [`fake_server`]: a server on that protocol whose behavior can be changed.
+//! - [`fake_http`]: an HTTP service whose replies can be changed and whose streams can be written to.
+//! - [`platform_messages`]: the JSON of service discovery and of the platform.
+//! - [`fake_platform`]: service discovery and a platform that hold a state and report its changes.
+//! - [`process`]: the program as a child process: its log, counters and resource usage.
+//! - [`gateway`]: a gateway process with fakes around it.
+//! - [`resource_cache`]: what an xDS proxy holds, without I/O.
+//! - [`fake_proxy`]: an xDS proxy on a socket.
+//! - [`fake_load_reports`]: load reports of such a proxy.
 
-// Until its turn: docs/ROADMAP.md.
-#![allow(
-    clippy::missing_errors_doc,
-    clippy::missing_panics_doc,
-    clippy::too_many_lines,
-    clippy::unwrap_used,
-    missing_docs
-)]
+pub mod fake_http;
+pub mod fake_load_reports;
+pub mod fake_platform;
+pub mod fake_proxy;
+pub mod fake_server;
+pub mod gateway;
+pub mod platform_messages;
+pub mod postgres;
+pub mod process;
+pub mod resource_cache;
+pub mod wait;
 
-pub mod cache;
-pub mod machine;
-pub mod proxy;
-pub mod site;
-pub mod wire;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::thread;
+
+/// Serves each connection on a thread of its own; the connections are numbered from 0.
+fn serve_connections(serve: impl Fn(TcpStream, usize) + Send + Sync + 'static) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port on loopback");
+    let addr = listener.local_addr().expect("a bound listener has an address");
+    let serve = Arc::new(serve);
+    thread::spawn(move || {
+        for (number, stream) in listener.incoming().flatten().enumerate() {
+            let serve = serve.clone();
+            thread::spawn(move || serve(stream, number));
+        }
+    });
+    addr
+}
+
+/// Locks a mutex; fails the test where another thread has failed with the lock.
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().expect("no thread fails while it has the lock")
+}
--- /dev/null
+++ b/crates/test-support/src/resource_cache/decode.rs
@@ -0,0 +1,178 @@
+//! Decodes resources into what the cache holds.
+
+use latchhaven_xds::load_stats::parse_address;
+use latchhaven_xds::pb::envoy::config::cluster::v3::Cluster;
+use latchhaven_xds::pb::envoy::config::core::v3::HealthStatus;
+use latchhaven_xds::pb::envoy::config::endpoint::v3::lb_endpoint::HostIdentifier;
+use latchhaven_xds::pb::envoy::config::endpoint::v3::locality_lb_endpoints::LbConfig;
+use latchhaven_xds::pb::envoy::config::endpoint::v3::{ClusterLoadAssignment, LbEndpoint};
+use latchhaven_xds::pb::envoy::config::listener::v3::{Filter, Listener, filter};
+use latchhaven_xds::pb::envoy::config::route::v3::{
+    Route, RouteConfiguration, WeightedCluster as XdsWeightedCluster, route, route_action,
+};
+use latchhaven_xds::pb::envoy::extensions::filters::network::http_connection_manager::v3::{
+    HttpConnectionManager, http_connection_manager::RouteSpecifier,
+};
+use latchhaven_xds::pb::google::protobuf::Any;
+use latchhaven_xds::resources::{REJECT_CLUSTER, ResourceType};
+use prost::{DecodeError, Message};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+
+/// Retries that a cluster allows where its circuit breaker does not say, as real proxies have it.
+const DEFAULT_MAX_RETRIES: u32 = 3;
+/// The weight of an endpoint that has none.
+const DEFAULT_WEIGHT: u32 = 1;
+
+/// An endpoint.
+#[derive(Clone, Debug, PartialEq)]
+pub struct CachedEndpoint {
+    /// Its address.
+    pub addr: SocketAddr,
+    /// Its weight in load balancing.
+    pub weight: u32,
+    /// True where it may be sent requests.
+    pub is_healthy: bool,
+}
+
+/// A cluster of a route.
+#[derive(Clone, Debug, PartialEq)]
+pub struct WeightedCluster {
+    /// The cluster's name.
+    pub name: String,
+    /// Its share of the requests in parts per million.
+    pub weight: u32,
+}
+
+/// A route.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct CachedRoute {
+    /// Its clusters.
+    pub clusters: Vec<WeightedCluster>,
+    /// Retries of one request at most.
+    pub max_retries: u32,
+    /// The conditions under which a request is retried.
+    pub retry_on: String,
+}
+
+/// A resource of any type, with what the type has.
+#[derive(Clone, Debug, Default)]
+pub(super) struct CachedResource {
+    pub(super) version_label: String,
+    /// Names that it references: a cluster its endpoints, a listener its routes, routes their clusters.
+    pub(super) references: BTreeSet<String>,
+    pub(super) endpoints: Vec<CachedEndpoint>,
+    /// Routes by name.
+    pub(super) routes: BTreeMap<String, CachedRoute>,
+    /// Of a cluster: retries in flight at most.
+    pub(super) max_retries: u32,
+}
+
+/// A decoded resource.
+pub(super) struct DecodedResource {
+    pub(super) name: String,
+    pub(super) resource: CachedResource,
+}
+
+/// Decodes a resource; none where it is malformed.
+pub(super) fn decode(resource_type: ResourceType, any: &Any, version_label: &str) -> Option<DecodedResource> {
+    let bytes = any.value.as_slice();
+    let mut resource =
+        CachedResource { version_label: version_label.to_string(), ..CachedResource::default() };
+    let name = match resource_type {
+        ResourceType::Cluster => resource.decode_cluster(bytes),
+        ResourceType::Endpoint => resource.decode_endpoints(bytes).ok(),
+        ResourceType::LbEndpoint => resource.decode_endpoint(bytes).ok(),
+        ResourceType::Listener => resource.decode_listener(bytes).ok(),
+        ResourceType::Route => resource.decode_routes(bytes).ok(),
+    };
+    Some(DecodedResource { name: name?, resource })
+}
+
+/// Each function fills in one type of resource and returns its name.
+impl CachedResource {
+    fn decode_cluster(&mut self, bytes: &[u8]) -> Option<String> {
+        let cluster = Cluster::decode(bytes).ok()?;
+        if cluster.name != REJECT_CLUSTER {
+            self.references.insert(cluster.eds_cluster_config?.service_name);
+        }
+        let thresholds = cluster.circuit_breakers.and_then(|breakers| breakers.thresholds.into_iter().next());
+        let max_retries = thresholds.and_then(|thresholds| thresholds.max_retries);
+        self.max_retries = max_retries.map_or(DEFAULT_MAX_RETRIES, |max_retries| max_retries.value);
+        Some(cluster.name)
+    }
+
+    fn decode_endpoints(&mut self, bytes: &[u8]) -> Result<String, DecodeError> {
+        let assignment = ClusterLoadAssignment::decode(bytes)?;
+        for locality in assignment.endpoints {
+            self.endpoints.extend(locality.lb_endpoints.iter().filter_map(cached_endpoint));
+            if let Some(LbConfig::LedsClusterLocalityConfig(collection)) = locality.lb_config {
+                self.references.insert(collection.leds_collection_name);
+            }
+        }
+        Ok(assignment.cluster_name)
+    }
+
+    /// A single endpoint does not hold its own name.
+    fn decode_endpoint(&mut self, bytes: &[u8]) -> Result<String, DecodeError> {
+        let endpoint = LbEndpoint::decode(bytes)?;
+        self.endpoints.extend(cached_endpoint(&endpoint));
+        Ok(String::new())
+    }
+
+    fn decode_listener(&mut self, bytes: &[u8]) -> Result<String, DecodeError> {
+        let listener = Listener::decode(bytes)?;
+        for filter in listener.filter_chains.into_iter().flat_map(|chain| chain.filters) {
+            self.references.extend(referenced_routes(filter)?);
+        }
+        Ok(listener.name)
+    }
+
+    fn decode_routes(&mut self, bytes: &[u8]) -> Result<String, DecodeError> {
+        let configuration = RouteConfiguration::decode(bytes)?;
+        for route in configuration.virtual_hosts.into_iter().flat_map(|host| host.routes) {
+            self.add_route(route);
+        }
+        Ok(configuration.name)
+    }
+
+    /// Adds a route with weighted clusters; others are ignored.
+    fn add_route(&mut self, route: Route) {
+        let Some(route::Action::Route(action)) = route.action else { return };
+        let Some(route_action::ClusterSpecifier::WeightedClusters(weighted)) = action.cluster_specifier
+        else {
+            return;
+        };
+        let clusters = cached_clusters(weighted);
+        self.references.extend(clusters.iter().map(|cluster| cluster.name.clone()));
+        let retry_policy = action.retry_policy.unwrap_or_default();
+        let max_retries = retry_policy.num_retries.map_or(0, |num_retries| num_retries.value);
+        let cached = CachedRoute { clusters, max_retries, retry_on: retry_policy.retry_on };
+        self.routes.insert(route.name, cached);
+    }
+}
+
+/// The route configuration that a filter of a listener takes from xDS.
+fn referenced_routes(filter: Filter) -> Result<Option<String>, DecodeError> {
+    let Some(filter::ConfigType::TypedConfig(any)) = filter.config_type else { return Ok(None) };
+    let manager = HttpConnectionManager::decode(any.value.as_slice())?;
+    match manager.route_specifier {
+        Some(RouteSpecifier::Rds(routes)) => Ok(Some(routes.route_config_name)),
+        _ => Ok(None),
+    }
+}
+
+fn cached_clusters(weighted: XdsWeightedCluster) -> Vec<WeightedCluster> {
+    let clusters = weighted.clusters.into_iter().map(|cluster| WeightedCluster {
+        name: cluster.name,
+        weight: cluster.weight.map_or(0, |weight| weight.value),
+    });
+    clusters.collect()
+}
+
+fn cached_endpoint(endpoint: &LbEndpoint) -> Option<CachedEndpoint> {
+    let Some(HostIdentifier::Endpoint(identifier)) = &endpoint.host_identifier else { return None };
+    let addr = parse_address(identifier.address.as_ref()?)?;
+    let weight = endpoint.load_balancing_weight.map_or(DEFAULT_WEIGHT, |weight| weight.value);
+    Some(CachedEndpoint { addr, weight, is_healthy: endpoint.health_status == HealthStatus::Healthy as i32 })
+}
--- /dev/null
+++ b/crates/test-support/src/resource_cache/lookup.rs
@@ -0,0 +1,63 @@
+//! Where requests would be routed by what the cache holds.
+
+use super::ResourceCache;
+use super::decode::{CachedEndpoint, CachedRoute};
+use latchhaven_xds::resources::ResourceType;
+
+/// The endpoints of a cluster.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct ClusterEndpoints {
+    /// The endpoints, inline ones and those of collections.
+    pub endpoints: Vec<CachedEndpoint>,
+    /// Attempts that failed in the cluster may be retried there.
+    pub allows_retries: bool,
+}
+
+impl ResourceCache {
+    /// The route of a request class; `has_key`: for requests with a key, if they have a route of their own.
+    pub fn route(&self, class: &str, has_key: bool) -> Option<&CachedRoute> {
+        let routes = &self.resources(ResourceType::Route)?.values().next()?.routes;
+        let route_with_key = routes.get(&format!("{class}/keyed")).filter(|_| has_key);
+        route_with_key.or_else(|| routes.get(class))
+    }
+
+    /// The endpoints of a cluster; none where it is not held.
+    pub fn cluster_endpoints(&self, cluster: &str) -> ClusterEndpoints {
+        let clusters = self.resources(ResourceType::Cluster);
+        let Some(cluster) = clusters.and_then(|clusters| clusters.get(cluster)) else {
+            return ClusterEndpoints::default();
+        };
+        let mut endpoints = Vec::new();
+        for name in &cluster.references {
+            let assignments = self.resources(ResourceType::Endpoint);
+            let Some(assignment) = assignments.and_then(|held| held.get(name)) else { continue };
+            endpoints.extend(assignment.endpoints.iter().cloned());
+            for collection in &assignment.references {
+                self.add_collection(collection.trim_end_matches('*'), &mut endpoints);
+            }
+        }
+        ClusterEndpoints { endpoints, allows_retries: cluster.max_retries > 0 }
+    }
+
+    /// Adds the endpoints whose names have this prefix.
+    fn add_collection(&self, prefix: &str, endpoints: &mut Vec<CachedEndpoint>) {
+        let Some(held) = self.resources(ResourceType::LbEndpoint) else { return };
+        let from_prefix = held.range(prefix.to_string()..);
+        let collection = from_prefix.take_while(|(name, _)| name.starts_with(prefix));
+        endpoints.extend(collection.flat_map(|(_, resource)| resource.endpoints.iter().cloned()));
+    }
+
+    /// How many endpoints are inline in the endpoint resource of this name.
+    pub fn inline_endpoint_count(&self, endpoints_name: &str) -> usize {
+        let assignments = self.resources(ResourceType::Endpoint);
+        assignments.and_then(|held| held.get(endpoints_name)).map_or(0, |held| held.endpoints.len())
+    }
+
+    /// The share of a class's requests, in parts per million, that is routed to a version.
+    pub fn version_share(&self, class: &str, version: u32) -> u32 {
+        let prefix = format!("b{version}/");
+        let Some(route) = self.route(class, false) else { return 0 };
+        let clusters = route.clusters.iter().filter(|cluster| cluster.name.starts_with(&prefix));
+        clusters.map(|cluster| cluster.weight).sum()
+    }
+}
--- /dev/null
+++ b/crates/test-support/src/wait.rs
@@ -0,0 +1,21 @@
+//! Bounded waits.
+
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// Bounds every wait of a test; no test depends on it being short.
+pub const MAX_WAIT: Duration = Duration::from_secs(20);
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+
+/// Waits until a condition holds.
+///
+/// # Panics
+/// The condition does not hold within [`MAX_WAIT`]; `what` describes it.
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let start = Instant::now();
+    while !condition() {
+        assert!(start.elapsed() < MAX_WAIT, "{what}");
+        thread::sleep(POLL_INTERVAL);
+    }
+}
--- /dev/null
+++ b/crates/test-support/tests/fake_http.rs
@@ -0,0 +1,33 @@
+//! The fake HTTP service.
+
+use latchhaven_test_support::fake_http::{FakeHttpService, HttpReply, STREAM_HEAD};
+use latchhaven_test_support::wait::{MAX_WAIT, wait_until};
+use serde_json::json;
+use std::io::{Read, Write};
+use std::net::TcpStream;
+use std::sync::mpsc;
+use std::thread;
+use std::time::Duration;
+
+/// The reply takes a while here, so that the line is sent while the stream begins.
+#[test]
+fn line_sent_while_a_stream_begins_reaches_it() {
+    let (replying, reply_begun) = mpsc::channel();
+    let service = FakeHttpService::start(move |_| {
+        replying.send(()).unwrap();
+        thread::sleep(Duration::from_millis(50));
+        HttpReply::KeepOpen(STREAM_HEAD.to_string())
+    });
+    let mut stream = TcpStream::connect(service.addr).unwrap();
+    stream.write_all(b"GET /x HTTP/1.1\r\nhost: a\r\n\r\n").unwrap();
+    reply_begun.recv().unwrap();
+    service.send_line(&json!({"seq": 7}));
+    stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
+    let mut received = Vec::new();
+    wait_until("the line comes", || {
+        let mut buffer = [0; 512];
+        let count = stream.read(&mut buffer).unwrap();
+        received.extend(&buffer[..count]);
+        String::from_utf8_lossy(&received).contains("\"seq\":7")
+    });
+}
--- a/crates/xds/tests/convergence/proxy.rs
+++ b/crates/xds/tests/convergence/proxy.rs
@@ -4,7 +4,7 @@
 use super::platform::PlatformState;
 use latchhaven_policy::{Millis, RolloutPhase};
 use latchhaven_proxy_config::version::VersionSigner;
-use latchhaven_test_support::cache::{Cache, Wanted};
+use latchhaven_test_support::resource_cache::{CacheRequest, ResourceCache};
 use latchhaven_xds::resources::ResourceType;
 use latchhaven_xds::stream::{Stream, StreamEvent, StreamResponse};
 use std::collections::VecDeque;
@@ -13,23 +13,23 @@
 pub(crate) struct Connection {
     service: usize,
     pub(crate) stream: Stream,
-    requests: VecDeque<Wanted>,
+    requests: VecDeque<CacheRequest>,
     responses: VecDeque<StreamResponse>,
 }
 
 pub(crate) struct Proxy {
-    pub(crate) cache: Cache,
+    pub(crate) cache: ResourceCache,
     pub(crate) connection: Option<Connection>,
 }
 
 impl Proxy {
     pub(crate) fn new(index: usize) -> Self {
-        Proxy { cache: Cache::new(&format!("p{index}"), index.is_multiple_of(2)), connection: None }
+        Proxy { cache: ResourceCache::new(&format!("p{index}"), index.is_multiple_of(2)), connection: None }
     }
 
     pub(crate) fn connect(&mut self, service: usize, signer: &VersionSigner) {
-        let requests = self.cache.open().into();
-        let stream = Stream::new(self.cache.incremental(), None, signer.clone());
+        let requests = self.cache.initial_requests().into();
+        let stream = Stream::new(self.cache.is_incremental(), None, signer.clone());
         self.connection = Some(Connection { service, stream, requests, responses: VecDeque::new() });
     }
 
@@ -62,9 +62,9 @@
     pub(crate) fn deliver_response(&mut self, reject: bool) {
         let Some(connection) = &mut self.connection else { return };
         let Some(response) = connection.responses.pop_front() else { return };
-        connection.requests.extend(self.cache.take(&response.chunks.concat(), reject));
+        connection.requests.extend(self.cache.apply_response(&response.chunks.concat(), reject));
         assert_eq!(self.cache.regressions, 0, "a state went back");
-        assert_eq!(self.cache.dangling, 0, "{:?} dangles in {:?}", self.cache.dangles(), self.cache);
+        assert_eq!(self.cache.dangling, 0, "{:?} dangles in {:?}", self.cache.dangling_reference(), self.cache);
     }
 
     pub(crate) fn exchange(&mut self, services: &mut [ControlService], now: Millis) {
@@ -86,13 +86,13 @@
             snapshot.version,
             platform
         );
-        assert!(self.cache.dangles().is_none());
-        assert!(self.cache.way("look", false).is_some());
-        let route = self.cache.way("pay", false).unwrap();
-        let never_retries_blindly = route.retry_on == "connect-failure,refused-stream" || route.repeats == 0;
+        assert!(self.cache.dangling_reference().is_none());
+        assert!(self.cache.route("look", false).is_some());
+        let route = self.cache.route("pay", false).unwrap();
+        let never_retries_blindly = route.retry_on == "connect-failure,refused-stream" || route.max_retries == 0;
         assert!(never_retries_blindly, "a request that is not idempotent");
         if matches!(platform.rollout.phase, RolloutPhase::RolledBack | RolloutPhase::RollingBack) {
-            assert_eq!(self.cache.part("look", platform.rollout.version.0), 0);
+            assert_eq!(self.cache.version_share("look", platform.rollout.version.0), 0);
         }
     }
 }
