--- a/crates/control-plane/tests/control_plane/canary_shares.rs
+++ b/crates/control-plane/tests/control_plane/canary_shares.rs
@@ -16,7 +16,7 @@
         answers.retain(|answers| *answers > 3);
         assert!(answers.is_empty(), "a rejected configuration is not sent in a loop");
     }
-    assert!(proxies[..2].iter().all(|proxy| proxy.share_of(Version(2)) == held && proxy.cache.refused >= 1));
+    assert!(proxies[..2].iter().all(|proxy| proxy.share_of(Version(2)) == held && proxy.cache.rejected >= 1));
     let sum: f64 = proxies.iter().map(|proxy| proxy.share_of(Version(2))).sum::<f64>() / 4.0;
     assert!(sum <= 0.3, "{sum}");
     assert!(proxies[2].share_of(Version(2)) < 0.15 && proxies[3].share_of(Version(2)) < 0.15);
--- a/crates/control-plane/tests/control_plane/publication.rs
+++ b/crates/control-plane/tests/control_plane/publication.rs
@@ -58,8 +58,8 @@
 fn host_drained_removed_and_back_with_another_version_is_followed() {
     let (mut service, mut proxies) = service_with_canary(2);
     let health = |proxy: &TestProxy, cluster: &str| {
-        let (hosts, _) = proxy.cache.hosts(cluster);
-        hosts.into_iter().find(|host| host.addr == host_address(2)).map(|host| host.healthy)
+        let hosts = proxy.cache.cluster_endpoints(cluster).endpoints;
+        hosts.into_iter().find(|host| host.addr == host_address(2)).map(|host| host.is_healthy)
     };
     assert_eq!(health(&proxies[0], "b1/pay"), Some(true));
     let steps = [
--- a/crates/control-plane/tests/control_plane/restarts.rs
+++ b/crates/control-plane/tests/control_plane/restarts.rs
@@ -95,7 +95,8 @@
     let mut other = TestProxy::new("other", false);
     other.connect(&mut foreign);
     other.exchange(&mut foreign);
-    let basis = |proxy: &TestProxy| proxy.cache.basis(ResourceType::Route).map(|basis| basis.rollout.status);
+    let basis =
+        |proxy: &TestProxy| proxy.cache.newest_version(ResourceType::Route).map(|basis| basis.rollout.status);
     assert_ne!(basis(&other), basis(&proxies[1]), "and moves nobody else");
 }
 
@@ -119,7 +120,7 @@
             proxy.connect(&mut restarted);
             proxy.exchange(&mut restarted);
             assert_eq!(proxy.share_of(Version(2)), 0.0);
-            assert!(proxy.cache.way("pay", false).is_some(), "after {steps} steps");
+            assert!(proxy.cache.route("pay", false).is_some(), "after {steps} steps");
         }
     }
 }
--- a/crates/control-plane/tests/control_plane/streams.rs
+++ b/crates/control-plane/tests/control_plane/streams.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{TestService, service_with_canary};
 use latchhaven_policy::{RolloutPhase, Version};
-use latchhaven_test_support::cache::Cache;
+use latchhaven_test_support::resource_cache::ResourceCache;
 use latchhaven_xds::resources::ResourceType;
 use latchhaven_xds::stream::{Stream, SubscriptionRequest};
 
@@ -97,8 +97,8 @@
         };
         stream.on_request(request).unwrap();
         let bytes = stream.next_response(&snapshot).unwrap().chunks.concat();
-        let mut cache = Cache::new("old", true);
-        cache.take(&bytes, false);
-        assert_eq!(cache.inline("b1"), inline_hosts);
+        let mut cache = ResourceCache::new("old", true);
+        cache.apply_response(&bytes, false);
+        assert_eq!(cache.inline_endpoint_count("b1"), inline_hosts);
     }
 }
--- a/crates/control-plane/tests/control_plane/support/proxy.rs
+++ b/crates/control-plane/tests/control_plane/support/proxy.rs
@@ -2,7 +2,7 @@
 
 use super::service::TestService;
 use latchhaven_policy::Version;
-use latchhaven_test_support::cache::{Cache, Wanted};
+use latchhaven_test_support::resource_cache::{CacheRequest, ResourceCache};
 use latchhaven_xds::resources::ResourceType;
 use latchhaven_xds::stream::Stream;
 
@@ -10,12 +10,12 @@
 pub(crate) struct ProxyStream {
     id: u64,
     pub(crate) stream: Stream,
-    requests: Vec<Wanted>,
+    requests: Vec<CacheRequest>,
 }
 
 /// A proxy with its cache.
 pub(crate) struct TestProxy {
-    pub(crate) cache: Cache,
+    pub(crate) cache: ResourceCache,
     pub(crate) stream: Option<ProxyStream>,
     pub(crate) rejects_routes: bool,
     node: String,
@@ -24,7 +24,7 @@
 impl TestProxy {
     pub(crate) fn new(node: &str, incremental: bool) -> Self {
         TestProxy {
-            cache: Cache::new(node, incremental),
+            cache: ResourceCache::new(node, incremental),
             stream: None,
             rejects_routes: false,
             node: node.to_string(),
@@ -39,8 +39,8 @@
         let id = service.next_stream();
         assert!(service.control_plane.request_stream(id, self.node.clone(), service.now));
         service.advance(20.0);
-        let stream = Stream::new(self.cache.incremental(), None, service.signer.clone());
-        self.stream = Some(ProxyStream { id, stream, requests: self.cache.open() });
+        let stream = Stream::new(self.cache.is_incremental(), None, service.signer.clone());
+        self.stream = Some(ProxyStream { id, stream, requests: self.cache.initial_requests() });
     }
 
     pub(crate) fn disconnect(&mut self, service: &mut TestService) {
@@ -55,7 +55,12 @@
         while self.exchange_once(service) {
             responses += 1;
         }
-        assert_eq!((self.cache.regressions, self.cache.dangling), (0, 0), "{:?}", self.cache.dangles());
+        assert_eq!(
+            (self.cache.regressions, self.cache.dangling),
+            (0, 0),
+            "{:?}",
+            self.cache.dangling_reference()
+        );
         responses
     }
 
@@ -80,13 +85,13 @@
             service.control_plane.on_routes_sent(*id, canary_shares, service.now);
         }
         let is_rejected = self.rejects_routes && response.resource_type == ResourceType::Route;
-        *requests = self.cache.take(&response.chunks.concat(), is_rejected);
+        *requests = self.cache.apply_response(&response.chunks.concat(), is_rejected);
         true
     }
 
     /// The share of the first class that goes to a version, from 0 to 1.
     pub(crate) fn share_of(&self, version: Version) -> f64 {
-        f64::from(self.cache.part("look", version.0)) / 1e6
+        f64::from(self.cache.version_share("look", version.0)) / 1e6
     }
 }
 
