--- a/crates/gateway/src/arrivals.rs
+++ b/crates/gateway/src/arrivals.rs
@@ -1,49 +1,61 @@
-//! When the bytes of a connection came: a txn's time runs from its last byte, also while it waits behind
+//! When the bytes of a connection arrived: a request's time runs from its last byte, also while it waits behind
 //! others.
 
 use latchhaven_policy::Millis;
 use std::collections::VecDeque;
 
-/// Parts that are told apart at most; further ones count as come with the newest of these.
-const PARTS: usize = 64;
+/// Chunks that are told apart at most; further ones count as arrived with the newest of these.
+const MAX_CHUNKS: usize = 64;
 
-/// The bytes that were read and not yet taken, in parts that came together.
+/// Bytes that arrived together.
+#[derive(Clone, Debug)]
+struct Chunk {
+    bytes: usize,
+    arrived_at: Millis,
+}
+
+/// The bytes that were read and not yet consumed, in chunks that arrived together.
 #[derive(Clone, Debug, Default)]
-pub struct Arrivals {
-    parts: VecDeque<(usize, Millis)>,
-    held: usize,
+pub struct ArrivalTimes {
+    chunks: VecDeque<Chunk>,
+    buffered: usize,
 }
 
-impl Arrivals {
-    /// So many bytes are held in all by now; what is new came at this time.
-    pub fn hold(&mut self, held: usize, at: Millis) {
-        let new = held.saturating_sub(self.held);
-        self.held += new;
-        let many = self.parts.len() >= PARTS;
-        match self.parts.back_mut() {
-            _ if new == 0 => {}
-            Some((bytes, came)) if *came == at || many => *bytes += new,
-            _ => self.parts.push_back((new, at)),
+impl ArrivalTimes {
+    /// So many bytes are buffered in all by now; what is new arrived at this time.
+    pub fn record(&mut self, buffered: usize, at: Millis) {
+        let new_bytes = buffered.saturating_sub(self.buffered);
+        if new_bytes == 0 {
+            return;
+        }
+        self.buffered += new_bytes;
+        let is_full = self.chunks.len() >= MAX_CHUNKS;
+        match self.chunks.back_mut() {
+            Some(newest) if newest.arrived_at == at || is_full => newest.bytes += new_bytes,
+            _ => self.chunks.push_back(Chunk { bytes: new_bytes, arrived_at: at }),
         }
     }
 
     /// How many bytes are known of.
-    pub fn held(&self) -> usize {
-        self.held
+    pub fn buffered(&self) -> usize {
+        self.buffered
     }
 
-    /// So many bytes are still held; when the last one of those that were taken came.
-    pub fn take(&mut self, held: usize) -> Option<Millis> {
-        let (mut taken, mut last) = (self.held.saturating_sub(held), None);
-        self.held -= taken;
-        while taken > 0 {
-            let Some((bytes, at)) = self.parts.front_mut() else { break };
-            let part = taken.min(*bytes);
-            (*bytes, taken, last) = (*bytes - part, taken - part, Some(*at));
-            if *bytes == 0 {
-                self.parts.pop_front();
+    /// So many bytes are still buffered; when the last one of those that were consumed arrived.
+    pub fn consume(&mut self, buffered: usize) -> Option<Millis> {
+        let mut consumed = self.buffered.saturating_sub(buffered);
+        let mut last_arrival = None;
+        self.buffered -= consumed;
+        while consumed > 0 {
+            let Some(oldest) = self.chunks.front_mut() else { break };
+            let part = consumed.min(oldest.bytes);
+            oldest.bytes -= part;
+            consumed -= part;
+            last_arrival = Some(oldest.arrived_at);
+            if oldest.bytes == 0 {
+                self.chunks.pop_front();
             }
         }
-        last
+        last_arrival
     }
 }
--- a/crates/gateway/src/gateway/requests.rs
+++ b/crates/gateway/src/gateway/requests.rs
@@ -19,17 +19,17 @@
     ) {
         COUNTERS.txns.increment();
         let now = self.clock.now();
-        let deadline = arrived_at + statement.left;
+        let deadline = arrived_at + statement.timeout;
         events.push(Event::RequestReceived(IncomingRequest {
             id,
-            class: statement.product.clone(),
+            class: statement.class.clone(),
             tenant: statement.tenant.clone(),
             sticky_key: statement.item.clone(),
             time_remaining: deadline - now,
             queued_for: now - arrived_at,
-            expected_work: statement.work,
-            is_retry: statement.repeat,
-            is_write: statement.write,
+            expected_work: statement.expected_work,
+            is_retry: statement.is_retry,
+            is_write: statement.is_write,
         }));
         let request = PendingRequest { statement, deadline, reply: Some(reply), attempts: Vec::new() };
         invariant!(self.requests.insert(id, request), "a request has an id of its own");
--- a/crates/gateway/src/gateway/upstream_calls.rs
+++ b/crates/gateway/src/gateway/upstream_calls.rs
@@ -152,7 +152,7 @@
         let check = self.health_checks.active.remove(&number)?;
         let reported = match &result.value {
             Some([_, row, _]) if self.connections.load_reporting == LoadReporting::InHealthChecks => {
-                pg::text_of(row).map(pg::load)
+                pg::row_text(row).map(pg::parse_load_report)
             }
             _ => None,
         };
--- /dev/null
+++ b/crates/gateway/src/net/clients/accept.rs
@@ -0,0 +1,113 @@
+//! Accepts connections, and closes others for want of room.
+
+use super::Clients;
+use super::closing;
+use super::limits::{
+    ACCEPT_RETRY_INTERVAL, LOG_SAMPLING, MAX_EXCESS_CONNECTIONS, MIN_IDLE_BEFORE_EVICTION,
+    MIN_SILENCE_BEFORE_EVICTION,
+};
+use super::session::{ClientSession, SessionState, SessionTask};
+use crate::counters::COUNTERS;
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::yield_now;
+use tokio::time::sleep;
+
+impl Clients {
+    /// Accepts until dropped.
+    pub async fn accept(self: Rc<Self>, listener: &TcpListener) {
+        loop {
+            if self.open_sessions() >= self.max_sessions + MAX_EXCESS_CONNECTIONS {
+                // Those that were asked to leave do so as soon as others run.
+                if self.evict_one() {
+                    yield_now().await;
+                } else {
+                    sleep(ACCEPT_RETRY_INTERVAL).await;
+                }
+                continue;
+            }
+            match listener.accept().await {
+                Ok((stream, _)) => self.clone().open_session(stream),
+                Err(fault) => {
+                    // Out of descriptors, or a client that was gone again: neither ends nor spins.
+                    if COUNTERS.accept_errors.value().is_multiple_of(LOG_SAMPLING) {
+                        tracing::warn!(%fault, "clients: accept failed");
+                    }
+                    COUNTERS.accept_errors.increment();
+                    self.evict_one();
+                    sleep(ACCEPT_RETRY_INTERVAL).await;
+                }
+            }
+        }
+    }
+
+    /// Takes the connections that the machine has accepted already: a request on one of them counts as taken. The
+    /// machine is asked itself, for the runtime may not have looked at it since.
+    ///
+    /// # Errors
+    /// A connection that the runtime cannot take.
+    pub fn accept_rest(self: &Rc<Self>, listener: TcpListener) -> io::Result<()> {
+        let listener = listener.into_std()?;
+        while let Ok((stream, _)) = listener.accept() {
+            stream.set_nonblocking(true)?;
+            self.clone().open_session(TcpStream::from_std(stream)?);
+        }
+        Ok(())
+    }
+
+    fn open_session(self: Rc<Self>, stream: TcpStream) {
+        COUNTERS.client_connections.increment();
+        let has_room = self.staying_sessions() < self.max_sessions || self.evict_one();
+        let session = Rc::new(ClientSession::new());
+        let id = self.next_session.replace(self.next_session.get() + 1);
+        self.sessions.borrow_mut().insert(id, session.clone());
+        COUNTERS.client_connections_most.record_max(self.open_sessions());
+        COUNTERS.now_client_connections.set(self.open_sessions());
+        let peer = stream.peer_addr().ok().map(tracing::field::display);
+        tokio::task::spawn_local(async move {
+            match SessionTask::new(&self, &session, &stream, has_room).serve().await {
+                Ok(reason) => {
+                    session.state.set(SessionState::Closing);
+                    closing::linger(&stream, &session, reason).await;
+                }
+                Err(fault) => tracing::debug!(peer, %fault, "clients: connection lost"),
+            }
+            self.sessions.borrow_mut().remove(&id);
+            COUNTERS.now_client_connections.set(self.open_sessions());
+        });
+    }
+
+    /// How many sessions are not about to end.
+    fn staying_sessions(&self) -> usize {
+        let sessions = self.sessions.borrow();
+        let is_leaving = |state| matches!(state, SessionState::Leaving | SessionState::Closing);
+        sessions.values().filter(|session| !is_leaving(session.state.get())).count()
+    }
+
+    /// Asks a client to leave: one that is closing already, else the one that has never requested anything for longest,
+    /// else the one that has idled longest; true if there was one.
+    fn evict_one(&self) -> bool {
+        if let Some(session) = self.longest_in(SessionState::Closing, Duration::ZERO) {
+            session.ask_to_leave();
+            return true;
+        }
+        let candidate = self
+            .longest_in(SessionState::New, MIN_SILENCE_BEFORE_EVICTION)
+            .or_else(|| self.longest_in(SessionState::Idle, MIN_IDLE_BEFORE_EVICTION));
+        let Some(session) = candidate else { return false };
+        COUNTERS.clients_let_go.increment();
+        session.ask_to_leave();
+        true
+    }
+
+    /// The session that has been in a state for longest, and for this time at least.
+    fn longest_in(&self, state: SessionState, min_duration: Duration) -> Option<Rc<ClientSession>> {
+        let sessions = self.sessions.borrow();
+        let candidates = sessions
+            .values()
+            .filter(|session| session.state.get() == state && session.since.get().elapsed() >= min_duration);
+        candidates.min_by_key(|session| session.since.get()).cloned()
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/net/clients/requests.rs
@@ -0,0 +1,185 @@
+//! One request, from its query to its answer.
+
+use super::Clients;
+use super::closing::client_disconnected;
+use super::limits::{MAX_READ_AHEAD, SLOW_WRITE};
+use super::read_buffer::{ReadBuffer, record_unread};
+use super::session::{ClientSession, SessionTask};
+use crate::counters::COUNTERS;
+use crate::invariant;
+use crate::net::{Answer, DriverEvent, read_some};
+use crate::proto::pg::{self, Statement, StatementError};
+use bytes::Bytes;
+use latchhaven_policy::{Millis, RequestId};
+use std::io;
+use std::rc::Rc;
+use tokio::select;
+use tokio::sync::oneshot;
+use tokio::time::sleep_until;
+
+/// Why a query is not taken; its client is told so.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(super) enum QueryError {
+    #[error(transparent)]
+    Statement(#[from] StatementError),
+    #[error("comment: c is no product")]
+    UnknownClass,
+    #[error("comment: k is missing")]
+    MissingIdempotencyKey,
+    #[error("comment: id is that of an open txn")]
+    DuplicateId,
+}
+
+impl QueryError {
+    pub(super) fn sqlstate(self) -> &'static str {
+        match self {
+            QueryError::DuplicateId => pg::sqlstate::DUPLICATE_OBJECT,
+            QueryError::Statement(_) | QueryError::UnknownClass | QueryError::MissingIdempotencyKey => {
+                pg::sqlstate::SYNTAX_ERROR
+            }
+        }
+    }
+}
+
+impl Clients {
+    /// Reads a statement; what is wrong with it is answered here, no endpoint has to look at it.
+    pub(super) fn admit(&self, text: Bytes) -> Result<Rc<Statement>, QueryError> {
+        let statement = Statement::parse(text)?;
+        let class = self.classes.iter().find(|class| class.name == statement.class);
+        let class = class.ok_or(QueryError::UnknownClass)?;
+        if class.needs_idempotency_key && !statement.has_idempotency_key {
+            return Err(QueryError::MissingIdempotencyKey);
+        }
+        if self.open_ids.borrow().contains(&statement.id) {
+            return Err(QueryError::DuplicateId);
+        }
+        Ok(Rc::new(statement))
+    }
+
+    /// Waits until the process is about to be killed.
+    async fn abandon_time(&self, session: &ClientSession) {
+        loop {
+            match self.shutdown.abandon_at() {
+                Some(abandon_at) => return sleep_until(abandon_at).await,
+                None => session.wake.notified().await,
+            }
+        }
+    }
+}
+
+/// The id of a request stays among the open ones until this is dropped.
+struct OpenId<'a> {
+    clients: &'a Clients,
+    id: Bytes,
+}
+
+impl<'a> OpenId<'a> {
+    fn new(clients: &'a Clients, id: Bytes) -> Self {
+        clients.open_ids.borrow_mut().insert(id.clone());
+        OpenId { clients, id }
+    }
+}
+
+impl Drop for OpenId<'_> {
+    fn drop(&mut self) {
+        self.clients.open_ids.borrow_mut().remove(&self.id);
+    }
+}
+
+impl SessionTask<'_> {
+    /// Hands a request on and writes its answer; an error: the client has gone away.
+    pub(super) async fn handle_request(
+        &mut self, statement: Rc<Statement>, arrived_at: Millis,
+    ) -> io::Result<()> {
+        if self.clients.shutdown.is_too_late_for(arrived_at) {
+            COUNTERS.txns.increment();
+            COUNTERS.declined.increment();
+            return self.write(&[rejection(None), Bytes::from_static(pg::encode::READY)]).await;
+        }
+        let clients = self.clients;
+        let id = RequestId(clients.next_request.get());
+        clients.next_request.set(id.0.wrapping_add(1));
+        let (reply, answer) = oneshot::channel();
+        let open_id = OpenId::new(clients, statement.id.clone());
+        let received = DriverEvent::RequestReceived { id, statement, arrived_at, reply };
+        let _ = clients.events.send(received).await;
+        let answered = self.answer_request(id, answer).await;
+        drop(open_id);
+        if answered.is_err() {
+            let _ = clients.events.send(DriverEvent::ClientDisconnected { id }).await;
+        }
+        answered
+    }
+
+    async fn answer_request(&mut self, id: RequestId, answer: oneshot::Receiver<Answer>) -> io::Result<()> {
+        let answer = self.wait_for_answer(id, answer).await?;
+        let since = self.clients.clock.now();
+        let written = self.write_answer(answer).await;
+        // A client that takes its answer slowly may have sent on meanwhile.
+        if self.clients.clock.now() - since > SLOW_WRITE {
+            record_unread(&mut self.input.unread_since, self.stream, since);
+        }
+        written
+    }
+
+    /// Waits for the final answer, and reads ahead meanwhile to see the client go away.
+    async fn wait_for_answer(
+        &mut self, id: RequestId, mut answer: oneshot::Receiver<Answer>,
+    ) -> io::Result<Answer> {
+        let clients = self.clients;
+        let stream = self.stream;
+        let mut is_abandoned = false;
+        loop {
+            self.input.record_arrival(stream, clients.clock.now());
+            let can_read = self.input.bytes.len() < MAX_READ_AHEAD;
+            let has_input_behind = !self.input.bytes.is_empty();
+            self.input.is_pipelined |= has_input_behind;
+            let ReadBuffer { bytes, unread_since, .. } = &mut self.input;
+            select! {
+                biased;
+                answer = &mut answer => {
+                    invariant!(answer.is_ok(), "every request gets an answer");
+                    return Ok(answer.unwrap_or(Answer::Failed));
+                }
+                // What is behind this one has to be answered as well.
+                () = clients.abandon_time(self.session), if has_input_behind && !is_abandoned => {
+                    is_abandoned = true;
+                    let _ = clients.events.send(DriverEvent::Abandon { id }).await;
+                }
+                read = read_some(stream, bytes), if can_read => {
+                    if read? == 0 {
+                        return Err(io::ErrorKind::UnexpectedEof.into());
+                    }
+                }
+                // Behind so much that waits unread its end cannot be read.
+                () = client_disconnected(stream, || record_unread(unread_since, stream, clients.clock.now())),
+                    if !can_read =>
+                {
+                    return Err(io::ErrorKind::UnexpectedEof.into());
+                }
+            }
+        }
+    }
+
+    async fn write_answer(&self, answer: Answer) -> io::Result<()> {
+        let ready = Bytes::from_static(pg::encode::READY);
+        match answer {
+            Answer::Success([description, row, completion]) => {
+                self.write(&[description, row, completion, ready]).await
+            }
+            Answer::Rejected { retry_after } => self.write(&[rejection(retry_after), ready]).await,
+            Answer::Failed => {
+                let code = pg::sqlstate::INTERNAL_ERROR;
+                let error = pg::encode::error(false, code, "voided: it may have run", None);
+                self.write(&[error, ready]).await
+            }
+        }
+    }
+}
+
+/// What a client gets that may retry.
+fn rejection(retry_after: Option<Millis>) -> Bytes {
+    let detail = retry_after.map(|after| format!("{}", after.ceil()));
+    let code = pg::sqlstate::TOO_MANY_CONNECTIONS;
+    pg::encode::error(false, code, "declined: trying again is harmless", detail)
+}
--- a/crates/gateway/src/net/upstream/connection.rs
+++ b/crates/gateway/src/net/upstream/connection.rs
@@ -4,7 +4,7 @@
 use super::{CallResult, IDLE_TIMEOUT_FRACTION, MS_PER_SECOND, UpstreamCall};
 use crate::counters::COUNTERS;
 use crate::net::{DriverEvent, is_unusable, read_some, write_all};
-use crate::proto::pg::{self, Backend, Told};
+use crate::proto::pg::{self, Backend, BackendMessage};
 use bytes::{Bytes, BytesMut};
 use latchhaven_policy::{AttemptOutcome, UpstreamConnectionConfig};
 use socket2::SockRef;
@@ -132,14 +132,14 @@
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let stream = connection.stream.get_or_init(|| stream);
-        write_all(stream, &[pg::startup()]).await?;
+        write_all(stream, &[pg::encode::startup()]).await?;
         loop {
             let message = self.backend.next(&mut self.buffer);
             match message.map_err(|error| invalid_data(&error.to_string()))? {
-                Some(Told::Ready) => return Ok(()),
-                Some(Told::Parameter(..)) => {}
-                Some(Told::Failed(code)) => return Err(invalid_data(&code)),
-                Some(Told::Value(_)) => return Err(invalid_data("a row before any query")),
+                Some(BackendMessage::Ready) => return Ok(()),
+                Some(BackendMessage::Parameter { .. }) => {}
+                Some(BackendMessage::Error(code)) => return Err(invalid_data(&code)),
+                Some(BackendMessage::Row(_)) => return Err(invalid_data("a row before any query")),
                 None if read_some(stream, &mut self.buffer).await? == 0 => {
                     return Err(io::ErrorKind::UnexpectedEof.into());
                 }
@@ -209,7 +209,7 @@
     fn accept_idle_messages(&mut self) -> bool {
         loop {
             match self.backend.next(&mut self.buffer) {
-                Ok(Some(Told::Parameter(..))) => {}
+                Ok(Some(BackendMessage::Parameter { .. })) => {}
                 Ok(None) => return self.buffer.is_empty(),
                 _ => return false,
             }
--- a/crates/gateway/src/net/upstream/exchange.rs
+++ b/crates/gateway/src/net/upstream/exchange.rs
@@ -4,7 +4,7 @@
 use super::connection::{ConnectionTask, OutgoingQuery};
 use crate::counters::COUNTERS;
 use crate::net::{is_unusable, read_some, write_all};
-use crate::proto::pg::{self, Told};
+use crate::proto::pg::{self, BackendMessage};
 use bytes::Bytes;
 use latchhaven_policy::{AttemptOutcome, LoadReport, LoadReporting};
 use std::io;
@@ -57,7 +57,7 @@
 }
 
 impl PartialAnswer {
-    fn set_value(&mut self, [description, row, completion]: [Bytes; 3]) {
+    fn set_row(&mut self, [description, row, completion]: [Bytes; 3]) {
         let row = match self.permit.take() {
             Some(permit) => Bytes::from_owner(LargeRow { row, _permit: permit }),
             None => row,
@@ -108,17 +108,17 @@
         loop {
             let is_complete = answer.outcome.is_some();
             match self.backend.next(&mut self.buffer) {
-                Ok(Some(Told::Value(value))) if !is_complete => answer.set_value(value),
-                Ok(Some(Told::Failed(code))) if !is_complete => {
+                Ok(Some(BackendMessage::Row(row))) if !is_complete => answer.set_row(row),
+                Ok(Some(BackendMessage::Error(code))) if !is_complete => {
                     tracing::debug!(instance = self.connection.endpoint, code, "error of a server");
                     answer.outcome = Some(outcome_of_code(&code));
                 }
-                Ok(Some(Told::Parameter(name, text))) => {
+                Ok(Some(BackendMessage::Parameter { name, value })) => {
                     if name == LOAD_PARAMETER && self.config.load_reporting == LoadReporting::InResponses {
-                        answer.load = pg::load(&text);
+                        answer.load = pg::parse_load_report(&value);
                     }
                 }
-                Ok(Some(Told::Ready)) if is_complete => {
+                Ok(Some(BackendMessage::Ready)) if is_complete => {
                     return answer.finish(AttemptOutcome::ConnectionLost, NextStep::Ready);
                 }
                 // The client need not wait for what follows.
@@ -156,8 +156,8 @@
     pub(super) async fn await_ready(&mut self, stream: &TcpStream) -> bool {
         loop {
             match self.backend.next(&mut self.buffer) {
-                Ok(Some(Told::Ready)) => return true,
-                Ok(Some(Told::Parameter(..))) => {}
+                Ok(Some(BackendMessage::Ready)) => return true,
+                Ok(Some(BackendMessage::Parameter { .. })) => {}
                 Ok(None) => {
                     let read = read_some(stream, &mut self.buffer).await;
                     if !matches!(read, Ok(count) if count > 0) {
@@ -172,7 +172,7 @@
 
 /// Some errors promise that the query was not executed.
 fn outcome_of_code(code: &str) -> AttemptOutcome {
-    if [pg::TOO_MANY, pg::STARTING].contains(&code) {
+    if [pg::sqlstate::TOO_MANY_CONNECTIONS, pg::sqlstate::CANNOT_CONNECT_NOW].contains(&code) {
         AttemptOutcome::Rejected
     } else {
         AttemptOutcome::Error
--- a/crates/gateway/src/net/upstream/pool.rs
+++ b/crates/gateway/src/net/upstream/pool.rs
@@ -311,11 +311,11 @@
         invariant!(previous.is_none(), "one call at a time on a connection");
         connection.is_written.set(false);
         let pieces = match &queued.statement {
-            Some(statement) => pg::passed_on(statement, queued.deadline - now).to_vec(),
+            Some(statement) => pg::encode::forwarded_query(statement, queued.deadline - now).to_vec(),
             None if self.config.load_reporting == LoadReporting::InHealthChecks => {
-                vec![pg::query("SHOW load")]
+                vec![pg::encode::query("SHOW load")]
             }
-            None => vec![pg::query("SELECT 1")],
+            None => vec![pg::encode::query("SELECT 1")],
         };
         connection.outgoing.replace(Some(OutgoingQuery { pieces, write_by: queued.write_by }));
         connection.wake.notify_one();
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -5,9 +5,7 @@
 use crate::gateway::{Clock, Gateway, GatewayParts};
 use crate::net::clients::Clients;
 use crate::net::upstream::UpstreamPool;
-use crate::net::{
-    CLIENTS_OF_EIGHT, DriverEvent, KEPT, LAST_ACCEPTS, MAX_PENDING_EVENTS, MAX_PENDING_VOTES, platform,
-};
+use crate::net::{DriverEvent, MAX_PENDING_EVENTS, MAX_PENDING_VOTES, platform};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::io;
@@ -19,6 +17,12 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep};
 
+/// Descriptors kept for everything but clients and endpoints: the list, the feed, votes, the runtime, logs.
+const RESERVED_DESCRIPTORS: usize = 48;
+/// Of the rest, how many of eight go to clients; endpoints get the others.
+const CLIENT_EIGHTHS: usize = 4;
+/// After SIGTERM connections are accepted for so long: the load balancer in front hands them out for 0.4 s at most.
+const SHUTDOWN_ACCEPT_TIME: Duration = Duration::from_millis(550);
 /// Connections that the machine accepts before this program does.
 const BACKLOG: u32 = 1024;
 /// How often the last connections are looked at while stopping.
@@ -67,7 +71,7 @@
 
     let (notes, noted) = mpsc::channel(MAX_PENDING_EVENTS);
     let (votes, cast) = mpsc::channel(MAX_PENDING_VOTES);
-    let to_clients = (sockets - KEPT) * CLIENTS_OF_EIGHT / 8;
+    let to_clients = (sockets - RESERVED_DESCRIPTORS) * CLIENT_EIGHTHS / 8;
     let (connections, products) = (terms.connections(), terms.products());
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let (platform, at) = watch::channel(addresses.platform);
@@ -88,7 +92,8 @@
             }
         }
     });
-    let pool = UpstreamPool::new(sockets - KEPT - to_clients, connections.clone(), notes.clone());
+    let pool =
+        UpstreamPool::new(sockets - RESERVED_DESCRIPTORS - to_clients, connections.clone(), notes.clone());
     let gateway = Gateway::new(GatewayParts {
         policy: terms.asking().start(seed),
         clock,
@@ -106,8 +111,8 @@
     let stopping = async {
         select! { _ = term.recv() => {}, _ = int.recv() => {} }
         tracing::info!("gateway stops: finishing what was taken");
-        clients.stop();
-        sleep(LAST_ACCEPTS).await;
+        clients.shut_down();
+        sleep(SHUTDOWN_ACCEPT_TIME).await;
     };
     let printing = async {
         while asked.recv().await.is_some() {
@@ -132,13 +137,13 @@
     if let Err(fault) = clients.accept_rest(listener) {
         tracing::warn!(%fault, "clients: the last ones could not be accepted");
     }
-    clients.stop();
+    clients.shut_down();
     tracing::info!(
-        connections = clients.open(),
-        busy = clients.busy(),
+        connections = clients.open_sessions(),
+        busy = clients.busy_sessions(),
         "gateway stops: no more are accepted"
     );
-    while clients.open() > 0 && !gateway.is_finished() {
+    while clients.open_sessions() > 0 && !gateway.is_finished() {
         sleep(LOOK).await;
     }
     tracing::info!("counters: {COUNTERS}");
--- a/crates/gateway/tests/parsers.rs
+++ b/crates/gateway/tests/parsers.rs
@@ -4,11 +4,13 @@
 #![allow(clippy::too_many_lines)]
 
 use bytes::{Bytes, BytesMut};
-use latchhaven_gateway::arrivals::Arrivals;
+use latchhaven_gateway::arrivals::ArrivalTimes;
 use latchhaven_gateway::net::{list, platform};
 use latchhaven_gateway::proto::http::{self, Body, Part, Reader};
 use latchhaven_gateway::proto::json::{Piece, Pieces};
-use latchhaven_gateway::proto::pg::{self, Asked, Backend, Broken, Frontend, Told};
+use latchhaven_gateway::proto::pg::{
+    self, Backend, BackendMessage, Frontend, FrontendMessage, ParseError, Statement,
+};
 use latchhaven_policy::LoadReport;
 use rstest::rstest;
 use std::fmt::Debug;
@@ -43,7 +45,7 @@
 }
 
 fn startup() -> Vec<u8> {
-    pg::startup().to_vec()
+    pg::encode::startup().to_vec()
 }
 
 #[test]
@@ -52,25 +54,25 @@
     let stream = [
         &ssl[..],
         &startup(),
-        &pg::query("SELECT 1"),
+        &pg::encode::query("SELECT 1"),
         &message(b'P', b"\0a\0\0\0"),
         &message(b'B', b"\0\0\0\0\0\0\0\0"),
         &message(b'S', b""),
-        &pg::query(""),
+        &pg::encode::query(""),
         &message(b'X', b""),
     ]
     .concat();
     let next = |frontend: &mut Frontend, buf: &mut BytesMut| frontend.next(buf).unwrap();
     let got = at_every_split(&stream, Frontend::default, next, |got| got);
-    let query = |text: &'static str| Asked::Query(Bytes::from_static(text.as_bytes()));
+    let query = |text: &'static str| FrontendMessage::Query(Bytes::from_static(text.as_bytes()));
     let wanted = [
-        Asked::Encryption,
-        Asked::Startup,
+        FrontendMessage::EncryptionRequest,
+        FrontendMessage::Startup,
         query("SELECT 1"),
-        Asked::Extended,
-        Asked::Sync,
+        FrontendMessage::Extended,
+        FrontendMessage::Sync,
         query(""),
-        Asked::Terminate,
+        FrontendMessage::Terminate,
     ];
     assert_eq!(got, wanted);
 }
@@ -83,40 +85,50 @@
     let (load, notice) = (message(b'S', b"load\0inflight=7\0"), message(b'N', b"SNOTICE\0\0"));
     let stream = [
         &message(b'R', &[0; 4])[..],
-        pg::READY,
+        pg::encode::READY,
         &described,
         &notice,
         &row,
         &load,
         &complete,
-        pg::READY,
+        pg::encode::READY,
         &failed,
-        pg::READY,
+        pg::encode::READY,
     ]
     .concat();
     let next = |backend: &mut Backend, buf: &mut BytesMut| backend.next(buf).unwrap();
     let got = at_every_split(&stream, Backend::default, next, |got| got);
     let value = [described, row, complete].map(Bytes::from);
-    let load = Told::Parameter("load".to_string(), "inflight=7".to_string());
-    let failed = Told::Failed("53300".to_string());
-    assert_eq!(got, [Told::Ready, load, Told::Value(value), Told::Ready, failed, Told::Ready]);
+    let load = BackendMessage::Parameter { name: "load".to_string(), value: "inflight=7".to_string() };
+    let failed = BackendMessage::Error("53300".to_string());
+    assert_eq!(
+        got,
+        [
+            BackendMessage::Ready,
+            load,
+            BackendMessage::Row(value),
+            BackendMessage::Ready,
+            failed,
+            BackendMessage::Ready
+        ]
+    );
     let report = LoadReport::from_iter([("inflight".into(), 7.0), ("util".into(), 0.61)]);
-    assert_eq!(pg::load("inflight=7,util=0.61"), report);
+    assert_eq!(pg::parse_load_report("inflight=7,util=0.61"), report);
     for spoilt in
         ["inflight=7,util=x", "util=inf", "inflight=-3", "inflight=1e300", "inflight=7,", "=7", "\u{1}", ""]
     {
-        assert_eq!(pg::load(spoilt), LoadReport::default(), "{spoilt}");
+        assert_eq!(pg::parse_load_report(spoilt), LoadReport::default(), "{spoilt}");
     }
 }
 
 #[rstest]
-#[case::startup_too_long(b"\0\x01\0\0\0\x03\0\0".to_vec(), Broken::Length(65536))]
-#[case::startup_too_short(b"\0\0\0\x07".to_vec(), Broken::Length(7))]
-#[case::old_version(b"\0\0\0\x08\0\x02\0\0".to_vec(), Broken::Version(131_072))]
-#[case::http([&startup()[..], b"GET / HTTP/1.1\r\n"].concat(), Broken::Type(b'G'))]
-#[case::oversized([&startup()[..], b"Q\0\x04\0\0"].concat(), Broken::Length(262_144))]
-#[case::below_itself([&startup()[..], b"Q\0\0\0\x03"].concat(), Broken::Length(3))]
-fn a_client_out_of_step_is_told_so(#[case] bytes: Vec<u8>, #[case] why: Broken) {
+#[case::startup_too_long(b"\0\x01\0\0\0\x03\0\0".to_vec(), ParseError::Length(65536))]
+#[case::startup_too_short(b"\0\0\0\x07".to_vec(), ParseError::Length(7))]
+#[case::old_version(b"\0\0\0\x08\0\x02\0\0".to_vec(), ParseError::Version(131_072))]
+#[case::http([&startup()[..], b"GET / HTTP/1.1\r\n"].concat(), ParseError::Type(b'G'))]
+#[case::oversized([&startup()[..], b"Q\0\x04\0\0"].concat(), ParseError::Length(262_144))]
+#[case::below_itself([&startup()[..], b"Q\0\0\0\x03"].concat(), ParseError::Length(3))]
+fn a_client_out_of_step_is_told_so(#[case] bytes: Vec<u8>, #[case] why: ParseError) {
     let (mut frontend, mut buf) = (Frontend::default(), BytesMut::from(&bytes[..]));
     let broken = loop {
         match frontend.next(&mut buf) {
@@ -149,7 +161,7 @@
 #[case::two_rows(&[DESCRIBED, &message(b'D', b"\0\x01\0\0\0\0").repeat(2)].concat())]
 #[case::a_row_cut_short(&[DESCRIBED, &message(b'D', b"\0\x01\0\0\0\x05ab")].concat())]
 #[case::no_row(&[DESCRIBED, &message(b'C', b"SELECT 0\0")].concat())]
-#[case::ready_too_early(&[DESCRIBED, pg::READY].concat())]
+#[case::ready_too_early(&[DESCRIBED, pg::encode::READY].concat())]
 #[case::endless(b"D\x7f\xff\xff\xff")]
 #[case::unknown(b"\0\0\0\0\0")]
 fn a_server_out_of_step_is_told_so(#[case] bytes: &[u8]) {
@@ -185,10 +197,10 @@
                 &[b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", &bytes[..]].concat()[..],
             );
             while let Ok(Some(_)) = reader.next(&mut buf) {}
-            let _ = pg::statement(Bytes::copy_from_slice(bytes));
+            let _ = Statement::parse(Bytes::copy_from_slice(bytes));
         }
     }
-    let read = |text: &str| pg::statement(Bytes::copy_from_slice(text.as_bytes()));
+    let read = |text: &str| Statement::parse(Bytes::copy_from_slice(text.as_bytes()));
     let whole = "SELECT doc FROM items WHERE id = '7f' /* id=1,c=a,d=9 */";
     for cut in 0..whole.len() {
         assert!(read(&whole[..cut]).is_err(), "{}", &whole[..cut]);
@@ -240,14 +252,14 @@
 )]
 #[case::in_another_order("SELECT doc FROM items WHERE id = '7f3a' /* c=basket,d=480,t=acme,id=1 */", false)]
 fn a_statement_tells_what_its_comment_holds(#[case] text: &'static str, #[case] write: bool) {
-    let read = pg::statement(Bytes::from_static(text.as_bytes())).unwrap();
-    assert_eq!((read.product.as_str(), read.left, read.item.as_deref()), ("basket", 480.0, Some("7f3a")));
-    assert_eq!(&text[read.digits.clone()], "480");
-    assert_eq!((read.write, read.repeat, read.work), (write, write, write.then_some(2.5)));
+    let read = Statement::parse(Bytes::from_static(text.as_bytes())).unwrap();
+    assert_eq!((read.class.as_str(), read.timeout, read.item.as_deref()), ("basket", 480.0, Some("7f3a")));
+    assert_eq!(&text[read.timeout_digits.clone()], "480");
+    assert_eq!((read.is_write, read.is_retry, read.expected_work), (write, write, write.then_some(2.5)));
     assert_eq!(read.tenant.as_deref(), (!write).then_some("acme"));
-    let sent = pg::passed_on(&read, 71.9).concat();
+    let sent = pg::encode::forwarded_query(&read, 71.9).concat();
     let wanted = text.replace("d=480", "d=71");
-    assert_eq!(sent, pg::query(&wanted));
+    assert_eq!(sent, pg::encode::query(&wanted));
 }
 
 /// Pieces of one body are one body, however they were cut.
@@ -393,16 +405,19 @@
 
 #[test]
 fn bytes_are_as_old_as_the_last_of_them_and_few_parts_are_told_apart() {
-    let mut came = Arrivals::default();
-    came.hold(10, 1.0);
-    came.hold(10, 2.0);
-    came.hold(30, 3.0);
+    let mut arrivals = ArrivalTimes::default();
+    arrivals.record(10, 1.0);
+    arrivals.record(10, 2.0);
+    arrivals.record(30, 3.0);
     // Nothing taken; 4 of the first 10; the rest of those and one more; all.
     assert_eq!(
-        [came.take(30), came.take(26), came.take(19), came.take(0)],
+        [arrivals.consume(30), arrivals.consume(26), arrivals.consume(19), arrivals.consume(0)],
         [None, Some(1.0), Some(3.0), Some(3.0)]
     );
-    (1..=1000).for_each(|n| came.hold(n, n as f64));
+    (1..=1000).for_each(|n| arrivals.record(n, n as f64));
     // The newest count as come earlier than they did, never later.
-    assert_eq!((came.take(940), came.take(0), came.held()), (Some(60.0), Some(64.0), 0));
+    assert_eq!(
+        (arrivals.consume(940), arrivals.consume(0), arrivals.buffered()),
+        (Some(60.0), Some(64.0), 0)
+    );
 }
