--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -21,7 +21,7 @@
 const RETRY_AFTER_JITTER: f64 = 0.5;
 /// Attempts of one call at most; its timeout usually ends it before.
 const MAX_ATTEMPTS: u32 = 8;
-/// The shortest time in ms that is told to a gateway as remaining.
+/// The shortest time in ms that is sent to a gateway as remaining.
 const MIN_TIME_REMAINING: Millis = 1.0;
 
 /// What is known of the effect of executing a call more than once.
@@ -132,7 +132,7 @@
         NextStep::Attempt { backoff: 0.0, is_retry: false }
     }
 
-    /// Begins an attempt, if it may be written now; returns the time remaining in ms, to be told to the gateway. To be
+    /// Begins an attempt, if it may be written now; returns the time remaining in ms, to be sent to the gateway. To be
     /// called just before writing: a call that waited for a connection may be late by then, or past the deduplication
     /// window.
     pub fn begin_attempt(&mut self, now: &Timestamp) -> Option<Millis> {
--- a/crates/client/src/pool.rs
+++ b/crates/client/src/pool.rs
@@ -182,7 +182,7 @@
     }
 
     /// A connection broke. An idle one is no failure; where it was in use its gateway is lost, with all connections
-    /// to it. `reconnecting_clients`: how many reconnect, where the gateway told it.
+    /// to it. `reconnecting_clients`: how many reconnect, where the gateway reported it.
     pub fn on_connection_lost(
         &mut self, connection: u64, reconnecting_clients: Option<u64>, now: Millis,
     ) -> Vec<PoolAction> {
--- a/crates/client/src/pool/gateway.rs
+++ b/crates/client/src/pool/gateway.rs
@@ -8,7 +8,7 @@
 const MAX_RECONNECT_DELAY: Millis = 10_000.0;
 /// The largest exponent of the doubling.
 const MAX_DELAY_DOUBLINGS: u32 = 8;
-/// The range in ms for a thousand reconnecting clients, where a gateway tells their number.
+/// The range in ms for a thousand reconnecting clients, where a gateway reports their number.
 const RECONNECT_DELAY_PER_THOUSAND: Millis = 500.0;
 /// Time in ms since the last answer within which a failure counts as the first of a new series.
 const RECENT_ANSWER: Millis = 30_000.0;
--- a/crates/proxy-config/src/freshness.rs
+++ b/crates/proxy-config/src/freshness.rs
@@ -84,7 +84,7 @@
         Some(*state)
     }
 
-    /// The newest version was rejected by the canary analysis of this process; all proxies are told so from now on.
+    /// The newest version was rejected by the canary analysis of this process; published as such from now on.
     pub fn reject_canary(&mut self) {
         if let Some(known) = self.rollout {
             let status = known.status.max(RolloutStatus::Rejected);
--- a/crates/proxy-config/src/version.rs
+++ b/crates/proxy-config/src/version.rs
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Compares by version, status and stage; within a stage by begin. Where begins are too close to be told apart the
-    /// lower cap is the newer one: to take it for newer by mistake exceeds no cap.
+    /// Compares by version, status and stage; within a stage by begin. Where begins are too close to be distinguished
+    /// the lower cap is the newer one: to take it for newer by mistake exceeds no cap.
     pub fn compare(&self, other: &Self) -> Ordering {
         let progress = |rollout: &Self| (rollout.version, rollout.status, rollout.stage);
         let within_stage = if self.since.abs_diff(other.since) > SINCE_TOLERANCE {
