--- /dev/null
+++ b/crates/cli/tests/gateway/configuration.rs
@@ -0,0 +1,162 @@
+//! Configuration: the start, reloads on SIGHUP, the periodic counters and the log.
+
+use latchhaven_test_support::fake_http::{FakeHttpService, HttpReply, STREAM_HEAD, chunk};
+use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
+use latchhaven_test_support::gateway::{Gateway, gateway_config, spawn_gateway};
+use latchhaven_test_support::platform_messages::{endpoint_list, host, rollout_state, start_feed};
+use latchhaven_test_support::postgres::{outcome, query, select};
+use latchhaven_test_support::process::{program, read_log};
+use latchhaven_test_support::wait::wait_until;
+use rstest::rstest;
+use serde_json::{Value, json};
+use std::sync::atomic::Ordering::SeqCst;
+use std::thread;
+use std::time::Duration;
+
+/// Starts a gateway that must exit with 1 and one log line that names the cause.
+fn assert_start_fails(config: &str, named: &str) {
+    let process = spawn_gateway(config);
+    let (mut child, log) = (process.child, process.log);
+    assert_eq!(child.wait().unwrap().code(), Some(1));
+    wait_until("the reason is logged", || !log.lock().unwrap().is_empty());
+    let lines = log.lock().unwrap().clone();
+    assert!(lines.len() == 1 && lines[0].contains(named), "{lines:?}");
+}
+
+#[test]
+fn unread_log_delays_nothing() {
+    let server = FakeServer::start(ServerBehavior::Succeed);
+    let mut gateway = Gateway::start(&[&server]);
+    wait_until("the feed is open", || gateway.platform.count_calls("GET /v1/feed") == 1);
+    gateway.log_paused.store(true, SeqCst);
+    // More than the pipe holds.
+    for _ in 0..300 {
+        gateway.signal("USR1");
+        thread::sleep(Duration::from_millis(1));
+    }
+    let mut client = gateway.client();
+    for n in 0..20 {
+        assert_eq!(outcome(&client.query(&select(&format!("a{n}"), "look", 900))), Ok(format!("a{n}")));
+    }
+    gateway.signal("TERM");
+    assert_eq!(gateway.wait_for_exit(), Some(0));
+    gateway.log_paused.store(false, SeqCst);
+}
+
+#[rstest]
+#[case::class("/settings/classes/0/aim-s", json!("soon"), "classes[0].aim-s")]
+#[case::effect("/settings/classes/1/effect", json!("sometimes"), "classes[1].effect")]
+#[case::unit("/settings/permissions", json!({"dial-timeout-ms": 2}), "dial-timeout-ms: unknown unit")]
+#[case::missing("/settings/domain", json!({}), "domain")]
+#[case::listen("/listen", json!("nowhere"), "listen")]
+#[case::discovery("/discovery", json!(7), "discovery")]
+#[case::no_sockets("/limits/sockets", json!(0), "limits.sockets")]
+#[case::no_memory("/limits/memory_mb", json!(0), "limits.memory_mb")]
+#[case::platform("/pipeline/address", json!("x"), "pipeline.address")]
+#[case::news("/pipeline/news/status", json!("ODD"), "pipeline.news: status")]
+#[case::known("/known/hosts/0/dial", json!("x"), "known: hosts[0].dial")]
+#[case::seed("/seed", json!("xyz"), "seed")]
+fn invalid_key_stops_the_start_with_one_line_that_names_it(
+    #[case] at: &str, #[case] value: Value, #[case] named: &str,
+) {
+    let nobody = "127.0.0.1:9".parse().unwrap();
+    let mut faulty = gateway_config(&[host("s0", nobody, "up", 1)], nobody, nobody);
+    *faulty.pointer_mut(at).unwrap() = value;
+    assert_start_fails(&faulty.to_string(), named);
+}
+
+#[test]
+fn missing_variable_or_file_stops_the_start_with_one_line() {
+    for (path, said) in
+        [(None, "BALANCER_CONFIG: not set"), (Some("/nowhere/at/all"), "BALANCER_CONFIG: /nowhere/at/all")]
+    {
+        let mut command = std::process::Command::new(program());
+        let out = command.env_clear().envs(path.map(|path| ("BALANCER_CONFIG", path))).output().unwrap();
+        let lines = String::from_utf8(out.stderr).unwrap();
+        assert_eq!((out.status.code(), lines.lines().count()), (Some(1), 1));
+        assert!(lines.contains(said), "{lines}");
+    }
+}
+
+#[test]
+fn counters_are_logged_periodically_where_requested() {
+    let nobody = "127.0.0.1:9".parse().unwrap();
+    let path = std::env::temp_dir().join(format!("latchhaven-counted-{}.json", std::process::id()));
+    std::fs::write(&path, gateway_config(&[], nobody, nobody).to_string()).unwrap();
+    let start = |every: &str| {
+        let mut command = std::process::Command::new(program());
+        command.args(["--counters-every", every]).env_clear().env("BALANCER_CONFIG", &path);
+        command.stderr(std::process::Stdio::piped()).spawn().unwrap()
+    };
+    let mut counted = start("1");
+    let log = read_log(&mut counted).log;
+    let lines = || log.lock().unwrap().iter().filter(|line| line.contains("counters: txns=0")).count();
+    wait_until("they are logged again and again", || lines() >= 2);
+    counted.kill().unwrap();
+    assert_eq!(start("0").wait().unwrap().code(), Some(2));
+}
+
+#[test]
+fn invalid_json_stops_the_start_and_unknown_keys_do_not() {
+    assert_start_fails("{\"name\": ", "BALANCER_CONFIG");
+    let server = FakeServer::start(ServerBehavior::Succeed);
+    let gateway = Gateway::start_with(&[&server], |config| {
+        config["colour"] = json!("green");
+        config["settings"]["domain"]["mood"] = json!([1]);
+    });
+    assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 900))), Ok("a1".to_string()));
+}
+
+#[test]
+fn reload_moves_only_discovery_feed_and_votes() {
+    let (earlier, trial) =
+        (FakeServer::start(ServerBehavior::SucceedAfter(300)), FakeServer::start(ServerBehavior::Succeed));
+    let gateway = Gateway::start_watching(&[&earlier], |_| ());
+    wait_until("the feed is open", || gateway.platform.count_calls("GET /v1/feed") == 1);
+    let mut client = gateway.client();
+    client.send(&query(&select("a1", "look", 1900)));
+    wait_until("the query has arrived", || earlier.queries().len() == 1);
+    let new_list = FakeHttpService::start(|_| HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", chunk("\n"))));
+    let new = start_feed(&rollout_state(1, 0, "COMPLETE", 1.0), |_| HttpReply::Nothing);
+    let mut config = gateway.config.clone();
+    config["discovery"] = json!(new_list.addr.to_string());
+    config["pipeline"]["address"] = json!(new.addr.to_string());
+    gateway.reconfigure(&config.to_string());
+    wait_until("both new addresses are called", || {
+        new_list.count_calls("watch=1&after=5 ") == 1 && new.count_calls("GET /v1/feed") == 1
+    });
+    assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
+    // The earlier streams are closed once the new ones deliver, and are not opened again; more signals change
+    // nothing.
+    wait_until("the earlier watch is closed", || gateway.discovery.all_streams_closed());
+    wait_until("the earlier feed is closed", || gateway.platform.all_streams_closed());
+    (0..3).for_each(|_| gateway.signal("HUP"));
+    wait_until("the file is read again", || gateway.count_logged("configuration read anew") >= 2);
+    new_list.send_line(&endpoint_list(9, false, &[host("s1", trial.addr, "up", 2)]));
+    new.send_line(&json!({"type": "ROLLOUT", "object": rollout_state(2, 0, "IN_PROGRESS", 0.5)}));
+    wait_until("votes go to the new address", || new.count_calls("POST /v1/ballots") > 0);
+    assert_eq!((new_list.count_calls("watch"), new.count_calls("GET /v1/feed")), (1, 1));
+    assert_eq!((gateway.discovery.count_calls("watch"), gateway.platform.count_calls("")), (1, 1));
+    assert_eq!((earlier.seen.lock().unwrap().connections, gateway.counter("feed_lost")), (1, 0));
+}
+
+#[rstest]
+#[case::half_written("{\"name\": \"n0\", \"lis", "BALANCER_CONFIG")]
+#[case::wrong("{\"discovery\": \"nowhere\", \"name\": \"n0\", \"listen\": \"127.0.0.1:0\"}", "discovery")]
+fn invalid_reload_changes_nothing_and_logs_the_reason(#[case] text: &str, #[case] named: &str) {
+    let server = FakeServer::start(ServerBehavior::Succeed);
+    let mut gateway = Gateway::start_watching(&[&server], |_| ());
+    gateway.reconfigure(text);
+    wait_until("the reason is logged", || gateway.logged("configuration unfit") && gateway.logged(named));
+    assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 900))), Ok("a1".to_string()));
+    assert_eq!((gateway.discovery.count_calls("watch"), gateway.platform.count_calls("feed")), (1, 1));
+    // During shutdown, another signal changes nothing either.
+    server.set_behavior(ServerBehavior::SucceedAfter(400));
+    let mut busy = gateway.client();
+    busy.send(&query(&select("a2", "look", 1900)));
+    wait_until("the query has arrived", || server.queries().len() == 2);
+    gateway.signal("TERM");
+    gateway.signal("HUP");
+    assert_eq!(outcome(&busy.read_response()), Ok("a2".to_string()));
+    assert_eq!(gateway.wait_for_exit(), Some(0));
+}
--- /dev/null
+++ b/crates/cli/tests/gateway/discovery.rs
@@ -0,0 +1,259 @@
+//! Service discovery: watches, retries, list versions and address changes.
+
+use crate::support::assert_others_are_served;
+use latchhaven_test_support::fake_http::{FakeHttpService, HttpReply, STREAM_HEAD, chunk, response};
+use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
+use latchhaven_test_support::gateway::{Gateway, use_long_timeouts};
+use latchhaven_test_support::platform_messages::{endpoint_list, host};
+use latchhaven_test_support::postgres::{Client, outcome, query, select};
+use latchhaven_test_support::wait::wait_until;
+use rstest::rstest;
+use serde_json::{Value, json};
+use std::sync::{Arc, Mutex, mpsc};
+use std::thread;
+use std::time::Duration;
+
+/// An endpoint list with a health that no endpoint can have.
+const UNKNOWN_HEALTH: &str =
+    "{\"seq\":7,\"whole\":true,\"hosts\":[{\"host\":\"a\",\"dial\":\"1.2.3.4:5\",\"health\":\"odd\"}]}\n";
+
+/// A discovery service that replies to a call only when it is released.
+fn delayed_discovery(answer: String) -> (FakeHttpService, mpsc::Sender<()>) {
+    let (release, released) = mpsc::channel();
+    let released = Mutex::new(released);
+    let list = FakeHttpService::start(move |_| {
+        let _ = released.lock().unwrap().recv();
+        HttpReply::KeepOpen(answer.clone())
+    });
+    (list, release)
+}
+
+/// One line of a watch, as a chunk.
+fn line_chunk(value: &Value) -> String {
+    chunk(&format!("{value}\n"))
+}
+
+/// Reloads the configuration with discovery at another address.
+fn move_discovery(gateway: &Gateway, to: &FakeHttpService) {
+    let mut config = gateway.config.clone();
+    config["discovery"] = json!(to.addr.to_string());
+    gateway.reconfigure(&config.to_string());
+}
+
+#[test]
+fn watch_starts_at_the_held_version_and_changes_apply_at_once() {
+    let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
+    let gateway = Gateway::start_watching(&[&old], |_| ());
+    let changes = [host("s0", old.addr, "draining", 1), host("s1", new.addr, "up", 1)];
+    let line = endpoint_list(6, false, &changes).to_string() + "\n";
+    // Split anywhere, also within a chunk.
+    let (one, two) = line.split_at(line.len() / 2);
+    gateway.discovery.write(&chunk(one));
+    gateway.discovery.write(&chunk(two));
+    wait_until("the list is applied", || gateway.counter("list_changes") == 2);
+    let mut client = gateway.client();
+    for n in 0..4 {
+        assert_eq!(outcome(&client.query(&select(&format!("a{n}"), "look", 1900))), Ok(format!("a{n}")));
+    }
+    assert_eq!((old.queries().len(), new.queries().len()), (0, 4));
+}
+
+#[test]
+fn endpoint_with_a_new_address_is_reached_there() {
+    let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
+    let gateway = Gateway::start(&[&old]);
+    let mut client = gateway.client();
+    client.query(&select("a1", "look", 900));
+    wait_until("the list is watched", || gateway.discovery.count_calls("watch") == 1);
+    gateway.discovery.send_line(&endpoint_list(9, true, &[host("s0", new.addr, "up", 1)]));
+    wait_until("the old connection is dropped", || old.seen.lock().unwrap().ended == [0]);
+    assert_eq!(outcome(&client.query(&select("a2", "look", 1900))), Ok("a2".to_string()));
+    assert_eq!((old.queries().len(), new.queries().len()), (1, 1));
+}
+
+#[rstest]
+#[case::unavailable(HttpReply::Close(response(503, "")))]
+#[case::broken_json(HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", chunk("{\"seq\":7,\n"))))]
+#[case::unknown_health(HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", chunk(UNKNOWN_HEALTH))))]
+#[case::no_http(HttpReply::KeepOpen("220 ready\r\n\r\n".to_string()))]
+#[case::cut_off(HttpReply::Close(format!("{STREAM_HEAD}5\r\nab")))]
+#[case::silent(HttpReply::Nothing)]
+fn failed_watch_is_retried_while_requests_are_served(#[case] reply: HttpReply) {
+    let server = FakeServer::start(ServerBehavior::Succeed);
+    let gateway = Gateway::start_watching(&[&server], |_| ());
+    gateway.discovery.set_reply(move |_| reply.clone());
+    gateway.discovery.close_streams();
+    wait_until("it is retried repeatedly", || {
+        gateway.discovery.count_calls("watch") >= 3 && gateway.counter("list_failures") >= 2
+    });
+    assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 900))), Ok("a1".to_string()));
+}
+
+#[test]
+fn silent_watch_is_closed_and_retried() {
+    let server = FakeServer::start(ServerBehavior::Succeed);
+    let gateway = Gateway::start(&[&server]);
+    wait_until("silence is noticed", || {
+        gateway.logged("no sign of life") && gateway.discovery.count_calls("watch") >= 2
+    });
+}
+
+#[test]
+fn pending_updates_apply_before_requests_after_a_pause() {
+    let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
+    let gateway = Gateway::start_watching(&[&old], |_| ());
+    let mut clients: Vec<Client> = (0..80).map(|_| gateway.client()).collect();
+    gateway.signal("STOP");
+    clients
+        .iter_mut()
+        .enumerate()
+        .for_each(|(n, client)| client.send(&query(&select(&format!("a{n}"), "look", 1900))));
+    let changes = [host("s0", old.addr, "draining", 1), host("s1", new.addr, "up", 1)];
+    gateway.discovery.send_line(&endpoint_list(6, false, &changes));
+    thread::sleep(Duration::from_millis(200));
+    gateway.signal("CONT");
+    clients.iter_mut().for_each(|client| assert_eq!(client.read_response().last().unwrap().kind, b'Z'));
+    assert!(old.queries().is_empty() && !new.queries().is_empty());
+}
+
+#[test]
+fn pending_watch_retry_moves_to_a_new_address_at_once() {
+    let server = FakeServer::start(ServerBehavior::Succeed);
+    let gateway = Gateway::start_watching(&[&server], |_| ());
+    gateway.discovery.set_reply(|_| HttpReply::Nothing);
+    gateway.discovery.close_streams();
+    wait_until("it is retried", || gateway.discovery.count_calls("watch") == 2);
+    let new = FakeHttpService::start(|_| HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", chunk("\n"))));
+    let mut config = gateway.config.clone();
+    config["discovery"] = json!(new.addr.to_string());
+    gateway.reconfigure(&config.to_string());
+    wait_until("the new address is called", || new.count_calls("watch") == 1);
+    // The end of the earlier call is no failure of the new one.
+    let failures = gateway.counter("list_failures");
+    gateway.discovery.close_streams();
+    thread::sleep(Duration::from_millis(300));
+    assert_eq!((gateway.counter("list_failures"), new.count_calls("watch")), (failures, 1));
+}
+
+#[test]
+fn incomplete_line_does_not_keep_a_watch_alive() {
+    let server = FakeServer::start(ServerBehavior::Succeed);
+    let gateway = Gateway::start_watching(&[&server], |_| ());
+    wait_until("the feed is open", || gateway.platform.count_calls("GET /v1/feed") == 1);
+    wait_until("both are opened again", || {
+        gateway.platform.write(&chunk("x"));
+        gateway.discovery.write(&chunk("x"));
+        thread::sleep(Duration::from_millis(100));
+        gateway.platform.count_calls("GET /v1/feed") >= 2 && gateway.discovery.count_calls("watch") >= 2
+    });
+}
+
+#[test]
+fn older_endpoint_list_does_not_replace_a_newer_one() {
+    let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
+    let gateway = Gateway::start_watching(&[&old], |_| ());
+    let earlier = endpoint_list(6, true, &[host("s0", old.addr, "up", 1)]);
+    let (late, release) = delayed_discovery(format!("{STREAM_HEAD}{}", line_chunk(&earlier)));
+    move_discovery(&gateway, &late);
+    wait_until("the new address is called", || late.received_calls() == 1);
+    gateway.discovery.send_line(&endpoint_list(7, true, &[host("s1", new.addr, "up", 1)]));
+    wait_until("the newer list is applied", || gateway.counter("list_changes") == 2);
+    release.send(()).unwrap();
+    wait_until("the older list is rejected", || gateway.logged("not newer than the one held"));
+    for n in 0..4 {
+        assert_eq!(
+            outcome(&gateway.client().query(&select(&format!("a{n}"), "look", 1900))),
+            Ok(format!("a{n}"))
+        );
+    }
+    assert_eq!((old.queries().len(), new.queries().len()), (0, 4));
+    // The list is requested again, from the version held.
+    drop(release);
+    wait_until("it is requested again", || late.count_calls("after=7 ") > 0);
+}
+
+#[test]
+fn endpoint_list_with_restarted_versions_is_accepted() {
+    let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
+    let gateway = Gateway::start_watching(&[&old], |_| ());
+    let restarted = endpoint_list(2, true, &[host("s1", new.addr, "up", 1)]);
+    gateway
+        .discovery
+        .set_reply(move |_| HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", line_chunk(&restarted))));
+    gateway.discovery.close_streams();
+    wait_until("the list is applied", || gateway.counter("list_changes") == 2);
+    assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 1900))), Ok("a1".to_string()));
+    assert_eq!((old.queries().len(), new.queries().len()), (0, 1));
+    // Versions of changes continue from there.
+    gateway.discovery.send_line(&endpoint_list(
+        3,
+        false,
+        &[host("s1", new.addr, "draining", 1), host("s0", old.addr, "up", 1)],
+    ));
+    wait_until("the change is applied", || gateway.counter("list_changes") == 3);
+    assert_eq!(outcome(&gateway.client().query(&select("a2", "look", 1900))), Ok("a2".to_string()));
+    assert_eq!((old.queries().len(), new.queries().len()), (1, 1));
+}
+
+#[test]
+fn changes_to_an_unknown_endpoint_list_are_ignored() {
+    let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
+    let gateway = Gateway::start_watching(&[&old], |_| ());
+    let full = endpoint_list(2, true, &[host("s1", new.addr, "up", 1)]);
+    gateway.discovery.set_reply(move |call| match call.contains("after=0 ") {
+        true => HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", line_chunk(&full))),
+        false => HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", line_chunk(&endpoint_list(1, false, &[])))),
+    });
+    gateway.discovery.close_streams();
+    wait_until("the full list is applied", || gateway.counter("list_changes") == 2);
+    assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 1900))), Ok("a1".to_string()));
+    assert_eq!((old.queries().len(), new.queries().len()), (0, 1));
+}
+
+#[test]
+fn watch_stays_open_until_a_new_one_delivers_a_list() {
+    let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
+    let gateway = Gateway::start_watching(&[&old], |_| ());
+    wait_until("the first list is applied", || gateway.counter("list_changes") == 1);
+    let mute: Vec<FakeHttpService> = (0..2).map(|_| FakeHttpService::start(|_| HttpReply::Nothing)).collect();
+    for service in &mute {
+        move_discovery(&gateway, service);
+        wait_until("the new address is called", || service.count_calls("watch") == 1);
+    }
+    gateway.discovery.send_line(&endpoint_list(6, true, &[host("s1", new.addr, "up", 1)]));
+    wait_until("the change is applied", || gateway.counter("list_changes") == 2);
+    assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 1900))), Ok("a1".to_string()));
+    assert_eq!((old.queries().len(), new.queries().len()), (0, 1));
+}
+
+#[test]
+fn multi_line_list_is_read_and_a_truncated_one_closes_the_watch() {
+    let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
+    let gateway = Gateway::start_watching(&[&old], |_| ());
+    let change = endpoint_list(6, true, &[host("s1", new.addr, "up", 1)]);
+    let text = format!("\n{}\n", serde_json::to_string_pretty(&change).unwrap());
+    text.lines().for_each(|line| gateway.discovery.write(&chunk(&format!("{line}\r\n"))));
+    wait_until("the list is applied", || gateway.counter("list_changes") == 2);
+    assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 1900))), Ok("a1".to_string()));
+    assert_eq!((old.queries().len(), new.queries().len()), (0, 1));
+    gateway.discovery.write(&chunk(&format!("{}\n{change}\n", &change.to_string()[..40])));
+    wait_until("it is asked for restarted", || gateway.discovery.count_calls("after=6 ") == 1);
+}
+
+#[test]
+fn flooding_watch_delays_no_client() {
+    let server = FakeServer::start(ServerBehavior::Succeed);
+    let gateway = Gateway::start_watching(&[&server], use_long_timeouts);
+    let (list, stop) = (gateway.discovery.clone(), Arc::new(Mutex::new(false)));
+    let stopped = stop.clone();
+    let many = chunk(&" \r\n".repeat(20_000));
+    let flood = thread::spawn(move || {
+        while !*stopped.lock().unwrap() {
+            list.write(&many)
+        }
+    });
+    assert_others_are_served(&gateway);
+    *stop.lock().unwrap() = true;
+    flood.join().unwrap();
+    assert_eq!(gateway.counter("list_failures"), 0);
+}
--- /dev/null
+++ b/crates/cli/tests/gateway/platform.rs
@@ -0,0 +1,99 @@
+//! The rollout platform: its feed, and the votes cast there.
+
+use latchhaven_test_support::fake_http::{HttpReply, chunk, response};
+use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
+use latchhaven_test_support::gateway::Gateway;
+use latchhaven_test_support::platform_messages::{rollout_state, start_feed};
+use latchhaven_test_support::postgres::select;
+use latchhaven_test_support::wait::wait_until;
+use rstest::rstest;
+use serde_json::{Value, json};
+use std::net::TcpListener;
+
+#[test]
+fn vote_without_a_connection_is_not_counted() {
+    let (earlier, trial) =
+        (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
+    let gateway = Gateway::start_with(&[&earlier, &trial], |config| {
+        let closed = TcpListener::bind("127.0.0.1:0").unwrap();
+        config["known"]["hosts"][1]["release"] = json!(2);
+        config["pipeline"]["news"] = rollout_state(2, 0, "IN_PROGRESS", 0.5);
+        config["pipeline"]["address"] = json!(closed.local_addr().unwrap().to_string());
+    });
+    wait_until("its outcome is counted", || gateway.counter("votes_not_counted") >= 1);
+    assert_eq!((gateway.counter("votes_counted"), gateway.counter("votes_unsure")), (0, 0));
+}
+
+#[test]
+fn feed_is_reopened_after_a_malformed_line_or_a_disconnect() {
+    let server = FakeServer::start(ServerBehavior::Succeed);
+    let gateway = Gateway::start(&[&server]);
+    wait_until("the feed is open", || gateway.platform.count_calls("GET /v1/feed") == 1);
+    let sample = json!({"version": 1, "kind": "look", "requests": 57, "failures": 2, "avgMs": 18.5});
+    let sample = json!({"type": "SAMPLE", "object": sample});
+    gateway.platform.write(&chunk(&format!("{{}}\n{sample}\n{{nonsense\n{sample}\n")));
+    wait_until("it is open again", || gateway.platform.count_calls("GET /v1/feed") == 2);
+    // Lines after the malformed one are not applied.
+    assert_eq!(gateway.counter("tallies_told"), 1);
+    gateway.platform.close_streams();
+    wait_until("it is open again", || gateway.platform.count_calls("GET /v1/feed") == 3);
+}
+
+#[rstest]
+#[case::counts(HttpReply::KeepOpen(response(200, &rollout_state(2, 1, "IN_PROGRESS", 1.0).to_string())), "votes_counted")]
+#[case::busy(HttpReply::KeepOpen(response(429, r#"{"error":"BUSY"}"#)), "votes_not_counted")]
+#[case::stale(HttpReply::KeepOpen(response(409, r#"{"error":"STALE"}"#)), "votes_not_counted")]
+#[case::failed(HttpReply::KeepOpen(response(500, r#"{"error":"FAILED"}"#)), "votes_not_counted")]
+#[case::syntax(HttpReply::KeepOpen(response(400, r#"{"error":"SYNTAX"}"#)), "votes_not_counted")]
+#[case::cut_off(HttpReply::Close("HTTP/1.1 200 OK\r\nContent-Le".to_string()), "votes_unsure")]
+#[case::unreadable(HttpReply::KeepOpen(response(200, "{}")), "votes_unsure")]
+#[case::noise_behind(HttpReply::KeepOpen(response(200, &(rollout_state(2, 1, "IN_PROGRESS", 1.0).to_string() + "x"))), "votes_unsure")]
+#[case::words_cut_off(HttpReply::KeepOpen(response(429, "{\"error\":\"BU")), "votes_unsure")]
+#[case::other_words(HttpReply::KeepOpen(response(409, "{\"error\":\"BUSY\"}")), "votes_unsure")]
+#[case::silent(HttpReply::Nothing, "votes_unsure")]
+fn vote_reply_decides_the_vote_outcome(#[case] reply: HttpReply, #[case] counter: &str) {
+    let (earlier, trial) =
+        (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
+    let platform = start_feed(&rollout_state(2, 0, "IN_PROGRESS", 0.5), move |_| reply.clone());
+    let gateway = Gateway::start_with_platform(&[&earlier, &trial], platform, |config| {
+        config["known"]["hosts"][1]["release"] = json!(2);
+        config["pipeline"]["news"] = rollout_state(2, 0, "IN_PROGRESS", 0.5);
+    });
+    wait_until("a vote is cast", || gateway.platform.count_calls("POST /v1/ballots") > 0);
+    wait_until("its outcome is counted", || gateway.counter(counter) >= 1);
+    let calls = gateway.platform.calls.lock().unwrap().clone();
+    let body = &calls.iter().find(|call| call.request_line.contains("ballots")).unwrap().body;
+    let vote: Value = serde_json::from_str(body).unwrap();
+    assert_eq!(vote, json!({"version": 2, "step": 0, "vote": "approve"}));
+    let others =
+        ["votes_counted", "votes_not_counted", "votes_unsure"].into_iter().filter(|other| *other != counter);
+    let others: Vec<(&str, u64)> = others.map(|other| (other, gateway.counter(other))).collect();
+    assert!(others.iter().all(|(_, figure)| *figure == 0), "{others:?}");
+}
+
+#[test]
+fn later_rollout_state_wins_over_a_delayed_vote_reply() {
+    let (earlier, trial) =
+        (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
+    // The feed reports stage 1; the reply to a vote arrives after it but is older.
+    let mut old = rollout_state(2, 0, "IN_PROGRESS", 0.5);
+    old["observedAgoMs"] = json!(60_000);
+    let platform = start_feed(&rollout_state(2, 1, "IN_PROGRESS", 1.0), move |_| {
+        HttpReply::KeepOpen(response(200, &old.to_string()))
+    });
+    let gateway = Gateway::start_with_platform(&[&earlier, &trial], platform, |config| {
+        config["known"]["hosts"][1]["release"] = json!(2);
+        config["pipeline"]["news"] = rollout_state(2, 1, "IN_PROGRESS", 1.0);
+        config["settings"]["domain"]["vote-ttl-s"] = json!(1.0);
+    });
+    let mut client = gateway.client();
+    let mut number = 0;
+    wait_until("two votes are counted", || {
+        number += 1;
+        client.query(&select(&format!("a{number}"), "look", 900));
+        gateway.counter("votes_counted") >= 2
+    });
+    let calls = gateway.platform.calls.lock().unwrap().clone();
+    let votes = calls.iter().filter(|call| call.request_line.contains("ballots"));
+    assert!(votes.map(|call| &call.body).all(|body| body.contains("\"step\":1")), "{calls:?}");
+}
