--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,8 +1,5 @@
 //! The program `latchhaven`: its command line, its log, and how it ends.
 
-// Until its turn: docs/ROADMAP.md.
-#![allow(unreachable_pub)]
-
 mod check;
 mod demo;
 
@@ -92,7 +89,7 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let log_guard = start_log(cli.log_format, cli.log_level);
+    let worker_guard = start_log(cli.log_format, cli.log_level);
     let counters_interval = cli.counters_every.map(|seconds| Duration::from_secs(seconds.into()));
     let result = match cli.command {
         None | Some(Command::Serve) => run_gateway(counters_interval),
@@ -100,7 +97,7 @@
         Some(Command::Check { files, schema }) => Ok(check::check(&files, schema)),
         Some(Command::Demo { seed }) => demo::demo(seed),
     };
-    flush_log(log_guard);
+    flush_log(worker_guard);
     match result {
         Ok(code) => code,
         Err(error) => {
@@ -132,10 +129,10 @@
 }
 
 /// Has the last log lines written. Behind a full pipe the guard would wait, and complain where nobody reads either.
-fn flush_log(guard: WorkerGuard) {
+fn flush_log(worker_guard: WorkerGuard) {
     let (flushed, wait) = mpsc::channel();
     thread::spawn(move || {
-        drop(guard);
+        drop(worker_guard);
         let _ = flushed.send(());
     });
     let _ = wait.recv_timeout(LOG_FLUSH_TIMEOUT);
