--- a/crates/experiments/src/day.rs
+++ b/crates/experiments/src/day.rs
@@ -2,7 +2,7 @@
 //! each txn themselves, and evenly over all hosts. Nothing here is a socket; the decisions, handouts, streams
 //! and caches are the project's own. The same seed gives the same day.
 
-use crate::agenda::Agenda;
+use crate::event_queue::EventQueue;
 use clap::Args;
 use latchhaven_control_plane::control_plane::ControlPlane;
 use latchhaven_policy::Policy;
@@ -171,7 +171,7 @@
     mode: Mode,
     rng: Pcg64Mcg,
     now: Millis,
-    agenda: Agenda<What>,
+    events_queue: EventQueue<What>,
     hosts: Vec<Host>,
     rollout: Rollout,
     txns: BTreeMap<RequestId, Txn>,
@@ -236,7 +236,7 @@
             mode,
             rng,
             now: 0.0,
-            agenda: Agenda::new(),
+            events_queue: EventQueue::new(),
             rate: sizes.load * sizes.hosts as f64 * WORKERS as f64 / WORK,
             hosts,
             rollout,
@@ -304,7 +304,7 @@
     }
 
     fn push(&mut self, at: Millis, what: What) {
-        self.agenda.push(at, what);
+        self.events_queue.push(at, what);
     }
 
     fn tell_list(&mut self) {
@@ -767,7 +767,7 @@
     }
 
     fn play(mut self, until: Millis) -> (Count, Vec<(Version, &'static str, bool)>) {
-        while let Some((at, what)) = self.agenda.pop(until) {
+        while let Some((at, what)) = self.events_queue.pop(until) {
             self.now = at;
             match what {
                 What::Txn => self.txn(),
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -4,9 +4,9 @@
 // Until its turn: docs/ROADMAP.md.
 #![allow(clippy::too_many_lines, clippy::wildcard_imports, unreachable_pub)]
 
-mod agenda;
-mod crowd;
 mod day;
+mod event_queue;
+mod reconnect_storm;
 mod xds;
 
 use clap::{Parser, Subcommand};
@@ -25,7 +25,7 @@
     /// Proxies that hold what a control service hands out, while builds roll out and hosts come and go.
     Xds(xds::Sizes),
     /// A crowd of clients loses a gateway at once, in simulated time.
-    Crowd(crowd::Sizes),
+    Crowd(reconnect_storm::Sizes),
     /// Days in simulated time: routed by handouts, by gateways, and evenly.
     Day(day::Sizes),
 }
@@ -33,7 +33,7 @@
 fn main() -> ExitCode {
     let (figures, held) = match Line::parse().word {
         Word::Xds(sizes) => xds::run(&sizes),
-        Word::Crowd(sizes) => crowd::run(&sizes),
+        Word::Crowd(sizes) => reconnect_storm::run(&sizes),
         Word::Day(sizes) => day::run(&sizes),
     };
     println!("{figures}");
--- /dev/null
+++ b/crates/experiments/src/reconnect_storm.rs
@@ -0,0 +1,127 @@
+//! Many clients lose a gateway at once, in simulated time: the client library beside three ways in which applications
+//! reconnect on their own. The same seed gives the same clients, calls and loss.
+//!
+//! - `model`: gateways, clients and calls, and what is counted.
+//! - `simulation`: the events, calls and their outcomes.
+//! - `connections`: how clients connect and reconnect.
+//! - `gateway_work`: how gateways work, and how one is lost.
+
+mod connections;
+mod gateway_work;
+mod model;
+mod simulation;
+
+use clap::Args;
+use latchhaven_policy::Millis;
+use model::{Counts, LOST_AT, ReconnectStyle};
+use serde_json::{Map, Value, json};
+use simulation::Simulation;
+use std::collections::BTreeMap;
+
+/// Seconds after the loss in which connection attempts are counted.
+const COUNTED_SECONDS: u64 = 25;
+/// Seconds after the loss whose connection attempts are printed one by one.
+const PRINTED_SECONDS: u64 = 12;
+/// Range in which 99 % of the clients that lost their gateway are to be served again, in ms.
+const RECOVERY_RANGE: std::ops::RangeInclusive<Millis> = 3_000.0..=10_000.0;
+/// The library's peak of connection attempts is to be below that of immediate reconnects divided by this.
+const PEAK_DIVISOR: u64 = 5;
+/// Milliseconds in one second.
+const MILLIS_PER_SECOND: Millis = 1000.0;
+
+/// How many, for how long, and how busy.
+#[derive(Args, Clone, Debug)]
+pub(crate) struct Sizes {
+    #[arg(long, default_value_t = 10_000)]
+    clients: usize,
+    #[arg(long, default_value_t = 5)]
+    gateways: usize,
+    #[arg(long, default_value_t = 60)]
+    seconds: u64,
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// Part of what all gateways can do that clients ask for while all are well.
+    #[arg(long, default_value_t = 0.7)]
+    load: f64,
+}
+
+/// The figures of one style that are compared with those of others.
+#[derive(Clone, Copy)]
+struct Summary {
+    value_in_time: f64,
+    peak_connects: u64,
+    repeated_payments: u64,
+    /// When 99 % of the clients that lost their gateway were served again, in ms after the loss.
+    recovered_99: Millis,
+}
+
+/// Simulates the loss in all four styles; the figures, and whether the library did what it must.
+pub(crate) fn run(sizes: &Sizes) -> (Value, bool) {
+    let until = sizes.seconds as Millis * MILLIS_PER_SECOND;
+    let mut rows = Map::new();
+    let mut summaries: BTreeMap<ReconnectStyle, Summary> = BTreeMap::new();
+    for style in ReconnectStyle::ALL {
+        let mut counts = Simulation::new(style, sizes).run(until);
+        counts.recovered_after.sort_by(f64::total_cmp);
+        let summary = summarize(&counts);
+        rows.insert(style.name().to_string(), figures(&counts, &summary));
+        summaries.insert(style, summary);
+    }
+    let broken = broken_requirements(&summaries);
+    let is_passed = broken.is_empty();
+    let figures = json!({"experiment": "crowd", "clients": sizes.clients, "gateways": sizes.gateways,
+        "seconds": sizes.seconds, "seed": sizes.seed, "load": sizes.load, "ways": rows, "broken": broken,
+        "servers": "simulated, in simulated time"});
+    (figures, is_passed)
+}
+
+/// Connection attempts in each of the first seconds after the loss that had any.
+fn connects_after_loss(counts: &Counts, seconds: u64) -> impl Iterator<Item = u64> {
+    let lost_second = (LOST_AT / MILLIS_PER_SECOND) as u64;
+    counts.connects_by_second.range(lost_second..lost_second + seconds).map(|(_, connects)| *connects)
+}
+
+/// When this share of the clients that lost their gateway was served again; `recovered_after` is sorted.
+fn recovered(counts: &Counts, share: f64) -> Option<Millis> {
+    let count = (counts.disconnected as f64 * share).ceil() as usize;
+    counts.recovered_after.get(count.saturating_sub(1)).copied()
+}
+
+fn summarize(counts: &Counts) -> Summary {
+    let repeated = counts.executions.values().filter(|executions| **executions > 1);
+    Summary {
+        value_in_time: counts.value_in_time / counts.value_requested,
+        peak_connects: connects_after_loss(counts, COUNTED_SECONDS).max().unwrap_or(0),
+        repeated_payments: repeated.count() as u64,
+        recovered_99: recovered(counts, 0.99).unwrap_or(f64::INFINITY),
+    }
+}
+
+fn figures(counts: &Counts, summary: &Summary) -> Value {
+    json!({
+        "struck": counts.disconnected, "dials_peak_a_second": summary.peak_connects,
+        "dials_in_25_s": connects_after_loss(counts, COUNTED_SECONDS).sum::<u64>(),
+        "served_again_half_ms": recovered(counts, 0.5), "served_again_99_ms": recovered(counts, 0.99),
+        "revenue_in_time": summary.value_in_time, "wasted_work": counts.wasted_work / counts.work,
+        "payments_repeated": summary.repeated_payments, "unknown": counts.unknown_outcomes,
+        "longest_queue": counts.longest_queue,
+        "dials_by_second": connects_after_loss(counts, PRINTED_SECONDS).collect::<Vec<_>>(),
+    })
+}
+
+fn broken_requirements(summaries: &BTreeMap<ReconnectStyle, Summary>) -> Vec<&'static str> {
+    let library = summaries[&ReconnectStyle::Library];
+    let immediate = summaries[&ReconnectStyle::Immediate];
+    let others = [ReconnectStyle::Immediate, ReconnectStyle::FixedDelay, ReconnectStyle::Exponential];
+    let is_best = others.iter().all(|style| summaries[style].value_in_time < library.value_in_time);
+    let requirements = [
+        ("no payment twice", library.repeated_payments == 0),
+        ("returns spread over 3 to 10 s", RECOVERY_RANGE.contains(&library.recovered_99)),
+        (
+            "peak below a fifth of the immediate one's",
+            library.peak_connects * PEAK_DIVISOR < immediate.peak_connects,
+        ),
+        ("revenue lost lower than each baseline's", is_best),
+    ];
+    requirements.iter().filter(|(_, is_met)| !is_met).map(|(name, _)| *name).collect()
+}
--- /dev/null
+++ b/crates/experiments/src/reconnect_storm/connections.rs
@@ -0,0 +1,133 @@
+//! How clients connect and reconnect.
+
+use super::MILLIS_PER_SECOND;
+use super::model::{MAX_PENDING_HANDSHAKES, NETWORK_LATENCY, ReconnectStyle, SentAttempt, Work};
+use super::simulation::{Simulation, StormEvent};
+use latchhaven_client::pool::Do;
+use latchhaven_policy::Millis;
+use rand::RngExt;
+use std::collections::VecDeque;
+
+/// The delay of immediate reconnects, in ms.
+const IMMEDIATE_DELAY: Millis = 10.0;
+/// The fixed delay, in ms.
+const FIXED_DELAY: Millis = 1_000.0;
+/// The first exponential delay, in ms.
+const FIRST_EXPONENTIAL_DELAY: Millis = 100.0;
+/// The longest exponential delay, in ms.
+const MAX_EXPONENTIAL_DELAY: Millis = 10_000.0;
+/// Failures in a row after which delays no longer double.
+const MAX_COUNTED_FAILURES: u32 = 16;
+/// Time between two polls of a pool at least, in ms.
+const MIN_POLL_INTERVAL: Millis = 0.1;
+
+impl Simulation {
+    /// Performs actions of a client's pool, and schedules its next poll. All styles use the library's pool; only it
+    /// decides where the library connects to.
+    pub(super) fn perform(&mut self, client: usize, actions: Vec<Do>) {
+        let mut actions = VecDeque::from(actions);
+        while let Some(action) = actions.pop_front() {
+            match action {
+                Do::Dial { link, gateway } => {
+                    let gateway = match self.style {
+                        ReconnectStyle::Library => gateway,
+                        _ => self.random_gateway(client),
+                    };
+                    self.connect_at(self.now, client, link, gateway);
+                }
+                Do::Give { call, link } => {
+                    if !self.send_call(client, call, link) {
+                        actions.extend(self.clients[client].pool.free(link, self.now));
+                    }
+                }
+                Do::Close { link } => {
+                    self.clients[client].links.remove(&link);
+                }
+                Do::Turn { call } => {
+                    if let Some(call) = self.calls.get_mut(&call) {
+                        call.is_queued = false;
+                    }
+                }
+            }
+        }
+        self.schedule_poll(client);
+    }
+
+    fn schedule_poll(&mut self, client: usize) {
+        let next = self.clients[client].pool.next();
+        if next < self.clients[client].next_poll_at && next.is_finite() {
+            self.clients[client].next_poll_at = next;
+            self.schedule(next.max(self.now + MIN_POLL_INTERVAL), StormEvent::PollPool(client));
+        }
+    }
+
+    fn random_gateway(&mut self, client: usize) -> usize {
+        self.clients[client].rng.random_range(0..self.gateways.len())
+    }
+
+    fn connect_at(&mut self, at: Millis, client: usize, link: u64, gateway: usize) {
+        let second = (at / MILLIS_PER_SECOND) as u64;
+        *self.counts.connects_by_second.entry(second).or_default() += 1;
+        self.schedule(at + NETWORK_LATENCY, StormEvent::Connect { client, link, gateway });
+    }
+
+    /// Sends a call on a connection; false where it is no longer to be sent.
+    fn send_call(&mut self, client: usize, id: u64, link: u64) -> bool {
+        let now = self.timestamp();
+        let Some(call) = self.calls.get_mut(&id).filter(|call| call.is_queued) else { return false };
+        call.is_queued = false;
+        if call.call.write(&now).is_none() {
+            return false;
+        }
+        call.sent = Some(SentAttempt { at: self.now, link });
+        let gateway = self.clients[client].links[&link];
+        self.enqueue_work(gateway, Work::Request { client, link, call: id });
+        true
+    }
+
+    /// A connection attempt reaches a gateway.
+    pub(super) fn on_connect(&mut self, client: usize, link: u64, gateway: usize) {
+        let target = &mut self.gateways[gateway];
+        if !target.is_up || target.pending_handshakes >= MAX_PENDING_HANDSHAKES {
+            return self.on_connect_failed(client, link);
+        }
+        target.pending_handshakes += 1;
+        self.clients[client].links.insert(link, gateway);
+        self.enqueue_work(gateway, Work::Handshake { client, link });
+    }
+
+    /// A connection attempt failed. The library's pool waits by itself; the other styles by their own delays.
+    fn on_connect_failed(&mut self, client: usize, link: u64) {
+        let state = &mut self.clients[client];
+        state.links.remove(&link);
+        state.failures += 1;
+        if self.style == ReconnectStyle::Library {
+            let actions = state.pool.not_up(link, self.now);
+            return self.perform(client, actions);
+        }
+        // Where the pool would connect at once, the style's own delay comes first.
+        let actions = state.pool.dropped(link, self.now);
+        let delay = self.reconnect_delay(client);
+        for action in actions {
+            if let Do::Dial { link, .. } = action {
+                let gateway = self.random_gateway(client);
+                self.connect_at(self.now + delay, client, link, gateway);
+            } else {
+                self.perform(client, vec![action]);
+            }
+        }
+    }
+
+    /// The delay of a style before the next attempt, in ms.
+    pub(super) fn reconnect_delay(&self, client: usize) -> Millis {
+        let failures = self.clients[client].failures.min(MAX_COUNTED_FAILURES);
+        match self.style {
+            ReconnectStyle::Library => 0.0,
+            ReconnectStyle::Immediate => IMMEDIATE_DELAY,
+            ReconnectStyle::FixedDelay => FIXED_DELAY,
+            ReconnectStyle::Exponential => {
+                (FIRST_EXPONENTIAL_DELAY * f64::from(1u32 << failures)).min(MAX_EXPONENTIAL_DELAY)
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/experiments/src/reconnect_storm/simulation.rs
@@ -0,0 +1,230 @@
+//! The events of one simulation: calls, their attempts and outcomes.
+
+use super::model::{
+    BACK_AT, CALL_KINDS, CALL_TIMEOUT, CALLS_PER_SECOND, Client, Counts, Gateway, LATENCY_OBJECTIVE, LOST_AT,
+    MIN_REQUEST_TIME, PAYMENT_KIND, PendingCall, ReconnectStyle,
+};
+use super::{MILLIS_PER_SECOND, Sizes};
+use crate::event_queue::EventQueue;
+use latchhaven_client::budget::Budget;
+use latchhaven_client::call::{Call, Effect, End, Moment, Next, Verdict};
+use latchhaven_client::pool::{Bounds, Pool};
+use latchhaven_policy::Millis;
+use rand::{RngExt, SeedableRng};
+use rand_distr::{Distribution, Exp1};
+use rand_pcg::Pcg64Mcg;
+use std::collections::BTreeMap;
+
+/// The wall clock at the beginning, in ms: far from zero, and the same in each run.
+const WALL_CLOCK_START: Millis = 1e12;
+/// Bounds of each client's pool; times in ms.
+const POOL_BOUNDS: Bounds = Bounds { connections: 1, dials: 1, waiting: 16, idle: 30_000.0, age: 600_000.0 };
+/// Spreads the seeds of the pools.
+const POOL_SEED_FACTOR: u64 = 1_000_003;
+
+/// What happens in simulated time.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum StormEvent {
+    /// A client starts its next call.
+    StartCall(usize),
+    /// A call may be attempted.
+    AttemptCall(u64),
+    /// A client's pool is due.
+    PollPool(usize),
+    /// A gateway has finished the work at the head of its queue.
+    FinishWork { gateway: usize, incarnation: u64 },
+    /// A client's connection attempt reaches a gateway.
+    Connect { client: usize, link: u64, gateway: usize },
+    /// A call has timed out.
+    CallTimeout(u64),
+    /// The first gateway is lost.
+    LoseGateway,
+    /// The first gateway is back.
+    ReturnGateway,
+}
+
+/// One simulation.
+pub(super) struct Simulation {
+    pub(super) style: ReconnectStyle,
+    pub(super) now: Millis,
+    pub(super) gateways: Vec<Gateway>,
+    pub(super) clients: Vec<Client>,
+    pub(super) calls: BTreeMap<u64, PendingCall>,
+    /// Time that one request takes a gateway, in ms.
+    pub(super) request_work: Millis,
+    pub(super) rng: Pcg64Mcg,
+    pub(super) counts: Counts,
+    events: EventQueue<StormEvent>,
+    last_call: u64,
+}
+
+impl Simulation {
+    pub(super) fn new(style: ReconnectStyle, sizes: &Sizes) -> Self {
+        let mut rng = Pcg64Mcg::seed_from_u64(sizes.seed);
+        let clients: Vec<Client> = (0..sizes.clients).map(|index| new_client(index, sizes)).collect();
+        let requested_per_second = CALLS_PER_SECOND * sizes.clients as f64;
+        let request_work = MILLIS_PER_SECOND * sizes.load * sizes.gateways as f64 / requested_per_second;
+        let first_call = 0.0..MILLIS_PER_SECOND / CALLS_PER_SECOND;
+        let starts: Vec<Millis> = clients.iter().map(|_| rng.random_range(first_call.clone())).collect();
+        let mut simulation = Simulation {
+            style,
+            now: 0.0,
+            gateways: (0..sizes.gateways).map(|_| Gateway::new()).collect(),
+            clients,
+            calls: BTreeMap::new(),
+            request_work,
+            rng,
+            counts: Counts::default(),
+            events: EventQueue::new(),
+            last_call: 0,
+        };
+        for (client, at) in starts.into_iter().enumerate() {
+            simulation.schedule(at, StormEvent::StartCall(client));
+        }
+        simulation.schedule(LOST_AT, StormEvent::LoseGateway);
+        simulation.schedule(BACK_AT, StormEvent::ReturnGateway);
+        simulation
+    }
+
+    pub(super) fn schedule(&mut self, at: Millis, event: StormEvent) {
+        self.events.push(at, event);
+    }
+
+    /// Runs until a time in ms.
+    pub(super) fn run(mut self, until: Millis) -> Counts {
+        while let Some((at, event)) = self.events.pop(until) {
+            self.now = at;
+            match event {
+                StormEvent::StartCall(client) => self.start_call(client),
+                StormEvent::AttemptCall(call) => self.attempt_call(call),
+                StormEvent::PollPool(client) => self.poll_pool(client),
+                StormEvent::Connect { client, link, gateway } => self.on_connect(client, link, gateway),
+                StormEvent::FinishWork { gateway, incarnation } => self.finish_work(gateway, incarnation),
+                StormEvent::CallTimeout(call) => self.on_call_timeout(call),
+                StormEvent::LoseGateway => self.lose_gateway(),
+                StormEvent::ReturnGateway => self.gateways[0].is_up = true,
+            }
+        }
+        self.counts
+    }
+
+    /// The present on both clocks.
+    pub(super) fn timestamp(&self) -> Moment {
+        timestamp_at(self.now)
+    }
+
+    fn start_call(&mut self, client: usize) {
+        let gap: f64 = Exp1.sample(&mut self.rng);
+        let mean_gap = MILLIS_PER_SECOND / CALLS_PER_SECOND;
+        self.schedule(self.now + mean_gap * gap, StormEvent::StartCall(client));
+        let kind = self.rng.random_range(0..CALL_KINDS.len());
+        self.last_call += 1;
+        let id = self.last_call;
+        let now = self.timestamp();
+        let mut call = Call::new(CALL_KINDS[kind].effect, CALL_TIMEOUT, MIN_REQUEST_TIME, now);
+        call.begin(&mut self.clients[client].budget, &now);
+        self.counts.value_requested += CALL_KINDS[kind].value;
+        let started_at = self.now;
+        self.calls.insert(id, PendingCall { client, kind, started_at, call, sent: None, is_queued: false });
+        self.schedule(started_at + CALL_TIMEOUT, StormEvent::CallTimeout(id));
+        self.attempt_call(id);
+    }
+
+    /// Asks the client's pool for a connection.
+    fn attempt_call(&mut self, id: u64) {
+        let Some(call) = self.calls.get_mut(&id) else { return };
+        if call.is_queued || call.sent.is_some() {
+            return;
+        }
+        call.is_queued = true;
+        let client = call.client;
+        let value = CALL_KINDS[call.kind].value;
+        let actions = self.clients[client].pool.want(id, value, self.now);
+        self.perform(client, actions);
+    }
+
+    fn poll_pool(&mut self, client: usize) {
+        self.clients[client].next_poll_at = f64::INFINITY;
+        let actions = self.clients[client].pool.turn(self.now);
+        self.perform(client, actions);
+    }
+
+    /// An attempt has ended.
+    pub(super) fn on_attempt_ended(&mut self, id: u64, end: End) {
+        let Some(call) = self.calls.get_mut(&id) else { return };
+        let Some(sent) = call.sent.take() else { return };
+        if end == End::Settled {
+            if self.now - call.started_at <= LATENCY_OBJECTIVE {
+                self.counts.value_in_time += CALL_KINDS[call.kind].value;
+            }
+            self.calls.remove(&id);
+        } else if self.style == ReconnectStyle::Library {
+            self.retry_as_library_decides(id, end, sent.at);
+        } else {
+            self.retry_blindly(id);
+        }
+    }
+
+    fn retry_as_library_decides(&mut self, id: u64, end: End, sent_at: Millis) {
+        let now = self.timestamp();
+        let Some(call) = self.calls.get_mut(&id) else { return };
+        let client = &mut self.clients[call.client];
+        let sent = timestamp_at(sent_at);
+        match call.call.ended(end, sent, &mut client.budget, &mut client.rng, &now) {
+            Next::Try { after, .. } => self.schedule(self.now + after, StormEvent::AttemptCall(id)),
+            Next::Give(verdict) => {
+                self.counts.unknown_outcomes += u64::from(verdict == Verdict::Unknown);
+                self.calls.remove(&id);
+            }
+        }
+    }
+
+    /// Applications on their own send a call again after their delay, whatever it was, until its timeout.
+    fn retry_blindly(&mut self, id: u64) {
+        let Some(call) = self.calls.get_mut(&id) else { return };
+        let client = call.client;
+        let started_at = call.started_at;
+        call.call = Call::new(Effect::InquiryLike, CALL_TIMEOUT, MIN_REQUEST_TIME, timestamp_at(started_at));
+        self.clients[client].failures += 1;
+        let retry_at = self.now + self.reconnect_delay(client);
+        if retry_at < started_at + CALL_TIMEOUT {
+            self.schedule(retry_at, StormEvent::AttemptCall(id));
+        }
+    }
+
+    /// Nobody waits for this call any more: a connection on which it was sent is closed.
+    fn on_call_timeout(&mut self, id: u64) {
+        let Some(call) = self.calls.remove(&id) else { return };
+        let client = call.client;
+        let sent = call.sent;
+        self.clients[client].pool.unwant(id);
+        if call.kind == PAYMENT_KIND && sent.is_some() {
+            // Kept to count its execution only.
+            self.calls.insert(id, PendingCall { sent: None, is_queued: false, ..call });
+        }
+        let Some(sent) = sent else { return };
+        self.clients[client].links.remove(&sent.link);
+        let actions = match self.style {
+            ReconnectStyle::Library => self.clients[client].pool.silent(sent.link, self.now),
+            _ => self.clients[client].pool.dropped(sent.link, self.now),
+        };
+        self.perform(client, actions);
+    }
+}
+
+fn new_client(index: usize, sizes: &Sizes) -> Client {
+    let pool_seed = sizes.seed.wrapping_mul(POOL_SEED_FACTOR) ^ index as u64;
+    Client {
+        pool: Pool::new(sizes.gateways, POOL_BOUNDS, pool_seed),
+        budget: Budget::default(),
+        rng: Pcg64Mcg::seed_from_u64(sizes.seed ^ (index as u64) << 20),
+        links: BTreeMap::new(),
+        next_poll_at: f64::INFINITY,
+        failures: 0,
+        is_disconnected: false,
+    }
+}
+
+fn timestamp_at(time: Millis) -> Moment {
+    Moment { steady: time, wall: WALL_CLOCK_START + time }
+}
