--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,12 +1,9 @@
-//! Experiments on loopback: seeded, sizes as flags. Each prints one JSON object of figures last and ends with 1 where
-//! anything that must hold did not.
+//! Experiments on loopback or in simulated time: seeded, with sizes as flags. Each prints one JSON object of figures
+//! last, and exits with 1 where a requirement was not met.
 
-// Until its turn: docs/ROADMAP.md.
-#![allow(clippy::too_many_lines, clippy::wildcard_imports, unreachable_pub)]
-
-mod day;
 mod event_queue;
 mod reconnect_storm;
+mod rollout_simulation;
 mod xds;
 
 use clap::{Parser, Subcommand};
@@ -15,27 +12,29 @@
 /// Measures this project's programs against stand-ins.
 #[derive(Parser)]
 #[command(name = "latchhaven-experiments", version)]
-struct Line {
+struct Cli {
     #[command(subcommand)]
-    word: Word,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Word {
+enum Command {
     /// Proxies that hold what a control service hands out, while builds roll out and hosts come and go.
     Xds(xds::Sizes),
     /// A crowd of clients loses a gateway at once, in simulated time.
-    Crowd(reconnect_storm::Sizes),
+    #[command(name = "crowd")]
+    ReconnectStorm(reconnect_storm::Sizes),
     /// Days in simulated time: routed by handouts, by gateways, and evenly.
-    Day(day::Sizes),
+    #[command(name = "day")]
+    RolloutSimulation(rollout_simulation::Sizes),
 }
 
 fn main() -> ExitCode {
-    let (figures, held) = match Line::parse().word {
-        Word::Xds(sizes) => xds::run(&sizes),
-        Word::Crowd(sizes) => reconnect_storm::run(&sizes),
-        Word::Day(sizes) => day::run(&sizes),
+    let (figures, is_passed) = match Cli::parse().command {
+        Command::Xds(sizes) => xds::run(&sizes),
+        Command::ReconnectStorm(sizes) => reconnect_storm::run(&sizes),
+        Command::RolloutSimulation(sizes) => rollout_simulation::run(&sizes),
     };
     println!("{figures}");
-    if held { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if is_passed { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- /dev/null
+++ b/crates/experiments/src/rollout_simulation.rs
@@ -0,0 +1,125 @@
+//! Days with rollouts in simulated time: the same clients, hosts and versions, with requests routed by proxy
+//! configurations, by gateways that decide on each request, and evenly over all hosts. There are no sockets; the
+//! policy, configurations, streams and caches are this project's own. The same seed gives the same day.
+//!
+//! - `parameters`: sizes of hosts, times of the platform, and settings of the policy.
+//! - `model`: hosts, requests, the rollout, and what is counted.
+//! - `simulation`: the events of one day, and requests as they come.
+//! - `platform`: rollouts, their hosts, and the platform's reports.
+//! - `attempts`: attempts at hosts and their outcomes.
+//! - `proxies`: routing by proxies, and the control service.
+//! - `gateways`: routing by gateways.
+//! - `exposure`: the rule on the canary's share of all requests.
+
+mod attempts;
+mod exposure;
+mod gateways;
+mod model;
+mod parameters;
+mod platform;
+mod proxies;
+mod simulation;
+
+use clap::Args;
+use latchhaven_policy::Millis;
+use model::{Counts, RoutingMode};
+use serde_json::{Map, Value, json};
+use simulation::{DayResult, Simulation};
+use std::collections::BTreeMap;
+
+/// Seeds of days with adjacent seeds are this far apart.
+const SEED_FACTOR: u64 = 1000;
+/// Milliseconds in one second.
+const MILLIS_PER_SECOND: Millis = 1000.0;
+
+/// How many days, and how large.
+#[derive(Args, Clone, Debug)]
+pub(crate) struct Sizes {
+    #[arg(long, default_value_t = 6)]
+    days: u64,
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// Proxies, or gateways.
+    #[arg(long, default_value_t = 10)]
+    fronts: usize,
+    #[arg(long, default_value_t = 40)]
+    hosts: usize,
+    /// Length of a day in simulated seconds; two builds come.
+    #[arg(long, default_value_t = 90)]
+    seconds: u64,
+    /// Part of the warm capacity that clients ask for.
+    #[arg(long, default_value_t = 0.5)]
+    load: f64,
+}
+
+/// The figures of one mode that are compared with those of others.
+#[derive(Clone, Copy)]
+struct Summary {
+    value_in_time: f64,
+    met_bad_version: f64,
+}
+
+impl Summary {
+    fn new(counts: &Counts) -> Self {
+        Summary {
+            value_in_time: counts.value_in_time / counts.value_requested,
+            met_bad_version: counts.met_bad_version as f64 / counts.requests as f64,
+        }
+    }
+}
+
+/// Simulates the days in all three modes; the figures, and whether all requirements were met.
+pub(crate) fn run(sizes: &Sizes) -> (Value, bool) {
+    let mut rows = Map::new();
+    let mut is_passed = true;
+    let mut summaries = BTreeMap::new();
+    for mode in RoutingMode::ALL {
+        let mut total = Counts::default();
+        let mut days = Vec::new();
+        for day in 0..sizes.days {
+            let result = run_day(mode, day, sizes);
+            days.push(day_figures(&result));
+            total.add(&result.counts);
+        }
+        let is_within_limits = total.samples_over_cap == 0 && total.repeated_non_idempotent == 0;
+        is_passed &= mode == RoutingMode::Even || is_within_limits;
+        summaries.insert(mode, Summary::new(&total));
+        rows.insert(mode.name().to_string(), mode_figures(&total, days));
+    }
+    let proxies = summaries[&RoutingMode::Proxies];
+    let even = summaries[&RoutingMode::Even];
+    let is_better =
+        proxies.value_in_time > even.value_in_time && proxies.met_bad_version < even.met_bad_version;
+    let figures = json!({
+        "experiment": "day", "days": sizes.days, "seed": sizes.seed, "fronts": sizes.fronts, "hosts": sizes.hosts,
+        "seconds": sizes.seconds, "load": sizes.load, "ways": rows, "handout_beats_even": is_better,
+        "servers": "simulated, in simulated time",
+    });
+    (figures, is_passed && is_better)
+}
+
+fn run_day(mode: RoutingMode, day: u64, sizes: &Sizes) -> DayResult {
+    let seed = sizes.seed.wrapping_mul(SEED_FACTOR) + day;
+    let until = sizes.seconds as Millis * MILLIS_PER_SECOND;
+    Simulation::new(mode, seed, sizes).run(until)
+}
+
+fn day_figures(result: &DayResult) -> Value {
+    let summary = Summary::new(&result.counts);
+    let versions = result.rollouts.iter().map(|rollout| {
+        let quality = if rollout.is_bad { "bad" } else { "good" };
+        json!([rollout.version, quality, rollout.end])
+    });
+    json!({"in_time": summary.value_in_time, "met_bad": summary.met_bad_version,
+        "builds": versions.collect::<Vec<_>>()})
+}
+
+fn mode_figures(total: &Counts, days: Vec<Value>) -> Value {
+    let summary = Summary::new(total);
+    json!({
+        "revenue_in_time": summary.value_in_time, "met_bad_build": summary.met_bad_version,
+        "not_settled": total.failed as f64 / total.requests as f64, "txns": total.requests,
+        "looks": total.samples, "looks_over_cap": total.samples_over_cap,
+        "once_only_sent_again": total.repeated_non_idempotent, "days": days,
+    })
+}
--- /dev/null
+++ b/crates/experiments/src/rollout_simulation/platform.rs
@@ -0,0 +1,192 @@
+//! The platform: rollouts, their hosts, and its reports.
+
+use super::model::{CapChange, RoutingMode, Vote};
+use super::parameters::{
+    CLASSES, OUTCOME_REPORT_AGE, OUTCOME_REPORT_INTERVAL, ROLLBACK_TIME, ROLLOUT_STARTS, SOAK_TIME,
+    STAGE_CAPS, STAGE_HOST_SHARES, UNANALYSED_STAGE_TIME, host_address,
+};
+use super::simulation::Simulation;
+use latchhaven_policy::{
+    AttemptOutcome, EndpointEntry, Event, Millis, OutcomeReport, RolloutPhase, RolloutState, UpdateKind,
+    Verdict, Version,
+};
+use std::collections::BTreeMap;
+
+/// The versions before and of the first rollout.
+const FIRST_VERSION: Version = Version(1);
+const SECOND_VERSION: Version = Version(2);
+const THIRD_VERSION: Version = Version(3);
+
+/// Outcomes of attempts at one version in one class.
+#[derive(Clone, Copy, Default)]
+struct OutcomeCounts {
+    attempts: u64,
+    failures: u64,
+    /// Of attempts that did not fail, in ms.
+    total_latency: Millis,
+}
+
+/// Outcomes that the platform has not reported yet.
+#[derive(Default)]
+pub(super) struct UnreportedOutcomes {
+    counts: BTreeMap<(Version, usize), OutcomeCounts>,
+    reported_at: Millis,
+}
+
+impl UnreportedOutcomes {
+    pub(super) fn record(
+        &mut self, version: Version, class: usize, outcome: AttemptOutcome, elapsed: Millis,
+    ) {
+        let counts = self.counts.entry((version, class)).or_default();
+        counts.attempts += 1;
+        match outcome {
+            AttemptOutcome::Error => counts.failures += 1,
+            _ => counts.total_latency += elapsed,
+        }
+    }
+}
+
+fn outcome_report(version: Version, class: usize, counts: OutcomeCounts) -> OutcomeReport {
+    let successes = counts.attempts - counts.failures;
+    OutcomeReport {
+        version,
+        class: CLASSES[class].name.to_string(),
+        attempts: counts.attempts,
+        failures: counts.failures,
+        mean_latency: (successes > 0).then(|| counts.total_latency / successes as f64),
+        age: OUTCOME_REPORT_AGE,
+    }
+}
+
+impl Simulation {
+    /// Reports the endpoint list to the control service and all gateways.
+    pub(super) fn publish_endpoints(&mut self) {
+        let entries: Vec<EndpointEntry> =
+            self.hosts.iter().enumerate().map(|(index, host)| host.entry(index)).collect();
+        let list_version = self.rollout.list_version;
+        if let Some(proxy_group) = &mut self.proxy_group {
+            let entries = entries.iter().cloned().enumerate();
+            let addressed = entries.map(|(index, entry)| (entry, host_address(index))).collect();
+            proxy_group.control_plane.on_endpoint_list(list_version, true, addressed, self.now);
+        }
+        for gateway in &mut self.gateways {
+            let entries = entries.clone();
+            let update = Event::EndpointUpdate { kind: UpdateKind::Snapshot, list_version, entries };
+            gateway.events.push(update);
+        }
+        self.rollout.list_version += 1;
+    }
+
+    /// Reports the rollout's state to the control service and all gateways.
+    pub(super) fn publish_rollout(&mut self) {
+        let state = RolloutState { age: self.now - self.rollout.state_since, ..self.rollout.state };
+        if let Some(proxy_group) = &mut self.proxy_group {
+            proxy_group.control_plane.on_rollout_state(state, self.now);
+        }
+        for gateway in &mut self.gateways {
+            gateway.events.push(Event::RolloutUpdate(state));
+        }
+    }
+
+    fn set_rollout(&mut self, version: Version, stage: u32, phase: RolloutPhase, traffic_cap: f64) {
+        let state = &mut self.rollout.state;
+        state.version = version;
+        state.stage = stage;
+        state.phase = phase;
+        state.traffic_cap = traffic_cap;
+        self.rollout.state_since = self.now;
+        self.rollout.caps.push(CapChange { at: self.now, cap: traffic_cap });
+        self.publish_rollout();
+    }
+
+    /// Starts the first hosts, up to this share, with a version; they finish the work in hand first.
+    fn deploy(&mut self, host_share: f64, version: Version) {
+        let count = (host_share * self.hosts.len() as f64).round() as usize;
+        for host in self.hosts.iter_mut().take(count).filter(|host| host.version != version) {
+            host.version = version;
+            host.started_at = self.now;
+        }
+        self.publish_endpoints();
+    }
+
+    /// The platform acts on votes or, where nothing analyses the canary, on time.
+    pub(super) fn advance_rollout(&mut self) {
+        let RolloutState { version, stage, phase, .. } = self.rollout.state;
+        match phase {
+            RolloutPhase::Promoted | RolloutPhase::RolledBack => self.begin_due_rollout(),
+            RolloutPhase::RollingBack => self.finish_due_rollback(version, stage),
+            RolloutPhase::Canary => self.advance_canary(version, stage),
+        }
+        // A version that was promoted and is rejected afterwards is rolled back as well.
+        let is_rejected = self.is_voted(version, stage, Verdict::RollBack) && version > FIRST_VERSION;
+        if phase == RolloutPhase::Promoted && is_rejected {
+            self.set_rollout(version, stage, RolloutPhase::RollingBack, 0.0);
+        }
+    }
+
+    fn is_voted(&self, version: Version, stage: u32, verdict: Verdict) -> bool {
+        self.votes.contains(&Vote { version, stage, verdict })
+    }
+
+    fn time_in_state(&self) -> Millis {
+        self.now - self.rollout.state_since
+    }
+
+    fn begin_due_rollout(&mut self) {
+        let begun = self.rollout.begun;
+        if begun >= ROLLOUT_STARTS.len() || self.now < ROLLOUT_STARTS[begun] {
+            return;
+        }
+        self.rollout.begun += 1;
+        let version = Version(1 + self.rollout.begun as u32);
+        self.set_rollout(version, 0, RolloutPhase::Canary, STAGE_CAPS[0]);
+        self.deploy(STAGE_HOST_SHARES[0], version);
+    }
+
+    fn finish_due_rollback(&mut self, version: Version, stage: u32) {
+        if self.time_in_state() < ROLLBACK_TIME {
+            return;
+        }
+        let is_second_good = !self.rollout.is_bad(SECOND_VERSION);
+        let baseline =
+            if version == THIRD_VERSION && is_second_good { SECOND_VERSION } else { FIRST_VERSION };
+        self.deploy(1.0, baseline);
+        self.set_rollout(version, stage, RolloutPhase::RolledBack, 0.0);
+    }
+
+    fn advance_canary(&mut self, version: Version, stage: u32) {
+        if self.is_voted(version, stage, Verdict::RollBack) {
+            return self.set_rollout(version, stage, RolloutPhase::RollingBack, 0.0);
+        }
+        let is_approved =
+            self.is_voted(version, stage, Verdict::Promote) && self.time_in_state() >= SOAK_TIME;
+        let is_unanalysed = self.mode == RoutingMode::Even && self.time_in_state() >= UNANALYSED_STAGE_TIME;
+        if !is_approved && !is_unanalysed {
+            return;
+        }
+        let next_stage = stage as usize + 1;
+        if next_stage == STAGE_CAPS.len() {
+            self.set_rollout(version, stage, RolloutPhase::Promoted, 1.0);
+        } else {
+            self.set_rollout(version, next_stage as u32, RolloutPhase::Canary, STAGE_CAPS[next_stage]);
+            self.deploy(STAGE_HOST_SHARES[next_stage], version);
+        }
+    }
+
+    /// Reports outcomes to the control service and all gateways, when it is time.
+    pub(super) fn report_outcomes(&mut self) {
+        if self.now - self.outcomes.reported_at < OUTCOME_REPORT_INTERVAL {
+            return;
+        }
+        self.outcomes.reported_at = self.now;
+        for ((version, class), counts) in std::mem::take(&mut self.outcomes.counts) {
+            let report = Event::OutcomesReported(outcome_report(version, class, counts));
+            if let Some(proxy_group) = &mut self.proxy_group {
+                proxy_group.control_plane.on_outcome_report(report.clone(), self.now);
+            }
+            for gateway in &mut self.gateways {
+                gateway.events.push(report.clone());
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/experiments/src/xds/rollout_script.rs
@@ -0,0 +1,201 @@
+//! What the platform does: versions come, advance and are rolled back; between that, hosts drain and return.
+
+use latchhaven_policy::Version;
+use latchhaven_proxy_config::version::{RolloutStatus, RolloutVersion};
+use latchhaven_test_support::fake_platform::FakePlatform;
+use latchhaven_test_support::platform_messages::host;
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use serde_json::{Value, json};
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+/// A lower cap binds after this: the drain grace of the configuration, and the latency of sockets.
+pub(super) const CAP_GRACE: Duration = Duration::from_millis(2_050);
+/// The version that all hosts run at first.
+const BASELINE: u32 = 1;
+/// The canary's cap in each stage.
+const STAGE_CAPS: [f64; 3] = [0.1, 0.5, 1.0];
+/// One decision in so many is on the rollout, the others on single hosts.
+const DECISIONS_PER_ROLLOUT_STEP: u64 = 3;
+/// One host in so many runs the canary.
+const HOSTS_PER_CANARY: usize = 4;
+/// Distinguishes the seed of this script from that of the proxies.
+const SEED_MASK: u64 = 7;
+/// Zones of the hosts.
+const ZONES: usize = 3;
+/// Hosts whose addresses differ only in their last octet.
+const HOSTS_PER_SUBNET: usize = 200;
+/// The port of all hosts.
+const HOST_PORT: u16 = 5432;
+
+/// How a proxy's state shows that it uses a decision.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum Expectation {
+    /// The rollout is at least this far.
+    Rollout { version: u32, status: RolloutStatus, stage: u32 },
+    /// The endpoint list is at least of this version.
+    EndpointList(u64),
+}
+
+impl Expectation {
+    /// All hosts run the baseline.
+    pub(super) const INITIAL: Expectation =
+        Expectation::Rollout { version: BASELINE, status: RolloutStatus::Promoted, stage: 0 };
+
+    pub(super) fn is_met(&self, rollout: Option<RolloutVersion>, list_version: u64) -> bool {
+        match self {
+            Expectation::EndpointList(version) => list_version >= *version,
+            Expectation::Rollout { version, status, stage } => rollout.is_some_and(|held| {
+                (held.version, held.status, held.stage) >= (Version(*version), *status, *stage)
+            }),
+        }
+    }
+}
+
+/// A decision of the platform.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Decision {
+    pub(super) at: Instant,
+    pub(super) expectation: Expectation,
+}
+
+/// A cap that the platform reported.
+struct CapChange {
+    at: Instant,
+    version: u32,
+    cap: f64,
+}
+
+/// The hosts' entries in the first endpoint list.
+pub(super) fn initial_hosts(count: usize) -> Vec<Value> {
+    (0..count).map(|index| entry(index, "up", BASELINE)).collect()
+}
+
+fn entry(index: usize, health: &str, version: u32) -> Value {
+    let subnet = (1 + index / HOSTS_PER_SUBNET) as u8;
+    let last_octet = (1 + index % HOSTS_PER_SUBNET) as u8;
+    let addr = SocketAddr::from(([127, 0, subnet, last_octet], HOST_PORT));
+    let mut entry = host(&format!("s{index}"), addr, health, version);
+    entry["site"] = json!(format!("zone-{}", index % ZONES));
+    entry
+}
+
+/// The script, and how far it is.
+pub(super) struct RolloutScript {
+    platform: FakePlatform,
+    host_count: usize,
+    rng: Pcg64Mcg,
+    /// The newest version.
+    pub(super) version: u32,
+    stage: u32,
+    canary_hosts: Vec<usize>,
+    draining_host: Option<usize>,
+    decisions: u64,
+    caps: Vec<CapChange>,
+}
+
+impl RolloutScript {
+    pub(super) fn new(platform: FakePlatform, host_count: usize, seed: u64) -> Self {
+        RolloutScript {
+            platform,
+            host_count,
+            rng: Pcg64Mcg::seed_from_u64(seed ^ SEED_MASK),
+            version: BASELINE,
+            stage: 0,
+            canary_hosts: Vec::new(),
+            draining_host: None,
+            decisions: 0,
+            caps: Vec::new(),
+        }
+    }
+
+    /// Makes the next decision.
+    pub(super) fn step(&mut self) -> Decision {
+        let at = Instant::now();
+        self.decisions += 1;
+        let expectation = if self.decisions.is_multiple_of(DECISIONS_PER_ROLLOUT_STEP) {
+            self.advance_rollout()
+        } else {
+            self.drain_or_return_host()
+        };
+        Decision { at, expectation }
+    }
+
+    fn drain_or_return_host(&mut self) -> Expectation {
+        if let Some(index) = self.draining_host.take() {
+            return self.update_hosts(&[entry(index, "up", BASELINE)]);
+        }
+        let index = self.rng.random_range(self.canary_hosts.len()..self.host_count);
+        self.draining_host = Some(index);
+        self.update_hosts(&[entry(index, "draining", BASELINE)])
+    }
+
+    fn advance_rollout(&mut self) -> Expectation {
+        if self.canary_hosts.is_empty() {
+            return self.begin_rollout();
+        }
+        let version = self.version;
+        match self.stage {
+            0 => {
+                self.stage = 1;
+                self.update_rollout("IN_PROGRESS", 1, STAGE_CAPS[1]);
+                Expectation::Rollout { version, status: RolloutStatus::Canary, stage: 1 }
+            }
+            1 => {
+                self.stage = 2;
+                self.update_rollout("ROLLING_BACK", 1, 0.0);
+                Expectation::Rollout { version, status: RolloutStatus::RollingBack, stage: 1 }
+            }
+            _ => self.finish_rollback(),
+        }
+    }
+
+    fn begin_rollout(&mut self) -> Expectation {
+        self.canary_hosts = (0..self.host_count.div_ceil(HOSTS_PER_CANARY)).collect();
+        self.version += 1;
+        self.stage = 0;
+        // The rollout first: its hosts are canaries from the moment that they are listed.
+        self.update_rollout("IN_PROGRESS", 0, STAGE_CAPS[0]);
+        let hosts: Vec<Value> =
+            self.canary_hosts.iter().map(|index| entry(*index, "up", self.version)).collect();
+        self.update_hosts(&hosts)
+    }
+
+    fn finish_rollback(&mut self) -> Expectation {
+        self.update_rollout("ROLLED_BACK", 1, 0.0);
+        let canary_hosts = std::mem::take(&mut self.canary_hosts);
+        let hosts: Vec<Value> = canary_hosts.iter().map(|index| entry(*index, "up", BASELINE)).collect();
+        self.update_hosts(&hosts)
+    }
+
+    fn update_hosts(&self, hosts: &[Value]) -> Expectation {
+        Expectation::EndpointList(self.platform.update_hosts(hosts))
+    }
+
+    fn update_rollout(&mut self, status: &str, stage: u32, cap: f64) {
+        self.platform.update_rollout(self.version, stage, status, cap);
+        self.caps.push(CapChange { at: Instant::now(), version: self.version, cap });
+    }
+
+    /// The highest cap that binds the newest version now: an earlier one counts for the grace.
+    pub(super) fn binding_cap(&self) -> f64 {
+        let now = Instant::now();
+        let is_recent = |change: &&CapChange| now.duration_since(change.at) < CAP_GRACE;
+        let recent_count = self.caps.iter().rev().take_while(is_recent).count();
+        let (earlier, recent) = self.caps.split_at(self.caps.len() - recent_count);
+        let newest = self.last_cap(&self.caps).unwrap_or(STAGE_CAPS[0]);
+        if recent.is_empty() {
+            return newest;
+        }
+        let own_caps = recent.iter().filter(|change| change.version == self.version);
+        let highest = own_caps.map(|change| change.cap).fold(newest, f64::max);
+        // What was in force before the oldest recent change binds as well.
+        highest.max(self.last_cap(earlier).unwrap_or(0.0))
+    }
+
+    /// The last cap of the newest version.
+    fn last_cap(&self, changes: &[CapChange]) -> Option<f64> {
+        changes.iter().rev().find(|change| change.version == self.version).map(|change| change.cap)
+    }
+}
