--- a/crates/xds/tests/convergence/proxy.rs
+++ b/crates/xds/tests/convergence/proxy.rs
@@ -64,7 +64,13 @@
         let Some(response) = connection.responses.pop_front() else { return };
         connection.requests.extend(self.cache.apply_response(&response.chunks.concat(), reject));
         assert_eq!(self.cache.regressions, 0, "a state went back");
-        assert_eq!(self.cache.dangling, 0, "{:?} dangles in {:?}", self.cache.dangling_reference(), self.cache);
+        assert_eq!(
+            self.cache.dangling,
+            0,
+            "{:?} dangles in {:?}",
+            self.cache.dangling_reference(),
+            self.cache
+        );
     }
 
     pub(crate) fn exchange(&mut self, services: &mut [ControlService], now: Millis) {
@@ -89,7 +95,8 @@
         assert!(self.cache.dangling_reference().is_none());
         assert!(self.cache.route("look", false).is_some());
         let route = self.cache.route("pay", false).unwrap();
-        let never_retries_blindly = route.retry_on == "connect-failure,refused-stream" || route.max_retries == 0;
+        let never_retries_blindly =
+            route.retry_on == "connect-failure,refused-stream" || route.max_retries == 0;
         assert!(never_retries_blindly, "a request that is not idempotent");
         if matches!(platform.rollout.phase, RolloutPhase::RolledBack | RolloutPhase::RollingBack) {
             assert_eq!(self.cache.version_share("look", platform.rollout.version.0), 0);
