--- a/crates/control-plane/src/driver/upstreams.rs
+++ b/crates/control-plane/src/driver/upstreams.rs
@@ -36,7 +36,7 @@
                 self.run_discovery_commands();
             }
             Action::CastVote { version, stage, verdict } => {
-                let vote = Vote { build: version, stage, verdict, cast: Instant::now() };
+                let vote = Vote { version, stage, verdict, cast_at: Instant::now() };
                 if self.votes.try_send(vote).is_err() {
                     let now = self.clock.now();
                     self.control_plane.on_vote_completed(VoteOutcome::NotCounted, now);
@@ -55,8 +55,8 @@
             }
             return;
         };
-        if self.discovery.on_list(call, list.version, list.whole) {
-            self.control_plane.on_endpoint_list(list.version, list.whole, list.entries, now);
+        if self.discovery.on_list(call, list.version, list.is_snapshot) {
+            self.control_plane.on_endpoint_list(list.version, list.is_snapshot, list.entries, now);
         }
         self.run_discovery_commands();
     }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,4 +1,4 @@
-//! The one place where configuration is read, checked and given defaults. Messages name the faulty key.
+//! The one place where the gateway's configuration is read, checked and given defaults. Errors name the faulty key.
 
 use crate::net::list::{self, List};
 use crate::net::platform;
@@ -8,17 +8,23 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Descriptors where `limits.sockets` is not given, and the fewest that a gateway can work with.
-const SOCKETS: u64 = 1024;
-const SOCKETS_LEAST: u64 = 64;
+/// The variable that names the file.
+const CONFIG_VARIABLE: &str = "BALANCER_CONFIG";
+/// Descriptors where `limits.sockets` is not given.
+const DEFAULT_SOCKETS: u64 = 1024;
+/// The fewest descriptors that a gateway can work with.
+const MIN_SOCKETS: u64 = 64;
 
 /// What is wrong with the configuration.
 #[derive(Debug, PartialEq, thiserror::Error)]
-pub enum Fault {
+pub enum ConfigError {
+    /// A variable that is needed is not set.
     #[error("{0}: not set")]
     Unset(&'static str),
+    /// The file cannot be read.
     #[error("{0}: cannot be read: {1}")]
     Unreadable(String, String),
+    /// A key has a value that is not valid, or is missing.
     #[error("{0}: {1}")]
     Key(String, String),
 }
@@ -26,108 +32,185 @@
 /// Where this gateway listens, and whom it speaks with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Addresses {
+    /// This gateway's name, in logs.
     pub name: String,
+    /// Where clients connect.
     pub listen: SocketAddr,
-    pub list: SocketAddr,
+    /// The discovery service.
+    pub discovery: SocketAddr,
+    /// The platform; without one there are neither rollout states nor votes.
     pub platform: Option<SocketAddr>,
 }
 
 /// What was known when this gateway was started; the list may be old.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Known {
+pub struct InitialState {
+    /// The endpoint list.
     pub list: List,
-    pub news: Option<RolloutState>,
+    /// The state of the newest version's rollout.
+    pub rollout: Option<RolloutState>,
 }
 
-/// All that a file tells: addresses, descriptors, what was known, the seed, and the settings.
-pub type Told = (Addresses, usize, Known, u64, Terms);
+/// All that a file says.
+pub struct GatewayConfig {
+    /// Where the gateway listens, and whom it speaks with.
+    pub addresses: Addresses,
+    /// Descriptors that the gateway may use.
+    pub max_sockets: usize,
+    /// What is known at the start.
+    pub initial_state: InitialState,
+    /// Seeds the random generators.
+    pub seed: u64,
+    /// Classes, permissions, rules and votes.
+    pub settings: Terms,
+}
+
+/// The addresses that may change while the gateway runs.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ServiceAddresses {
+    /// The discovery service.
+    pub discovery: SocketAddr,
+    /// The platform.
+    pub platform: Option<SocketAddr>,
+}
 
 /// Reads the file that `BALANCER_CONFIG` names; the other variables go before what stands in it.
-pub fn read(env: impl Fn(&str) -> Option<String>) -> Result<Told, Fault> {
-    read_from(env, false)
+///
+/// # Errors
+/// The first fault, with its key.
+pub fn read(env: impl Fn(&str) -> Option<String>) -> Result<GatewayConfig, ConfigError> {
+    read_file(env, DiscoverySource::VariableFirst)
 }
 
-/// Reads and checks the whole file once more: where the list and the platform are from now on. The variable named
-/// the address at the start; what the file says now is newer.
-pub fn read_again(env: impl Fn(&str) -> Option<String>) -> Result<(SocketAddr, Option<SocketAddr>), Fault> {
-    read_from(env, true).map(|(addresses, ..)| (addresses.list, addresses.platform))
+/// Reads and checks the whole file once more: where discovery and the platform are from now on.
+///
+/// # Errors
+/// The first fault, with its key.
+pub fn reload(env: impl Fn(&str) -> Option<String>) -> Result<ServiceAddresses, ConfigError> {
+    let addresses = read_file(env, DiscoverySource::FileFirst)?.addresses;
+    Ok(ServiceAddresses { discovery: addresses.discovery, platform: addresses.platform })
 }
 
-fn read_from(env: impl Fn(&str) -> Option<String>, again: bool) -> Result<Told, Fault> {
-    let path = env("BALANCER_CONFIG").ok_or(Fault::Unset("BALANCER_CONFIG"))?;
-    let unreadable = |why: String| Fault::Unreadable(format!("BALANCER_CONFIG: {path}"), why);
-    let text = std::fs::read_to_string(&path).map_err(|fault| unreadable(fault.to_string()))?;
-    let whole: Value = serde_json::from_str(&text).map_err(|fault| unreadable(fault.to_string()))?;
-    if !whole.is_object() {
-        return Err(unreadable("no JSON object".to_string()));
-    }
-    let addresses = Addresses {
-        name: named(&env, "BALANCER_NAME", &whole, "name")?,
-        listen: address("listen", &named(&env, "BALANCER_LISTEN", &whole, "listen")?)?,
-        list: match whole.get("discovery").filter(|_| again) {
-            Some(value) => address("discovery", text_of("discovery", value)?)?,
-            None => address("discovery", &named(&env, "BALANCER_DISCOVERY", &whole, "discovery")?)?,
-        },
-        platform: match whole.pointer("/pipeline/address") {
-            None | Some(Value::Null) => None,
-            Some(value) => Some(address("pipeline.address", text_of("pipeline.address", value)?)?),
-        },
+/// Which address of the discovery service counts. The variable named it at the start; what the file says later is newer.
+#[derive(Clone, Copy, PartialEq)]
+enum DiscoverySource {
+    VariableFirst,
+    FileFirst,
+}
+
+fn read_file(
+    env: impl Fn(&str) -> Option<String>, source: DiscoverySource,
+) -> Result<GatewayConfig, ConfigError> {
+    let path = env(CONFIG_VARIABLE).ok_or(ConfigError::Unset(CONFIG_VARIABLE))?;
+    let file = read_json(&path)?;
+    Ok(GatewayConfig {
+        addresses: addresses(&env, &file, source)?,
+        max_sockets: max_sockets(&file)?,
+        initial_state: initial_state(&file)?,
+        seed: seed(&file)?,
+        settings: settings(&file)?,
+    })
+}
+
+fn read_json(path: &str) -> Result<Value, ConfigError> {
+    let unreadable = |reason: String| ConfigError::Unreadable(format!("{CONFIG_VARIABLE}: {path}"), reason);
+    let text = std::fs::read_to_string(path).map_err(|error| unreadable(error.to_string()))?;
+    let file: Value = serde_json::from_str(&text).map_err(|error| unreadable(error.to_string()))?;
+    if file.is_object() { Ok(file) } else { Err(unreadable("no JSON object".to_string())) }
+}
+
+fn addresses(
+    env: &impl Fn(&str) -> Option<String>, file: &Value, source: DiscoverySource,
+) -> Result<Addresses, ConfigError> {
+    let name = variable_or_key(env, "BALANCER_NAME", file, "name")?;
+    let listen = parse_address("listen", &variable_or_key(env, "BALANCER_LISTEN", file, "listen")?)?;
+    let discovery = match file.get("discovery") {
+        Some(value) if source == DiscoverySource::FileFirst => text("discovery", value)?.to_string(),
+        _ => variable_or_key(env, "BALANCER_DISCOVERY", file, "discovery")?,
+    };
+    let discovery = parse_address("discovery", &discovery)?;
+    let platform = match present(file, "/pipeline/address") {
+        None => None,
+        Some(value) => Some(parse_address("pipeline.address", text("pipeline.address", value)?)?),
     };
-    let sockets = match whole.pointer("/limits/sockets") {
-        None | Some(Value::Null) => SOCKETS,
-        Some(value) => value.as_u64().ok_or_else(|| fault("limits.sockets", "no whole number"))?,
+    Ok(Addresses { name, listen, discovery, platform })
+}
+
+/// Descriptors; the limit of memory is checked as well.
+fn max_sockets(file: &Value) -> Result<usize, ConfigError> {
+    let sockets = match present(file, "/limits/sockets") {
+        None => DEFAULT_SOCKETS,
+        Some(value) => value.as_u64().ok_or_else(|| key_error("limits.sockets", "no whole number"))?,
     };
-    if sockets < SOCKETS_LEAST {
-        return Err(fault("limits.sockets", &format!("{sockets} is below {SOCKETS_LEAST}")));
+    if sockets < MIN_SOCKETS {
+        return Err(key_error("limits.sockets", &format!("{sockets} is below {MIN_SOCKETS}")));
     }
     // Checked though nothing is derived from it: a gateway without memory would die without a word.
-    if whole.pointer("/limits/memory_mb").is_some_and(|value| !value.as_f64().is_some_and(|mb| mb > 0.0)) {
-        return Err(fault("limits.memory_mb", "not above 0"));
+    let memory = file.pointer("/limits/memory_mb");
+    if memory.is_some_and(|value| !value.as_f64().is_some_and(|mib| mib > 0.0)) {
+        return Err(key_error("limits.memory_mb", "not above 0"));
     }
-    let known = Known {
-        list: match whole.get("known") {
-            None | Some(Value::Null) => List { version: 0, whole: true, entries: Vec::new() },
-            Some(value) => list::read(value.to_string().as_bytes()).map_err(|why| fault("known", &why))?,
-        },
-        news: match whole.pointer("/pipeline/news") {
-            None | Some(Value::Null) => None,
-            Some(value) => Some(
-                platform::state(value.to_string().as_bytes()).map_err(|why| fault("pipeline.news", &why))?,
-            ),
-        },
+    Ok(sockets as usize)
+}
+
+fn initial_state(file: &Value) -> Result<InitialState, ConfigError> {
+    let list = match present(file, "/known") {
+        None => List { version: 0, is_snapshot: true, entries: Vec::new() },
+        Some(value) => list::read(value.to_string().as_bytes())
+            .map_err(|error| key_error("known", &error.to_string()))?,
+    };
+    let rollout = match present(file, "/pipeline/news") {
+        None => None,
+        Some(value) => {
+            let state = platform::read_rollout_state(value.to_string().as_bytes());
+            Some(state.map_err(|error| key_error("pipeline.news", &error.to_string()))?)
+        }
     };
-    let seed = match whole.get("seed") {
-        None | Some(Value::Null) => return Err(fault("seed", "missing")),
+    Ok(InitialState { list, rollout })
+}
+
+fn seed(file: &Value) -> Result<u64, ConfigError> {
+    let seed = match present(file, "/seed") {
+        None => return Err(key_error("seed", "missing")),
         Some(Value::Number(number)) => number.as_u64(),
-        Some(value) => u64::from_str_radix(text_of("seed", value)?, 16).ok(),
+        Some(value) => u64::from_str_radix(text("seed", value)?, 16).ok(),
     };
-    let seed = seed.ok_or_else(|| fault("seed", "no hexadecimal number of up to 16 digits"))?;
-    let settings = whole.get("settings").ok_or_else(|| fault("settings", "missing"))?;
-    let terms = terms::read(&settings.to_string()).map_err(|why| match why {
-        WireFault::Settings(why) => fault("settings", &why),
-        why => fault("settings", &why.to_string()),
-    })?;
-    Ok((addresses, sockets as usize, known, seed, terms))
+    seed.ok_or_else(|| key_error("seed", "no hexadecimal number of up to 16 digits"))
+}
+
+fn settings(file: &Value) -> Result<Terms, ConfigError> {
+    let settings = file.get("settings").ok_or_else(|| key_error("settings", "missing"))?;
+    terms::read(&settings.to_string()).map_err(|fault| match fault {
+        WireFault::Settings(reason) => key_error("settings", &reason),
+        fault => key_error("settings", &fault.to_string()),
+    })
 }
 
-fn fault(key: &str, why: &str) -> Fault {
-    Fault::Key(key.to_string(), why.to_string())
+/// The value at a path, if there is one and it is not null.
+fn present<'a>(file: &'a Value, path: &str) -> Option<&'a Value> {
+    file.pointer(path).filter(|value| !value.is_null())
 }
 
-fn text_of<'a>(key: &str, value: &'a Value) -> Result<&'a str, Fault> {
-    value.as_str().filter(|text| !text.is_empty()).ok_or_else(|| fault(key, "no text"))
+fn key_error(key: &str, reason: &str) -> ConfigError {
+    ConfigError::Key(key.to_string(), reason.to_string())
 }
 
-fn named(
-    env: impl Fn(&str) -> Option<String>, variable: &str, whole: &Value, key: &str,
-) -> Result<String, Fault> {
-    match (env(variable).filter(|text| !text.is_empty()), whole.get(key)) {
-        (Some(text), _) => Ok(text),
-        (None, Some(value)) => Ok(text_of(key, value)?.to_string()),
-        (None, None) => Err(fault(key, &format!("missing, and {variable} is not set"))),
+fn text<'a>(key: &str, value: &'a Value) -> Result<&'a str, ConfigError> {
+    value.as_str().filter(|text| !text.is_empty()).ok_or_else(|| key_error(key, "no text"))
+}
+
+fn variable_or_key(
+    env: &impl Fn(&str) -> Option<String>, variable: &str, file: &Value, key: &str,
+) -> Result<String, ConfigError> {
+    if let Some(value) = env(variable).filter(|value| !value.is_empty()) {
+        return Ok(value);
+    }
+    match file.get(key) {
+        Some(value) => Ok(text(key, value)?.to_string()),
+        None => Err(key_error(key, &format!("missing, and {variable} is not set"))),
     }
 }
 
-fn address(key: &str, text: &str) -> Result<SocketAddr, Fault> {
-    text.parse().map_err(|_| fault(key, &format!("'{text}' is no address:port")))
+fn parse_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
+    text.parse().map_err(|_| key_error(key, &format!("'{text}' is no address:port")))
 }
--- a/crates/gateway/src/gateway/event_loop.rs
+++ b/crates/gateway/src/gateway/event_loop.rs
@@ -2,10 +2,10 @@
 
 use super::Gateway;
 use super::timers::Timer;
-use crate::config::Known;
+use crate::config::InitialState;
 use crate::counters::COUNTERS;
 use crate::invariant;
-use crate::net::platform::{Tally, Vote};
+use crate::net::platform::{OutcomeCounts, Vote};
 use crate::net::upstream::{CallResult, UpstreamCall};
 use crate::net::{DriverEvent, MAX_PENDING_EVENTS};
 use latchhaven_policy::{Action, AttemptOutcome, Event, Millis, UpdateKind, Verdict, Version, VoteOutcome};
@@ -15,8 +15,8 @@
 
 impl Gateway {
     /// Starts from what was known, and serves until dropped.
-    pub async fn run(mut self, known: Known, mut events: mpsc::Receiver<DriverEvent>) {
-        self.start(known);
+    pub async fn run(mut self, initial_state: InitialState, mut events: mpsc::Receiver<DriverEvent>) {
+        self.start(initial_state);
         let mut batch = Vec::new();
         loop {
             self.wait(&mut events, &mut batch).await;
@@ -32,13 +32,13 @@
         }
     }
 
-    fn start(&mut self, known: Known) {
+    fn start(&mut self, initial_state: InitialState) {
         let mut events = Vec::new();
-        if let Some(rollout) = known.news {
+        if let Some(rollout) = initial_state.rollout {
             events.push(Event::RolloutUpdate(self.apply_rollout(rollout)));
         }
-        self.discovery.restore(known.list.version);
-        events.push(self.apply_list(UpdateKind::CachedSnapshot, known.list));
+        self.discovery.restore(initial_state.list.version);
+        events.push(self.apply_list(UpdateKind::CachedSnapshot, initial_state.list));
         self.decide(events);
     }
 
@@ -159,7 +159,7 @@
     }
 
     fn cast_vote(&mut self, version: Version, stage: u32, verdict: Verdict) {
-        let vote = Vote { build: version, stage, verdict, cast: Instant::now() };
+        let vote = Vote { version, stage, verdict, cast_at: Instant::now() };
         invariant!(self.votes.try_send(vote).is_ok(), "few votes wait for the platform");
     }
 }
@@ -175,7 +175,7 @@
     )
 }
 
-fn outcomes_reported(counts: Tally) -> Event {
+fn outcomes_reported(counts: OutcomeCounts) -> Event {
     COUNTERS.tallies_told.increment();
     tracing::debug!(tally = ?counts, "platform: tally");
     Event::OutcomesReported(counts.into())
--- a/crates/gateway/src/gateway/updates.rs
+++ b/crates/gateway/src/gateway/updates.rs
@@ -19,17 +19,26 @@
             }
             return;
         };
-        let decision = self.discovery.on_list(call, list.version, list.whole);
+        let decision = self.discovery.on_list(call, list.version, list.is_snapshot);
         self.run_discovery_commands();
         match decision {
             ListDecision::Ignored => {}
             ListDecision::Apply => {
                 COUNTERS.list_changes.increment();
-                tracing::debug!(list.version, list.whole, entries = list.entries.len(), "list: told");
-                events.push(self.apply_list(update_kind(list.whole), list));
+                tracing::debug!(
+                    list.version,
+                    list.whole = list.is_snapshot,
+                    entries = list.entries.len(),
+                    "list: told"
+                );
+                events.push(self.apply_list(update_kind(list.is_snapshot), list));
             }
             ListDecision::Discard { is_current } => {
-                tracing::info!(list.version, list.whole, "list: not newer than the one held, asked for anew");
+                tracing::info!(
+                    list.version,
+                    list.whole = list.is_snapshot,
+                    "list: not newer than the one held, asked for anew"
+                );
                 COUNTERS.list_failures.increment();
                 if is_current {
                     events.push(self.endpoint_update_failed());
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,11 @@
-//! The gateway: clients, servers, the list and the platform on sockets, round the decisions of `latchhaven`.
-
-// Until its turn: docs/ROADMAP.md.
-#![allow(clippy::missing_errors_doc, clippy::too_many_lines, missing_docs)]
+//! The gateway: clients, endpoints, discovery and the platform on sockets, round the decisions of
+//! [`Policy`](latchhaven_policy::Policy).
+//!
+//! - [`serve`]: starts and ends it; [`config`] is what it reads.
+//! - [`gateway`]: the event loop and its state.
+//! - [`net`]: the drivers of sockets.
+//! - [`proto`], [`discovery`], [`arrivals`]: state machines without I/O.
+//! - [`counters`]: counters and invariants.
 
 pub mod arrivals;
 pub mod config;
--- a/crates/gateway/src/net/clients/closing.rs
+++ b/crates/gateway/src/net/clients/closing.rs
@@ -70,6 +70,6 @@
 }
 
 /// Writes all to a client, which may not take forever.
-pub(super) async fn write(stream: &TcpStream, pieces: &[Bytes]) -> io::Result<()> {
-    timeout(WRITE_TIMEOUT, write_all(stream, pieces)).await.map_err(io::Error::from)?
+pub(super) async fn write(stream: &TcpStream, buffers: &[Bytes]) -> io::Result<()> {
+    timeout(WRITE_TIMEOUT, write_all(stream, buffers)).await.map_err(io::Error::from)?
 }
--- a/crates/gateway/src/net/clients/session.rs
+++ b/crates/gateway/src/net/clients/session.rs
@@ -225,7 +225,7 @@
         counter.increment();
     }
 
-    pub(super) async fn write(&self, pieces: &[Bytes]) -> io::Result<()> {
-        write(self.stream, pieces).await
+    pub(super) async fn write(&self, buffers: &[Bytes]) -> io::Result<()> {
+        write(self.stream, buffers).await
     }
 }
--- a/crates/gateway/src/net/io.rs
+++ b/crates/gateway/src/net/io.rs
@@ -11,8 +11,8 @@
 
 /// Bytes that a read takes at most at once; a connection holds at most a message and this.
 const MAX_READ: usize = 16 * 1024;
-/// Pieces that one system call writes at most.
-const MAX_PIECES_PER_WRITE: usize = 8;
+/// Buffers that one system call writes at most.
+const MAX_BUFFERS_PER_WRITE: usize = 8;
 
 /// Nothing may be written on this idle connection: its peer has ended it, or sent what nobody asked for.
 pub fn is_unusable(stream: &TcpStream) -> bool {
@@ -59,14 +59,14 @@
     }
 }
 
-/// Writes all pieces, several with one system call. An error says that the last byte was not written.
+/// Writes all buffers, several with one system call. An error says that the last byte was not written.
 ///
 /// # Errors
 /// The socket's.
-pub async fn write_all(stream: &TcpStream, pieces: &[Bytes]) -> io::Result<()> {
-    let mut cursor = WriteCursor { pieces, piece: 0, offset: 0 };
+pub async fn write_all(stream: &TcpStream, buffers: &[Bytes]) -> io::Result<()> {
+    let mut cursor = WriteCursor { buffers, index: 0, offset: 0 };
     loop {
-        cursor.skip_written_pieces();
+        cursor.skip_written_buffers();
         if cursor.is_at_end() {
             return Ok(());
         }
@@ -79,23 +79,24 @@
     }
 }
 
-/// How far pieces have been written.
+/// How far buffers have been written.
 struct WriteCursor<'a> {
-    pieces: &'a [Bytes],
-    piece: usize,
-    /// Bytes of the present piece that were written.
+    buffers: &'a [Bytes],
+    /// The present buffer.
+    index: usize,
+    /// Bytes of the present buffer that were written.
     offset: usize,
 }
 
 impl<'a> WriteCursor<'a> {
     fn is_at_end(&self) -> bool {
-        self.piece >= self.pieces.len()
+        self.index >= self.buffers.len()
     }
 
-    fn skip_written_pieces(&mut self) {
-        while !self.is_at_end() && self.offset >= self.pieces[self.piece].len() {
-            self.offset -= self.pieces[self.piece].len();
-            self.piece += 1;
+    fn skip_written_buffers(&mut self) {
+        while !self.is_at_end() && self.offset >= self.buffers[self.index].len() {
+            self.offset -= self.buffers[self.index].len();
+            self.index += 1;
         }
     }
 
@@ -104,12 +105,12 @@
     }
 
     /// What is to be written next, and in how many slices.
-    fn slices(&self) -> ([IoSlice<'a>; MAX_PIECES_PER_WRITE], usize) {
-        let mut slices = [IoSlice::new(&[]); MAX_PIECES_PER_WRITE];
+    fn slices(&self) -> ([IoSlice<'a>; MAX_BUFFERS_PER_WRITE], usize) {
+        let mut slices = [IoSlice::new(&[]); MAX_BUFFERS_PER_WRITE];
         let mut count = 0;
-        for (slot, piece) in slices.iter_mut().zip(&self.pieces[self.piece..]) {
+        for (slot, buffer) in slices.iter_mut().zip(&self.buffers[self.index..]) {
             let written = if count == 0 { self.offset } else { 0 };
-            *slot = IoSlice::new(&piece[written..]);
+            *slot = IoSlice::new(&buffer[written..]);
             count += 1;
         }
         (slices, count)
--- a/crates/gateway/src/net/list.rs
+++ b/crates/gateway/src/net/list.rs
@@ -1,10 +1,11 @@
-//! The list of instances: read from the service in whole, or watched.
+//! The endpoint list: fetched from the discovery service as a snapshot, or watched.
 
+use super::call_error::CallError;
 use super::{CONNECT_TIMEOUT, DriverEvent, read_some, write_all};
 use crate::counters::COUNTERS;
 use crate::discovery::calls::CallId;
-use crate::proto::http::{self, Body, Part, Reader};
-use crate::proto::json::{Piece, Pieces};
+use crate::proto::http::{self, BodyBuffer, ResponsePart, ResponseReader};
+use crate::proto::json::{JsonFrame, JsonFramer};
 use bytes::BytesMut;
 use latchhaven_policy::{EndpointEntry, EndpointStatus, Version};
 use serde::Deserialize;
@@ -20,11 +21,14 @@
 /// A call that brings nothing by then has failed: discovery gives up after 2 s itself.
 const LIST_CALL_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// The list, or changes to it, with the address of each instance.
+/// The endpoint list or a delta to it, with the address of each endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct List {
+    /// Its version.
     pub version: u64,
-    pub whole: bool,
+    /// It is a snapshot of all endpoints and not a delta.
+    pub is_snapshot: bool,
+    /// The entries with their addresses.
     pub entries: Vec<(EndpointEntry, SocketAddr)>,
 }
 
@@ -54,6 +58,7 @@
     release: Version,
 }
 
+/// The weight of a host that names none.
 fn one() -> f64 {
     1.0
 }
@@ -66,117 +71,178 @@
     Removed,
 }
 
-/// Reads the list in its own form; the text names the faulty key.
-pub fn read(text: &[u8]) -> Result<List, String> {
-    let mut reader = serde_json::Deserializer::from_slice(text);
-    let page: Page = serde_path_to_error::deserialize(&mut reader).map_err(|fault| fault.to_string())?;
-    reader.end().map_err(|fault| fault.to_string())?;
-    let odd = |host: &Host| host.host.is_empty() || host.share < 0.0 || host.born_ms < 0.0;
-    if let Some(at) = page.hosts.iter().position(odd) {
-        return Err(format!("hosts[{at}]: no name, or share or born_ms below 0"));
+/// Why a list cannot be read; the text names the faulty key.
+#[derive(Debug, thiserror::Error)]
+pub enum ListError {
+    /// It is no JSON, or lacks keys.
+    #[error(transparent)]
+    Malformed(#[from] serde_path_to_error::Error<serde_json::Error>),
+    /// Something stands behind it.
+    #[error(transparent)]
+    TrailingData(#[from] serde_json::Error),
+    /// The host at this position has no name, or a negative figure.
+    #[error("hosts[{0}]: no name, or share or born_ms below 0")]
+    InvalidHost(usize),
+}
+
+impl Host {
+    fn is_valid(&self) -> bool {
+        !(self.host.is_empty() || self.share < 0.0 || self.born_ms < 0.0)
     }
-    let entries = page.hosts.into_iter().map(|host| {
-        let state = match host.health {
+
+    fn into_entry(self) -> (EndpointEntry, SocketAddr) {
+        let status = match self.health {
             Health::Up => EndpointStatus::Ready,
             Health::Draining => EndpointStatus::Draining,
             Health::Removed => EndpointStatus::Removed,
         };
-        let listing = EndpointEntry {
-            endpoint: host.host,
-            status: state,
-            version: host.release,
-            zone: host.site,
-            cell: host.block,
-            machine_type: host.class,
-            weight: host.share,
-            started_at: host.born_ms,
+        let entry = EndpointEntry {
+            endpoint: self.host,
+            status,
+            version: self.release,
+            zone: self.site,
+            cell: self.block,
+            machine_type: self.class,
+            weight: self.share,
+            started_at: self.born_ms,
         };
-        (listing, host.dial)
-    });
-    Ok(List { version: page.seq, whole: page.whole, entries: entries.collect() })
+        (entry, self.dial)
+    }
+}
+
+/// Reads the list in its own form.
+///
+/// # Errors
+/// What is wrong with it.
+pub fn read(text: &[u8]) -> Result<List, ListError> {
+    let mut reader = serde_json::Deserializer::from_slice(text);
+    let page: Page = serde_path_to_error::deserialize(&mut reader)?;
+    reader.end()?;
+    if let Some(position) = page.hosts.iter().position(|host| !host.is_valid()) {
+        return Err(ListError::InvalidHost(position));
+    }
+    let entries = page.hosts.into_iter().map(Host::into_entry).collect();
+    Ok(List { version: page.seq, is_snapshot: page.whole, entries })
 }
 
-/// Watches from a version on, until the connection ends. Every way out is told as a failed call.
-pub async fn watch(addr: SocketAddr, after: u64, call_id: CallId, notes: mpsc::Sender<DriverEvent>) {
-    let path = format!("/v1/servers?watch=1&after={after}");
-    let why = watched(addr, &path, after, call_id, &notes)
-        .await
-        .err()
-        .unwrap_or_else(|| "the watch ended".to_string());
-    tracing::info!(why, "list: watch over");
+/// Watches from a version on, until the connection ends. However it ends, it is reported as a failed call.
+pub async fn watch(address: SocketAddr, after: u64, call: CallId, events: mpsc::Sender<DriverEvent>) {
+    let error = deliver_watch(address, after, call, &events).await.err().unwrap_or(CallError::WatchEnded);
+    tracing::info!(why = error.to_string(), "list: watch over");
     COUNTERS.list_failures.increment();
-    let _ = notes.send(DriverEvent::EndpointList { call: call_id, list: None }).await;
+    let _ = events.send(DriverEvent::EndpointList { call, list: None }).await;
 }
 
-/// Asks for the whole list once.
-pub async fn fetch(addr: SocketAddr, call_id: CallId, notes: mpsc::Sender<DriverEvent>) {
-    let list =
-        timeout(LIST_CALL_TIMEOUT, fetched(addr)).await.unwrap_or_else(|_| Err("no answer".to_string()));
-    if let Err(why) = &list {
-        tracing::info!(why, "list: call failed");
+/// Fetches a snapshot once.
+pub async fn fetch(address: SocketAddr, call: CallId, events: mpsc::Sender<DriverEvent>) {
+    let fetched = timeout(LIST_CALL_TIMEOUT, fetch_list(address)).await;
+    let list = fetched.unwrap_or(Err(CallError::NoResponse));
+    if let Err(error) = &list {
+        tracing::info!(why = error.to_string(), "list: call failed");
         COUNTERS.list_failures.increment();
     }
-    let _ = notes.send(DriverEvent::EndpointList { call: call_id, list: list.ok() }).await;
+    let _ = events.send(DriverEvent::EndpointList { call, list: list.ok() }).await;
 }
 
-async fn call(addr: SocketAddr, path: &str) -> io::Result<TcpStream> {
+async fn connect(address: SocketAddr, path: &str) -> io::Result<TcpStream> {
     COUNTERS.list_calls.increment();
-    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await??;
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
     stream.set_nodelay(true)?;
-    write_all(&stream, &[http::get(&addr.to_string(), path)]).await?;
+    write_all(&stream, &[http::get(&address.to_string(), path)]).await?;
     Ok(stream)
 }
 
-async fn watched(
-    addr: SocketAddr, path: &str, after: u64, call_id: CallId, notes: &mpsc::Sender<DriverEvent>,
-) -> Result<(), String> {
-    let stream = call(addr, path).await.map_err(|fault| fault.to_string())?;
-    let (mut reader, mut pieces, mut buf) = (Reader::default(), Pieces::default(), BytesMut::new());
-    let (mut answered, mut silence, mut heard) = (false, LIST_CALL_TIMEOUT, Instant::now());
-    loop {
-        let part = reader.next(&mut buf).map_err(|fault| fault.to_string())?;
-        match part {
-            Some(Part::Head { status: 200, .. }) => silence = WATCH_SILENCE_TIMEOUT,
-            Some(Part::Head { status, .. }) => return Err(format!("status {status}")),
-            Some(Part::End) => return Ok(()),
-            Some(Part::Body(piece)) => {
-                pieces.add(&piece).map_err(|fault| fault.to_string())?;
-                while let Some(piece) = pieces.piece().map_err(|fault| fault.to_string())? {
-                    // Only whole lines and lists are signs of life: one that never ends is none.
-                    heard = Instant::now();
-                    let list = match piece {
-                        // The call is answered all the same where nothing has changed.
-                        Piece::LineEnd if answered => continue,
-                        Piece::LineEnd => List { version: after, whole: false, entries: Vec::new() },
-                        Piece::Object(list) => read(&list)?,
-                    };
-                    answered = true;
-                    let _ = notes.send(DriverEvent::EndpointList { call: call_id, list: Some(list) }).await;
+async fn deliver_watch(
+    address: SocketAddr, after: u64, call: CallId, events: &mpsc::Sender<DriverEvent>,
+) -> Result<(), CallError> {
+    let mut watch = Watch::open(address, after).await?;
+    while let Some(list) = watch.next_list().await? {
+        let _ = events.send(DriverEvent::EndpointList { call, list: Some(list) }).await;
+    }
+    Ok(())
+}
+
+/// An open watch.
+struct Watch {
+    after: u64,
+    stream: TcpStream,
+    reader: ResponseReader,
+    framer: JsonFramer,
+    buffer: BytesMut,
+    /// A list or a line has come.
+    is_answered: bool,
+    last_sign_of_life: Instant,
+    silence_timeout: Duration,
+}
+
+impl Watch {
+    async fn open(address: SocketAddr, after: u64) -> Result<Self, CallError> {
+        let stream = connect(address, &format!("/v1/servers?watch=1&after={after}")).await?;
+        Ok(Watch {
+            after,
+            stream,
+            reader: ResponseReader::default(),
+            framer: JsonFramer::default(),
+            buffer: BytesMut::new(),
+            is_answered: false,
+            last_sign_of_life: Instant::now(),
+            silence_timeout: LIST_CALL_TIMEOUT,
+        })
+    }
+
+    /// The next list or delta; none: the watch has ended.
+    async fn next_list(&mut self) -> Result<Option<List>, CallError> {
+        loop {
+            while let Some(frame) = self.framer.next_frame()? {
+                if let Some(list) = self.on_frame(frame)? {
+                    return Ok(Some(list));
                 }
             }
-            None => match timeout_at(heard + silence, read_some(&stream, &mut buf)).await {
-                Err(_) => return Err("no sign of life".to_string()),
-                Ok(Ok(0)) => return Ok(()),
-                Ok(read) => drop(read.map_err(|fault| fault.to_string())?),
-            },
+            match self.reader.next(&mut self.buffer)? {
+                Some(ResponsePart::Head { status: 200, .. }) => self.silence_timeout = WATCH_SILENCE_TIMEOUT,
+                Some(ResponsePart::Head { status, .. }) => return Err(CallError::Status(status)),
+                Some(ResponsePart::End) => return Ok(None),
+                Some(ResponsePart::Body(bytes)) => self.framer.push(&bytes)?,
+                None if self.read().await? == 0 => return Ok(None),
+                None => {}
+            }
         }
     }
+
+    /// Only whole lines and lists are signs of life: one that never ends is none.
+    fn on_frame(&mut self, frame: JsonFrame) -> Result<Option<List>, ListError> {
+        self.last_sign_of_life = Instant::now();
+        let list = match frame {
+            JsonFrame::LineEnd if self.is_answered => return Ok(None),
+            // The call is answered all the same where nothing has changed.
+            JsonFrame::LineEnd => List { version: self.after, is_snapshot: false, entries: Vec::new() },
+            JsonFrame::Object(text) => read(&text)?,
+        };
+        self.is_answered = true;
+        Ok(Some(list))
+    }
+
+    async fn read(&mut self) -> Result<usize, CallError> {
+        let deadline = self.last_sign_of_life + self.silence_timeout;
+        let read = timeout_at(deadline, read_some(&self.stream, &mut self.buffer)).await;
+        Ok(read.map_err(|_| CallError::Silent)??)
+    }
 }
 
-async fn fetched(addr: SocketAddr) -> Result<List, String> {
-    let stream = call(addr, "/v1/servers").await.map_err(|fault| fault.to_string())?;
-    let (mut reader, mut body, mut buf) = (Reader::default(), Body::default(), BytesMut::new());
+async fn fetch_list(address: SocketAddr) -> Result<List, CallError> {
+    let stream = connect(address, "/v1/servers").await?;
+    let mut reader = ResponseReader::default();
+    let mut body = BodyBuffer::default();
+    let mut buffer = BytesMut::new();
     loop {
-        match reader.next(&mut buf).map_err(|fault| fault.to_string())? {
-            Some(Part::Head { status: 200, .. }) => {}
-            Some(Part::Head { status, .. }) => return Err(format!("status {status}")),
-            Some(Part::Body(piece)) => body.add(&piece).map_err(|fault| fault.to_string())?,
-            Some(Part::End) => return read(&body.take()),
-            None => match read_some(&stream, &mut buf).await.map_err(|fault| fault.to_string())? {
-                0 if reader.ends_here() => return read(&body.take()),
-                0 => return Err("the answer is cut off".to_string()),
-                _ => {}
-            },
+        match reader.next(&mut buffer)? {
+            Some(ResponsePart::Head { status: 200, .. }) => {}
+            Some(ResponsePart::Head { status, .. }) => return Err(CallError::Status(status)),
+            Some(ResponsePart::Body(bytes)) => body.push(&bytes)?,
+            Some(ResponsePart::End) => return Ok(read(&body.take())?),
+            None if read_some(&stream, &mut buffer).await? > 0 => {}
+            None if reader.is_complete_at_close() => return Ok(read(&body.take())?),
+            None => return Err(CallError::CutOff),
         }
     }
 }
--- a/crates/gateway/src/net/mod.rs
+++ b/crates/gateway/src/net/mod.rs
@@ -3,9 +3,11 @@
 //! - [`clients`]: clients of the gateway.
 //! - [`upstream`]: connections to endpoints.
 //! - [`list`], [`discovery_tasks`]: the discovery service.
+//! - [`call_error`]: why calls to discovery or the platform fail.
 //! - [`platform`]: the feed of rollout states, and votes.
 //! - [`io`]: reading and writing of sockets.
 
+pub mod call_error;
 pub mod clients;
 pub mod discovery_tasks;
 pub mod io;
@@ -96,7 +98,7 @@
     /// A vote was answered, or will not be.
     VoteCompleted(VoteOutcome),
     /// Outcomes that the platform counted.
-    Outcomes(platform::Tally),
+    Outcomes(platform::OutcomeCounts),
 }
 
 /// The final answer to a client.
--- a/crates/gateway/src/net/upstream/connection.rs
+++ b/crates/gateway/src/net/upstream/connection.rs
@@ -24,7 +24,7 @@
 
 /// What is to be written, and by when.
 pub(super) struct OutgoingQuery {
-    pub(super) pieces: Vec<Bytes>,
+    pub(super) buffers: Vec<Bytes>,
     /// The last byte may not be written later.
     pub(super) write_by: Option<Instant>,
 }
--- a/crates/gateway/src/net/upstream/exchange.rs
+++ b/crates/gateway/src/net/upstream/exchange.rs
@@ -93,7 +93,7 @@
         if query.write_by.is_some_and(|write_by| Instant::now() >= write_by) {
             return Err(AttemptOutcome::NotSent);
         }
-        let writing = write_all(stream, &query.pieces);
+        let writing = write_all(stream, &query.buffers);
         let written = match query.write_by {
             Some(write_by) => {
                 timeout_at(write_by, writing).await.unwrap_or_else(|late| Err(io::Error::from(late)))
--- a/crates/gateway/src/net/upstream/pool.rs
+++ b/crates/gateway/src/net/upstream/pool.rs
@@ -310,14 +310,14 @@
         let previous = connection.call.replace(Some(queued.call));
         invariant!(previous.is_none(), "one call at a time on a connection");
         connection.is_written.set(false);
-        let pieces = match &queued.statement {
+        let buffers = match &queued.statement {
             Some(statement) => pg::encode::forwarded_query(statement, queued.deadline - now).to_vec(),
             None if self.config.load_reporting == LoadReporting::InHealthChecks => {
                 vec![pg::encode::query("SHOW load")]
             }
             None => vec![pg::encode::query("SELECT 1")],
         };
-        connection.outgoing.replace(Some(OutgoingQuery { pieces, write_by: queued.write_by }));
+        connection.outgoing.replace(Some(OutgoingQuery { buffers, write_by: queued.write_by }));
         connection.wake.notify_one();
         self.active.insert(queued.call, connection);
     }
--- a/crates/gateway/src/proto/http.rs
+++ b/crates/gateway/src/proto/http.rs
@@ -1,193 +1,253 @@
-//! HTTP/1.1 as a client reads it: answers with a length, chunked, or to the end of the connection.
+//! HTTP/1.1 as a client reads it: responses with a length, chunked, or to the end of the connection.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The longest head of an answer, and the longest line about a chunk.
-const LONGEST_HEAD: usize = 16 * 1024;
-const LONGEST_CHUNK_LINE: usize = 256;
-/// The longest body that is taken whole, and the longest line of a stream: some thousand servers.
-const LONGEST_BODY: usize = 1024 * 1024;
+/// The longest head of a response, and the longest trailer line.
+const MAX_HEAD: usize = 16 * 1024;
+/// The longest line about a chunk.
+const MAX_CHUNK_LINE: usize = 256;
+/// Hexadecimal digits of a chunk's size at most.
+const MAX_CHUNK_SIZE_DIGITS: usize = 8;
+/// The longest body that is taken whole, and the longest line of a stream: some thousand endpoints.
+const MAX_BODY: usize = 1024 * 1024;
 
+/// Why a response cannot be read; nothing behind it can be.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Broken {
+pub enum ParseError {
+    /// Something exceeds its limit.
     #[error("a head or line is too long")]
     TooLong,
+    /// It is not as HTTP or JSON has it.
     #[error("malformed: {0}")]
-    Form(&'static str),
+    Malformed(&'static str),
 }
 
-/// A part of an answer.
+/// A part of a response.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Part {
+pub enum ResponsePart {
+    /// The status line and the headers.
     Head {
+        /// The status.
         status: u16,
-        /// The connection ends after this answer.
-        last: bool,
+        /// The connection ends after this response.
+        is_last: bool,
     },
+    /// Bytes of the body.
     Body(Bytes),
+    /// The end of the response.
     End,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-enum At {
+enum ParserState {
     #[default]
     Head,
     /// So many bytes of the body to come.
     Counted(usize),
-    ChunkLine,
+    ChunkSize,
     /// So many bytes of the chunk to come.
     Chunk(usize),
     ChunkEnd,
     Trailer,
-    ToEnd,
+    UntilClose,
 }
 
-/// Reads answers, one after another.
+/// Reads responses, one after another.
 #[derive(Default)]
-pub struct Reader(At);
+pub struct ResponseReader {
+    state: ParserState,
+}
 
-impl Reader {
+impl ResponseReader {
     /// The next part, if enough has come.
-    pub fn next(&mut self, buf: &mut BytesMut) -> Result<Option<Part>, Broken> {
+    ///
+    /// # Errors
+    /// The response is malformed or exceeds a limit.
+    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<ResponsePart>, ParseError> {
         loop {
-            match self.0 {
-                At::Head => return self.head(buf),
-                At::Counted(0) => {
-                    self.0 = At::Head;
-                    return Ok(Some(Part::End));
+            match self.state {
+                ParserState::Head => return self.next_head(buffer),
+                ParserState::Counted(0) => {
+                    self.state = ParserState::Head;
+                    return Ok(Some(ResponsePart::End));
                 }
-                At::Counted(left) | At::Chunk(left) => {
-                    let piece = buf.split_to(buf.len().min(left)).freeze();
-                    let left = left - piece.len();
-                    self.0 = match self.0 {
-                        At::Chunk(_) if left == 0 => At::ChunkEnd,
-                        At::Chunk(_) => At::Chunk(left),
-                        _ => At::Counted(left),
-                    };
-                    return Ok((!piece.is_empty()).then_some(Part::Body(piece)));
+                ParserState::Counted(remaining) => {
+                    let body = buffer.split_to(buffer.len().min(remaining)).freeze();
+                    self.state = ParserState::Counted(remaining - body.len());
+                    return Ok(body_part(body));
                 }
-                At::ToEnd => {
-                    let piece = buf.split().freeze();
-                    return Ok((!piece.is_empty()).then_some(Part::Body(piece)));
+                ParserState::Chunk(remaining) => {
+                    let body = buffer.split_to(buffer.len().min(remaining)).freeze();
+                    let remaining = remaining - body.len();
+                    self.state =
+                        if remaining == 0 { ParserState::ChunkEnd } else { ParserState::Chunk(remaining) };
+                    return Ok(body_part(body));
                 }
-                At::ChunkLine => {
-                    let Some(line) = line(buf, LONGEST_CHUNK_LINE)? else { return Ok(None) };
-                    let digits = line.split(|byte| *byte == b';').next().unwrap_or(&line).trim_ascii();
-                    let digits = std::str::from_utf8(digits).unwrap_or("");
-                    let hex = !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_hexdigit());
-                    let size = usize::from_str_radix(digits, 16).ok().filter(|_| hex && digits.len() <= 8);
-                    let size = size.ok_or(Broken::Form("the size of a chunk"))?;
-                    self.0 = if size == 0 { At::Trailer } else { At::Chunk(size) };
+                ParserState::UntilClose => return Ok(body_part(buffer.split().freeze())),
+                ParserState::ChunkSize => {
+                    let Some(line) = split_line(buffer, MAX_CHUNK_LINE)? else { return Ok(None) };
+                    let size = chunk_size(&line).ok_or(ParseError::Malformed("the size of a chunk"))?;
+                    self.state = if size == 0 { ParserState::Trailer } else { ParserState::Chunk(size) };
                 }
-                At::ChunkEnd => {
-                    let Some(line) = line(buf, LONGEST_CHUNK_LINE)? else { return Ok(None) };
+                ParserState::ChunkEnd => {
+                    let Some(line) = split_line(buffer, MAX_CHUNK_LINE)? else { return Ok(None) };
                     if !line.is_empty() {
-                        return Err(Broken::Form("the end of a chunk"));
+                        return Err(ParseError::Malformed("the end of a chunk"));
                     }
-                    self.0 = At::ChunkLine;
+                    self.state = ParserState::ChunkSize;
                 }
-                At::Trailer => {
-                    let Some(line) = line(buf, LONGEST_HEAD)? else { return Ok(None) };
+                ParserState::Trailer => {
+                    let Some(line) = split_line(buffer, MAX_HEAD)? else { return Ok(None) };
                     if line.is_empty() {
-                        self.0 = At::Head;
-                        return Ok(Some(Part::End));
+                        self.state = ParserState::Head;
+                        return Ok(Some(ResponsePart::End));
                     }
                 }
             }
         }
     }
 
-    /// True where the end of the connection ends the answer properly.
-    pub fn ends_here(&self) -> bool {
-        self.0 == At::ToEnd
+    /// The end of the connection ends the response properly.
+    pub fn is_complete_at_close(&self) -> bool {
+        self.state == ParserState::UntilClose
     }
 
-    fn head(&mut self, buf: &mut BytesMut) -> Result<Option<Part>, Broken> {
-        let window = &buf[..buf.len().min(LONGEST_HEAD)];
-        let Some(end) = window.windows(4).position(|four| four == b"\r\n\r\n") else {
-            return if buf.len() >= LONGEST_HEAD { Err(Broken::TooLong) } else { Ok(None) };
+    fn next_head(&mut self, buffer: &mut BytesMut) -> Result<Option<ResponsePart>, ParseError> {
+        let window = &buffer[..buffer.len().min(MAX_HEAD)];
+        let Some(end) = window.windows(4).position(|bytes| bytes == b"\r\n\r\n") else {
+            return if buffer.len() >= MAX_HEAD { Err(ParseError::TooLong) } else { Ok(None) };
         };
-        let head = buf.split_to(end + 4);
-        let head = std::str::from_utf8(&head[..end]).map_err(|_| Broken::Form("a head is no text"))?;
-        let mut lines = head.split("\r\n");
-        let first = lines.next().unwrap_or("");
-        let mut words = first.splitn(3, ' ');
-        if !words.next().is_some_and(|version| version.starts_with("HTTP/1.")) {
-            return Err(Broken::Form("no HTTP/1 answer"));
-        }
-        let status = words.next().filter(|digits| digits.len() == 3).and_then(|digits| digits.parse().ok());
-        let status: u16 = status.ok_or(Broken::Form("the status"))?;
-        let (mut length, mut chunked, mut last) = (None, false, false);
+        let head = buffer.split_to(end + 4);
+        let text = std::str::from_utf8(&head[..end]);
+        let head = Head::parse(text.map_err(|_| ParseError::Malformed("a head is no text"))?)?;
+        self.state = head.body_state();
+        let is_last = head.closes_connection || self.state == ParserState::UntilClose;
+        Ok(Some(ResponsePart::Head { status: head.status, is_last }))
+    }
+}
+
+/// What the head of a response says of its body.
+struct Head {
+    status: u16,
+    content_length: Option<usize>,
+    is_chunked: bool,
+    closes_connection: bool,
+}
+
+impl Head {
+    fn parse(text: &str) -> Result<Self, ParseError> {
+        let mut lines = text.split("\r\n");
+        let status = parse_status(lines.next().unwrap_or(""))?;
+        let mut head = Head { status, content_length: None, is_chunked: false, closes_connection: false };
         for line in lines {
-            let (name, value) = line.split_once(':').ok_or(Broken::Form("a header without a colon"))?;
-            let value = value.trim();
-            if name.eq_ignore_ascii_case("content-length") {
-                let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
-                let value = value.parse::<usize>().ok().filter(|_| digits);
-                let value = value.ok_or(Broken::Form("content-length"))?;
-                if length.is_some_and(|length| length != value) {
-                    return Err(Broken::Form("two lengths"));
-                }
-                length = Some(value);
-            } else if name.eq_ignore_ascii_case("transfer-encoding") {
-                chunked = value.eq_ignore_ascii_case("chunked");
-            } else if name.eq_ignore_ascii_case("connection") {
-                last = value.eq_ignore_ascii_case("close");
+            let (name, value) =
+                line.split_once(':').ok_or(ParseError::Malformed("a header without a colon"))?;
+            head.apply_header(name, value.trim())?;
+        }
+        Ok(head)
+    }
+
+    fn apply_header(&mut self, name: &str, value: &str) -> Result<(), ParseError> {
+        if name.eq_ignore_ascii_case("content-length") {
+            let length = parse_digits(value).ok_or(ParseError::Malformed("content-length"))?;
+            if self.content_length.is_some_and(|known| known != length) {
+                return Err(ParseError::Malformed("two lengths"));
             }
+            self.content_length = Some(length);
+        } else if name.eq_ignore_ascii_case("transfer-encoding") {
+            self.is_chunked = value.eq_ignore_ascii_case("chunked");
+        } else if name.eq_ignore_ascii_case("connection") {
+            self.closes_connection = value.eq_ignore_ascii_case("close");
+        }
+        Ok(())
+    }
+
+    fn body_state(&self) -> ParserState {
+        let has_no_body = self.status / 100 == 1 || self.status == 204 || self.status == 304;
+        match self.content_length {
+            _ if has_no_body => ParserState::Counted(0),
+            _ if self.is_chunked => ParserState::ChunkSize,
+            Some(length) => ParserState::Counted(length),
+            None => ParserState::UntilClose,
         }
-        let bare = status / 100 == 1 || status == 204 || status == 304;
-        self.0 = match length {
-            _ if bare => At::Counted(0),
-            _ if chunked => At::ChunkLine,
-            Some(length) => At::Counted(length),
-            None => At::ToEnd,
-        };
-        Ok(Some(Part::Head { status, last: last || self.0 == At::ToEnd }))
     }
 }
 
+fn parse_status(line: &str) -> Result<u16, ParseError> {
+    let mut words = line.splitn(3, ' ');
+    if !words.next().is_some_and(|version| version.starts_with("HTTP/1.")) {
+        return Err(ParseError::Malformed("no HTTP/1 answer"));
+    }
+    let digits = words.next().filter(|digits| digits.len() == 3);
+    digits.and_then(|digits| digits.parse().ok()).ok_or(ParseError::Malformed("the status"))
+}
+
+fn parse_digits(text: &str) -> Option<usize> {
+    let is_number = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
+    if is_number { text.parse().ok() } else { None }
+}
+
+/// The size of a chunk; extensions are ignored.
+fn chunk_size(line: &[u8]) -> Option<usize> {
+    let digits = line.split(|byte| *byte == b';').next()?.trim_ascii();
+    let digits = std::str::from_utf8(digits).ok()?;
+    let is_number = (1..=MAX_CHUNK_SIZE_DIGITS).contains(&digits.len())
+        && digits.bytes().all(|byte| byte.is_ascii_hexdigit());
+    if is_number { usize::from_str_radix(digits, 16).ok() } else { None }
+}
+
+fn body_part(bytes: Bytes) -> Option<ResponsePart> {
+    if bytes.is_empty() { None } else { Some(ResponsePart::Body(bytes)) }
+}
+
 /// Splits one line off the front, without its end.
-fn line(buf: &mut BytesMut, longest: usize) -> Result<Option<Bytes>, Broken> {
-    let Some(end) = buf[..buf.len().min(longest)].iter().position(|byte| *byte == b'\n') else {
-        return if buf.len() >= longest { Err(Broken::TooLong) } else { Ok(None) };
+fn split_line(buffer: &mut BytesMut, max_length: usize) -> Result<Option<Bytes>, ParseError> {
+    let Some(end) = buffer[..buffer.len().min(max_length)].iter().position(|byte| *byte == b'\n') else {
+        return if buffer.len() >= max_length { Err(ParseError::TooLong) } else { Ok(None) };
     };
-    let mut line = buf.split_to(end + 1).freeze();
+    let mut line = buffer.split_to(end + 1).freeze();
     line.truncate(if line[..end].ends_with(b"\r") { end - 1 } else { end });
     Ok(Some(line))
 }
 
-/// Puts the pieces of a body together again, up to a bound.
+/// Collects the bytes of a body, up to a bound.
 #[derive(Default)]
-pub struct Body(BytesMut);
+pub struct BodyBuffer {
+    bytes: BytesMut,
+}
 
-impl Body {
-    pub fn add(&mut self, piece: &[u8]) -> Result<(), Broken> {
-        if self.0.len() + piece.len() > LONGEST_BODY {
-            return Err(Broken::TooLong);
+impl BodyBuffer {
+    /// Adds what has come.
+    ///
+    /// # Errors
+    /// The body exceeds its bound.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<(), ParseError> {
+        if self.bytes.len() + bytes.len() > MAX_BODY {
+            return Err(ParseError::TooLong);
         }
-        self.0.extend_from_slice(piece);
+        self.bytes.extend_from_slice(bytes);
         Ok(())
     }
 
     /// The next whole line of a stream.
-    pub fn line(&mut self) -> Option<Bytes> {
-        line(&mut self.0, usize::MAX).ok().flatten()
+    pub fn next_line(&mut self) -> Option<Bytes> {
+        split_line(&mut self.bytes, usize::MAX).ok().flatten()
     }
 
     /// All of it.
     pub fn take(&mut self) -> Bytes {
-        let whole = self.0.copy_to_bytes(self.0.len());
-        self.0 = BytesMut::new();
-        whole
+        let all = self.bytes.copy_to_bytes(self.bytes.len());
+        self.bytes = BytesMut::new();
+        all
     }
 }
 
-/// A call without a body.
+/// A request without a body.
 pub fn get(host: &str, path: &str) -> Bytes {
     format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n").into()
 }
 
-/// A call with a body in JSON.
+/// A request with a body in JSON.
 pub fn post(host: &str, path: &str, body: &str) -> Bytes {
     let length = body.len();
     let head = format!("POST {path} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\n");
--- a/crates/gateway/src/proto/pg/encode.rs
+++ b/crates/gateway/src/proto/pg/encode.rs
@@ -30,7 +30,7 @@
 ];
 
 /// A query as it goes on to an endpoint: its timeout says how long this gateway waits, in whole ms and at least 1.
-/// Four pieces for one write.
+/// Four buffers for one write.
 pub fn forwarded_query(statement: &Statement, timeout: Millis) -> [Bytes; 4] {
     let digits = format!("{}", timeout.max(1.0).floor());
     let text = &statement.text;
--- /dev/null
+++ b/crates/gateway/src/serve/mod.rs
@@ -0,0 +1,138 @@
+//! Starts the gateway, handles signals, and ends it.
+
+mod bind;
+mod signals;
+
+use crate::config;
+use crate::counters::COUNTERS;
+use crate::gateway::{Clock, Gateway, GatewayParts};
+use crate::net::clients::Clients;
+use crate::net::upstream::UpstreamPool;
+use crate::net::{DriverEvent, MAX_PENDING_EVENTS, MAX_PENDING_VOTES, platform};
+use bind::bind_with_retry;
+use latchhaven_policy::Millis;
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use signals::{Signals, StopSignals};
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::select;
+use tokio::sync::{mpsc, watch};
+use tokio::task::JoinHandle;
+use tokio::time::sleep;
+
+/// Descriptors kept for everything but clients and endpoints: the list, the feed, votes, the runtime, logs.
+const RESERVED_DESCRIPTORS: usize = 48;
+/// Of the rest, how many of eight go to clients; endpoints get the others.
+const CLIENT_EIGHTHS: usize = 4;
+/// After SIGTERM connections are accepted for so long: the load balancer in front hands them out for 0.4 s at most.
+const SHUTDOWN_ACCEPT_TIME: Duration = Duration::from_millis(550);
+/// How often the last connections are looked at during shutdown.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// ms in a second.
+const MS_PER_SECOND: Millis = 1000.0;
+
+fn environment(name: &str) -> Option<String> {
+    std::env::var(name).ok()
+}
+
+/// Serves until SIGTERM or SIGINT, within a `LocalSet` on a runtime of one thread. `counters_interval`: so often the
+/// counters are logged unasked, at the first time after a part of it that the seed draws, lest hundreds of
+/// gateways log at once.
+///
+/// # Errors
+/// A faulty configuration, a listener that cannot be had, or an end of the gateway that nobody asked for.
+pub async fn serve(counters_interval: Option<Duration>) -> io::Result<()> {
+    let clock = Clock::start();
+    // Before anything that takes time: unhandled, each signal would end the process.
+    let signals = Signals::install()?;
+    let config = config::read(environment).map_err(io::Error::other)?;
+    let listener = bind_with_retry(config.addresses.listen).await?;
+
+    let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
+    let (events, event_receiver) = mpsc::channel(MAX_PENDING_EVENTS);
+    let (platform_sender, platform_address) = watch::channel(config.addresses.platform);
+    let connections = config.settings.connections();
+    let vote_timeout = Duration::from_secs_f64(connections.vote_timeout / MS_PER_SECOND);
+    let votes = spawn_platform_tasks(&mut rng, platform_address, vote_timeout, &events);
+    let reload = signals::reload_config(signals.reload, events.clone(), platform_sender);
+    tokio::task::spawn_local(reload);
+
+    let descriptors = config.max_sockets - RESERVED_DESCRIPTORS;
+    let client_descriptors = descriptors * CLIENT_EIGHTHS / 8;
+    let pool = UpstreamPool::new(descriptors - client_descriptors, connections.clone(), events.clone());
+    let clients = Clients::new(client_descriptors, config.settings.products(), clock, events.clone());
+    let gateway = Gateway::new(GatewayParts {
+        policy: config.settings.asking().start(config.seed),
+        clock,
+        pool,
+        connections,
+        discovery_address: config.addresses.discovery,
+        votes,
+        events,
+    });
+    let name = &config.addresses.name;
+    let listening = listener.local_addr()?;
+    let servers = config.initial_state.list.entries.len();
+    tracing::info!(name, %listening, servers, "gateway starts");
+
+    let mut gateway = tokio::task::spawn_local(gateway.run(config.initial_state, event_receiver));
+    select! {
+        () = accept_until_stopped(signals.stop, &clients) => {}
+        () = clients.clone().accept(&listener) => {}
+        () = signals::print_counters(signals.print_counters) => {}
+        () = log_counters(counters_interval, &mut rng) => {}
+        ended = &mut gateway => return Err(io::Error::other(format!("the gateway ended: {ended:?}"))),
+    }
+    shut_down(&clients, listener, &gateway).await;
+    Ok(())
+}
+
+/// Starts the feed of rollout states and the task that casts votes.
+fn spawn_platform_tasks(
+    rng: &mut Pcg64Mcg, address: watch::Receiver<Option<SocketAddr>>, vote_timeout: Duration,
+    events: &mpsc::Sender<DriverEvent>,
+) -> mpsc::Sender<platform::Vote> {
+    let (votes, cast_votes) = mpsc::channel(MAX_PENDING_VOTES);
+    let feed_rng = Pcg64Mcg::from_rng(rng);
+    tokio::task::spawn_local(platform::feed(address.clone(), feed_rng, events.clone()));
+    tokio::task::spawn_local(platform::votes(address, vote_timeout, cast_votes, events.clone()));
+    votes
+}
+
+/// Waits for the end of the process, and for the last connections that the load balancer hands out after it.
+async fn accept_until_stopped(mut stop: StopSignals, clients: &Clients) {
+    stop.received().await;
+    tracing::info!("gateway stops: finishing what was taken");
+    clients.shut_down();
+    sleep(SHUTDOWN_ACCEPT_TIME).await;
+}
+
+/// Logs the counters unasked, if that is wanted.
+async fn log_counters(interval: Option<Duration>, rng: &mut Pcg64Mcg) {
+    let Some(interval) = interval else { return std::future::pending().await };
+    sleep(interval.mul_f64(rng.random())).await;
+    loop {
+        tracing::info!("counters: {COUNTERS}");
+        sleep(interval).await;
+    }
+}
+
+/// Serves the connections that are left, until the last one is closed.
+async fn shut_down(clients: &Rc<Clients>, listener: TcpListener, gateway: &JoinHandle<()>) {
+    if let Err(fault) = clients.accept_rest(listener) {
+        tracing::warn!(%fault, "clients: the last ones could not be accepted");
+    }
+    clients.shut_down();
+    let connections = clients.open_sessions();
+    let busy = clients.busy_sessions();
+    tracing::info!(connections, busy, "gateway stops: no more are accepted");
+    while clients.open_sessions() > 0 && !gateway.is_finished() {
+        sleep(SHUTDOWN_POLL_INTERVAL).await;
+    }
+    tracing::info!("counters: {COUNTERS}");
+    tracing::info!("gateway ends");
+}
--- a/crates/gateway/tests/parsers.rs
+++ b/crates/gateway/tests/parsers.rs
@@ -6,8 +6,8 @@
 use bytes::{Bytes, BytesMut};
 use latchhaven_gateway::arrivals::ArrivalTimes;
 use latchhaven_gateway::net::{list, platform};
-use latchhaven_gateway::proto::http::{self, Body, Part, Reader};
-use latchhaven_gateway::proto::json::{Piece, Pieces};
+use latchhaven_gateway::proto::http::{self, BodyBuffer, ResponsePart, ResponseReader};
+use latchhaven_gateway::proto::json::{JsonFrame, JsonFramer};
 use latchhaven_gateway::proto::pg::{
     self, Backend, BackendMessage, Frontend, FrontendMessage, ParseError, Statement,
 };
@@ -192,7 +192,7 @@
             let mut backend = Backend::default();
             let mut buf = BytesMut::from(&bytes[..]);
             while let Ok(Some(_)) = backend.next(&mut buf) {}
-            let mut reader = Reader::default();
+            let mut reader = ResponseReader::default();
             let mut buf = BytesMut::from(
                 &[b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", &bytes[..]].concat()[..],
             );
@@ -263,11 +263,13 @@
 }
 
 /// Pieces of one body are one body, however they were cut.
-fn joined(parts: Vec<Part>) -> Vec<Part> {
-    let mut all: Vec<Part> = Vec::new();
+fn joined(parts: Vec<ResponsePart>) -> Vec<ResponsePart> {
+    let mut all: Vec<ResponsePart> = Vec::new();
     for part in parts {
         match (all.last_mut(), part) {
-            (Some(Part::Body(had)), Part::Body(more)) => *had = [&had[..], &more[..]].concat().into(),
+            (Some(ResponsePart::Body(had)), ResponsePart::Body(more)) => {
+                *had = [&had[..], &more[..]].concat().into()
+            }
             (_, part) => all.push(part),
         }
     }
@@ -281,19 +283,21 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n5;x=y\r\nhello\r\n1\r\n!\r\n0\r\nA: b\r\n\r\n";
     let empty = "HTTP/1.1 503 No\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
     let stream = [counted, chunked, empty].concat();
-    let next = |reader: &mut Reader, buf: &mut BytesMut| reader.next(buf).unwrap();
-    let got = at_every_split(stream.as_bytes(), Reader::default, next, joined);
-    let (head, body) =
-        (|status, last| Part::Head { status, last }, |text: &'static str| Part::Body(text.into()));
+    let next = |reader: &mut ResponseReader, buf: &mut BytesMut| reader.next(buf).unwrap();
+    let got = at_every_split(stream.as_bytes(), ResponseReader::default, next, joined);
+    let (head, body) = (
+        |status, is_last| ResponsePart::Head { status, is_last },
+        |text: &'static str| ResponsePart::Body(text.into()),
+    );
     let wanted = [
         head(200, false),
         body("hello"),
-        Part::End,
+        ResponsePart::End,
         head(200, false),
         body("hello!"),
-        Part::End,
+        ResponsePart::End,
         head(503, true),
-        Part::End,
+        ResponsePart::End,
     ];
     assert_eq!(got, wanted);
 }
@@ -310,7 +314,7 @@
 #[case::endless_size(format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", "0".repeat(300)))]
 #[case::no_end_of_chunk("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\naXX\r\n".to_string())]
 fn a_malformed_answer_is_told_so(#[case] bytes: String) {
-    let (mut reader, mut buf) = (Reader::default(), BytesMut::from(bytes.as_bytes()));
+    let (mut reader, mut buf) = (ResponseReader::default(), BytesMut::from(bytes.as_bytes()));
     let mut part = reader.next(&mut buf);
     while matches!(part, Ok(Some(_))) {
         part = reader.next(&mut buf);
@@ -320,12 +324,15 @@
 
 #[test]
 fn a_body_is_bounded_and_split_into_lines() {
-    let mut body = Body::default();
-    body.add(b"one\r\n\ntw").unwrap();
-    assert_eq!((body.line(), body.line(), body.line()), (Some("one".into()), Some("".into()), None));
-    body.add(b"o\n").unwrap();
-    assert_eq!(body.line(), Some("two".into()));
-    assert!((0..100).any(|_| body.add(&[b'x'; 65536]).is_err()));
+    let mut body = BodyBuffer::default();
+    body.push(b"one\r\n\ntw").unwrap();
+    assert_eq!(
+        (body.next_line(), body.next_line(), body.next_line()),
+        (Some("one".into()), Some("".into()), None)
+    );
+    body.push(b"o\n").unwrap();
+    assert_eq!(body.next_line(), Some("two".into()));
+    assert!((0..100).any(|_| body.push(&[b'x'; 65536]).is_err()));
     assert_eq!(http::get("h", "/p"), "GET /p HTTP/1.1\r\nHost: h\r\nAccept: application/json\r\n\r\n");
 }
 
@@ -348,7 +355,7 @@
 )]
 #[case::noise_behind("{}x")]
 fn a_spoilt_line_of_the_feed_tells_nothing(#[case] line: &str) {
-    assert!(platform::told(line.as_bytes()).is_err());
+    assert!(platform::read_feed_line(line.as_bytes()).is_err());
 }
 
 #[rstest]
@@ -364,14 +371,14 @@
 #[test]
 fn objects_are_read_alike_however_they_are_spread_and_split() {
     let text = "\r\n  {\"a\":[{\"b\":\"}{\\\"\\\\\"},\r\n\t{\"c\":{}}\n]}  {\"d\":1}\n";
-    let next = |pieces: &mut Pieces, buf: &mut BytesMut| {
-        pieces.add(&buf.split()).unwrap();
-        pieces.piece().unwrap()
+    let next = |framer: &mut JsonFramer, buf: &mut BytesMut| {
+        framer.push(&buf.split()).unwrap();
+        framer.next_frame().unwrap()
     };
-    let got = at_every_split(text.as_bytes(), Pieces::default, next, |got| got);
-    let object = |text: &'static str| Piece::Object(Bytes::from_static(text.as_bytes()));
+    let got = at_every_split(text.as_bytes(), JsonFramer::default, next, |got| got);
+    let object = |text: &'static str| JsonFrame::Object(Bytes::from_static(text.as_bytes()));
     let first = object("{\"a\":[{\"b\":\"}{\\\"\\\\\"},\r\n\t{\"c\":{}}\n]}");
-    assert_eq!(got, [Piece::LineEnd, first, object("{\"d\":1}"), Piece::LineEnd]);
+    assert_eq!(got, [JsonFrame::LineEnd, first, object("{\"d\":1}"), JsonFrame::LineEnd]);
 }
 
 #[rstest]
@@ -383,24 +390,24 @@
 #[case::another_bracket("{\"a\":[}")]
 #[case::too_deep("{\"a\":[[[[[[[[[[[[[[[[[[[[")]
 fn a_stream_out_of_step_is_told_so(#[case] text: &str) {
-    let mut pieces = Pieces::default();
-    pieces.add(text.as_bytes()).unwrap();
-    assert!(pieces.piece().is_err(), "{text}");
+    let mut framer = JsonFramer::default();
+    framer.push(text.as_bytes()).unwrap();
+    assert!(framer.next_frame().is_err(), "{text}");
 }
 
 #[test]
 fn what_only_sets_objects_apart_is_not_held_and_an_endless_object_is_refused() {
-    let mut pieces = Pieces::default();
+    let mut framer = JsonFramer::default();
     for _ in 0..40 {
-        pieces.add(&[b' '; 100_000]).unwrap();
-        assert_eq!(pieces.piece(), Ok(None));
+        framer.push(&[b' '; 100_000]).unwrap();
+        assert_eq!(framer.next_frame(), Ok(None));
     }
-    pieces.add(b"{\"a\":\"").unwrap();
+    framer.push(b"{\"a\":\"").unwrap();
     let endless = (0..20).try_for_each(|_| {
-        pieces.add(&[b'x'; 100_000])?;
-        pieces.piece().map(|piece| assert_eq!(piece, None))
+        framer.push(&[b'x'; 100_000])?;
+        framer.next_frame().map(|frame| assert_eq!(frame, None))
     });
-    assert_eq!(endless, Err(http::Broken::TooLong));
+    assert_eq!(endless, Err(http::ParseError::TooLong));
 }
 
 #[test]
