--- /dev/null
+++ b/crates/gateway/tests/parsers/json.rs
@@ -0,0 +1,49 @@
+//! Streams of JSON objects.
+
+use crate::support::at_every_split;
+use bytes::{Bytes, BytesMut};
+use latchhaven_gateway::proto::http;
+use latchhaven_gateway::proto::json::{JsonFrame, JsonFramer};
+use rstest::rstest;
+
+#[test]
+fn json_objects_read_the_same_however_spread_and_split() {
+    let text = "\r\n  {\"a\":[{\"b\":\"}{\\\"\\\\\"},\r\n\t{\"c\":{}}\n]}  {\"d\":1}\n";
+    let next = |framer: &mut JsonFramer, buf: &mut BytesMut| {
+        framer.push(&buf.split()).unwrap();
+        framer.next_frame().unwrap()
+    };
+    let got = at_every_split(text.as_bytes(), JsonFramer::default, next, |got| got);
+    let object = |text: &'static str| JsonFrame::Object(Bytes::from_static(text.as_bytes()));
+    let first = object("{\"a\":[{\"b\":\"}{\\\"\\\\\"},\r\n\t{\"c\":{}}\n]}");
+    assert_eq!(got, [JsonFrame::LineEnd, first, object("{\"d\":1}"), JsonFrame::LineEnd]);
+}
+
+#[rstest]
+#[case::no_object("x")]
+#[case::an_array("[]")]
+#[case::cut_off_before_the_next("{\"seq\":7,\n{\"seq\":8}")]
+#[case::cut_off_within_an_entry("{\"hosts\":[{\"host\":\"a\",{\"seq\":8}")]
+#[case::cut_off_within_a_text("{\"seq\":\"7\n")]
+#[case::another_bracket("{\"a\":[}")]
+#[case::too_deep("{\"a\":[[[[[[[[[[[[[[[[[[[[")]
+fn json_stream_out_of_step_returns_an_error(#[case] text: &str) {
+    let mut framer = JsonFramer::default();
+    framer.push(text.as_bytes()).unwrap();
+    assert!(framer.next_frame().is_err(), "{text}");
+}
+
+#[test]
+fn json_separators_are_not_kept_and_an_endless_object_is_refused() {
+    let mut framer = JsonFramer::default();
+    for _ in 0..40 {
+        framer.push(&[b' '; 100_000]).unwrap();
+        assert_eq!(framer.next_frame(), Ok(None));
+    }
+    framer.push(b"{\"a\":\"").unwrap();
+    let endless = (0..20).try_for_each(|_| {
+        framer.push(&[b'x'; 100_000])?;
+        framer.next_frame().map(|frame| assert_eq!(frame, None))
+    });
+    assert_eq!(endless, Err(http::ParseError::TooLong));
+}
--- /dev/null
+++ b/crates/gateway/tests/parsers/main.rs
@@ -0,0 +1,10 @@
+//! Parsers at every split point, with malformed, oversized and truncated input.
+
+mod arrivals;
+mod http;
+mod json;
+mod messages;
+mod postgres;
+mod robustness;
+mod statements;
+mod support;
--- /dev/null
+++ b/crates/gateway/tests/parsers/postgres.rs
@@ -0,0 +1,132 @@
+//! PostgreSQL's protocol, with malformed, oversized and truncated messages.
+
+use crate::support::{at_every_split, message, startup};
+use bytes::{Bytes, BytesMut};
+use latchhaven_gateway::proto::pg::{self, Backend, BackendMessage, Frontend, FrontendMessage, ParseError};
+use latchhaven_policy::LoadReport;
+use rstest::rstest;
+
+#[test]
+fn frontend_reads_the_same_however_bytes_are_split() {
+    let ssl = [0, 0, 0, 8, 4, 210, 22, 47];
+    let stream = [
+        &ssl[..],
+        &startup(),
+        &pg::encode::query("SELECT 1"),
+        &message(b'P', b"\0a\0\0\0"),
+        &message(b'B', b"\0\0\0\0\0\0\0\0"),
+        &message(b'S', b""),
+        &pg::encode::query(""),
+        &message(b'X', b""),
+    ]
+    .concat();
+    let next = |frontend: &mut Frontend, buf: &mut BytesMut| frontend.next(buf).unwrap();
+    let got = at_every_split(&stream, Frontend::default, next, |got| got);
+    let query = |text: &'static str| FrontendMessage::Query(Bytes::from_static(text.as_bytes()));
+    let wanted = [
+        FrontendMessage::EncryptionRequest,
+        FrontendMessage::Startup,
+        query("SELECT 1"),
+        FrontendMessage::Extended,
+        FrontendMessage::Sync,
+        query(""),
+        FrontendMessage::Terminate,
+    ];
+    assert_eq!(got, wanted);
+}
+
+#[test]
+fn backend_reads_the_same_however_bytes_are_split() {
+    let described = message(b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
+    let (row, complete) = (message(b'D', b"\0\x01\0\0\0\x02\x9f\x03"), message(b'C', b"SELECT 1\0"));
+    let failed = message(b'E', b"SERROR\0C53300\0Mfull\0\0");
+    let (load, notice) = (message(b'S', b"load\0inflight=7\0"), message(b'N', b"SNOTICE\0\0"));
+    let stream = [
+        &message(b'R', &[0; 4])[..],
+        pg::encode::READY,
+        &described,
+        &notice,
+        &row,
+        &load,
+        &complete,
+        pg::encode::READY,
+        &failed,
+        pg::encode::READY,
+    ]
+    .concat();
+    let next = |backend: &mut Backend, buf: &mut BytesMut| backend.next(buf).unwrap();
+    let got = at_every_split(&stream, Backend::default, next, |got| got);
+    let value = [described, row, complete].map(Bytes::from);
+    let load = BackendMessage::Parameter { name: "load".to_string(), value: "inflight=7".to_string() };
+    let failed = BackendMessage::Error("53300".to_string());
+    assert_eq!(
+        got,
+        [
+            BackendMessage::Ready,
+            load,
+            BackendMessage::Row(value),
+            BackendMessage::Ready,
+            failed,
+            BackendMessage::Ready
+        ]
+    );
+    let report = LoadReport::from_iter([("inflight".into(), 7.0), ("util".into(), 0.61)]);
+    assert_eq!(pg::parse_load_report("inflight=7,util=0.61"), report);
+    for spoilt in
+        ["inflight=7,util=x", "util=inf", "inflight=-3", "inflight=1e300", "inflight=7,", "=7", "\u{1}", ""]
+    {
+        assert_eq!(pg::parse_load_report(spoilt), LoadReport::default(), "{spoilt}");
+    }
+}
+
+#[rstest]
+#[case::startup_too_long(b"\0\x01\0\0\0\x03\0\0".to_vec(), ParseError::Length(65536))]
+#[case::startup_too_short(b"\0\0\0\x07".to_vec(), ParseError::Length(7))]
+#[case::old_version(b"\0\0\0\x08\0\x02\0\0".to_vec(), ParseError::Version(131_072))]
+#[case::http([&startup()[..], b"GET / HTTP/1.1\r\n"].concat(), ParseError::Type(b'G'))]
+#[case::oversized([&startup()[..], b"Q\0\x04\0\0"].concat(), ParseError::Length(262_144))]
+#[case::below_itself([&startup()[..], b"Q\0\0\0\x03"].concat(), ParseError::Length(3))]
+fn frontend_out_of_step_returns_the_error(#[case] bytes: Vec<u8>, #[case] why: ParseError) {
+    let (mut frontend, mut buf) = (Frontend::default(), BytesMut::from(&bytes[..]));
+    let broken = loop {
+        match frontend.next(&mut buf) {
+            Ok(asked) => assert!(asked.is_some(), "more is waited for"),
+            Err(broken) => break broken,
+        }
+    };
+    assert_eq!(broken, why);
+}
+
+const DESCRIBED: &[u8] = b"T\0\0\0\x1c\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
+
+#[rstest]
+#[case::noise_in_a_tag(&[DESCRIBED, &message(b'D', b"\0\x01\0\0\0\x01a"), &message(b'C', b"SEL\x07CT 1\0")].concat())]
+#[case::two_rows_told(&[DESCRIBED, &message(b'D', b"\0\x01\0\0\0\x01a"), &message(b'C', b"SELECT 2\0")].concat())]
+#[case::no_value(&[DESCRIBED, &message(b'D', b"\0\x01\xff\xff\xff\xff")].concat())]
+#[case::a_value_in_text(&message(b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\0"))]
+#[case::a_column_cut_short(&message(b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\0\x01"))]
+#[case::a_length_before_its_rest(&[DESCRIBED, b"D\0\0\0\x20\0\x01\x7f\0\0\0"].concat())]
+#[case::an_error_within_an_answer(&[DESCRIBED, &message(b'E', b"SERROR\0C53300\0Mno\0\0")].concat())]
+#[case::an_error_without_a_code(&message(b'E', b"SERROR\0Mno\0\0"))]
+#[case::an_error_with_two_codes(&message(b'E', b"SERROR\0C53300\0CXX000\0Mno\0\0"))]
+#[case::an_error_without_an_end(&message(b'E', b"SERROR\0C53300\0Mno\0"))]
+#[case::not_idle(&message(b'Z', b"T"))]
+#[case::ready_too_long(b"Z\0\0\0\x06")]
+#[case::a_password(&message(b'R', &[0, 0, 0, 3]))]
+#[case::two_columns(&message(b'T', b"\0\x02"))]
+#[case::two_descriptions(&[DESCRIBED, DESCRIBED].concat())]
+#[case::a_row_before_its_description(&message(b'D', b"\0\x01\0\0\0\0"))]
+#[case::two_rows(&[DESCRIBED, &message(b'D', b"\0\x01\0\0\0\0").repeat(2)].concat())]
+#[case::a_row_cut_short(&[DESCRIBED, &message(b'D', b"\0\x01\0\0\0\x05ab")].concat())]
+#[case::no_row(&[DESCRIBED, &message(b'C', b"SELECT 0\0")].concat())]
+#[case::ready_too_early(&[DESCRIBED, pg::encode::READY].concat())]
+#[case::endless(b"D\x7f\xff\xff\xff")]
+#[case::unknown(b"\0\0\0\0\0")]
+fn backend_out_of_step_returns_an_error(#[case] bytes: &[u8]) {
+    let (mut backend, mut buf) = (Backend::default(), BytesMut::from(bytes));
+    let mut told = backend.next(&mut buf);
+    while matches!(told, Ok(Some(_))) {
+        told = backend.next(&mut buf);
+    }
+    assert!(told.is_err());
+}
--- /dev/null
+++ b/crates/gateway/tests/parsers/statements.rs
@@ -0,0 +1,80 @@
+//! Statements that are routed, and their comments.
+
+use bytes::Bytes;
+use latchhaven_gateway::proto::pg::{self, Statement, StatementError};
+use rstest::rstest;
+
+fn parse(text: &str) -> Result<Statement, StatementError> {
+    Statement::parse(Bytes::copy_from_slice(text.as_bytes()))
+}
+
+#[rstest]
+#[case::select("SELECT doc FROM items WHERE id = '7f3a' /* id=9b1f,c=basket,t=acme,d=480 */", false)]
+#[case::insert(
+    r"INSERT INTO items (id, doc) VALUES ('7f3a', '\x9f03') RETURNING doc /* k=5c,d=480,r=1,h=2500,c=basket,id=4 */",
+    true
+)]
+#[case::in_another_order("SELECT doc FROM items WHERE id = '7f3a' /* c=basket,d=480,t=acme,id=1 */", false)]
+fn statement_holds_what_its_comment_says(#[case] text: &'static str, #[case] write: bool) {
+    let read = Statement::parse(Bytes::from_static(text.as_bytes())).unwrap();
+    assert_eq!((read.class.as_str(), read.timeout, read.item.as_deref()), ("basket", 480.0, Some("7f3a")));
+    assert_eq!(&text[read.timeout_digits.clone()], "480");
+    assert_eq!((read.is_write, read.is_retry, read.expected_work), (write, write, write.then_some(2.5)));
+    assert_eq!(read.tenant.as_deref(), (!write).then_some("acme"));
+    let sent = pg::encode::forwarded_query(&read, 71.9).concat();
+    let wanted = text.replace("d=480", "d=71");
+    assert_eq!(sent, pg::encode::query(&wanted));
+}
+
+#[test]
+fn statement_cut_off_or_altered_is_refused() {
+    let statement = "SELECT doc FROM items WHERE id = '7f' /* id=1,c=a,d=9 */";
+    for cut in 0..statement.len() {
+        assert!(parse(&statement[..cut]).is_err(), "{}", &statement[..cut]);
+    }
+    assert!(parse(statement).is_ok());
+    assert!(parse(&format!("{statement} ")).is_err());
+    assert!(parse(&statement.to_lowercase()).is_err());
+}
+
+#[test]
+fn statement_with_a_malformed_comment_is_refused() {
+    for comment in [
+        "",
+        "id=1,c=a",
+        "id=1,d=9",
+        "c=a,d=9",
+        "id=,c=a,d=9",
+        "id=1,c=a,d=x",
+        "id=1,c=a,d=-9",
+        "id=1,c=a,d=0",
+        "id=1,c=a,d=9.5",
+        "id=1,c=a,d=99999999999",
+        "id=1,c=a,d=9,d=9",
+        "id=1,c=a,d=9,x=1",
+        "id=1,c=a,d=9,",
+        "id=1,c=a,d=9,r=2",
+        "id=1,c=a,d=9,h=-1",
+        "id=1,c=a,d=9,h=nan",
+        "id=1,c=a,d=9,t=a b",
+        "id=1,c=a,d=9,t=*/",
+        "id=1 ,c=a,d=9",
+        "id=1,c=a,d=9,k=\u{e9}",
+    ] {
+        let text = format!("SELECT doc FROM items WHERE id = '7f' /* {comment} */");
+        assert!(parse(&text).is_err(), "{text}");
+    }
+}
+
+#[test]
+fn insert_with_a_value_that_is_no_hex_or_too_long_is_refused() {
+    let insert = |value: &str| {
+        parse(&format!(
+            r"INSERT INTO items (id, doc) VALUES ('7f', '{value}') RETURNING doc /* id=1,c=a,d=9 */"
+        ))
+    };
+    assert!(insert(r"\x").is_ok() && insert(&format!(r"\x{}", "0a".repeat(65536))).is_ok());
+    for value in ["", "9f", r"\x9", r"\x9g", r"\x9f', '\x9f", &format!(r"\x{}", "0a".repeat(65537))] {
+        assert!(insert(value).is_err(), "{}", &value[..value.len().min(20)]);
+    }
+}
