--- a/crates/control-plane/src/driver/event_loop.rs
+++ b/crates/control-plane/src/driver/event_loop.rs
@@ -2,8 +2,8 @@
 
 use crate::control_plane::{ControlPlane, Effects};
 use crate::state_store::StateWriter;
+use latchhaven_gateway::clock::{Clock, duration};
 use latchhaven_gateway::discovery::snapshot_client::SnapshotFirstClient;
-use latchhaven_gateway::gateway::Clock;
 use latchhaven_gateway::net::DriverEvent;
 use latchhaven_gateway::net::discovery_tasks::DiscoveryTasks;
 use latchhaven_gateway::net::platform::Vote;
@@ -12,7 +12,6 @@
 use latchhaven_xds::server::ServerEvent;
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use std::time::Duration;
 use tokio::select;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
@@ -22,8 +21,6 @@
 const MAX_BATCH: usize = 256;
 /// ms after which the control plane is polled at the latest.
 const MAX_POLL_INTERVAL: Millis = 1_000.0;
-/// ms in a second.
-const MS_PER_SECOND: Millis = 1000.0;
 
 /// Answers a stream that waits for admission.
 type AdmissionSender = oneshot::Sender<Result<(), Status>>;
@@ -72,7 +69,7 @@
     fn next_poll(&self) -> Instant {
         let now = self.clock.now();
         let delay = (self.control_plane.next_poll_at(now) - now).clamp(0.0, MAX_POLL_INTERVAL);
-        Instant::now() + Duration::from_secs_f64(delay / MS_PER_SECOND)
+        Instant::now() + duration(delay)
     }
 
     fn carry_out(&mut self, effects: Effects, now: Millis) {
--- a/crates/control-plane/src/driver/startup.rs
+++ b/crates/control-plane/src/driver/startup.rs
@@ -5,13 +5,12 @@
 use super::xds_thread::{self, XdsListener};
 use crate::control_plane::{ControlPlane, ControlPlaneConfig};
 use crate::state_store;
+use latchhaven_gateway::clock::{Clock, duration};
 use latchhaven_gateway::discovery::snapshot_client::SnapshotFirstClient;
-use latchhaven_gateway::gateway::Clock;
 use latchhaven_gateway::net::discovery_tasks::DiscoveryTasks;
-use latchhaven_gateway::net::platform::{self, Vote};
-use latchhaven_gateway::net::{DriverEvent, MAX_PENDING_EVENTS, MAX_PENDING_VOTES};
+use latchhaven_gateway::net::platform;
+use latchhaven_gateway::net::{DriverEvent, MAX_PENDING_EVENTS};
 use latchhaven_operator_config::{Evidence, Plan};
-use latchhaven_policy::Millis;
 use latchhaven_proxy_config::proxy_config::ProxyConfigSettings;
 use latchhaven_proxy_config::version::VersionSigner;
 use latchhaven_simulator_protocol::terms::Terms;
@@ -23,13 +22,10 @@
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 
 /// Events of streams that were not taken in yet; a stream that has more waits.
 const MAX_PENDING_SERVER_EVENTS: usize = 1024;
-/// ms in a second.
-const MS_PER_SECOND: Millis = 1000.0;
 
 /// The control service, ready to run.
 pub(super) struct ControlService {
@@ -50,7 +46,7 @@
     let clock = Clock::start();
     let signer = VersionSigner::new(read_shared_key(&plan)?);
     let settings = settings::settings(&plan).map_err(io::Error::other)?.asking();
-    let vote_timeout = Duration::from_secs_f64(settings.connections().vote_timeout / MS_PER_SECOND);
+    let vote_timeout = duration(settings.connections().vote_timeout);
     let store = state_store::open(plan.state.as_deref());
     let class_names = settings.products().into_iter().map(|class| class.name).collect();
     let config = control_plane_config(&plan, &settings, signer.clone());
@@ -60,7 +56,8 @@
     let listening = listener.local_addr()?;
     let (event_sender, gateway_events) = mpsc::channel(MAX_PENDING_EVENTS);
     let (platform_address, address) = watch::channel(plan.platform);
-    let votes = spawn_platform_tasks(plan.seed, address, vote_timeout, &event_sender);
+    let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
+    let votes = platform::spawn_tasks(&mut rng, address, vote_timeout, &event_sender);
     let (server_event_sender, server_events) = mpsc::channel(MAX_PENDING_SERVER_EVENTS);
     let (snapshot_sender, snapshots) = watch::channel(None);
     let sent_counters = Arc::new(SentCounters::default());
@@ -127,16 +124,3 @@
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
-
-/// Starts the feed of rollout states and the task that casts votes.
-fn spawn_platform_tasks(
-    seed: u64, address: watch::Receiver<Option<SocketAddr>>, vote_timeout: Duration,
-    events: &mpsc::Sender<DriverEvent>,
-) -> mpsc::Sender<Vote> {
-    let (votes, cast_votes) = mpsc::channel(MAX_PENDING_VOTES);
-    let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let feed_rng = Pcg64Mcg::from_rng(&mut rng);
-    tokio::task::spawn_local(platform::feed(address.clone(), feed_rng, events.clone()));
-    tokio::task::spawn_local(platform::votes(address, vote_timeout, cast_votes, events.clone()));
-    votes
-}
--- a/crates/gateway/src/gateway/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,11 +1,19 @@
-//! The gateway's clock.
+//! The clock, and durations of ms.
 
 use latchhaven_policy::Millis;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
 /// ms in a second.
-const MS_PER_SECOND: Millis = 1000.0;
+pub const MS_PER_SECOND: Millis = 1000.0;
+
+/// The duration of so many ms.
+///
+/// # Panics
+/// Where they are negative or beyond all reason.
+pub fn duration(ms: Millis) -> Duration {
+    Duration::from_secs_f64(ms / MS_PER_SECOND)
+}
 
 /// Unix time in ms at the start, and monotonic from there: the list gives the starts of endpoints in Unix time.
 #[derive(Clone, Copy)]
@@ -28,6 +36,6 @@
 
     /// The runtime's instant of a time; times before the start count as the start.
     pub(crate) fn instant(&self, at: Millis) -> Instant {
-        self.started_at + Duration::from_secs_f64((at - self.unix_at_start).max(0.0) / MS_PER_SECOND)
+        self.started_at + duration((at - self.unix_at_start).max(0.0))
     }
 }
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -7,7 +7,6 @@
 //! - `updates`: the endpoint list and the rollout's state.
 //! - `request_table`, `rollout_tracker`, `timers`: the state that belongs together.
 
-mod clock;
 mod event_loop;
 mod request_table;
 mod requests;
@@ -16,8 +15,7 @@
 mod updates;
 mod upstream_calls;
 
-pub use clock::Clock;
-
+use crate::clock::Clock;
 use crate::discovery::ordered_client::EndpointListClient;
 use crate::net::DriverEvent;
 use crate::net::discovery_tasks::DiscoveryTasks;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -5,9 +5,11 @@
 //! - [`gateway`]: the event loop and its state.
 //! - [`net`]: the drivers of sockets.
 //! - [`proto`], [`discovery`], [`arrivals`]: state machines without I/O.
+//! - [`clock`]: the clock of all of these.
 //! - [`counters`]: counters and invariants.
 
 pub mod arrivals;
+pub mod clock;
 pub mod config;
 pub mod counters;
 pub mod discovery;
--- a/crates/gateway/src/net/clients/mod.rs
+++ b/crates/gateway/src/net/clients/mod.rs
@@ -17,7 +17,7 @@
 mod shutdown;
 
 use super::DriverEvent;
-use crate::gateway::Clock;
+use crate::clock::Clock;
 use bytes::Bytes;
 use latchhaven_policy::{Idempotency, RequestClass};
 use limits::MAX_LARGE_MESSAGES;
--- a/crates/gateway/src/net/clients/shutdown.rs
+++ b/crates/gateway/src/net/clients/shutdown.rs
@@ -1,14 +1,12 @@
 //! Shutdown, as connections see it: until when requests are taken, and when pending ones are abandoned.
 
 use super::limits::{MAX_COUNTED_TIMEOUT, SHUTDOWN_ANSWER_TIME, SHUTDOWN_MARGIN, SHUTDOWN_REQUEST_WINDOW};
+use crate::clock::duration;
 use latchhaven_policy::{Millis, RequestClass};
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// ms in a second.
-const MS_PER_SECOND: Millis = 1000.0;
-
 /// The beginning of the shutdown, on both clocks.
 #[derive(Clone, Copy)]
 struct Beginning {
@@ -28,7 +26,7 @@
     pub(super) fn new(classes: &[RequestClass]) -> Self {
         let longest = classes.iter().map(|class| class.timeout).fold(0.0, f64::max);
         let drain_ms = longest.min(MAX_COUNTED_TIMEOUT) + SHUTDOWN_MARGIN;
-        Shutdown { beginning: Cell::new(None), drain_time: Duration::from_secs_f64(drain_ms / MS_PER_SECOND) }
+        Shutdown { beginning: Cell::new(None), drain_time: duration(drain_ms) }
     }
 
     /// The process ends; later calls change nothing.
--- a/crates/gateway/src/net/platform/mod.rs
+++ b/crates/gateway/src/net/platform/mod.rs
@@ -11,3 +11,23 @@
 pub use feed::feed;
 pub use messages::{FeedMessage, MessageError, OutcomeCounts, read_feed_line, read_rollout_state};
 pub use votes::{Vote, votes};
+
+use super::{DriverEvent, MAX_PENDING_VOTES};
+use rand::SeedableRng;
+use rand_pcg::Pcg64Mcg;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::sync::{mpsc, watch};
+
+/// Starts the feed and the task that casts votes, within a `LocalSet`. The feed's random generator is drawn from `rng`.
+/// Returns where votes are sent to.
+pub fn spawn_tasks(
+    rng: &mut Pcg64Mcg, address: watch::Receiver<Option<SocketAddr>>, vote_timeout: Duration,
+    events: &mpsc::Sender<DriverEvent>,
+) -> mpsc::Sender<Vote> {
+    let (vote_sender, vote_receiver) = mpsc::channel(MAX_PENDING_VOTES);
+    let feed_rng = Pcg64Mcg::from_rng(rng);
+    tokio::task::spawn_local(feed(address.clone(), feed_rng, events.clone()));
+    tokio::task::spawn_local(votes(address, vote_timeout, vote_receiver, events.clone()));
+    vote_sender
+}
--- a/crates/gateway/src/net/upstream/connection.rs
+++ b/crates/gateway/src/net/upstream/connection.rs
@@ -1,7 +1,8 @@
 //! One connection to an endpoint, and the task that drives it from its opening to its end.
 
 use super::exchange::{Exchange, NextStep};
-use super::{CallResult, IDLE_TIMEOUT_FRACTION, MS_PER_SECOND, UpstreamCall};
+use super::{CallResult, IDLE_TIMEOUT_FRACTION, UpstreamCall};
+use crate::clock::{MS_PER_SECOND, duration};
 use crate::counters::COUNTERS;
 use crate::net::{DriverEvent, is_unusable, read_some, write_all};
 use crate::proto::pg::{self, Backend, BackendMessage};
@@ -119,7 +120,7 @@
 impl ConnectionTask {
     /// Opens the connection, unless it is closed meanwhile.
     async fn open(&mut self, address: SocketAddr) -> io::Result<()> {
-        let connect_timeout = Duration::from_secs_f64(self.config.connect_timeout / MS_PER_SECOND);
+        let connect_timeout = duration(self.config.connect_timeout);
         let connection = self.connection.clone();
         select! {
             opened = timeout(connect_timeout, self.connect(&connection, address)) => opened?,
@@ -184,8 +185,8 @@
     /// Idles until there is something to send; none where the connection ends first.
     async fn next_query(&mut self, stream: &TcpStream) -> Option<OutgoingQuery> {
         // Between the time after which the pool uses it no more and the endpoint closes it.
-        let idle_ms = self.config.idle_timeout * (1.0 + IDLE_TIMEOUT_FRACTION) / (2.0 * MS_PER_SECOND);
-        let idle_until = Instant::now() + Duration::from_secs_f64(idle_ms);
+        let idle_seconds = self.config.idle_timeout * (1.0 + IDLE_TIMEOUT_FRACTION) / (2.0 * MS_PER_SECOND);
+        let idle_until = Instant::now() + Duration::from_secs_f64(idle_seconds);
         let connection = self.connection.clone();
         while !connection.is_closed.get() {
             if let Some(query) = connection.outgoing.take() {
--- a/crates/gateway/src/net/upstream/mod.rs
+++ b/crates/gateway/src/net/upstream/mod.rs
@@ -58,5 +58,3 @@
 
 /// Idle connections are closed at this part of the time after which endpoints close them.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
-/// ms in a second.
-const MS_PER_SECOND: f64 = 1000.0;
--- a/crates/gateway/src/net/upstream/pool.rs
+++ b/crates/gateway/src/net/upstream/pool.rs
@@ -1,7 +1,8 @@
 //! The pool of connections to endpoints.
 
 use super::connection::{self, OutgoingQuery, UpstreamConnection};
-use super::{CancelResult, IDLE_TIMEOUT_FRACTION, MS_PER_SECOND, UpstreamCall};
+use super::{CancelResult, IDLE_TIMEOUT_FRACTION, UpstreamCall};
+use crate::clock::duration;
 use crate::counters::COUNTERS;
 use crate::invariant;
 use crate::net::{DriverEvent, is_unusable};
@@ -11,7 +12,6 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::time::Duration;
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::Instant;
 
@@ -258,8 +258,7 @@
 
     /// The connection that has idled shortest and can be used; unusable ones are closed.
     fn take_idle(&mut self, endpoint: &str) -> Option<Rc<UpstreamConnection>> {
-        let max_idle_ms = self.config.idle_timeout * IDLE_TIMEOUT_FRACTION;
-        let max_idle = Duration::from_secs_f64(max_idle_ms / MS_PER_SECOND);
+        let max_idle = duration(self.config.idle_timeout * IDLE_TIMEOUT_FRACTION);
         let endpoint = self.endpoints.get_mut(endpoint)?;
         while let Some(connection) = endpoint.idle.pop() {
             let is_usable = !connection.is_closed.get()
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -3,19 +3,18 @@
 mod bind;
 mod signals;
 
+use crate::clock::{Clock, duration};
 use crate::config;
 use crate::counters::COUNTERS;
-use crate::gateway::{Clock, Gateway, GatewayParts};
+use crate::gateway::{Gateway, GatewayParts};
 use crate::net::clients::Clients;
 use crate::net::upstream::UpstreamPool;
-use crate::net::{DriverEvent, MAX_PENDING_EVENTS, MAX_PENDING_VOTES, platform};
+use crate::net::{MAX_PENDING_EVENTS, platform};
 use bind::bind_with_retry;
-use latchhaven_policy::Millis;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use signals::{Signals, StopSignals};
 use std::io;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -32,8 +31,6 @@
 const SHUTDOWN_ACCEPT_TIME: Duration = Duration::from_millis(550);
 /// How often the last connections are looked at during shutdown.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// ms in a second.
-const MS_PER_SECOND: Millis = 1000.0;
 
 fn environment(name: &str) -> Option<String> {
     std::env::var(name).ok()
@@ -56,8 +53,8 @@
     let (events, event_receiver) = mpsc::channel(MAX_PENDING_EVENTS);
     let (platform_sender, platform_address) = watch::channel(config.addresses.platform);
     let connections = config.settings.connections();
-    let vote_timeout = Duration::from_secs_f64(connections.vote_timeout / MS_PER_SECOND);
-    let votes = spawn_platform_tasks(&mut rng, platform_address, vote_timeout, &events);
+    let vote_timeout = duration(connections.vote_timeout);
+    let votes = platform::spawn_tasks(&mut rng, platform_address, vote_timeout, &events);
     let reload = signals::reload_config(signals.reload, events.clone(), platform_sender);
     tokio::task::spawn_local(reload);
 
@@ -91,18 +88,6 @@
     Ok(())
 }
 
-/// Starts the feed of rollout states and the task that casts votes.
-fn spawn_platform_tasks(
-    rng: &mut Pcg64Mcg, address: watch::Receiver<Option<SocketAddr>>, vote_timeout: Duration,
-    events: &mpsc::Sender<DriverEvent>,
-) -> mpsc::Sender<platform::Vote> {
-    let (votes, cast_votes) = mpsc::channel(MAX_PENDING_VOTES);
-    let feed_rng = Pcg64Mcg::from_rng(rng);
-    tokio::task::spawn_local(platform::feed(address.clone(), feed_rng, events.clone()));
-    tokio::task::spawn_local(platform::votes(address, vote_timeout, cast_votes, events.clone()));
-    votes
-}
-
 /// Waits for the end of the process, and for the last connections that the load balancer hands out after it.
 async fn accept_until_stopped(mut stop: StopSignals, clients: &Clients) {
     stop.received().await;
