--- a/crates/control-plane/tests/control_plane/publication.rs
+++ b/crates/control-plane/tests/control_plane/publication.rs
@@ -105,3 +105,22 @@
     let refused = service.control_plane.on_load_report(stream, &report(9), service.now);
     assert!(refused.unwrap_err().to_string().contains("no host of its cluster"));
 }
+
+#[test]
+fn stale_snapshot_is_fetched_again_at_intervals_until_a_newer_one_comes() {
+    let (mut service, _) = service_with_canary(1);
+    let hosts = [ready(1, Version(1)), ready(2, Version(1)), ready(3, Version(2)), ready(4, Version(2))];
+    service.update_list(40, &hosts);
+    service.advance(300.0);
+    let before = service.list_fetches;
+    service.update_list(30, &hosts);
+    service.advance(300.0);
+    assert_eq!(service.list_fetches, before + 1, "at once");
+    service.advance(4_000.0);
+    assert_eq!(service.list_fetches, before + 1, "not before the interval is over");
+    service.advance(1_000.0);
+    assert_eq!(service.list_fetches, before + 2, "again");
+    service.update_list(41, &hosts);
+    service.advance(6_000.0);
+    assert_eq!(service.list_fetches, before + 2, "a newer one ends it");
+}
--- a/crates/control-plane/tests/control_plane/support/service.rs
+++ b/crates/control-plane/tests/control_plane/support/service.rs
@@ -75,6 +75,8 @@
     pub(crate) persisted: Option<PersistedState>,
     pub(crate) signer: VersionSigner,
     pub(crate) votes: Vec<(Version, Verdict)>,
+    /// Snapshots of the endpoint list that were requested.
+    pub(crate) list_fetches: usize,
     last_stream: u64,
 }
 
@@ -108,6 +110,7 @@
             persisted: None,
             signer,
             votes: Vec::new(),
+            list_fetches: 0,
             last_stream: 0,
         }
     }
@@ -130,8 +133,10 @@
     fn poll(&mut self) {
         let effects = self.control_plane.poll(self.now);
         for action in effects.actions {
-            if let Action::CastVote { version, verdict, .. } = action {
-                self.votes.push((version, verdict));
+            match action {
+                Action::CastVote { version, verdict, .. } => self.votes.push((version, verdict)),
+                Action::FetchEndpoints => self.list_fetches += 1,
+                _ => {}
             }
         }
         if let Some(publication) = effects.published {
--- a/crates/gateway/src/gateway/event_loop.rs
+++ b/crates/gateway/src/gateway/event_loop.rs
@@ -177,6 +177,6 @@
 
 fn outcomes_reported(counts: OutcomeCounts) -> Event {
     COUNTERS.tallies_told.increment();
-    tracing::debug!(tally = ?counts, "platform: tally");
+    tracing::debug!(?counts, "platform: outcomes");
     Event::OutcomesReported(counts.into())
 }
--- a/crates/gateway/src/gateway/updates.rs
+++ b/crates/gateway/src/gateway/updates.rs
@@ -29,7 +29,7 @@
                     list.version,
                     list.whole = list.is_snapshot,
                     entries = list.entries.len(),
-                    "list: told"
+                    "list: applied"
                 );
                 events.push(self.apply_list(update_kind(list.is_snapshot), list));
             }
@@ -81,7 +81,7 @@
     /// Takes in a reported state of the rollout; returns the state to go on with.
     pub(super) fn apply_rollout(&mut self, state: RolloutState) -> RolloutState {
         COUNTERS.states_told.increment();
-        tracing::debug!(stage = ?state, "platform: state");
+        tracing::debug!(?state, "platform: rollout state");
         match self.rollout.apply(state, self.clock.now()) {
             RolloutChange::Unchanged(state) | RolloutChange::Superseded(state) => state,
             RolloutChange::Changed(state) => {
