--- a/crates/cli/tests/control.rs
+++ b/crates/cli/tests/control.rs
@@ -322,7 +322,7 @@
     };
     assert!(proxies.iter().all(has_all_resources));
     for _ in 0..3 {
-        wait_until("the state is on disk", || !fixture.control.logged("state: written").is_empty());
+        wait_until("the state is on disk", || !fixture.control.logged("state store: written").is_empty());
         fixture.control.kill();
         assert!(proxies.iter().all(has_all_resources), "a stopped service removes nothing");
         fixture.control = Process::start_control(&fixture.folder.join("control.star"));
--- a/crates/cli/tests/gateway/attempts.rs
+++ b/crates/cli/tests/gateway/attempts.rs
@@ -12,18 +12,18 @@
 use std::time::{Duration, Instant};
 
 #[rstest]
-#[case::settled(ServerBehavior::Succeed, "sub_settled", Ok("a1"))]
-#[case::among_notices(ServerBehavior::SucceedAmongNotices, "sub_settled", Ok("a1"))]
-#[case::error_response(ServerBehavior::Fail("XX000"), "sub_error", Err("XX000"))]
-#[case::queue_full(ServerBehavior::Fail("53300"), "sub_turned_away", Err("53300"))]
-#[case::starting(ServerBehavior::FailAndClose("57P03"), "sub_turned_away", Err("53300"))]
-#[case::lost_after_the_query(ServerBehavior::Reset, "sub_lost", Err("XX000"))]
-#[case::lost_within_the_row(ServerBehavior::TruncateRow, "sub_lost", Err("XX000"))]
-#[case::no_message(ServerBehavior::RespondGarbage, "sub_error", Err("XX000"))]
-#[case::endless(ServerBehavior::EndlessRow, "sub_error", Err("XX000"))]
-#[case::a_code_in_noise(ServerBehavior::UndecodableError, "sub_error", Err("XX000"))]
-#[case::silent(ServerBehavior::NeverRespond, "sub_no_answer", Err("XX000"))]
-#[case::never_up(ServerBehavior::NeverHandshake, "sub_no_connection", Err("53300"))]
+#[case::settled(ServerBehavior::Succeed, "attempts_succeeded_total", Ok("a1"))]
+#[case::among_notices(ServerBehavior::SucceedAmongNotices, "attempts_succeeded_total", Ok("a1"))]
+#[case::error_response(ServerBehavior::Fail("XX000"), "attempts_failed_total", Err("XX000"))]
+#[case::queue_full(ServerBehavior::Fail("53300"), "attempts_rejected_total", Err("53300"))]
+#[case::starting(ServerBehavior::FailAndClose("57P03"), "attempts_rejected_total", Err("53300"))]
+#[case::lost_after_the_query(ServerBehavior::Reset, "attempts_connection_lost_total", Err("XX000"))]
+#[case::lost_within_the_row(ServerBehavior::TruncateRow, "attempts_connection_lost_total", Err("XX000"))]
+#[case::no_message(ServerBehavior::RespondGarbage, "attempts_failed_total", Err("XX000"))]
+#[case::endless(ServerBehavior::EndlessRow, "attempts_failed_total", Err("XX000"))]
+#[case::a_code_in_noise(ServerBehavior::UndecodableError, "attempts_failed_total", Err("XX000"))]
+#[case::silent(ServerBehavior::NeverRespond, "attempts_timed_out_total", Err("XX000"))]
+#[case::never_up(ServerBehavior::NeverHandshake, "attempts_unconnected_total", Err("53300"))]
 fn attempt_outcome_decides_response_and_counter(
     #[case] behavior: ServerBehavior, #[case] counter: &str, #[case] expected: Result<&str, &str>,
 ) {
@@ -35,8 +35,8 @@
     assert!(gateway.counter(counter) >= 1, "{counter}");
     // A non-idempotent request that may have been executed is not retried.
     let executed = expected != Err("53300");
-    assert!(!executed || gateway.counter("submissions") == 1);
-    assert_eq!(gateway.counter("broken_assertions"), 0);
+    assert!(!executed || gateway.counter("attempts_total") == 1);
+    assert_eq!(gateway.counter("invariant_violations_total"), 0);
     let queries = server.queries();
     assert!(queries.iter().all(|query| query.text.starts_with("INSERT INTO items (id, doc) VALUES ('7f',")));
 }
@@ -50,7 +50,7 @@
     drop(closed);
     let gateway = Gateway::start(&[&unreachable]);
     assert_eq!(outcome(&gateway.client().query(&insert("a1", "pay", 900))), Err(SqlState::from("53300")));
-    assert!(gateway.counter("sub_no_connection") >= 1);
+    assert!(gateway.counter("attempts_unconnected_total") >= 1);
     assert!(server.queries().is_empty());
 }
 
@@ -83,7 +83,7 @@
             seen.ended.len() == seen.connections
         })
     });
-    assert_eq!(gateway.counter("broken_assertions"), 0);
+    assert_eq!(gateway.counter("invariant_violations_total"), 0);
 }
 
 #[test]
@@ -115,7 +115,7 @@
         assert_eq!(outcome(&client.query(&insert(&format!("a{n}"), "pay", 1900))), Ok(format!("a{n}")));
         wait_until("the connection is closed", || server.seen.lock().unwrap().ended.len() == n + 1);
     }
-    assert_eq!((server.queries().len(), gateway.counter("sub_settled")), (5, 5));
+    assert_eq!((server.queries().len(), gateway.counter("attempts_succeeded_total")), (5, 5));
 }
 
 #[test]
@@ -132,7 +132,7 @@
             assert_eq!(outcome(&client.read_response()).unwrap().len(), 400_000);
         }
     }
-    assert_eq!((gateway.counter("server_spoilt"), gateway.counter("submissions")), (0, 32));
+    assert_eq!((gateway.counter("malformed_responses_total"), gateway.counter("attempts_total")), (0, 32));
     // A larger length than allowed is an error at once.
     server.set_behavior(ServerBehavior::LargeValue(600_000));
     assert_eq!(outcome(&clients[0].query(&insert("b", "pay", 15_000))), Err(SqlState::from("XX000")));
@@ -147,7 +147,7 @@
         assert_eq!(outcome(&client.query(&insert(&format!("a{n}"), "pay", 900))), Ok(format!("a{n}")));
         wait_until("the end is noticed", || server.seen.lock().unwrap().ended.len() == n + 1);
     }
-    assert_eq!(gateway.counter("sub_lost"), 0);
+    assert_eq!(gateway.counter("attempts_connection_lost_total"), 0);
 }
 
 #[test]
@@ -159,7 +159,10 @@
     wait_until("the query has arrived", || server.queries().len() == 1);
     drop(client);
     wait_until("the attempt is cancelled", || server.seen.lock().unwrap().ended == [0]);
-    assert_eq!((gateway.counter("clients_gone"), gateway.counter("sub_recalled")), (1, 1));
+    assert_eq!(
+        (gateway.counter("clients_disconnected_total"), gateway.counter("attempts_cancelled_total")),
+        (1, 1)
+    );
 }
 
 #[rstest]
@@ -175,13 +178,13 @@
     client.send(&query(&insert("a1", "pay", 60_000)));
     wait_until("a connection is waited for", || stuck.seen.lock().unwrap().connections == 1);
     drop(client);
-    wait_until("the disconnect is counted", || gateway.counter("clients_gone") == 1);
-    wait_until("its attempt is cancelled", || gateway.counter("sub_not_sent") == 1);
+    wait_until("the disconnect is counted", || gateway.counter("clients_disconnected_total") == 1);
+    wait_until("its attempt is cancelled", || gateway.counter("attempts_not_sent_total") == 1);
     stuck.set_behavior(ServerBehavior::Succeed);
     // The connection that it waited for serves other requests.
     wait_until_served(&gateway);
     assert!(stuck.queries().iter().all(|query| query.text.contains("id=b")));
-    assert_eq!(gateway.counter("broken_assertions"), 0);
+    assert_eq!(gateway.counter("invariant_violations_total"), 0);
 }
 
 #[test]
--- a/crates/cli/tests/gateway/client_limits.rs
+++ b/crates/cli/tests/gateway/client_limits.rs
@@ -37,13 +37,13 @@
     let asks =
         |(n, client): (usize, &mut Client)| client.send(&query(&select(&format!("a{n}"), "look", 15_000)));
     busy.iter_mut().enumerate().for_each(asks);
-    wait_until("all requests are open", || gateway.counter("txns") == 8);
+    wait_until("all requests are open", || gateway.counter("requests_total") == 8);
     let mut more = Client::connect(gateway.addr);
     more.send(&startup());
     assert_eq!(outcome(&more.read_response()), Err(SqlState::from("53300")));
     // A client that disconnects frees a descriptor, and so does an idle one.
     drop(busy.pop());
-    wait_until("the disconnect is counted", || gateway.counter("clients_gone") == 1);
+    wait_until("the disconnect is counted", || gateway.counter("clients_disconnected_total") == 1);
     let _idle = gateway.client();
     thread::sleep(Duration::from_millis(60));
     gateway.client();
@@ -67,7 +67,7 @@
     // An idle client is disconnected without an error; others are served.
     assert_eq!(usual.0.read(&mut [0]).unwrap(), 0);
     assert_eq!(outcome(&gateway.client().query(&select("a2", "look", 900))), Ok("a2".to_string()));
-    assert_eq!(gateway.counter("clients_late"), 1);
+    assert_eq!(gateway.counter("clients_timed_out_total"), 1);
 }
 
 #[test]
@@ -87,7 +87,7 @@
         }
     });
     wait_until("the connection is closed", || {
-        gateway.counter("broken_streams") + gateway.counter("clients_late") == 1
+        gateway.counter("protocol_errors_total") + gateway.counter("clients_timed_out_total") == 1
     });
     assert_eq!(outcome(&client.read_response()), Err(SqlState::from("08P01")));
 }
@@ -112,7 +112,7 @@
         }
         !rejected
     });
-    wait_until("the others are evicted", || gateway.counter("clients_let_go") > 100);
+    wait_until("the others are evicted", || gateway.counter("clients_evicted_total") > 100);
     assert_eq!(outcome(&usual.query(&select("a2", "look", 900))), Ok("a2".to_string()));
 }
 
@@ -162,12 +162,12 @@
         let mut client = gateway.client();
         client.query(&select(&format!("a{n}"), "look", 900).replace("acme", &format!("t{n}")));
     }
-    wait_until("all changes are applied", || gateway.counter("list_changes") >= 600);
+    wait_until("all changes are applied", || gateway.counter("endpoint_list_updates_total") >= 600);
     wait_until("all state is freed", || {
-        gateway.counter("now_client_connections") == 0 && gateway.counter("now_timers") < 5
+        gateway.counter("open_client_connections") == 0 && gateway.counter("pending_timers") < 5
     });
-    assert_eq!((gateway.counter("now_txns"), gateway.counter("now_servers")), (0, 1));
-    assert!(gateway.counter("now_server_connections") <= 1);
+    assert_eq!((gateway.counter("open_requests"), gateway.counter("listed_endpoints")), (0, 1));
+    assert!(gateway.counter("open_server_connections") <= 1);
 }
 
 #[test]
@@ -181,7 +181,7 @@
     let asks =
         |(n, client): (usize, &mut Client)| client.send(&query(&select(&format!("a{n}"), "look", 15_000)));
     busy.iter_mut().enumerate().for_each(asks);
-    wait_until("all requests are open", || gateway.counter("txns") == 8);
+    wait_until("all requests are open", || gateway.counter("requests_total") == 8);
     let mut more = Client::connect(gateway.addr);
     pause(&gateway);
     more.send(&[startup(), vec![b'Q'; 100_000]].concat());
@@ -197,7 +197,7 @@
     let mut others: Vec<Client> = (0..8).map(|_| Client::connect(gateway.addr)).collect();
     wait_until("a client is evicted", || {
         others.push(Client::connect(gateway.addr));
-        gateway.counter("clients_let_go") > 0
+        gateway.counter("clients_evicted_total") > 0
     });
     assert!(contains(&read_to_end(&mut quiet).expect("an end, and no reset"), "53300"));
 }
--- a/crates/cli/tests/gateway/client_sessions.rs
+++ b/crates/cli/tests/gateway/client_sessions.rs
@@ -122,7 +122,7 @@
     assert!(answers.iter().all(|answer| outcome(answer) == Err(SqlState::from("42601"))));
     assert!(answers[7][0].body.starts_with(b"SFATAL\0"));
     assert!(client.0.read(&mut [0]).map_or(true, |count| count == 0));
-    assert_eq!(gateway.counter("bad_queries"), 8);
+    assert_eq!(gateway.counter("invalid_queries_total"), 8);
 }
 
 #[test]
@@ -132,7 +132,7 @@
     let mut client = gateway.client();
     client.send(&query(&select("a1", "look", 60_000)));
     client.0.shutdown(Shutdown::Write).unwrap();
-    wait_until("the disconnect is counted", || gateway.counter("clients_gone") == 1);
+    wait_until("the disconnect is counted", || gateway.counter("clients_disconnected_total") == 1);
 }
 
 #[rstest]
@@ -199,9 +199,9 @@
     client.send(&texts.concat());
     wait_until("a connection is waited for", || stuck.seen.lock().unwrap().connections == 1);
     drop(client);
-    wait_until("the disconnect is counted", || gateway.counter("clients_gone") == 1);
-    assert_eq!((gateway.counter("txns"), gateway.counter("now_txns")), (1, 0));
-    wait_until("its attempt is cancelled", || gateway.counter("sub_not_sent") == 1);
+    wait_until("the disconnect is counted", || gateway.counter("clients_disconnected_total") == 1);
+    assert_eq!((gateway.counter("requests_total"), gateway.counter("open_requests")), (1, 0));
+    wait_until("its attempt is cancelled", || gateway.counter("attempts_not_sent_total") == 1);
     stuck.set_behavior(ServerBehavior::Succeed);
     wait_until_served(&gateway);
     assert!(stuck.queries().iter().all(|query| query.text.contains("id=b")));
@@ -216,7 +216,7 @@
     wait_until("a connection is waited for", || stuck.seen.lock().unwrap().connections == 1);
     client.send(&vec![b'Q'; 100_000]);
     client.0.shutdown(Shutdown::Write).unwrap();
-    wait_until("the disconnect is counted", || gateway.counter("clients_gone") == 1);
+    wait_until("the disconnect is counted", || gateway.counter("clients_disconnected_total") == 1);
 }
 
 #[test]
--- a/crates/cli/tests/gateway/configuration.rs
+++ b/crates/cli/tests/gateway/configuration.rs
@@ -90,7 +90,8 @@
     };
     let mut counted = start("1");
     let log = read_log(&mut counted).log;
-    let lines = || log.lock().unwrap().iter().filter(|line| line.contains("counters: txns=0")).count();
+    let lines =
+        || log.lock().unwrap().iter().filter(|line| line.contains("counters: requests_total=0")).count();
     wait_until("they are logged again and again", || lines() >= 2);
     counted.kill().unwrap();
     assert_eq!(start("0").wait().unwrap().code(), Some(2));
@@ -131,13 +132,13 @@
     wait_until("the earlier watch is closed", || gateway.discovery.all_streams_closed());
     wait_until("the earlier feed is closed", || gateway.platform.all_streams_closed());
     (0..3).for_each(|_| gateway.signal("HUP"));
-    wait_until("the file is read again", || gateway.count_logged("configuration read anew") >= 2);
+    wait_until("the file is read again", || gateway.count_logged("configuration reloaded") >= 2);
     new_list.send_line(&endpoint_list(9, false, &[host("s1", trial.addr, "up", 2)]));
     new.send_line(&json!({"type": "ROLLOUT", "object": rollout_state(2, 0, "IN_PROGRESS", 0.5)}));
     wait_until("votes go to the new address", || new.count_calls("POST /v1/ballots") > 0);
     assert_eq!((new_list.count_calls("watch"), new.count_calls("GET /v1/feed")), (1, 1));
     assert_eq!((gateway.discovery.count_calls("watch"), gateway.platform.count_calls("")), (1, 1));
-    assert_eq!((earlier.seen.lock().unwrap().connections, gateway.counter("feed_lost")), (1, 0));
+    assert_eq!((earlier.seen.lock().unwrap().connections, gateway.counter("feed_lost_total")), (1, 0));
 }
 
 #[rstest]
@@ -147,7 +148,9 @@
     let server = FakeServer::start(ServerBehavior::Succeed);
     let mut gateway = Gateway::start_watching(&[&server], |_| ());
     gateway.reconfigure(text);
-    wait_until("the reason is logged", || gateway.logged("configuration unfit") && gateway.logged(named));
+    wait_until("the reason is logged", || {
+        gateway.logged("configuration not reloaded") && gateway.logged(named)
+    });
     assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 900))), Ok("a1".to_string()));
     assert_eq!((gateway.discovery.count_calls("watch"), gateway.platform.count_calls("feed")), (1, 1));
     // During shutdown, another signal changes nothing either.
--- a/crates/cli/tests/gateway/discovery.rs
+++ b/crates/cli/tests/gateway/discovery.rs
@@ -50,7 +50,7 @@
     let (one, two) = line.split_at(line.len() / 2);
     gateway.discovery.write(&chunk(one));
     gateway.discovery.write(&chunk(two));
-    wait_until("the list is applied", || gateway.counter("list_changes") == 2);
+    wait_until("the list is applied", || gateway.counter("endpoint_list_updates_total") == 2);
     let mut client = gateway.client();
     for n in 0..4 {
         assert_eq!(outcome(&client.query(&select(&format!("a{n}"), "look", 1900))), Ok(format!("a{n}")));
@@ -84,7 +84,7 @@
     gateway.discovery.set_reply(move |_| reply.clone());
     gateway.discovery.close_streams();
     wait_until("it is retried repeatedly", || {
-        gateway.discovery.count_calls("watch") >= 3 && gateway.counter("list_failures") >= 2
+        gateway.discovery.count_calls("watch") >= 3 && gateway.counter("discovery_failures_total") >= 2
     });
     assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 900))), Ok("a1".to_string()));
 }
@@ -129,10 +129,10 @@
     gateway.reconfigure(&config.to_string());
     wait_until("the new address is called", || new.count_calls("watch") == 1);
     // The end of the earlier call is no failure of the new one.
-    let failures = gateway.counter("list_failures");
+    let failures = gateway.counter("discovery_failures_total");
     gateway.discovery.close_streams();
     thread::sleep(Duration::from_millis(300));
-    assert_eq!((gateway.counter("list_failures"), new.count_calls("watch")), (failures, 1));
+    assert_eq!((gateway.counter("discovery_failures_total"), new.count_calls("watch")), (failures, 1));
 }
 
 #[test]
@@ -157,9 +157,9 @@
     move_discovery(&gateway, &late);
     wait_until("the new address is called", || late.received_calls() == 1);
     gateway.discovery.send_line(&endpoint_list(7, true, &[host("s1", new.addr, "up", 1)]));
-    wait_until("the newer list is applied", || gateway.counter("list_changes") == 2);
+    wait_until("the newer list is applied", || gateway.counter("endpoint_list_updates_total") == 2);
     release.send(()).unwrap();
-    wait_until("the older list is rejected", || gateway.logged("not newer than the one held"));
+    wait_until("the older list is rejected", || gateway.logged("list not newer"));
     for n in 0..4 {
         assert_eq!(
             outcome(&gateway.client().query(&select(&format!("a{n}"), "look", 1900))),
@@ -181,7 +181,7 @@
         .discovery
         .set_reply(move |_| HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", line_chunk(&restarted))));
     gateway.discovery.close_streams();
-    wait_until("the list is applied", || gateway.counter("list_changes") == 2);
+    wait_until("the list is applied", || gateway.counter("endpoint_list_updates_total") == 2);
     assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 1900))), Ok("a1".to_string()));
     assert_eq!((old.queries().len(), new.queries().len()), (0, 1));
     // Versions of changes continue from there.
@@ -190,7 +190,7 @@
         false,
         &[host("s1", new.addr, "draining", 1), host("s0", old.addr, "up", 1)],
     ));
-    wait_until("the change is applied", || gateway.counter("list_changes") == 3);
+    wait_until("the change is applied", || gateway.counter("endpoint_list_updates_total") == 3);
     assert_eq!(outcome(&gateway.client().query(&select("a2", "look", 1900))), Ok("a2".to_string()));
     assert_eq!((old.queries().len(), new.queries().len()), (1, 1));
 }
@@ -205,7 +205,7 @@
         false => HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", line_chunk(&endpoint_list(1, false, &[])))),
     });
     gateway.discovery.close_streams();
-    wait_until("the full list is applied", || gateway.counter("list_changes") == 2);
+    wait_until("the full list is applied", || gateway.counter("endpoint_list_updates_total") == 2);
     assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 1900))), Ok("a1".to_string()));
     assert_eq!((old.queries().len(), new.queries().len()), (0, 1));
 }
@@ -214,14 +214,14 @@
 fn watch_stays_open_until_a_new_one_delivers_a_list() {
     let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
     let gateway = Gateway::start_watching(&[&old], |_| ());
-    wait_until("the first list is applied", || gateway.counter("list_changes") == 1);
+    wait_until("the first list is applied", || gateway.counter("endpoint_list_updates_total") == 1);
     let mute: Vec<FakeHttpService> = (0..2).map(|_| FakeHttpService::start(|_| HttpReply::Nothing)).collect();
     for service in &mute {
         move_discovery(&gateway, service);
         wait_until("the new address is called", || service.count_calls("watch") == 1);
     }
     gateway.discovery.send_line(&endpoint_list(6, true, &[host("s1", new.addr, "up", 1)]));
-    wait_until("the change is applied", || gateway.counter("list_changes") == 2);
+    wait_until("the change is applied", || gateway.counter("endpoint_list_updates_total") == 2);
     assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 1900))), Ok("a1".to_string()));
     assert_eq!((old.queries().len(), new.queries().len()), (0, 1));
 }
@@ -233,7 +233,7 @@
     let change = endpoint_list(6, true, &[host("s1", new.addr, "up", 1)]);
     let text = format!("\n{}\n", serde_json::to_string_pretty(&change).unwrap());
     text.lines().for_each(|line| gateway.discovery.write(&chunk(&format!("{line}\r\n"))));
-    wait_until("the list is applied", || gateway.counter("list_changes") == 2);
+    wait_until("the list is applied", || gateway.counter("endpoint_list_updates_total") == 2);
     assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 1900))), Ok("a1".to_string()));
     assert_eq!((old.queries().len(), new.queries().len()), (0, 1));
     gateway.discovery.write(&chunk(&format!("{}\n{change}\n", &change.to_string()[..40])));
@@ -255,5 +255,5 @@
     assert_others_are_served(&gateway);
     *stop.lock().unwrap() = true;
     flood.join().unwrap();
-    assert_eq!(gateway.counter("list_failures"), 0);
+    assert_eq!(gateway.counter("discovery_failures_total"), 0);
 }
--- a/crates/cli/tests/gateway/platform.rs
+++ b/crates/cli/tests/gateway/platform.rs
@@ -20,8 +20,8 @@
         config["pipeline"]["news"] = rollout_state(2, 0, "IN_PROGRESS", 0.5);
         config["pipeline"]["address"] = json!(closed.local_addr().unwrap().to_string());
     });
-    wait_until("its outcome is counted", || gateway.counter("votes_not_counted") >= 1);
-    assert_eq!((gateway.counter("votes_counted"), gateway.counter("votes_unsure")), (0, 0));
+    wait_until("its outcome is counted", || gateway.counter("votes_not_counted_total") >= 1);
+    assert_eq!((gateway.counter("votes_counted_total"), gateway.counter("votes_unknown_total")), (0, 0));
 }
 
 #[test]
@@ -34,23 +34,23 @@
     gateway.platform.write(&chunk(&format!("{{}}\n{sample}\n{{nonsense\n{sample}\n")));
     wait_until("it is open again", || gateway.platform.count_calls("GET /v1/feed") == 2);
     // Lines after the malformed one are not applied.
-    assert_eq!(gateway.counter("tallies_told"), 1);
+    assert_eq!(gateway.counter("outcome_reports_total"), 1);
     gateway.platform.close_streams();
     wait_until("it is open again", || gateway.platform.count_calls("GET /v1/feed") == 3);
 }
 
 #[rstest]
-#[case::counts(HttpReply::KeepOpen(response(200, &rollout_state(2, 1, "IN_PROGRESS", 1.0).to_string())), "votes_counted")]
-#[case::busy(HttpReply::KeepOpen(response(429, r#"{"error":"BUSY"}"#)), "votes_not_counted")]
-#[case::stale(HttpReply::KeepOpen(response(409, r#"{"error":"STALE"}"#)), "votes_not_counted")]
-#[case::failed(HttpReply::KeepOpen(response(500, r#"{"error":"FAILED"}"#)), "votes_not_counted")]
-#[case::syntax(HttpReply::KeepOpen(response(400, r#"{"error":"SYNTAX"}"#)), "votes_not_counted")]
-#[case::cut_off(HttpReply::Close("HTTP/1.1 200 OK\r\nContent-Le".to_string()), "votes_unsure")]
-#[case::unreadable(HttpReply::KeepOpen(response(200, "{}")), "votes_unsure")]
-#[case::noise_behind(HttpReply::KeepOpen(response(200, &(rollout_state(2, 1, "IN_PROGRESS", 1.0).to_string() + "x"))), "votes_unsure")]
-#[case::words_cut_off(HttpReply::KeepOpen(response(429, "{\"error\":\"BU")), "votes_unsure")]
-#[case::other_words(HttpReply::KeepOpen(response(409, "{\"error\":\"BUSY\"}")), "votes_unsure")]
-#[case::silent(HttpReply::Nothing, "votes_unsure")]
+#[case::counts(HttpReply::KeepOpen(response(200, &rollout_state(2, 1, "IN_PROGRESS", 1.0).to_string())), "votes_counted_total")]
+#[case::busy(HttpReply::KeepOpen(response(429, r#"{"error":"BUSY"}"#)), "votes_not_counted_total")]
+#[case::stale(HttpReply::KeepOpen(response(409, r#"{"error":"STALE"}"#)), "votes_not_counted_total")]
+#[case::failed(HttpReply::KeepOpen(response(500, r#"{"error":"FAILED"}"#)), "votes_not_counted_total")]
+#[case::syntax(HttpReply::KeepOpen(response(400, r#"{"error":"SYNTAX"}"#)), "votes_not_counted_total")]
+#[case::cut_off(HttpReply::Close("HTTP/1.1 200 OK\r\nContent-Le".to_string()), "votes_unknown_total")]
+#[case::unreadable(HttpReply::KeepOpen(response(200, "{}")), "votes_unknown_total")]
+#[case::noise_behind(HttpReply::KeepOpen(response(200, &(rollout_state(2, 1, "IN_PROGRESS", 1.0).to_string() + "x"))), "votes_unknown_total")]
+#[case::words_cut_off(HttpReply::KeepOpen(response(429, "{\"error\":\"BU")), "votes_unknown_total")]
+#[case::other_words(HttpReply::KeepOpen(response(409, "{\"error\":\"BUSY\"}")), "votes_unknown_total")]
+#[case::silent(HttpReply::Nothing, "votes_unknown_total")]
 fn vote_reply_decides_the_vote_outcome(#[case] reply: HttpReply, #[case] counter: &str) {
     let (earlier, trial) =
         (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
@@ -65,8 +65,9 @@
     let body = &calls.iter().find(|call| call.request_line.contains("ballots")).unwrap().body;
     let vote: Value = serde_json::from_str(body).unwrap();
     assert_eq!(vote, json!({"version": 2, "step": 0, "vote": "approve"}));
-    let others =
-        ["votes_counted", "votes_not_counted", "votes_unsure"].into_iter().filter(|other| *other != counter);
+    let others = ["votes_counted_total", "votes_not_counted_total", "votes_unknown_total"]
+        .into_iter()
+        .filter(|other| *other != counter);
     let others: Vec<(&str, u64)> = others.map(|other| (other, gateway.counter(other))).collect();
     assert!(others.iter().all(|(_, figure)| *figure == 0), "{others:?}");
 }
@@ -91,7 +92,7 @@
     wait_until("two votes are counted", || {
         number += 1;
         client.query(&select(&format!("a{number}"), "look", 900));
-        gateway.counter("votes_counted") >= 2
+        gateway.counter("votes_counted_total") >= 2
     });
     let calls = gateway.platform.calls.lock().unwrap().clone();
     let votes = calls.iter().filter(|call| call.request_line.contains("ballots"));
--- a/crates/cli/tests/gateway/shutdown.rs
+++ b/crates/cli/tests/gateway/shutdown.rs
@@ -27,7 +27,7 @@
     assert_eq!(outcome(&busy.read_response()), Ok("a1".to_string()));
     assert_eq!(busy.0.read(&mut [0]).unwrap(), 0);
     assert_eq!(gateway.wait_for_exit(), Some(0));
-    assert!(gateway.logged(" settled=3 "));
+    assert!(gateway.logged(" requests_succeeded_total=3 "));
 }
 
 #[test]
@@ -50,7 +50,7 @@
     // It has finished its startup, and has sent no query before the signal.
     let mut new = gateway.client();
     gateway.signal("TERM");
-    wait_until("shutdown has begun", || gateway.logged("gateway stops"));
+    wait_until("shutdown has begun", || gateway.logged("shutdown started"));
     new.send(&query(&select("a1", "look", 1900)));
     assert_eq!(outcome(&new.read_response()), Ok("a1".to_string()));
     assert_eq!(read_to_end(&mut new).expect("an end, and no reset"), b"");
@@ -83,7 +83,7 @@
     client.send(max_connections);
     wait_until("the first attempt is sent", || server.queries().len() == 2);
     gateway.signal("TERM");
-    wait_until("shutdown has begun", || gateway.logged("gateway stops"));
+    wait_until("shutdown has begun", || gateway.logged("shutdown started"));
     // Half of the last query has arrived; the rest is sent once the two before it are answered.
     for n in 1..3 {
         assert_eq!(outcome(&client.read_response()), Ok(format!("a{n}")));
@@ -133,7 +133,7 @@
     let server = FakeServer::start(ServerBehavior::Succeed);
     let mut gateway = Gateway::start(&[&server]);
     gateway.signal("TERM");
-    wait_until("shutdown has begun", || gateway.logged("gateway stops"));
+    wait_until("shutdown has begun", || gateway.logged("shutdown started"));
     // The process is stopped until its time to accept is over: these are in the accept queue at the last accept.
     pause(&gateway);
     let mut late: Vec<Client> = (0..3).map(|_| Client::connect(gateway.addr)).collect();
@@ -159,7 +159,7 @@
     client.send(&query(&insert("a1", "pay", 60_000)));
     wait_until("the attempt is sent", || server.queries().len() == 1);
     gateway.signal("TERM");
-    wait_until("shutdown has begun", || gateway.logged("gateway stops"));
+    wait_until("shutdown has begun", || gateway.logged("shutdown started"));
     let since = Instant::now();
     wait_until("the time for new requests is over", || since.elapsed() > Duration::from_millis(650));
     client.send(&query(&select("a2", "look", 60_000)));
--- a/crates/cli/tests/gateway/upstream_pool.rs
+++ b/crates/cli/tests/gateway/upstream_pool.rs
@@ -265,7 +265,7 @@
     wait_until("a connection is waited for", || stuck.seen.lock().unwrap().connections == 1);
     gateway.discovery.send_line(&endpoint_list(9, true, &[host("s0", good.addr, "up", 1)]));
     assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
-    assert_eq!(gateway.counter("sub_not_sent"), 1);
+    assert_eq!(gateway.counter("attempts_not_sent_total"), 1);
 }
 
 #[test]
--- a/crates/control-plane/src/control_plane/publication.rs
+++ b/crates/control-plane/src/control_plane/publication.rs
@@ -51,7 +51,7 @@
             }
             Err(reason) => {
                 if self.blocked_by.replace(reason) != Some(reason) {
-                    tracing::info!(why = %reason, "publish: blocked");
+                    tracing::info!(%reason, "publish: blocked");
                 }
                 None
             }
--- a/crates/control-plane/src/driver/signals.rs
+++ b/crates/control-plane/src/driver/signals.rs
@@ -34,7 +34,7 @@
                 },
             }
         }
-        tracing::info!("control service stops: proxies keep what they have");
+        tracing::info!("control service stopped");
     }
 }
 
--- a/crates/control-plane/src/driver/startup.rs
+++ b/crates/control-plane/src/driver/startup.rs
@@ -75,7 +75,7 @@
         max_streams: config.xds.streams_most,
     };
     let xds_server = xds_thread::spawn(xds_listener, context)?;
-    tracing::info!(name = config.name, %listening, "control service starts");
+    tracing::info!(name = config.name, %listening, "control service started");
     let driver = ControlPlaneDriver {
         control_plane,
         clock,
--- a/crates/control-plane/src/state_store/mod.rs
+++ b/crates/control-plane/src/state_store/mod.rs
@@ -50,12 +50,12 @@
     let opened = catch_unwind(|| open_database(path)).unwrap_or(Err(StoreError::Panicked));
     match opened {
         Ok((database, state)) => {
-            tracing::info!(path = %path.display(), found = state.is_some(), "state: open");
+            tracing::info!(path = %path.display(), found = state.is_some(), "state store: opened");
             let writer = StateWriter::start(database, path.to_path_buf());
             OpenedStore { writer: Some(writer), state }
         }
         Err(error) => {
-            tracing::warn!(path = %path.display(), why = error.to_string(), "state: not used, nothing is persisted");
+            tracing::warn!(path = %path.display(), reason = error.to_string(), "state store: unusable, nothing is persisted");
             OpenedStore::default()
         }
     }
--- a/crates/control-plane/src/state_store/writer.rs
+++ b/crates/control-plane/src/state_store/writer.rs
@@ -99,14 +99,14 @@
         match write_state(&self.database, state) {
             Ok(()) => {
                 if !self.has_written {
-                    tracing::info!(path = %self.path.display(), "state: written");
+                    tracing::info!(path = %self.path.display(), "state store: written");
                 }
                 self.has_written = true;
                 self.is_failing = false;
             }
-            Err(why) => {
+            Err(error) => {
                 if !self.is_failing {
-                    tracing::warn!(path = %self.path.display(), %why, "state: cannot be written");
+                    tracing::warn!(path = %self.path.display(), %error, "state store: write failed");
                 }
                 self.is_failing = true;
             }
--- a/crates/gateway/src/gateway/event_loop.rs
+++ b/crates/gateway/src/gateway/event_loop.rs
@@ -60,13 +60,13 @@
     }
 
     fn decide(&mut self, events: Vec<Event>) {
-        COUNTERS.batches.increment();
+        COUNTERS.batches_total.increment();
         let actions = self.policy.handle_events(self.clock.now(), events);
         for action in actions {
             self.perform(action);
         }
-        COUNTERS.now_txns.set(self.requests.len());
-        COUNTERS.now_timers.set(self.timers.len());
+        COUNTERS.open_requests.set(self.requests.len());
+        COUNTERS.pending_timers.set(self.timers.len());
         self.pool.record_metrics();
     }
 
@@ -176,7 +176,7 @@
 }
 
 fn outcomes_reported(counts: OutcomeCounts) -> Event {
-    COUNTERS.tallies_told.increment();
-    tracing::debug!(?counts, "platform: outcomes");
+    COUNTERS.outcome_reports_total.increment();
+    tracing::debug!(?counts, "platform: outcome report");
     Event::OutcomesReported(counts.into())
 }
--- a/crates/gateway/src/gateway/requests.rs
+++ b/crates/gateway/src/gateway/requests.rs
@@ -17,7 +17,7 @@
         &mut self, id: RequestId, statement: Rc<Statement>, arrived_at: Millis,
         reply: oneshot::Sender<Answer>, events: &mut Vec<Event>,
     ) {
-        COUNTERS.txns.increment();
+        COUNTERS.requests_total.increment();
         let now = self.clock.now();
         let deadline = arrived_at + statement.timeout;
         events.push(Event::RequestReceived(IncomingRequest {
@@ -37,7 +37,7 @@
 
     /// The client of a request has gone away.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId, events: &mut Vec<Event>) {
-        COUNTERS.clients_gone.increment();
+        COUNTERS.clients_disconnected_total.increment();
         if let Some(request) = self.requests.get_mut(id) {
             request.reply = None;
             events.push(Event::ClientDisconnected { id });
@@ -47,12 +47,12 @@
 
     /// Answers a request: not executed, a retry is harmless.
     pub(super) fn reject(&mut self, id: RequestId, retry_after: Option<Millis>) {
-        self.answer(id, Answer::Rejected { retry_after }, &COUNTERS.declined);
+        self.answer(id, Answer::Rejected { retry_after }, &COUNTERS.requests_rejected_total);
     }
 
     /// Answers a request: failed, its effect is unknown.
     pub(super) fn fail(&mut self, id: RequestId) {
-        self.answer(id, Answer::Failed, &COUNTERS.voided);
+        self.answer(id, Answer::Failed, &COUNTERS.requests_failed_total);
     }
 
     fn answer(&mut self, id: RequestId, answer: Answer, counter: &Metric) {
--- a/crates/gateway/src/gateway/updates.rs
+++ b/crates/gateway/src/gateway/updates.rs
@@ -24,12 +24,12 @@
         match decision {
             ListDecision::Ignored => {}
             ListDecision::Apply => {
-                COUNTERS.list_changes.increment();
+                COUNTERS.endpoint_list_updates_total.increment();
                 tracing::debug!(
                     list.version,
                     list.whole = list.is_snapshot,
                     entries = list.entries.len(),
-                    "list: applied"
+                    "discovery: list applied"
                 );
                 events.push(self.apply_list(update_kind(list.is_snapshot), list));
             }
@@ -37,9 +37,9 @@
                 tracing::info!(
                     list.version,
                     list.whole = list.is_snapshot,
-                    "list: not newer than the one held, asked for anew"
+                    "discovery: list not newer, requested again"
                 );
-                COUNTERS.list_failures.increment();
+                COUNTERS.discovery_failures_total.increment();
                 if is_current {
                     events.push(self.endpoint_update_failed());
                 }
@@ -80,7 +80,7 @@
 
     /// Takes in a reported state of the rollout; returns the state to go on with.
     pub(super) fn apply_rollout(&mut self, state: RolloutState) -> RolloutState {
-        COUNTERS.states_told.increment();
+        COUNTERS.rollout_updates_total.increment();
         tracing::debug!(?state, "platform: rollout state");
         match self.rollout.apply(state, self.clock.now()) {
             RolloutChange::Unchanged(state) | RolloutChange::Superseded(state) => state,
--- a/crates/gateway/src/gateway/upstream_calls.rs
+++ b/crates/gateway/src/gateway/upstream_calls.rs
@@ -43,7 +43,7 @@
             invariant!(false, "only pending requests are sent on");
             return;
         };
-        COUNTERS.submissions.increment();
+        COUNTERS.attempts_total.increment();
         let deadline = timeout.map_or(request.deadline, |timeout| (now + timeout).min(request.deadline));
         let call = UpstreamCall::Attempt { id, attempt: request.attempts.len() as u32 };
         request.attempts.push(Attempt { endpoint: endpoint.clone(), started_at: now, has_ended: false });
@@ -63,7 +63,7 @@
     /// Starts a health check; one that cannot be sent ends at once.
     pub(super) fn check_health(&mut self, endpoint: String) {
         let now = self.clock.now();
-        COUNTERS.probes.increment();
+        COUNTERS.health_checks_total.increment();
         let deadline = now + self.connections.connect_timeout;
         let call = UpstreamCall::HealthCheck(self.health_checks.start(endpoint.clone(), now));
         let is_permitted =
@@ -130,7 +130,7 @@
             && let Some(value) = value
             && let Some(reply) = request.reply.take()
         {
-            COUNTERS.settled.increment();
+            COUNTERS.requests_succeeded_total.increment();
             let _ = reply.send(Answer::Success(value));
         }
         let is_final = request.reply.is_none();
@@ -179,13 +179,13 @@
 
 fn outcome_counter(outcome: AttemptOutcome) -> &'static Metric {
     match outcome {
-        AttemptOutcome::Success => &COUNTERS.sub_settled,
-        AttemptOutcome::Error => &COUNTERS.sub_error,
-        AttemptOutcome::Rejected => &COUNTERS.sub_turned_away,
-        AttemptOutcome::Timeout => &COUNTERS.sub_no_answer,
-        AttemptOutcome::ConnectFailed => &COUNTERS.sub_no_connection,
-        AttemptOutcome::ConnectionLost => &COUNTERS.sub_lost,
-        AttemptOutcome::Cancelled => &COUNTERS.sub_recalled,
-        AttemptOutcome::NotSent => &COUNTERS.sub_not_sent,
+        AttemptOutcome::Success => &COUNTERS.attempts_succeeded_total,
+        AttemptOutcome::Error => &COUNTERS.attempts_failed_total,
+        AttemptOutcome::Rejected => &COUNTERS.attempts_rejected_total,
+        AttemptOutcome::Timeout => &COUNTERS.attempts_timed_out_total,
+        AttemptOutcome::ConnectFailed => &COUNTERS.attempts_unconnected_total,
+        AttemptOutcome::ConnectionLost => &COUNTERS.attempts_connection_lost_total,
+        AttemptOutcome::Cancelled => &COUNTERS.attempts_cancelled_total,
+        AttemptOutcome::NotSent => &COUNTERS.attempts_not_sent_total,
     }
 }
--- a/crates/gateway/src/net/call_error.rs
+++ b/crates/gateway/src/net/call_error.rs
@@ -38,7 +38,7 @@
     #[error("status {0} with other words")]
     StatusMismatch(u16),
     /// The connection was not up in time.
-    #[error("no connection")]
+    #[error("upstream: connection failed")]
     NoConnection,
     /// The connection for a vote was not up in time.
     #[error("no connection in time")]
--- a/crates/gateway/src/net/clients/accept.rs
+++ b/crates/gateway/src/net/clients/accept.rs
@@ -30,12 +30,12 @@
             }
             match listener.accept().await {
                 Ok((stream, _)) => self.clone().open_session(stream),
-                Err(fault) => {
+                Err(error) => {
                     // Out of descriptors, or a client that was gone again: neither ends nor spins.
-                    if COUNTERS.accept_errors.value().is_multiple_of(LOG_SAMPLING) {
-                        tracing::warn!(%fault, "clients: accept failed");
+                    if COUNTERS.accept_errors_total.value().is_multiple_of(LOG_SAMPLING) {
+                        tracing::warn!(%error, "clients: accept failed");
                     }
-                    COUNTERS.accept_errors.increment();
+                    COUNTERS.accept_errors_total.increment();
                     self.evict_one();
                     sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
@@ -58,13 +58,13 @@
     }
 
     fn open_session(self: Rc<Self>, stream: TcpStream) {
-        COUNTERS.client_connections.increment();
+        COUNTERS.client_connections_total.increment();
         let has_room = self.staying_sessions() < self.max_sessions || self.evict_one();
         let session = Rc::new(ClientSession::new());
         let id = self.next_session.replace(self.next_session.get() + 1);
         self.sessions.borrow_mut().insert(id, session.clone());
-        COUNTERS.client_connections_most.record_max(self.open_sessions());
-        COUNTERS.now_client_connections.set(self.open_sessions());
+        COUNTERS.client_connections_max.record_max(self.open_sessions());
+        COUNTERS.open_client_connections.set(self.open_sessions());
         let peer = stream.peer_addr().ok().map(tracing::field::display);
         tokio::task::spawn_local(async move {
             match SessionTask::new(&self, &session, &stream, has_room).serve().await {
@@ -72,10 +72,10 @@
                     session.state.set(SessionState::Closing);
                     closing::linger(&stream, &session, reason).await;
                 }
-                Err(fault) => tracing::debug!(peer, %fault, "clients: connection lost"),
+                Err(error) => tracing::debug!(peer, %error, "clients: connection lost"),
             }
             self.sessions.borrow_mut().remove(&id);
-            COUNTERS.now_client_connections.set(self.open_sessions());
+            COUNTERS.open_client_connections.set(self.open_sessions());
         });
     }
 
@@ -97,7 +97,7 @@
             .longest_in(SessionState::New, MIN_SILENCE_BEFORE_EVICTION)
             .or_else(|| self.longest_in(SessionState::Idle, MIN_IDLE_BEFORE_EVICTION));
         let Some(session) = candidate else { return false };
-        COUNTERS.clients_let_go.increment();
+        COUNTERS.clients_evicted_total.increment();
         session.ask_to_leave();
         true
     }
--- a/crates/gateway/src/net/clients/requests.rs
+++ b/crates/gateway/src/net/clients/requests.rs
@@ -92,8 +92,8 @@
         &mut self, statement: Rc<Statement>, arrived_at: Millis,
     ) -> io::Result<()> {
         if self.clients.shutdown.is_too_late_for(arrived_at) {
-            COUNTERS.txns.increment();
-            COUNTERS.declined.increment();
+            COUNTERS.requests_total.increment();
+            COUNTERS.requests_rejected_total.increment();
             return self.write(&[rejection(None), Bytes::from_static(pg::encode::READY)]).await;
         }
         let clients = self.clients;
--- a/crates/gateway/src/net/clients/session.rs
+++ b/crates/gateway/src/net/clients/session.rs
@@ -102,7 +102,7 @@
             self.input.record_arrival(self.stream, self.clients.clock.now());
             let message = match self.frontend.next(&mut self.input.bytes) {
                 Ok(message) => message,
-                Err(error) => return self.refuse(&error.to_string(), &COUNTERS.broken_streams).await,
+                Err(error) => return self.refuse(&error.to_string(), &COUNTERS.protocol_errors_total).await,
             };
             let arrived_at = self.input.consume();
             self.track_message_start(message.is_some());
@@ -130,7 +130,7 @@
             ReadOutcome::Read => return Ok(Step::Continue(())),
             ReadOutcome::Left => CloseReason::Quiet,
             ReadOutcome::Closing => self.close().await?,
-            ReadOutcome::Late => self.refuse(LATE, &COUNTERS.clients_late).await?,
+            ReadOutcome::Late => self.refuse(LATE, &COUNTERS.clients_timed_out_total).await?,
         };
         Ok(Step::Break(reason))
     }
@@ -139,7 +139,7 @@
     async fn close(&mut self) -> io::Result<CloseReason> {
         if !self.session.has_requested.get() {
             // Closed without a word, it would not know that a retry is harmless.
-            return self.turn_away(NO_ROOM).await;
+            return self.reject_client(NO_ROOM).await;
         }
         match self.session.state.get() {
             SessionState::Leaving => Ok(CloseReason::Quiet),
@@ -156,7 +156,7 @@
                 return Ok(Step::Break(CloseReason::Answered));
             }
             FrontendMessage::Startup if !self.has_room => {
-                return self.turn_away("too many connections").await.map(Step::Break);
+                return self.reject_client("too many connections").await.map(Step::Break);
             }
             FrontendMessage::Startup => self.write(&[pg::encode::greeting()]).await?,
             FrontendMessage::Sync => self.write(&[Bytes::from_static(pg::encode::READY)]).await?,
@@ -190,37 +190,37 @@
 
     /// Answers a query that cannot be taken; after too many of them the connection ends. `is_ready`: the answer ends the
     /// query.
-    async fn on_bad_query(&mut self, code: &str, why: &str, is_ready: bool) -> io::Result<Step> {
+    async fn on_bad_query(&mut self, code: &str, reason: &str, is_ready: bool) -> io::Result<Step> {
         self.bad_queries += 1;
-        self.log_bad_input(why, &COUNTERS.bad_queries);
+        self.log_bad_input(reason, &COUNTERS.invalid_queries_total);
         let is_fatal = self.bad_queries >= MAX_BAD_QUERIES;
-        let error = pg::encode::error(is_fatal, code, why, None);
+        let error = pg::encode::error(is_fatal, code, reason, None);
         let end: &[u8] = if is_ready && !is_fatal { pg::encode::READY } else { &[] };
         self.write(&[error, Bytes::from_static(end)]).await?;
         Ok(if is_fatal { Step::Break(CloseReason::Refused) } else { Step::Continue(()) })
     }
 
     /// Ends a connection that does not keep to the protocol.
-    async fn refuse(&self, why: &str, counter: &Metric) -> io::Result<CloseReason> {
-        self.log_bad_input(why, counter);
-        self.write(&[pg::encode::error(true, pg::sqlstate::PROTOCOL_VIOLATION, why, None)]).await?;
+    async fn refuse(&self, reason: &str, counter: &Metric) -> io::Result<CloseReason> {
+        self.log_bad_input(reason, counter);
+        self.write(&[pg::encode::error(true, pg::sqlstate::PROTOCOL_VIOLATION, reason, None)]).await?;
         Ok(CloseReason::Refused)
     }
 
     /// Ends a connection for which there is no room.
-    async fn turn_away(&self, why: &str) -> io::Result<CloseReason> {
-        COUNTERS.clients_turned_away.increment();
-        self.write(&[pg::encode::error(true, pg::sqlstate::TOO_MANY_CONNECTIONS, why, None)]).await?;
+    async fn reject_client(&self, reason: &str) -> io::Result<CloseReason> {
+        COUNTERS.clients_rejected_total.increment();
+        self.write(&[pg::encode::error(true, pg::sqlstate::TOO_MANY_CONNECTIONS, reason, None)]).await?;
         Ok(CloseReason::Refused)
     }
 
-    /// Counts bad input, and logs whose it was and why; of lines that clients can bring about at will, few are logged.
-    fn log_bad_input(&self, why: &str, counter: &Metric) {
+    /// Counts bad input, and logs its peer and the reason; of lines that clients can bring about at will, few are logged.
+    fn log_bad_input(&self, reason: &str, counter: &Metric) {
         let peer = self.stream.peer_addr().ok().map(tracing::field::display);
         if counter.value().is_multiple_of(LOG_SAMPLING) {
-            tracing::info!(peer, why, "clients: bad input");
+            tracing::info!(peer, reason, "clients: malformed input");
         } else {
-            tracing::debug!(peer, why, "clients: bad input");
+            tracing::debug!(peer, reason, "clients: malformed input");
         }
         counter.increment();
     }
--- a/crates/gateway/src/net/list.rs
+++ b/crates/gateway/src/net/list.rs
@@ -128,8 +128,8 @@
 /// Watches from a version on, until the connection ends. However it ends, it is reported as a failed call.
 pub async fn watch(address: SocketAddr, after: u64, call: CallId, events: mpsc::Sender<DriverEvent>) {
     let error = deliver_watch(address, after, call, &events).await.err().unwrap_or(CallError::WatchEnded);
-    tracing::info!(why = error.to_string(), "list: watch over");
-    COUNTERS.list_failures.increment();
+    tracing::info!(reason = error.to_string(), "discovery: watch closed");
+    COUNTERS.discovery_failures_total.increment();
     let _ = events.send(DriverEvent::EndpointList { call, list: None }).await;
 }
 
@@ -138,14 +138,14 @@
     let fetched = timeout(LIST_CALL_TIMEOUT, fetch_list(address)).await;
     let list = fetched.unwrap_or(Err(CallError::NoResponse));
     if let Err(error) = &list {
-        tracing::info!(why = error.to_string(), "list: call failed");
-        COUNTERS.list_failures.increment();
+        tracing::info!(reason = error.to_string(), "discovery: call failed");
+        COUNTERS.discovery_failures_total.increment();
     }
     let _ = events.send(DriverEvent::EndpointList { call, list: list.ok() }).await;
 }
 
 async fn connect(address: SocketAddr, path: &str) -> io::Result<TcpStream> {
-    COUNTERS.list_calls.increment();
+    COUNTERS.discovery_calls_total.increment();
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
     stream.set_nodelay(true)?;
     write_all(&stream, &[http::get(&address.to_string(), path)]).await?;
--- a/crates/gateway/src/net/platform/feed.rs
+++ b/crates/gateway/src/net/platform/feed.rs
@@ -58,7 +58,7 @@
                     lines
                 }
                 Some(Err(error)) => {
-                    tracing::info!(why = error.to_string(), "platform: feed not opened");
+                    tracing::info!(reason = error.to_string(), "platform: feed not opened");
                     0
                 }
             };
@@ -116,9 +116,9 @@
 }
 
 fn drop_lost(error: &CallError, open: &mut Option<Feed>) {
-    COUNTERS.feed_lost.increment();
+    COUNTERS.feed_lost_total.increment();
     let lines = open.take().map(|feed| feed.lines);
-    tracing::info!(why = error.to_string(), lines, "platform: feed lost");
+    tracing::info!(reason = error.to_string(), lines, "platform: feed lost");
 }
 
 /// Delivers what a feed brings until it is lost; why that is.
@@ -146,7 +146,7 @@
         let Some(address) = address else { return std::future::pending().await };
         let opened = timeout(FEED_SILENCE_TIMEOUT, Feed::request(address)).await;
         let feed = opened.unwrap_or(Err(CallError::NoHeadInTime))?;
-        COUNTERS.feed_opened.increment();
+        COUNTERS.feed_opened_total.increment();
         Ok(feed)
     }
 
--- a/crates/gateway/src/net/platform/votes.rs
+++ b/crates/gateway/src/net/platform/votes.rs
@@ -61,7 +61,7 @@
 ) {
     let mut caster = VoteCaster { address, idle: None };
     while let Some(vote) = queue.recv().await {
-        COUNTERS.votes.increment();
+        COUNTERS.votes_total.increment();
         let result = caster.cast_in_time(&vote, vote_timeout).await;
         let _ = events.send(DriverEvent::VoteCompleted(record(result, &vote))).await;
     }
@@ -73,17 +73,17 @@
     let stage = vote.stage;
     match result {
         VoteResult::Counted(rollout) => {
-            COUNTERS.votes_counted.increment();
+            COUNTERS.votes_counted_total.increment();
             VoteOutcome::Counted(rollout)
         }
         VoteResult::NotCounted(error) => {
-            COUNTERS.votes_not_counted.increment();
-            tracing::info!(why = error.to_string(), build, stage, "platform: vote not counted");
+            COUNTERS.votes_not_counted_total.increment();
+            tracing::info!(reason = error.to_string(), build, stage, "platform: vote not counted");
             VoteOutcome::NotCounted
         }
         VoteResult::Unknown(error) => {
-            COUNTERS.votes_unsure.increment();
-            tracing::info!(why = error.to_string(), build, stage, "platform: vote without answer");
+            COUNTERS.votes_unknown_total.increment();
+            tracing::info!(reason = error.to_string(), build, stage, "platform: vote outcome unknown");
             VoteOutcome::Unknown
         }
     }
--- a/crates/gateway/src/net/upstream/connection.rs
+++ b/crates/gateway/src/net/upstream/connection.rs
@@ -89,10 +89,10 @@
         backend: Backend::default(),
         buffer: BytesMut::new(),
     };
-    if let Err(why) = task.open(address).await {
-        COUNTERS.server_dials_failed.increment();
+    if let Err(reason) = task.open(address).await {
+        COUNTERS.server_connects_failed_total.increment();
         let connected = connection.stream.get().is_some();
-        tracing::debug!(instance = connection.endpoint, %why, connected, "no connection");
+        tracing::debug!(endpoint = connection.endpoint, %reason, connected, "upstream: connection failed");
         task.report(DriverEvent::ConnectFailed { connection }).await;
         return;
     }
@@ -168,7 +168,7 @@
             }
             // Another answer or noise behind the answer: the connection is out of step.
             if !self.buffer.is_empty() || is_unusable(stream) {
-                COUNTERS.server_unasked.increment();
+                COUNTERS.unsolicited_responses_total.increment();
                 return;
             }
         }
--- a/crates/gateway/src/net/upstream/exchange.rs
+++ b/crates/gateway/src/net/upstream/exchange.rs
@@ -86,7 +86,7 @@
     async fn send_query(&mut self, stream: &TcpStream, query: OutgoingQuery) -> Result<(), AttemptOutcome> {
         // Handed over in the moment in which something came that nobody asked for.
         if !self.buffer.is_empty() || is_unusable(stream) {
-            COUNTERS.server_unasked.increment();
+            COUNTERS.unsolicited_responses_total.increment();
             return Err(AttemptOutcome::NotSent);
         }
         // Checked here, where it is written: a process that stood still since was handed it in time.
@@ -110,7 +110,11 @@
             match self.backend.next(&mut self.buffer) {
                 Ok(Some(BackendMessage::Row(row))) if !is_complete => answer.set_row(row),
                 Ok(Some(BackendMessage::Error(code))) if !is_complete => {
-                    tracing::debug!(instance = self.connection.endpoint, code, "error of a server");
+                    tracing::debug!(
+                        endpoint = self.connection.endpoint,
+                        code,
+                        "upstream: server returned an error"
+                    );
                     answer.outcome = Some(outcome_of_code(&code));
                 }
                 Ok(Some(BackendMessage::Parameter { name, value })) => {
@@ -132,11 +136,11 @@
                 }
                 out_of_step => {
                     // It was executed, or may have been: an error of the endpoint as far as any request goes.
-                    COUNTERS.server_spoilt.increment();
+                    COUNTERS.malformed_responses_total.increment();
                     tracing::debug!(
-                        instance = self.connection.endpoint,
+                        endpoint = self.connection.endpoint,
                         ?out_of_step,
-                        "malformed answer of a server"
+                        "upstream: malformed response"
                     );
                     return answer.finish(AttemptOutcome::Error, NextStep::Close);
                 }
--- a/crates/gateway/src/net/upstream/pool.rs
+++ b/crates/gateway/src/net/upstream/pool.rs
@@ -140,8 +140,8 @@
 
     /// Sets the metrics of what is held now.
     pub fn record_metrics(&self) {
-        COUNTERS.now_servers.set(self.endpoints.len());
-        COUNTERS.now_server_connections.set(self.open);
+        COUNTERS.listed_endpoints.set(self.endpoints.len());
+        COUNTERS.open_server_connections.set(self.open);
     }
 
     /// The endpoints of the list.
@@ -275,8 +275,8 @@
     /// Opens a connection for a call, which waits in the queue meanwhile.
     fn open_connection(&mut self, id: &str, queued: QueuedCall) -> bool {
         self.open += 1;
-        COUNTERS.server_connections_most.record_max(self.open);
-        COUNTERS.server_dials.increment();
+        COUNTERS.server_connections_max.record_max(self.open);
+        COUNTERS.server_connects_total.increment();
         let Some(endpoint) = self.endpoints.get_mut(id) else { return false };
         endpoint.queue.push_back(queued);
         endpoint.connecting += 1;
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -74,7 +74,7 @@
     let name = &config.addresses.name;
     let listening = listener.local_addr()?;
     let servers = config.initial_state.list.entries.len();
-    tracing::info!(name, %listening, servers, "gateway starts");
+    tracing::info!(name, %listening, servers, "gateway started");
 
     let mut gateway = tokio::task::spawn_local(gateway.run(config.initial_state, event_receiver));
     select! {
@@ -91,7 +91,7 @@
 /// Waits for the end of the process, and for the last connections that the load balancer hands out after it.
 async fn accept_until_stopped(mut stop: StopSignals, clients: &Clients) {
     stop.received().await;
-    tracing::info!("gateway stops: finishing what was taken");
+    tracing::info!("shutdown started");
     clients.shut_down();
     sleep(SHUTDOWN_ACCEPT_TIME).await;
 }
@@ -108,16 +108,16 @@
 
 /// Serves the connections that are left, until the last one is closed.
 async fn shut_down(clients: &Rc<Clients>, listener: TcpListener, gateway: &JoinHandle<()>) {
-    if let Err(fault) = clients.accept_rest(listener) {
-        tracing::warn!(%fault, "clients: the last ones could not be accepted");
+    if let Err(error) = clients.accept_rest(listener) {
+        tracing::warn!(%error, "shutdown: final accept failed");
     }
     clients.shut_down();
     let connections = clients.open_sessions();
     let busy = clients.busy_sessions();
-    tracing::info!(connections, busy, "gateway stops: no more are accepted");
+    tracing::info!(connections, busy, "shutdown: listener closed");
     while clients.open_sessions() > 0 && !gateway.is_finished() {
         sleep(SHUTDOWN_POLL_INTERVAL).await;
     }
     tracing::info!("counters: {COUNTERS}");
-    tracing::info!("gateway ends");
+    tracing::info!("gateway stopped");
 }
--- a/crates/gateway/src/serve/signals.rs
+++ b/crates/gateway/src/serve/signals.rs
@@ -60,13 +60,13 @@
         match config::reload(super::environment) {
             Ok(addresses) => {
                 let list = addresses.discovery;
-                tracing::info!(%list, platform = ?addresses.platform, "configuration read anew");
+                tracing::info!(%list, platform = ?addresses.platform, "configuration reloaded");
                 let _ = events.send(DriverEvent::DiscoveryMoved { address: list }).await;
                 platform.send_if_modified(|held| {
                     std::mem::replace(held, addresses.platform) != addresses.platform
                 });
             }
-            Err(fault) => tracing::warn!(%fault, "configuration unfit, the earlier one stays"),
+            Err(error) => tracing::warn!(%error, "configuration not reloaded"),
         }
     }
 }
