--- a/crates/cli/tests/gateway/client_limits.rs
+++ b/crates/cli/tests/gateway/client_limits.rs
@@ -13,6 +13,21 @@
 use std::thread;
 use std::time::Duration;
 
+/// A gateway all of whose descriptors for clients are used, and the clients, each with an open request.
+fn gateway_without_free_descriptors(server: &FakeServer) -> (Gateway, Vec<Client>) {
+    let gateway = Gateway::start_with(&[server], |config| {
+        use_long_timeouts(config);
+        config["limits"]["sockets"] = json!(64);
+    });
+    // Of the 16 descriptors that are left 8 are for clients.
+    let mut clients: Vec<Client> = (0..8).map(|_| gateway.client()).collect();
+    for (number, client) in clients.iter_mut().enumerate() {
+        client.send(&query(&select(&format!("a{number}"), "look", 15_000)));
+    }
+    wait_until("all requests are open", || gateway.counter("requests_total") == 8);
+    (gateway, clients)
+}
+
 #[test]
 fn client_that_does_not_read_delays_no_other() {
     let server = FakeServer::start(ServerBehavior::Succeed);
@@ -28,16 +43,7 @@
 #[test]
 fn new_clients_are_rejected_when_descriptors_are_used_up() {
     let server = FakeServer::start(ServerBehavior::NeverRespond);
-    let gateway = Gateway::start_with(&[&server], |config| {
-        use_long_timeouts(config);
-        config["limits"]["sockets"] = json!(64);
-    });
-    // Of the 16 descriptors that are left 8 are for clients.
-    let mut busy: Vec<Client> = (0..8).map(|_| gateway.client()).collect();
-    let asks =
-        |(n, client): (usize, &mut Client)| client.send(&query(&select(&format!("a{n}"), "look", 15_000)));
-    busy.iter_mut().enumerate().for_each(asks);
-    wait_until("all requests are open", || gateway.counter("requests_total") == 8);
+    let (gateway, mut busy) = gateway_without_free_descriptors(&server);
     let mut more = Client::connect(gateway.addr);
     more.send(&startup());
     assert_eq!(outcome(&more.read_response()), Err(SqlState::from("53300")));
@@ -173,15 +179,7 @@
 #[test]
 fn rejected_client_that_keeps_sending_receives_the_error() {
     let server = FakeServer::start(ServerBehavior::NeverRespond);
-    let gateway = Gateway::start_with(&[&server], |config| {
-        use_long_timeouts(config);
-        config["limits"]["sockets"] = json!(64);
-    });
-    let mut busy: Vec<Client> = (0..8).map(|_| gateway.client()).collect();
-    let asks =
-        |(n, client): (usize, &mut Client)| client.send(&query(&select(&format!("a{n}"), "look", 15_000)));
-    busy.iter_mut().enumerate().for_each(asks);
-    wait_until("all requests are open", || gateway.counter("requests_total") == 8);
+    let (gateway, _busy) = gateway_without_free_descriptors(&server);
     let mut more = Client::connect(gateway.addr);
     pause(&gateway);
     more.send(&[startup(), vec![b'Q'; 100_000]].concat());
--- a/crates/cli/tests/gateway/upstream_pool.rs
+++ b/crates/cli/tests/gateway/upstream_pool.rs
@@ -73,6 +73,22 @@
     (pool, events)
 }
 
+/// Has the pool follow its drivers until a call has ended; the call's outcome.
+async fn run_until_call_ends(
+    pool: &mut UpstreamPool, events: &mut mpsc::Receiver<DriverEvent>,
+) -> AttemptOutcome {
+    loop {
+        match events.recv().await.unwrap() {
+            DriverEvent::ConnectionReady { connection, is_first } => {
+                pool.on_connection_ready(connection, is_first, 0.0);
+            }
+            DriverEvent::ConnectionClosed { connection } => pool.on_connection_closed(&connection),
+            DriverEvent::CallEnded { result, .. } => return result.outcome,
+            _ => panic!("no connection should fail"),
+        }
+    }
+}
+
 /// Runs a test on one thread, without a gateway process.
 fn run_local(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -125,18 +141,7 @@
         server.close_connections();
         wait_until("the end has come", || server.seen.lock().unwrap().ended.len() == 1);
         assert!(pool.send("s0", SECOND, None, 1000.0, None, 0.0));
-        loop {
-            match events.recv().await.unwrap() {
-                DriverEvent::ConnectionReady { connection, is_first } => {
-                    pool.on_connection_ready(connection, is_first, 0.0)
-                }
-                DriverEvent::ConnectionClosed { connection } => pool.on_connection_closed(&connection),
-                DriverEvent::CallEnded { result, .. } => {
-                    return assert_eq!(result.outcome, AttemptOutcome::Success);
-                }
-                _ => panic!("the request should not fail"),
-            }
-        }
+        assert_eq!(run_until_call_ends(&mut pool, &mut events).await, AttemptOutcome::Success);
     });
 }
 
@@ -154,18 +159,7 @@
         // the second.
         assert!(pool.send("s1", FIRST, None, 1000.0, None, 0.0));
         assert!(!pool.send("s0", SECOND, None, 1000.0, None, 0.0));
-        loop {
-            match events.recv().await.unwrap() {
-                DriverEvent::ConnectionReady { connection, is_first } => {
-                    pool.on_connection_ready(connection, is_first, 0.0)
-                }
-                DriverEvent::ConnectionClosed { connection } => pool.on_connection_closed(&connection),
-                DriverEvent::CallEnded { result, .. } => {
-                    break assert_eq!(result.outcome, AttemptOutcome::Success);
-                }
-                _ => panic!("the other one should come up"),
-            }
-        }
+        assert_eq!(run_until_call_ends(&mut pool, &mut events).await, AttemptOutcome::Success);
         wait_until("the idle one is closed", || one.seen.lock().unwrap().ended == [0]);
         assert_eq!((one.queries().len(), other.queries().len()), (0, 1));
     });
