--- a/crates/cli/tests/gateway/upstream_pool.rs
+++ b/crates/cli/tests/gateway/upstream_pool.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use latchhaven_gateway::net::list::read as read_list;
-use latchhaven_gateway::net::upstream::{CancelResult, UpstreamCall, UpstreamPool};
+use latchhaven_gateway::net::upstream::{CancelResult, QueuedCall, UpstreamCall, UpstreamPool};
 use latchhaven_gateway::net::{DriverEvent, write_all};
 use latchhaven_policy::{AttemptOutcome, EndpointEntry, LoadReporting, RequestId, UpstreamConnectionConfig};
 use latchhaven_test_support::fake_server::{FakeServer, ReceivedQuery, ServerBehavior};
@@ -64,7 +64,7 @@
 ) -> (UpstreamPool, mpsc::Receiver<DriverEvent>) {
     let (entry, addr) = endpoint_at(server.addr);
     pool.update_endpoint(&entry, addr);
-    assert!(pool.send("s0", FIRST, None, 1000.0, None, 0.0));
+    assert!(pool.send("s0", queued(FIRST), 0.0));
     assert_eq!(pool.cancel("s0", FIRST), CancelResult::Unwritten);
     let Some(DriverEvent::ConnectionReady { connection, is_first }) = events.recv().await else {
         panic!("it never came up")
@@ -73,6 +73,11 @@
     (pool, events)
 }
 
+/// A call without a statement, which is given up after 1 s.
+fn queued(call: UpstreamCall) -> QueuedCall {
+    QueuedCall { call, statement: None, deadline: 1000.0, write_by: None }
+}
+
 /// Has the pool follow its drivers until a call has ended; the call's outcome.
 async fn run_until_call_ends(
     pool: &mut UpstreamPool, events: &mut mpsc::Receiver<DriverEvent>,
@@ -121,7 +126,7 @@
     run_local(async {
         let server = FakeServer::start(ServerBehavior::Succeed);
         let (mut pool, mut events) = idle_pool(&server).await;
-        assert!(pool.send("s0", SECOND, None, 1000.0, None, 0.0));
+        assert!(pool.send("s0", queued(SECOND), 0.0));
         // The driver has not run yet: for it, these bytes arrive between the choice of the connection and the write.
         server.seen.lock().unwrap().open[0].write_all(&row(b"not asked for")).unwrap();
         thread::sleep(Duration::from_millis(50));
@@ -140,7 +145,7 @@
         let (mut pool, mut events) = idle_pool(&server).await;
         server.close_connections();
         wait_until("the end has come", || server.seen.lock().unwrap().ended.len() == 1);
-        assert!(pool.send("s0", SECOND, None, 1000.0, None, 0.0));
+        assert!(pool.send("s0", queued(SECOND), 0.0));
         assert_eq!(run_until_call_ends(&mut pool, &mut events).await, AttemptOutcome::Success);
     });
 }
@@ -157,8 +162,8 @@
         pool.update_endpoint(&entry, other.addr);
         // Before any driver runs, the idle connection is evicted for the first call, and none is left for
         // the second.
-        assert!(pool.send("s1", FIRST, None, 1000.0, None, 0.0));
-        assert!(!pool.send("s0", SECOND, None, 1000.0, None, 0.0));
+        assert!(pool.send("s1", queued(FIRST), 0.0));
+        assert!(!pool.send("s0", queued(SECOND), 0.0));
         assert_eq!(run_until_call_ends(&mut pool, &mut events).await, AttemptOutcome::Success);
         wait_until("the idle one is closed", || one.seen.lock().unwrap().ended == [0]);
         assert_eq!((one.queries().len(), other.queries().len()), (0, 1));
@@ -177,7 +182,7 @@
         let (mut pool, mut events) = new_pool(reports);
         let (entry, addr) = endpoint_at(server.addr);
         pool.update_endpoint(&entry, addr);
-        assert!(pool.send("s0", UpstreamCall::HealthCheck(1), None, 1000.0, None, 0.0));
+        assert!(pool.send("s0", queued(UpstreamCall::HealthCheck(1)), 0.0));
         let Some(DriverEvent::ConnectionReady { connection, is_first }) = events.recv().await else {
             panic!("it never came up")
         };
@@ -211,7 +216,7 @@
     run_local(async {
         let server = FakeServer::start(ServerBehavior::Succeed);
         let (mut pool, mut events) = idle_pool(&server).await;
-        assert!(pool.send("s0", SECOND, None, 1000.0, None, 0.0));
+        assert!(pool.send("s0", queued(SECOND), 0.0));
         assert_eq!(pool.cancel("s0", SECOND), CancelResult::Unwritten);
         assert!(matches!(events.recv().await, Some(DriverEvent::ConnectionClosed { .. })));
         wait_until("it is closed", || server.seen.lock().unwrap().ended == [0]);
@@ -229,9 +234,9 @@
         let new = closed.local_addr().unwrap();
         drop(closed);
         pool.update_endpoint(&entry, old);
-        assert!(pool.send("s0", FIRST, None, 1000.0, None, 0.0));
+        assert!(pool.send("s0", queued(FIRST), 0.0));
         assert_eq!(pool.update_endpoint(&entry, new), [FIRST]);
-        assert!(pool.send("s0", SECOND, None, 1000.0, None, 0.0));
+        assert!(pool.send("s0", queued(SECOND), 0.0));
         let Some(DriverEvent::ConnectFailed { connection }) = events.recv().await else {
             panic!("it is refused")
         };
--- a/crates/gateway/src/gateway/upstream_calls.rs
+++ b/crates/gateway/src/gateway/upstream_calls.rs
@@ -6,7 +6,7 @@
 use crate::counters::{COUNTERS, Metric};
 use crate::invariant;
 use crate::net::Answer;
-use crate::net::upstream::{CallResult, CancelResult, UpstreamCall};
+use crate::net::upstream::{CallResult, CancelResult, QueuedCall, UpstreamCall};
 use crate::proto::pg;
 use latchhaven_policy::{AttemptOutcome, CompletedAttempt, Event, LoadReporting, Millis, RequestId};
 use std::collections::BTreeMap;
@@ -48,9 +48,13 @@
         let call = UpstreamCall::Attempt { id, attempt: request.attempts.len() as u32 };
         request.attempts.push(Attempt { endpoint: endpoint.clone(), started_at: now, has_ended: false });
         let is_wanted = request.reply.is_some() && deadline > now;
-        let statement = Some(request.statement.clone());
-        let write_by_instant = write_by.map(|at| self.clock.instant(at));
-        if !is_wanted || !self.pool.send(&endpoint, call, statement, deadline, write_by_instant, now) {
+        let queued = QueuedCall {
+            call,
+            statement: Some(request.statement.clone()),
+            deadline,
+            write_by: write_by.map(|at| self.clock.instant(at)),
+        };
+        if !is_wanted || !self.pool.send(&endpoint, queued, now) {
             self.return_unsent(vec![call]);
             return;
         }
@@ -68,7 +72,8 @@
         let call = UpstreamCall::HealthCheck(self.health_checks.start(endpoint.clone(), now));
         let is_permitted =
             invariant!(self.connections.health_checks, "health checks are sent only where permitted");
-        if is_permitted && self.pool.send(&endpoint, call, None, deadline, None, now) {
+        let queued = QueuedCall { call, statement: None, deadline, write_by: None };
+        if is_permitted && self.pool.send(&endpoint, queued, now) {
             self.timers.set(deadline, Timer::CallTimeout(call));
         } else {
             self.return_unsent(vec![call]);
--- a/crates/gateway/src/net/upstream/mod.rs
+++ b/crates/gateway/src/net/upstream/mod.rs
@@ -9,7 +9,7 @@
 pub mod pool;
 
 pub use connection::UpstreamConnection;
-pub use pool::UpstreamPool;
+pub use pool::{QueuedCall, UpstreamPool};
 
 use bytes::Bytes;
 use latchhaven_policy::{AttemptOutcome, LoadReport, RequestId};
--- a/crates/gateway/src/net/upstream/pool.rs
+++ b/crates/gateway/src/net/upstream/pool.rs
@@ -20,14 +20,15 @@
 const MAX_LARGE_ANSWERS: usize = 12;
 
 /// A call that waits for a connection, or goes out on one.
-struct QueuedCall {
-    call: UpstreamCall,
+pub struct QueuedCall {
+    /// Identifies the call.
+    pub call: UpstreamCall,
     /// None: a health check.
-    statement: Option<Rc<Statement>>,
-    /// When the gateway stops waiting for the answer.
-    deadline: Millis,
+    pub statement: Option<Rc<Statement>>,
+    /// When the gateway stops waiting for the answer, in ms.
+    pub deadline: Millis,
     /// Its last byte may not be written later.
-    write_by: Option<Instant>,
+    pub write_by: Option<Instant>,
 }
 
 /// An endpoint of the list.
@@ -154,16 +155,11 @@
         self.endpoints.values_mut().flat_map(UpstreamEndpoint::take_queue).collect()
     }
 
-    /// Sends a call on an idle connection, or opens one. False: no connection can be had, nothing was sent. `write_by`:
-    /// its last byte may not be written later.
-    pub fn send(
-        &mut self, endpoint: &str, call: UpstreamCall, statement: Option<Rc<Statement>>, deadline: Millis,
-        write_by: Option<Instant>, now: Millis,
-    ) -> bool {
+    /// Sends a call on an idle connection, or opens one. False: no connection can be had, nothing was sent.
+    pub fn send(&mut self, endpoint: &str, queued: QueuedCall, now: Millis) -> bool {
         if !self.endpoints.contains_key(endpoint) {
             return false;
         }
-        let queued = QueuedCall { call, statement, deadline, write_by };
         if let Some(connection) = self.take_idle(endpoint) {
             self.start_call(connection, queued, now);
             return true;
--- a/crates/gateway/tests/parsers/postgres.rs
+++ b/crates/gateway/tests/parsers/postgres.rs
@@ -101,7 +101,7 @@
 
 #[rstest]
 #[case::noise_in_a_tag(&[DESCRIBED, &message(b'D', b"\0\x01\0\0\0\x01a"), &message(b'C', b"SEL\x07CT 1\0")].concat())]
-#[case::two_rows_told(&[DESCRIBED, &message(b'D', b"\0\x01\0\0\0\x01a"), &message(b'C', b"SELECT 2\0")].concat())]
+#[case::two_rows_reported(&[DESCRIBED, &message(b'D', b"\0\x01\0\0\0\x01a"), &message(b'C', b"SELECT 2\0")].concat())]
 #[case::no_value(&[DESCRIBED, &message(b'D', b"\0\x01\xff\xff\xff\xff")].concat())]
 #[case::a_value_in_text(&message(b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\0"))]
 #[case::a_column_cut_short(&message(b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\0\x01"))]
@@ -124,9 +124,9 @@
 #[case::unknown(b"\0\0\0\0\0")]
 fn backend_out_of_step_returns_an_error(#[case] bytes: &[u8]) {
     let (mut backend, mut buf) = (Backend::default(), BytesMut::from(bytes));
-    let mut told = backend.next(&mut buf);
-    while matches!(told, Ok(Some(_))) {
-        told = backend.next(&mut buf);
+    let mut result = backend.next(&mut buf);
+    while matches!(result, Ok(Some(_))) {
+        result = backend.next(&mut buf);
     }
-    assert!(told.is_err());
+    assert!(result.is_err());
 }
--- a/crates/policy/tests/policy/admission.rs
+++ b/crates/policy/tests/policy/admission.rs
@@ -81,7 +81,7 @@
     assert!(gateway.answers.is_empty(), "rejected with no cause");
     gateway.serve_for(4000.0, every);
     let rejected = |gateway: &TestGateway, from: Millis| {
-        gateway.answers.values().filter(|told| told[0].0 >= from).count()
+        gateway.answers.values().filter(|answers| answers[0].0 >= from).count()
     };
     assert!(rejected(&gateway, 105_000.0) * 2 * every > 100, "a jam is not fed");
     gateway.serve_for(5000.0, every);
@@ -91,7 +91,7 @@
 
 #[test]
 fn lasting_jam_gets_few_attempts_from_gateway_with_little_traffic() {
-    let (mut came, mut sent) = (0, 0);
+    let (mut received, mut sent) = (0, 0);
     for seed in 0..10 {
         let jammed = |sent: &SentAttempt| {
             if sent.at > 103_000.0 { (AttemptOutcome::Timeout, 500.0) } else { succeed(sent) }
@@ -101,8 +101,8 @@
         gateway.serve_for(6000.0, 10);
         let before = gateway.request("look", None);
         gateway.serve_for(5000.0, 10);
-        came += gateway.request("look", None).0 - before.0 - 1;
+        received += gateway.request("look", None).0 - before.0 - 1;
         sent += gateway.sent.iter().filter(|sent| sent.id > before && sent.number == 0).count() as u32;
     }
-    assert!(sent * 4 < came, "{sent} of {came} are sent to where none is served");
+    assert!(sent * 4 < received, "{sent} of {received} are sent to where none is served");
 }
--- a/crates/policy/tests/policy/discovery.rs
+++ b/crates/policy/tests/policy/discovery.rs
@@ -29,10 +29,10 @@
     let watches = |gateway: &TestGateway| {
         gateway.actions.iter().filter(|(_, a)| matches!(a, Action::WatchEndpoints { enabled: true })).count()
     };
-    let (before, mut told) = (watches(&gateway), watches(&gateway) - 1);
+    let (before, mut reported) = (watches(&gateway), watches(&gateway) - 1);
     for _ in 0..4000 {
-        if watches(&gateway) > told {
-            told = watches(&gateway);
+        if watches(&gateway) > reported {
+            reported = watches(&gateway);
             gateway.deliver(Event::EndpointUpdate {
                 kind: UpdateKind::Failed,
                 list_version: 0,
@@ -65,7 +65,7 @@
     const DOWN: Millis = 8000.0;
     let config = |seed| TestConfig { seed, gateway_count: 300, ..TestConfig::default() };
     let mut gateways: Vec<TestGateway> = (0..300).map(|seed| TestGateway::new(config(seed))).collect();
-    let (mut calls, mut heard) = (Vec::new(), 0);
+    let (mut calls, mut delivered) = (Vec::new(), 0);
     for step in 0..1600 {
         let at = STEP * f64::from(step);
         for gateway in &mut gateways {
@@ -76,7 +76,7 @@
                 |(_, action): &(Millis, Action)| matches!(action, Action::WatchEndpoints { enabled: true });
             if gateway.actions[before..].iter().any(asks) {
                 calls.push(at);
-                heard += usize::from(at >= DOWN);
+                delivered += usize::from(at >= DOWN);
                 let kind = if at >= DOWN { UpdateKind::Snapshot } else { UpdateKind::Failed };
                 gateway.deliver(Event::EndpointUpdate { kind, list_version: 2, entries: vec![] });
             }
@@ -86,7 +86,7 @@
         let within = |start: Millis| calls.iter().filter(|at| (start..start + 1000.0).contains(*at)).count();
         (0..120).map(|k| within(from + 100.0 * f64::from(k))).max().unwrap_or(0)
     };
-    assert_eq!(heard, 300, "each asks until it has a list, and no more");
+    assert_eq!(delivered, 300, "each asks until it has a list, and no more");
     assert!(max_in_a_second(10.0) <= 400, "{} calls in one second", max_in_a_second(10.0));
     assert!(
         max_in_a_second(4000.0) <= 200,
--- a/crates/policy/tests/policy/exposure.rs
+++ b/crates/policy/tests/policy/exposure.rs
@@ -12,22 +12,22 @@
     config.exposure.per_class = by_product;
     config.classes.push(class("rare", Idempotency::Idempotent, DedupScope::All));
     let mut gateway = with_canary(config, 0, 0.1, succeed);
-    let mut came: Vec<(Millis, RequestId, bool)> = Vec::new();
+    let mut received: Vec<(Millis, RequestId, bool)> = Vec::new();
     for k in 0..600 {
         let rare = k % 10 == 0;
-        came.push((gateway.now, gateway.request(if rare { "rare" } else { "look" }, None), rare));
+        received.push((gateway.now, gateway.request(if rare { "rare" } else { "look" }, None), rare));
         gateway.step();
     }
     let exposed: Vec<&SentAttempt> = gateway.sent.iter().filter(|sent| sent.version == Version(2)).collect();
     assert!(exposed.len() > 20, "the canary gets its share: {}", exposed.len());
-    let is_rare = |id: RequestId| came.iter().any(|(_, other, rare)| *other == id && *rare);
+    let is_rare = |id: RequestId| received.iter().any(|(_, other, rare)| *other == id && *rare);
     for lane in if by_product { vec![Some(true), Some(false)] } else { vec![None] } {
         let counts = |rare: bool| lane.is_none_or(|lane| lane == rare);
         for last in exposed.iter().filter(|sent| counts(is_rare(sent.id))) {
             let within = |at: Millis| at > last.at - 2000.0 && at <= last.at;
             let sent = exposed.iter().filter(|sent| within(sent.at) && counts(is_rare(sent.id))).count();
-            let taken = gateway.sent.iter().filter(|sent| sent.id < came[0].1 && within(sent.at)).count()
-                + came.iter().filter(|(at, _, rare)| within(*at) && counts(*rare)).count();
+            let taken = gateway.sent.iter().filter(|sent| sent.id < received[0].1 && within(sent.at)).count()
+                + received.iter().filter(|(at, _, rare)| within(*at) && counts(*rare)).count();
             assert!(sent as f64 <= 2.0 + 0.1 * taken as f64 + 1e-9, "{sent} of {taken}");
         }
     }
--- a/crates/policy/tests/policy/fleet.rs
+++ b/crates/policy/tests/policy/fleet.rs
@@ -34,13 +34,13 @@
 
 struct Fleet {
     gateways: Vec<TestGateway>,
-    /// Requests that each gateway gets for each of the whole fleet, and what it is owed.
+    /// Requests that each gateway gets for each of the whole fleet, and the fractional requests pending there.
     shares: Vec<f64>,
-    owed: Vec<f64>,
+    pending: Vec<f64>,
 }
 
 impl Fleet {
-    /// Gateways of this size, all told the same warm endpoints of version 1, named by zone.
+    /// Gateways of this size, all with the same warm endpoints of version 1, named by zone.
     fn new(size: FleetSize) -> Self {
         let count = f64::from(size.gateways);
         let others = (count - size.first_share) / f64::from(size.gateways - 1).max(1.0);
@@ -49,8 +49,8 @@
         let shares = (0..size.gateways).map(share).collect();
         let gateways = (0..size.gateways).map(|index| Fleet::gateway(size, index)).collect();
         // Each begins somewhere in its own turn: they do not send in step.
-        let owed = (0..size.gateways).map(|index| f64::from(index) * 0.618 % 1.0).collect();
-        Fleet { gateways, shares, owed }
+        let pending = (0..size.gateways).map(|index| f64::from(index) * 0.618 % 1.0).collect();
+        Fleet { gateways, shares, pending }
     }
 
     fn gateway(size: FleetSize, index: u32) -> TestGateway {
@@ -70,11 +70,13 @@
 
     fn serve_for(&mut self, duration: Millis) {
         for _ in 0..(duration / STEP) as usize {
-            for ((gateway, share), owed) in self.gateways.iter_mut().zip(&self.shares).zip(&mut self.owed) {
-                *owed += share * STEP / REQUEST_INTERVAL;
-                while *owed >= 1.0 {
+            for ((gateway, share), pending) in
+                self.gateways.iter_mut().zip(&self.shares).zip(&mut self.pending)
+            {
+                *pending += share * STEP / REQUEST_INTERVAL;
+                while *pending >= 1.0 {
                     gateway.request("look", None);
-                    *owed -= 1.0;
+                    *pending -= 1.0;
                 }
                 gateway.step();
             }
@@ -103,7 +105,7 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// One endpoint of many starts cold: all gateways together push it over at no size, however uneven.
+    /// One endpoint of many is warming up: all gateways together overload it at no size, however uneven.
     #[test]
     fn warming_endpoint_gets_no_more_than_its_budget_from_all_gateways(size in sizes()) {
         let mut fleet = Fleet::new(size);
--- a/crates/policy/tests/policy/reports.rs
+++ b/crates/policy/tests/policy/reports.rs
@@ -19,7 +19,7 @@
     #[case] cap: f64, #[case] new: (u64, u64, Millis), #[case] old: (u64, u64, Millis), #[case] bad: bool,
 ) {
     let mut gateway = in_large_fleet(7, cap, succeed);
-    // While the machines are cold, failures do not compare.
+    // While the endpoints are warming up, failures do not compare.
     gateway.report_outcomes(Version(2), 40, 30, 300.0);
     gateway.report_outcomes(Version(1), 100, 2, 60.0);
     gateway.serve_for(4000.0, 40);
@@ -112,8 +112,12 @@
     for k in 0..24u32 {
         let version: Version = if k % 3 == 0 { Version(2) } else { other };
         let (endpoint, class) = ("a30".to_string(), "look".to_string());
-        let told = Event::PeerMessage { from: k, data: version.0.to_be_bytes().to_vec() };
-        gateway.deliver(if own { Event::WrongAnswerReported { endpoint, class, age: 1000.0 } } else { told });
+        let relayed = Event::PeerMessage { from: k, data: version.0.to_be_bytes().to_vec() };
+        gateway.deliver(if own {
+            Event::WrongAnswerReported { endpoint, class, age: 1000.0 }
+        } else {
+            relayed
+        });
         gateway.report_outcomes(Version(2), 20, 0, 60.0);
         gateway.report_outcomes(Version(1), 60, 0, 60.0);
         gateway.serve_for(500.0, 40);
--- a/crates/policy/tests/policy/retries.rs
+++ b/crates/policy/tests/policy/retries.rs
@@ -50,13 +50,13 @@
     let mut gateway =
         TestGateway::with_endpoints(TestConfig::default(), 4, |_| (AttemptOutcome::Success, 1e9));
     let ids: Vec<RequestId> = (0..30).map(|_| gateway.request(class, None)).collect();
-    let came = gateway.now;
+    let received_at = gateway.now;
     gateway.run_for(3000.0);
     for id in ids {
         let [(at, answer)] = &gateway.answers[&id][..] else {
             panic!("not one answer: {:?}", gateway.answers[&id])
         };
-        assert!(*at <= came + 2000.0 + 10.0);
+        assert!(*at <= received_at + 2000.0 + 10.0);
         assert!(
             rejected == matches!(answer, Action::Reject { .. }) || gateway.endpoints_tried(id).is_empty()
         );
@@ -80,11 +80,11 @@
     assert!(stuck.iter().filter(|id| gateway.succeeded.contains_key(id)).count() * 10 >= stuck.len() * 8);
     if !second_copies {
         // The second goes out only after the first was called back.
-        let recalled = |id: RequestId| {
+        let cancelled = |id: RequestId| {
             gateway.actions.iter().find(|(_, a)| matches!(a, Action::CancelAttempt { id: r, .. } if *r == id))
         };
         for second in gateway.sent.iter().filter(|sent| sent.number == 1) {
-            assert!(recalled(second.id).is_some_and(|(at, _)| *at < second.at));
+            assert!(cancelled(second.id).is_some_and(|(at, _)| *at < second.at));
         }
     }
 }
--- a/crates/policy/tests/policy/routing.rs
+++ b/crates/policy/tests/policy/routing.rs
@@ -11,15 +11,15 @@
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, succeed);
     gateway.serve_for(500.0, 1);
     gateway.update_endpoint("a0", Version(1), state, 0.0);
-    let told = gateway.now;
+    let updated_at = gateway.now;
     gateway.serve_for(1000.0, 1);
     assert!(gateway.sent.iter().any(|sent| sent.endpoint == "a0"));
-    assert!(gateway.sent.iter().all(|sent| sent.endpoint != "a0" || sent.at < told));
-    // The id comes back with another version: it counts as that version's, and as cold.
+    assert!(gateway.sent.iter().all(|sent| sent.endpoint != "a0" || sent.at < updated_at));
+    // The id comes back with another version: it counts as that version's, and as warming up.
     gateway.update_rollout(Version(2), 0, RolloutPhase::Canary, 0.0);
     gateway.start_endpoints(&["a0"], Version(2));
     gateway.serve_for(1000.0, 1);
-    assert!(gateway.sent.iter().all(|sent| sent.endpoint != "a0" || sent.at < told));
+    assert!(gateway.sent.iter().all(|sent| sent.endpoint != "a0" || sent.at < updated_at));
 }
 
 #[rstest]
--- a/crates/policy/tests/policy/slow_start.rs
+++ b/crates/policy/tests/policy/slow_start.rs
@@ -14,10 +14,11 @@
         gateway.request("look", None);
     });
     gateway.serve_for(1000.0, 1);
-    let cold = gateway.sent.iter().filter(|sent| sent.endpoint == "a7" && sent.at >= started).count();
+    let during_slow_start =
+        gateway.sent.iter().filter(|sent| sent.endpoint == "a7" && sent.at >= started).count();
     // Its part of 100 a second over 4.4 endpoints' worth, at 0.4 to 0.55 of its capacity, is about 10; the
     // burst raises that by no more than half and a little.
-    assert!((2..=21).contains(&cold), "{cold}");
+    assert!((2..=21).contains(&during_slow_start), "{during_slow_start}");
 }
 
 #[rstest]
--- a/crates/policy/tests/policy/support/mod.rs
+++ b/crates/policy/tests/policy/support/mod.rs
@@ -45,7 +45,7 @@
 pub(crate) struct TestGateway {
     policy: Policy,
     pub(crate) now: Millis,
-    /// How long requests had been queued when they are told.
+    /// How long requests had been queued when their outcome is reported.
     pub(crate) queued_for: Millis,
     pub(crate) behavior: Behavior,
     listed: BTreeMap<String, EndpointEntry>,
