--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -3,10 +3,10 @@
 use crate::script::MAX_FILE_SIZE;
 use std::fmt;
 
-/// One error in a file, with the place where it was found.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{file}{}: {}{problem}", .line.map(|line| format!(":{line}")).unwrap_or_default(),
     .key.as_ref().map(|key| format!("{key}: ")).unwrap_or_default())]
+/// One error in a file, with the place where it was found.
 pub struct ConfigError {
     /// The file that holds it.
     pub file: String,
