--- a/crates/cli/tests/gateway/upstream_pool.rs
+++ b/crates/cli/tests/gateway/upstream_pool.rs
@@ -100,6 +100,14 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
+/// A client whose request waits for the first connection to a server.
+fn client_with_waiting_request(gateway: &Gateway, server: &FakeServer) -> Client {
+    let mut client = gateway.client();
+    client.send(&query(&insert("a1", "pay", 15_000)));
+    wait_until("a connection is waited for", || server.seen.lock().unwrap().connections == 1);
+    client
+}
+
 #[test]
 fn connection_is_reused_for_one_request_at_a_time() {
     let server = FakeServer::start(ServerBehavior::Succeed);
@@ -259,9 +267,7 @@
     let (stuck, good) =
         (FakeServer::start(ServerBehavior::NeverHandshake), FakeServer::start(ServerBehavior::Succeed));
     let gateway = Gateway::start_watching(&[&stuck], use_long_timeouts);
-    let mut client = gateway.client();
-    client.send(&query(&insert("a1", "pay", 15_000)));
-    wait_until("a connection is waited for", || stuck.seen.lock().unwrap().connections == 1);
+    let mut client = client_with_waiting_request(&gateway, &stuck);
     gateway.discovery.send_line(&endpoint_list(9, true, &[host("s0", good.addr, "up", 1)]));
     assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
     assert_eq!(gateway.counter("attempts_not_sent_total"), 1);
@@ -271,9 +277,7 @@
 fn waiting_request_is_rerouted_when_the_rollout_state_changes() {
     let stuck = FakeServer::start(ServerBehavior::NeverHandshake);
     let gateway = Gateway::start_with(&[&stuck], use_long_timeouts);
-    let mut client = gateway.client();
-    client.send(&query(&insert("a1", "pay", 15_000)));
-    wait_until("a connection is waited for", || stuck.seen.lock().unwrap().connections == 1);
+    let mut client = client_with_waiting_request(&gateway, &stuck);
     let line = json!({"type": "ROLLOUT", "object": rollout_state(2, 0, "IN_PROGRESS", 0.1)});
     gateway.platform.send_line(&line);
     wait_until("it is sent again", || stuck.seen.lock().unwrap().connections == 2);
@@ -286,9 +290,7 @@
     let (stuck, good) =
         (FakeServer::start(ServerBehavior::NeverHandshake), FakeServer::start(ServerBehavior::Succeed));
     let gateway = Gateway::start_watching(&[&stuck], use_long_timeouts);
-    let mut client = gateway.client();
-    client.send(&query(&insert("a1", "pay", 15_000)));
-    wait_until("a connection is waited for", || stuck.seen.lock().unwrap().connections == 1);
+    let mut client = client_with_waiting_request(&gateway, &stuck);
     gateway.signal("STOP");
     stuck.set_behavior(ServerBehavior::Succeed);
     thread::sleep(Duration::from_millis(100));
