--- a/crates/control-plane/src/control_plane/mod.rs
+++ b/crates/control-plane/src/control_plane/mod.rs
@@ -1,17 +1,21 @@
-//! The control plane without sockets, disk or clock: updates go in, and [`ControlPlane::poll`] returns what follows.
+//! The control plane without sockets, disk or clock: the driver passes events in, and [`ControlPlane::poll`] returns the
+//! effects that the driver carries out.
 //!
-//! - `updates`: the updates that are taken in.
+//! - `updates`: handles events of discovery, the platform and proxies.
 //! - `publication`: builds and publishes proxy configurations.
-//! - `host_directory`, `proxy_registry`, `schedule`: the state that belongs together.
+//! - `address_directory`: addresses of endpoints.
+//! - `proxy_registry`: proxies and their streams.
+//! - `schedule`: when the next publication, timer or list request is due.
 
-mod host_directory;
+mod address_directory;
 mod proxy_registry;
 mod publication;
 mod schedule;
 mod updates;
 
+use crate::limits::{self, PendingWork};
 use crate::state_store::PersistedState;
-use host_directory::HostDirectory;
+use address_directory::AddressDirectory;
 use latchhaven_policy::{Action, Event, Millis, Policy};
 use latchhaven_proxy_config::freshness::{KnownState, SnapshotUnavailable};
 use latchhaven_proxy_config::load_reports::LoadReportAggregator;
@@ -21,28 +25,24 @@
 use latchhaven_xds::admission::Admission;
 use latchhaven_xds::resources::{ListenerConfig, ResourceConfig, ResourceSnapshot};
 use proxy_registry::ProxyRegistry;
-use schedule::{COALESCING_INTERVAL, Schedule};
+use schedule::Schedule;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// ms after which waiting streams are looked at again.
-const ADMISSION_INTERVAL: Millis = 1.0;
-/// Proxies whose shares are remembered for each stream that may be open: those that are away still hold shares.
-const MAX_REMEMBERED_PROXIES_PER_STREAM: usize = 2;
-/// The token of the timers that the decisions are told of; there is one for all.
+/// The token of all timer events: the control plane has one timer for the decisions.
 const TIMER_TOKEN: &str = "look";
 
-/// What a control plane is set up with.
+/// The settings of a control plane.
 pub struct ControlPlaneConfig {
-    /// What proxy configurations are built from.
+    /// The settings of proxy configurations.
     pub proxy_config: ProxyConfigSettings,
     /// The listener of each proxy.
     pub listener: ListenerConfig,
-    /// Signs and checks the versions that proxies hold.
+    /// Signs versions, and verifies those that proxies report.
     pub signer: VersionSigner,
-    /// Streams that may be open or waiting at once.
+    /// The maximum number of streams, open or pending.
     pub max_streams: usize,
-    /// Only the platform's counts judge versions, not proxies' load reports.
+    /// Versions are judged by the platform's counts only, not by proxies' load reports.
     pub platform_counts_only: bool,
 }
 
@@ -53,16 +53,16 @@
     resource_config: Arc<ResourceConfig>,
     signer: VersionSigner,
     known_state: KnownState,
-    hosts: HostDirectory,
+    addresses: AddressDirectory,
     admission: Admission,
     proxies: ProxyRegistry,
     load_reports: LoadReportAggregator,
     shares: ShareLedger,
     schedule: Schedule,
-    /// Events that the decisions have not been told of yet.
+    /// Events that the decisions have not processed yet.
     pending_events: Vec<Event>,
     snapshot: Option<Arc<ResourceSnapshot>>,
-    /// Why nothing can be published, as it was last logged.
+    /// The last logged reason why nothing can be published.
     blocked_by: Option<SnapshotUnavailable>,
 }
 
@@ -70,14 +70,14 @@
 pub struct Publication {
     /// The resources for proxies.
     pub snapshot: Arc<ResourceSnapshot>,
-    /// What is to be persisted.
+    /// The state to persist with it.
     pub state: PersistedState,
 }
 
-/// What the owner has to do.
+/// What the driver has to carry out.
 #[derive(Default)]
 pub struct Effects {
-    /// Actions of the decisions: votes, calls for the list, log lines.
+    /// Actions of the decisions: votes, requests for the endpoint list, log events.
     pub actions: Vec<Action>,
     /// A new configuration.
     pub published: Option<Publication>,
@@ -86,7 +86,8 @@
 }
 
 impl ControlPlane {
-    /// A control plane that goes on from a persisted state: nothing older is published.
+    /// A control plane that continues from a persisted state: nothing older is published.
+    #[must_use]
     pub fn new(policy: Policy, config: ControlPlaneConfig, persisted: Option<PersistedState>) -> Self {
         let settings = config.proxy_config;
         let class_names = settings.classes.iter().map(|class| class.name.clone()).collect();
@@ -103,11 +104,11 @@
             settings,
             signer: config.signer,
             known_state,
-            hosts: HostDirectory::default(),
+            addresses: AddressDirectory::default(),
             admission: Admission::new(config.max_streams),
             proxies: ProxyRegistry::default(),
             load_reports: LoadReportAggregator::new(class_names, config.platform_counts_only),
-            shares: ShareLedger::new(MAX_REMEMBERED_PROXIES_PER_STREAM * config.max_streams),
+            shares: ShareLedger::new(limits::max_share_entries(config.max_streams)),
             schedule: Schedule::new(),
             pending_events: Vec::new(),
             snapshot: None,
@@ -115,19 +116,18 @@
         }
     }
 
-    /// When [`ControlPlane::poll`] is to be called next, at the latest.
+    /// When the driver calls [`ControlPlane::poll`] next at the latest, in ms.
+    #[must_use]
     pub fn next_poll_at(&self, now: Millis) -> Millis {
-        let mut next = self.schedule.next_at();
-        if self.admission.has_pending() {
-            next = next.min(now + ADMISSION_INTERVAL);
-        }
-        if !self.pending_events.is_empty() {
-            next = next.min(now + COALESCING_INTERVAL);
-        }
-        next
+        let pending = PendingWork {
+            due_at: self.schedule.next_at(),
+            has_pending_streams: self.admission.has_pending(),
+            has_pending_events: !self.pending_events.is_empty(),
+        };
+        limits::next_poll_at(now, pending)
     }
 
-    /// Admits streams, and decides and publishes if that is due.
+    /// Admits streams; runs the decisions and publishes a configuration where these are due.
     pub fn poll(&mut self, now: Millis) -> Effects {
         let mut effects = Effects { admitted_streams: self.admission.poll(now), ..Effects::default() };
         for stream in &effects.admitted_streams {
@@ -148,7 +148,7 @@
         effects
     }
 
-    /// Tells the decisions all that was taken in. Their actions without timers.
+    /// Passes all pending events to the decisions. Returns their actions without timers.
     fn decide(&mut self, now: Millis) -> Vec<Action> {
         let mut events = std::mem::take(&mut self.pending_events);
         events.extend(self.load_reports.drain_events(now));
--- a/crates/control-plane/src/control_plane/proxy_registry.rs
+++ b/crates/control-plane/src/control_plane/proxy_registry.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 struct Proxy {
-    /// Identifies the proxy towards the share ledger and the load reports.
+    /// The proxy's id in the share ledger and the load reports.
     number: u64,
-    /// Discovery streams that are open; streams that only report loads do not count.
+    /// Open discovery streams; streams of load reports do not count.
     open_streams: u32,
 }
 
@@ -21,17 +21,17 @@
     proxies: BTreeMap<String, Proxy>,
     last_number: u64,
     streams: BTreeMap<u64, ProxyStream>,
-    /// Discovery streams that wait for admission, with their node ids.
+    /// Discovery streams pending admission, with their node ids.
     pending_streams: BTreeMap<u64, String>,
 }
 
 impl ProxyRegistry {
-    /// A discovery stream waits for admission.
+    /// A discovery stream is pending admission.
     pub(crate) fn add_pending_stream(&mut self, stream: u64, node: String) {
         self.pending_streams.insert(stream, node);
     }
 
-    /// A discovery stream was admitted. The number of its proxy; none if the stream was closed meanwhile.
+    /// A discovery stream was admitted. Returns the number of its proxy; none if the stream was closed before.
     pub(crate) fn open_discovery_stream(&mut self, stream: u64) -> Option<u64> {
         let node = self.pending_streams.remove(&stream)?;
         let proxy = self.proxy_mut(&node);
@@ -41,13 +41,13 @@
         Some(number)
     }
 
-    /// A stream that only reports loads was admitted.
+    /// A stream of load reports was admitted.
     pub(crate) fn open_load_stream(&mut self, stream: u64, node: &str) {
         self.proxy_mut(node);
         self.streams.insert(stream, ProxyStream { node: node.to_string(), reports_loads: true });
     }
 
-    /// A stream was closed, admitted or not. The number of its proxy if that has no discovery stream any more.
+    /// A stream was closed, admitted or not. Returns the number of its proxy if this was its last discovery stream.
     pub(crate) fn close_stream(&mut self, stream: u64) -> Option<u64> {
         self.pending_streams.remove(&stream);
         let closed = self.streams.remove(&stream)?;
@@ -70,8 +70,8 @@
         self.streams.get(&stream).map(|stream| stream.node.as_str())
     }
 
-    /// Forgets proxies without an open discovery stream where there are more than `max_proxies`.
-    pub(crate) fn forget_disconnected_above(&mut self, max_proxies: usize) {
+    /// Removes proxies without an open discovery stream if there are more than `max_proxies`.
+    pub(crate) fn remove_disconnected_above(&mut self, max_proxies: usize) {
         if self.proxies.len() > max_proxies {
             self.proxies.retain(|_, proxy| proxy.open_streams > 0);
         }
--- a/crates/control-plane/src/control_plane/publication.rs
+++ b/crates/control-plane/src/control_plane/publication.rs
@@ -1,38 +1,31 @@
-//! Builds proxy configurations from the decisions and publishes those that differ from the one before.
+//! Builds proxy configurations from the decisions, and publishes each that differs from the one before.
 
 use super::{ControlPlane, Publication};
+use crate::limits;
 use crate::state_store::PersistedState;
 use latchhaven_policy::Millis;
 use latchhaven_proxy_config::proxy_config::{self, ProxyConfig};
-use latchhaven_proxy_config::version::{ConfigVersion, RolloutStatus};
+use latchhaven_proxy_config::version::ConfigVersion;
 use latchhaven_xds::resources::ResourceSnapshot;
 use std::sync::Arc;
 
-/// Proxies that are remembered for each entry of the share ledger; above that, disconnected ones are forgotten.
-const MAX_PROXIES_PER_SHARE_ENTRY: usize = 2;
-/// Proxies that are remembered beyond that, so that a small site forgets none.
-const MIN_RETAINED_PROXIES: usize = 64;
-
 impl ControlPlane {
-    /// Builds a configuration; none if none may be published, or nothing has changed.
+    /// Builds a configuration; none where none may be published, or none of its resources changed.
     pub(super) fn publish(&mut self, now: Millis) -> Option<Publication> {
-        self.shares.forget_disconnected(now);
-        let max_proxies = MAX_PROXIES_PER_SHARE_ENTRY * self.shares.len() + MIN_RETAINED_PROXIES;
-        self.proxies.forget_disconnected_above(max_proxies);
+        self.shares.remove_expired(now);
+        self.proxies.remove_disconnected_above(limits::max_registered_proxies(self.shares.len()));
         let mut decisions = self.policy.snapshot(now);
         if decisions.is_canary_rejected {
             self.known_state.reject_canary();
         }
         let version = self.publishable_version()?;
-        if version.rollout.status == RolloutStatus::Rejected && decisions.canary_share < 1.0 {
-            // Another control plane has rejected the canary.
-            decisions.canary_share = 0.0;
-        }
+        decisions.canary_share =
+            limits::published_canary_share(decisions.canary_share, version.rollout.status);
         let config = proxy_config::build_proxy_config(
             &decisions,
             &self.settings,
             self.known_state.rolled_back_versions(),
-            self.hosts.addresses(),
+            self.addresses.listed(),
             &self.shares,
             now,
         );
@@ -42,7 +35,7 @@
         Some(Publication { snapshot, state: PersistedState { version, rolled_back_versions } })
     }
 
-    /// The version that a configuration has now; none while none may be published, which is logged once.
+    /// The version of a configuration built now; none while none may be published, which is logged once per reason.
     fn publishable_version(&mut self) -> Option<ConfigVersion> {
         match self.known_state.config_version() {
             Ok(version) => {
@@ -58,7 +51,7 @@
         }
     }
 
-    /// Encodes a configuration; none if proxies have been sent the same.
+    /// Encodes a configuration; none where the last one has the same version and resources.
     fn build_snapshot(&self, config: &ProxyConfig, version: ConfigVersion) -> Option<Arc<ResourceSnapshot>> {
         let previous = self.snapshot.as_deref();
         let snapshot =
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -1,10 +1,10 @@
-//! Updates that the control plane takes in: from discovery, the platform and proxies.
+//! Handlers of events from discovery, the platform and proxies.
 
 use super::ControlPlane;
+use crate::limits;
 use latchhaven_policy::{EndpointEntry, Event, Millis, RolloutState, UpdateFailure, UpdateKind, VoteOutcome};
 use latchhaven_proxy_config::freshness::UpdateResult;
 use latchhaven_proxy_config::load_reports::{ProxyReport, ReportError};
-use latchhaven_proxy_config::parts_per_million::PartsPerMillion;
 use latchhaven_proxy_config::share_ledger::CanaryShares;
 use latchhaven_proxy_config::version::{RolloutStatus, SignedVersion};
 use latchhaven_xds::admission::AdmissionResult;
@@ -12,7 +12,7 @@
 use latchhaven_xds::stream::StreamEvent;
 use std::net::SocketAddr;
 
-/// Updates from discovery and the platform.
+/// Events of discovery and the platform.
 impl ControlPlane {
     /// A snapshot of the endpoint list, or a delta to it.
     pub fn on_endpoint_list(
@@ -22,20 +22,20 @@
         if result == UpdateResult::Stale {
             return;
         }
-        self.hosts.apply(&entries, is_snapshot, now);
+        self.addresses.apply(&entries, is_snapshot, now);
         let kind = if is_snapshot { UpdateKind::Snapshot } else { UpdateKind::Delta };
         let entries = entries.into_iter().map(|(entry, _)| entry).collect();
         self.pending_events.push(Event::EndpointUpdate { kind, list_version: version, entries });
         self.schedule.schedule_publish(now);
     }
 
-    /// A call for the endpoint list failed, or its watch ended.
+    /// A request for the endpoint list failed, or its watch ended.
     pub fn on_endpoint_list_failed(&mut self) {
         self.known_state.endpoint_list_failed();
         self.pending_events.push(Event::EndpointUpdateFailed(UpdateFailure::default()));
     }
 
-    /// A vote was answered, or will not be.
+    /// A vote was answered, or failed.
     pub fn on_vote_completed(&mut self, outcome: VoteOutcome, now: Millis) {
         match outcome {
             VoteOutcome::Counted(rollout) => self.on_rollout_state(rollout, now),
@@ -45,9 +45,9 @@
         }
     }
 
-    /// The platform's state of the newest version's rollout.
+    /// The platform reported the rollout state of the newest version.
     pub fn on_rollout_state(&mut self, rollout: RolloutState, now: Millis) {
-        // Only the known state remembers which version was rejected: of the next one nothing is known yet.
+        // A rejection applies to the rejected version only, not to the next one.
         let is_rejected = self
             .known_state
             .rollout()
@@ -57,7 +57,7 @@
         self.schedule.schedule_publish(now);
     }
 
-    /// An outcome report of the platform: it counts where proxies report nothing themselves.
+    /// An outcome report of the platform; used only while proxies do not report.
     pub fn on_outcome_report(&mut self, report: Event, now: Millis) {
         if self.load_reports.uses_platform_counts(now) {
             self.pending_events.push(report);
@@ -65,9 +65,9 @@
     }
 }
 
-/// Streams of proxies and what they report.
+/// Streams of proxies and their load reports.
 impl ControlPlane {
-    /// A stream that only reports loads asks for admission; false: there are too many streams.
+    /// A stream of load reports requests admission; false: there are too many streams.
     pub fn open_load_stream(&mut self, stream: u64, node: &str) -> bool {
         let is_admitted = self.admission.admit_load_reports(stream) == AdmissionResult::Queued;
         if is_admitted {
@@ -76,7 +76,7 @@
         is_admitted
     }
 
-    /// A discovery stream asks for admission; false: there are too many streams.
+    /// A discovery stream requests admission; false: there are too many streams.
     pub fn request_stream(&mut self, stream: u64, node: String, now: Millis) -> bool {
         let is_queued = self.admission.request_slot(stream, &node, now) == AdmissionResult::Queued;
         if is_queued {
@@ -85,7 +85,7 @@
         is_queued
     }
 
-    /// A stream was closed. Its proxy goes on with the configuration that it holds.
+    /// A stream was closed. Its proxy continues to use its configuration.
     pub fn on_stream_closed(&mut self, stream: u64, now: Millis) {
         self.admission.on_stream_closed(stream);
         if let Some(proxy) = self.proxies.close_stream(stream) {
@@ -94,19 +94,20 @@
         }
     }
 
-    /// What a stream has learnt from its proxy.
+    /// Events of a proxy's discovery stream.
     pub fn on_stream_events(&mut self, stream: u64, events: Vec<StreamEvent>, now: Millis) {
         let Some(proxy) = self.proxies.proxy_number(stream) else { return };
         for event in events {
             match event {
                 StreamEvent::Holds { resource_type, version } => {
-                    self.on_held_version(proxy, resource_type, &version, now);
+                    self.on_reported_version(proxy, resource_type, &version, now);
                 }
                 StreamEvent::Acknowledged(shares) => self.shares.acknowledged(proxy, &shares),
                 StreamEvent::Rejected { resource_type, message } => {
                     let node = self.proxies.node(stream);
                     tracing::warn!(
                         node,
+                        stream,
                         ?resource_type,
                         reason = message,
                         "xds: proxy rejected a configuration"
@@ -119,37 +120,38 @@
         }
     }
 
-    /// Routes are sent on a stream.
+    /// A stream is about to send routes.
     pub fn on_routes_sent(&mut self, stream: u64, canary_shares: &CanaryShares, now: Millis) {
         if let Some(proxy) = self.proxies.proxy_number(stream) {
             self.shares.sent(proxy, canary_shares, now);
         }
     }
 
-    /// A load report.
+    /// A proxy's load report.
     ///
     /// # Errors
-    /// What is contradictory in it.
+    /// The report is not plausible, or contradicts an earlier one.
     pub fn on_load_report(
         &mut self, stream: u64, report: &ProxyReport, now: Millis,
     ) -> Result<(), ReportError> {
-        if self.hosts.is_empty() {
+        if self.addresses.is_empty() {
             return Ok(());
         }
         let Some(proxy) = self.proxies.proxy_number(stream) else { return Ok(()) };
-        let hosts = &self.hosts;
-        let endpoint_at = |address: &SocketAddr, version| hosts.endpoint_at(address, version);
+        let addresses = &self.addresses;
+        let endpoint_at = |address: &SocketAddr, version| addresses.endpoint_at(address, version);
         let request_rates = self.load_reports.add_report(proxy, report, endpoint_at, now)?;
         self.shares.set_request_rate(proxy, request_rates);
         Ok(())
     }
 
-    fn on_held_version(
+    /// A proxy that connected reported the version of the resources it uses.
+    fn on_reported_version(
         &mut self, proxy: u64, resource_type: ResourceType, version: &SignedVersion, now: Millis,
     ) {
         if resource_type == ResourceType::Route {
-            let shares = vec![max_held_share(version); self.settings.classes.len()];
-            self.shares.report_held(proxy, shares);
+            let max_share = limits::max_published_share(&version.version.rollout);
+            self.shares.report_held(proxy, vec![max_share; self.settings.classes.len()]);
         }
         if let Some(rollout) = self.known_state.apply_proxy_version(version, now) {
             self.pending_events.push(Event::RolloutUpdate(rollout));
@@ -157,12 +159,3 @@
         }
     }
 }
-
-/// The most that a proxy may send to the canary by a configuration that any control plane published: the cap of then.
-fn max_held_share(version: &SignedVersion) -> PartsPerMillion {
-    let rollout = version.version.rollout;
-    match rollout.status {
-        RolloutStatus::Canary | RolloutStatus::RollingBack => rollout.traffic_cap,
-        _ => PartsPerMillion::ZERO,
-    }
-}
--- a/crates/control-plane/src/driver/event_loop.rs
+++ b/crates/control-plane/src/driver/event_loop.rs
@@ -1,6 +1,8 @@
-//! The event loop: takes in what discovery, the platform and proxies bring, and carries out what follows.
+//! The event loop: passes events of discovery, the platform and proxies to the control plane, and carries out its
+//! effects.
 
 use crate::control_plane::{ControlPlane, Effects};
+use crate::limits::{self, MAX_EVENT_BATCH};
 use crate::state_store::StateWriter;
 use latchhaven_gateway::clock::{Clock, duration};
 use latchhaven_gateway::discovery::snapshot_client::SnapshotFirstClient;
@@ -17,15 +19,10 @@
 use tokio::time::{Instant, sleep_until};
 use tonic::Status;
 
-/// Events of one channel that are taken in at most before the decisions are asked again.
-const MAX_BATCH: usize = 256;
-/// ms after which the control plane is polled at the latest.
-const MAX_POLL_INTERVAL: Millis = 1_000.0;
-
-/// Answers a stream that waits for admission.
+/// Answers a stream that is pending admission.
 type AdmissionSender = oneshot::Sender<Result<(), Status>>;
 
-/// Owns the control plane and its connections to everything else.
+/// Owns the control plane and its channels to discovery, the platform, the xDS server and the state store.
 pub(super) struct ControlPlaneDriver {
     pub(super) control_plane: ControlPlane,
     pub(super) clock: Clock,
@@ -50,8 +47,8 @@
             let next_poll = self.next_poll();
             select! {
                 biased;
-                count = gateway_events.recv_many(&mut gateway_batch, MAX_BATCH) => if count == 0 { return },
-                count = server_events.recv_many(&mut server_batch, MAX_BATCH) => if count == 0 { return },
+                count = gateway_events.recv_many(&mut gateway_batch, MAX_EVENT_BATCH) => if count == 0 { return },
+                count = server_events.recv_many(&mut server_batch, MAX_EVENT_BATCH) => if count == 0 { return },
                 () = sleep_until(next_poll) => {}
             }
             let now = self.clock.now();
@@ -68,8 +65,8 @@
 
     fn next_poll(&self) -> Instant {
         let now = self.clock.now();
-        let delay = (self.control_plane.next_poll_at(now) - now).clamp(0.0, MAX_POLL_INTERVAL);
-        Instant::now() + duration(delay)
+        let poll_at = self.control_plane.next_poll_at(now);
+        Instant::now() + duration(limits::poll_delay(now, poll_at))
     }
 
     fn carry_out(&mut self, effects: Effects, now: Millis) {
@@ -134,5 +131,5 @@
 }
 
 fn too_many_streams() -> Status {
-    Status::resource_exhausted("too many streams: come again later")
+    Status::resource_exhausted("too many streams: retry later")
 }
--- a/crates/control-plane/src/driver/mod.rs
+++ b/crates/control-plane/src/driver/mod.rs
@@ -1,10 +1,10 @@
-//! The driver round [`ControlPlane`](crate::control_plane::ControlPlane): sockets, disk, signals and the clock.
+//! The driver of [`ControlPlane`](crate::control_plane::ControlPlane): sockets, disk, signals and the clock.
 //!
-//! - `startup`: reads the settings, opens listener and store, and connects the parts by channels.
-//! - `event_loop`: takes in what the channels bring, and carries out what follows.
-//! - `upstreams`: discovery and the platform, and the actions that concern them.
+//! - `startup`: reads the settings, opens listener and store, and connects the tasks by channels.
+//! - `event_loop`: passes events to the control plane, and carries out its effects.
+//! - `upstreams`: events and actions of discovery and the platform.
 //! - `xds_thread`: serves proxies on threads of their own.
-//! - `signals`: the end of the process, and the counters on request.
+//! - `signals`: termination, and the counters on request.
 
 mod event_loop;
 mod settings;
@@ -20,13 +20,13 @@
 use std::io;
 use tokio::select;
 
-/// Serves as a plan says, until SIGTERM or SIGINT, within a `LocalSet` on a runtime of one thread.
+/// Serves under a configuration until SIGTERM or SIGINT; runs within a `LocalSet` on a runtime of one thread.
 ///
 /// # Errors
-/// Settings that are not valid, a key that cannot be read, or a listener that cannot be bound.
+/// The settings are invalid, the key cannot be read, or the listener cannot be bound.
 pub async fn serve(config: ControlConfig) -> io::Result<()> {
     let mut signals = Signals::install()?;
-    let service = startup::start(config)?;
+    let service = startup::start(&config)?;
     let _platform_address = service.platform_address;
     select! {
         () = signals.stopped(&service.sent_counters) => {}
--- a/crates/control-plane/src/driver/signals.rs
+++ b/crates/control-plane/src/driver/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: SIGTERM and SIGINT end the service, SIGUSR1 logs its counters.
+//! Signals: SIGTERM and SIGINT stop the service, SIGUSR1 logs its counters.
 
 use latchhaven_xds::server::SentCounters;
 use std::io;
@@ -6,7 +6,7 @@
 use tokio::select;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// The signals that are handled from the moment of their installation on.
+/// The handled signals.
 pub(super) struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -14,6 +14,7 @@
 }
 
 impl Signals {
+    /// Handles the signals from now on.
     pub(super) fn install() -> io::Result<Self> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
@@ -22,7 +23,7 @@
         })
     }
 
-    /// Returns when the service is to end; logs the counters meanwhile.
+    /// Returns when the service must stop; logs the counters on each SIGUSR1 before.
     pub(super) async fn stopped(&mut self, counters: &SentCounters) {
         loop {
             select! {
@@ -38,7 +39,7 @@
     }
 }
 
-/// The names of the fields are read by experiments.
+/// Experiments read the names of the fields.
 fn log_counters(counters: &SentCounters) {
     let value = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
     tracing::info!(
--- a/crates/control-plane/src/driver/startup.rs
+++ b/crates/control-plane/src/driver/startup.rs
@@ -1,9 +1,10 @@
-//! Starts the parts of the control service and connects them.
+//! Starts the tasks and threads of the control service and connects them by channels.
 
 use super::event_loop::ControlPlaneDriver;
 use super::settings;
 use super::xds_thread::{self, XdsListener};
 use crate::control_plane::{ControlPlane, ControlPlaneConfig};
+use crate::limits::MAX_PENDING_SERVER_EVENTS;
 use crate::state_store;
 use latchhaven_gateway::clock::{Clock, duration};
 use latchhaven_gateway::discovery::snapshot_client::SnapshotFirstClient;
@@ -24,32 +25,29 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Events of streams that were not taken in yet; a stream that has more waits.
-const MAX_PENDING_SERVER_EVENTS: usize = 1024;
-
 /// The control service, ready to run.
 pub(super) struct ControlService {
     pub(super) driver: ControlPlaneDriver,
-    /// From discovery and the platform.
+    /// Events of discovery and the platform.
     pub(super) gateway_events: mpsc::Receiver<DriverEvent>,
-    /// From the streams of proxies.
+    /// Events of proxies' streams.
     pub(super) server_events: mpsc::Receiver<ServerEvent>,
-    /// How serving proxies ended.
+    /// The result of the xDS server, when it ends.
     pub(super) xds_server: oneshot::Receiver<io::Result<()>>,
     pub(super) sent_counters: Arc<SentCounters>,
-    /// Held so that the platform's tasks see an address that may change.
+    /// The sender of the platform's address; must outlive the platform's tasks.
     pub(super) platform_address: watch::Sender<Option<SocketAddr>>,
 }
 
-/// Starts all that the event loop needs.
-pub(super) fn start(config: ControlConfig) -> io::Result<ControlService> {
+/// Starts everything that the event loop needs.
+pub(super) fn start(config: &ControlConfig) -> io::Result<ControlService> {
     let clock = Clock::start();
-    let signer = VersionSigner::new(read_shared_key(&config)?);
-    let settings = settings::settings(&config).map_err(io::Error::other)?.on_sockets();
+    let signer = VersionSigner::new(read_shared_key(config)?);
+    let settings = settings::settings(config).map_err(io::Error::other)?.on_sockets();
     let vote_timeout = duration(settings.upstream_connections().vote_timeout);
     let store = state_store::open(config.state.as_deref());
     let class_names = settings.classes().into_iter().map(|class| class.name).collect();
-    let control_plane_config = control_plane_config(&config, &settings, signer.clone());
+    let control_plane_config = control_plane_config(config, &settings, signer.clone());
     let control_plane =
         ControlPlane::new(settings.start_policy(config.seed), control_plane_config, store.state);
 
--- a/crates/control-plane/src/driver/upstreams.rs
+++ b/crates/control-plane/src/driver/upstreams.rs
@@ -1,4 +1,4 @@
-//! Discovery and the platform: what their tasks bring, and the actions of the decisions that concern them.
+//! Discovery and the platform: events of their tasks, and the actions of the decisions for them.
 
 use super::event_loop::ControlPlaneDriver;
 use latchhaven_gateway::discovery::calls::CallId;
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 impl ControlPlaneDriver {
-    /// Takes in what a task of discovery or the platform brings.
+    /// Handles an event of a task of discovery or the platform.
     pub(super) fn on_gateway_event(&mut self, event: DriverEvent, now: Millis) {
         match event {
             DriverEvent::EndpointList { call, list } => self.on_list_answer(call, list, now),
@@ -19,7 +19,7 @@
                 let report = Event::OutcomesReported(counts.into());
                 self.control_plane.on_outcome_report(report, now);
             }
-            // Those of a gateway's clients and upstreams: a control plane carries no requests.
+            // Events of a gateway's clients and upstreams: a control plane forwards no requests.
             _ => {}
         }
     }
@@ -43,7 +43,7 @@
                 }
             }
             Action::Log(line) => tracing::info!("{line}"),
-            // Those of a gateway that carries requests itself.
+            // Actions of a gateway, which forwards requests.
             _ => {}
         }
     }
--- a/crates/control-plane/src/state_store/record.rs
+++ b/crates/control-plane/src/state_store/record.rs
@@ -5,13 +5,13 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The schema of the record; one with another schema is reported and left alone.
+/// The schema of the record; a record with another schema is neither used nor replaced.
 const SCHEMA: u32 = 1;
 
-/// What a restarted service must not fall behind.
+/// The state that a restarted service continues from: it publishes nothing older.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedState {
-    /// The version of the configuration that was published last.
+    /// The version of the last published configuration.
     #[serde(rename = "basis")]
     pub version: ConfigVersion,
     /// Versions that were rolled back.
@@ -29,11 +29,11 @@
 /// Why a record cannot be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// It is no JSON, or lacks fields.
+    /// It is not JSON, or a field is missing or invalid.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
     /// It was written by a version of this program with another schema.
-    #[error("its form is {found}, this program writes {SCHEMA}")]
+    #[error("record schema {found}; this program reads and writes {SCHEMA}")]
     UnknownSchema {
         /// The schema of the record.
         found: u32,
@@ -54,6 +54,7 @@
 }
 
 /// Encodes a record as it is written.
+#[must_use]
 pub fn encode(state: &PersistedState) -> Vec<u8> {
     let state = serde_json::to_value(state).unwrap_or_default();
     serde_json::to_vec(&Record { schema: SCHEMA, state }).unwrap_or_default()
--- a/crates/control-plane/src/state_store/writer.rs
+++ b/crates/control-plane/src/state_store/writer.rs
@@ -1,17 +1,14 @@
-//! Writes states on a thread of its own. States that come during a write replace each other: only the newest is
-//! written next.
+//! Writes states on a thread of its own. Of the states passed during a write only the newest is written next.
 
-use super::{PersistedState, write_state};
+use super::database::write_state;
+use super::record::PersistedState;
+use crate::limits::STATE_WRITE_INTERVAL;
 use redb::Database;
 use std::path::PathBuf;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread;
-use std::time::Duration;
 
-/// Between two writes at least, so that a burst becomes one write.
-const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(200);
-
-/// Hands states to the writing thread. Dropped, it has the last one written and ends the thread.
+/// Passes states to the writing thread. When it is dropped the thread writes the last state and ends.
 pub struct StateWriter {
     mailbox: Arc<Mailbox>,
 }
@@ -25,7 +22,7 @@
         StateWriter { mailbox }
     }
 
-    /// Has a state written, unless a newer one comes before. Returns at once.
+    /// Queues a state in place of an earlier one that was not written yet. Does not block on the disk.
     pub fn persist(&self, state: PersistedState) {
         self.mailbox.update(|pending| pending.newest = Some(state));
     }
@@ -37,11 +34,11 @@
     }
 }
 
-/// What the thread has to do.
+/// The next work of the thread.
 #[derive(Default)]
 struct PendingWrite {
     newest: Option<PersistedState>,
-    /// Nothing more will come.
+    /// The writer was dropped.
     is_closed: bool,
 }
 
@@ -57,7 +54,7 @@
         self.changed.notify_one();
     }
 
-    /// Waits for a state or for the end, and takes the state out.
+    /// Waits for a state or for the end of the writer; removes the state.
     fn take(&self) -> PendingWrite {
         let mut pending = self.lock();
         while pending.newest.is_none() && !pending.is_closed {
@@ -90,11 +87,11 @@
             if pending.is_closed {
                 return;
             }
-            thread::sleep(MIN_WRITE_INTERVAL);
+            thread::sleep(STATE_WRITE_INTERVAL);
         }
     }
 
-    /// Logs the first success, and the first of failures in a row: a full disk would fill the log too.
+    /// Logs the first success, and the first of consecutive failures: a full disk must not fill the log.
     fn write(&mut self, state: &PersistedState) {
         match write_state(&self.database, state) {
             Ok(()) => {
--- a/crates/control-plane/tests/control_plane/canary_shares.rs
+++ b/crates/control-plane/tests/control_plane/canary_shares.rs
@@ -39,7 +39,7 @@
     exchange_all(&mut proxies, &mut service);
     assert!(
         proxies.iter().enumerate().all(|(n, proxy)| n == 4 || proxy.share_of(Version(2)) == 0.0),
-        "at once, to all who hear"
+        "immediately, at every connected proxy"
     );
     proxies[4].connect(&mut service);
     proxies[4].exchange(&mut service);
--- a/crates/control-plane/tests/control_plane/publication.rs
+++ b/crates/control-plane/tests/control_plane/publication.rs
@@ -6,9 +6,9 @@
 };
 use latchhaven_policy::{RolloutPhase, Version};
 
-/// A list, and how host 2 is shown to proxies with it: as one of the baseline, and of the canary.
+/// A list, and the health of host 2 that proxies get with it: in the baseline's cluster and in the canary's.
 struct Step {
-    hosts: Vec<Host>,
+    host_2: Option<Host>,
     baseline_health: Option<bool>,
     canary_health: Option<bool>,
 }
@@ -19,14 +19,14 @@
     service.advance(1_000.0);
     service.update_list(5, &[ready(1, Version(1))]);
     service.advance(1_000.0);
-    assert!(service.snapshot.is_none(), "the platform has reported nothing");
+    assert!(service.snapshot.is_none(), "the platform has not reported yet");
     service.report_rollout(Version(1), 0, RolloutPhase::Promoted, 1.0);
     service.advance(20.0);
     assert!(service.snapshot.is_some());
 }
 
 #[test]
-fn update_burst_is_published_twice_and_a_drain_at_once() {
+fn update_burst_is_published_twice_and_a_drain_immediately() {
     let (mut service, _) = service_with_canary(1);
     service.advance(100.0);
     let before = service.snapshot.as_ref().unwrap().number;
@@ -35,7 +35,7 @@
         &[draining(1, Version(1)), ready(2, Version(1)), ready(3, Version(2)), ready(4, Version(2))],
     );
     service.advance(10.0);
-    assert_eq!(service.snapshot.as_ref().unwrap().number, before + 1, "at once");
+    assert_eq!(service.snapshot.as_ref().unwrap().number, before + 1, "immediately");
     for n in 0..30u64 {
         service.update_list(
             101 + n,
@@ -63,34 +63,17 @@
     };
     assert_eq!(health(&proxies[0], "b1/pay"), Some(true));
     let steps = [
-        Step {
-            hosts: vec![
-                ready(1, Version(1)),
-                draining(2, Version(1)),
-                ready(3, Version(2)),
-                ready(4, Version(2)),
-            ],
-            baseline_health: Some(false),
-            canary_health: None,
-        },
-        Step {
-            hosts: vec![ready(1, Version(1)), ready(3, Version(2)), ready(4, Version(2))],
-            baseline_health: None,
-            canary_health: None,
-        },
-        Step {
-            hosts: vec![
-                ready(1, Version(1)),
-                ready(2, Version(2)),
-                ready(3, Version(2)),
-                ready(4, Version(2)),
-            ],
-            baseline_health: None,
-            canary_health: Some(true),
-        },
+        Step { host_2: Some(draining(2, Version(1))), baseline_health: Some(false), canary_health: None },
+        Step { host_2: None, baseline_health: None, canary_health: None },
+        Step { host_2: Some(ready(2, Version(2))), baseline_health: None, canary_health: Some(true) },
     ];
     for (n, step) in steps.into_iter().enumerate() {
-        service.update_list(10 + n as u64, &step.hosts);
+        let hosts: Vec<Host> = [ready(1, Version(1))]
+            .into_iter()
+            .chain(step.host_2)
+            .chain([ready(3, Version(2)), ready(4, Version(2))])
+            .collect();
+        service.update_list(10 + n as u64, &hosts);
         service.advance(60.0);
         for proxy in &mut proxies {
             proxy.exchange(&mut service);
@@ -98,7 +81,7 @@
             assert_eq!(health(proxy, "b2/pay"), step.canary_health, "step {n}");
         }
     }
-    // Late counts of its earlier incarnation are taken, those of a host that never was are refused.
+    // Late counts of its earlier incarnation are accepted, those of a host that was never listed are rejected.
     let stream = proxies[0].stream_id().unwrap();
     let report = |host: u16| load_report([ReportedOutcomes::new(Version(1), host, 1, 0)]);
     assert!(service.control_plane.on_load_report(stream, &report(2), service.now).is_ok());
@@ -107,7 +90,7 @@
 }
 
 #[test]
-fn stale_snapshot_is_fetched_again_at_intervals_until_a_newer_one_comes() {
+fn stale_snapshot_is_fetched_again_at_intervals_until_a_newer_one_arrives() {
     let (mut service, _) = service_with_canary(1);
     let hosts = [ready(1, Version(1)), ready(2, Version(1)), ready(3, Version(2)), ready(4, Version(2))];
     service.update_list(40, &hosts);
@@ -115,12 +98,12 @@
     let before = service.list_fetches;
     service.update_list(30, &hosts);
     service.advance(300.0);
-    assert_eq!(service.list_fetches, before + 1, "at once");
+    assert_eq!(service.list_fetches, before + 1, "immediately");
     service.advance(4_000.0);
-    assert_eq!(service.list_fetches, before + 1, "not before the interval is over");
+    assert_eq!(service.list_fetches, before + 1, "not before the interval has passed");
     service.advance(1_000.0);
     assert_eq!(service.list_fetches, before + 2, "again");
     service.update_list(41, &hosts);
     service.advance(6_000.0);
-    assert_eq!(service.list_fetches, before + 2, "a newer one ends it");
+    assert_eq!(service.list_fetches, before + 2, "a newer one ends the retries");
 }
--- a/crates/control-plane/tests/control_plane/restarts.rs
+++ b/crates/control-plane/tests/control_plane/restarts.rs
@@ -41,7 +41,7 @@
     service.report_rollout(Version(2), 1, RolloutPhase::RollingBack, 0.0);
     service.advance(100.0);
     exchange_all(&mut proxies, &mut service);
-    // With the persisted state, and without it by what proxies hold.
+    // With the persisted state, and without it by the versions that proxies report.
     for persisted in [service.persisted.clone(), None] {
         let mut restarted = TestService::start(service.now, "site", persisted);
         restarted.start_canary(1, 0.5);
@@ -82,7 +82,7 @@
     fresh.connect(&mut cut_off);
     fresh.exchange(&mut cut_off);
     assert_eq!((fresh.share_of(Version(2)), fresh.share_of(Version(1))), (0.0, 1.0));
-    // What is not signed by the site moves nobody.
+    // A version that another site signed does not change this service's state.
     let mut foreign = TestService::start(service.now, "another", None);
     foreign.start_canary(1, 0.5);
     proxies[1].connect(&mut foreign);
@@ -90,14 +90,14 @@
     assert_eq!(
         (proxies[1].share_of(Version(2)), proxies[1].share_of(Version(1))),
         (0.0, 1.0),
-        "what it holds guards its own stream"
+        "a version signed elsewhere protects its own stream"
     );
     let mut other = TestProxy::new("other", false);
     other.connect(&mut foreign);
     other.exchange(&mut foreign);
     let basis =
         |proxy: &TestProxy| proxy.cache.newest_version(ResourceType::Route).map(|basis| basis.rollout.status);
-    assert_ne!(basis(&other), basis(&proxies[1]), "and moves nobody else");
+    assert_ne!(basis(&other), basis(&proxies[1]), "and no other stream");
 }
 
 #[test]
--- a/crates/control-plane/tests/control_plane/streams.rs
+++ b/crates/control-plane/tests/control_plane/streams.rs
@@ -1,4 +1,4 @@
-//! What single streams are sent.
+//! Responses on single streams.
 
 use crate::support::{TestService, service_with_canary};
 use latchhaven_policy::{RolloutPhase, Version};
@@ -18,7 +18,7 @@
 fn unacknowledged_response_is_followed_only_by_the_newest() {
     let (mut service, mut proxies) = service_with_canary(1);
     let proxy = &mut proxies[0];
-    // The declined share in the endpoints has faded and was sent, so that nothing but routes is pending.
+    // The shed share in the endpoints was updated and sent, so that only routes are pending.
     service.advance(5_000.0);
     proxy.exchange(&mut service);
     service.report_rollout(Version(2), 1, RolloutPhase::Canary, 0.2);
@@ -31,7 +31,7 @@
         service.report_rollout(Version(2), 1, RolloutPhase::Canary, cap);
         service.advance(100.0);
         let next = stream.next_response(service.snapshot.as_ref().unwrap());
-        assert!(next.is_none(), "one pending answer a type");
+        assert!(next.is_none(), "one pending response per type");
     }
     for nonce in 1..100 {
         let acknowledgement = SubscriptionRequest {
@@ -41,7 +41,7 @@
         let _ = stream.on_request(acknowledgement);
     }
     let answer = stream.next_response(service.snapshot.as_ref().unwrap()).unwrap();
-    assert!(answer.canary_shares.unwrap()[0].get() <= 50_000, "the newest, none between");
+    assert!(answer.canary_shares.unwrap()[0].get() <= 50_000, "the newest, none in between");
     assert!(stream.next_response(service.snapshot.as_ref().unwrap()).is_none());
 }
 
@@ -69,7 +69,7 @@
             if !incremental || names.is_empty() {
                 continue;
             }
-            // Unsubscribed and subscribed again, it is sent again.
+            // After unsubscribing and subscribing again the resource is sent again.
             let unsubscription = SubscriptionRequest {
                 unsubscribed: names.iter().map(ToString::to_string).collect(),
                 ..subscription(resource_type, &[])
--- a/crates/control-plane/tests/control_plane/support/proxy.rs
+++ b/crates/control-plane/tests/control_plane/support/proxy.rs
@@ -1,5 +1,6 @@
 //! A proxy that is connected to a control plane without a network.
 
+use super::reports::{ReportedOutcomes, load_report};
 use super::service::TestService;
 use latchhaven_policy::Version;
 use latchhaven_test_support::resource_cache::{CacheRequest, ResourceCache};
@@ -101,7 +102,18 @@
     }
 }
 
-/// A service whose canary, version 2, is capped at half, and proxies that hold that.
+/// Proxies report much traffic, all of it successful.
+fn report_traffic(service: &mut TestService, proxies: &[&TestProxy]) {
+    for proxy in proxies {
+        let Some(stream) = proxy.stream_id() else { continue };
+        let outcomes = |class| ReportedOutcomes { class, ..ReportedOutcomes::new(Version(1), 1, 4000, 0) };
+        let report = load_report([outcomes(0), outcomes(1)]);
+        service.control_plane.on_load_report(stream, &report, service.now).expect("the report is valid");
+    }
+    service.advance(300.0);
+}
+
+/// A service whose canary, version 2, is capped at half, and proxies that have its configuration.
 pub(crate) fn service_with_canary(proxies: usize) -> (TestService, Vec<TestProxy>) {
     let mut service = TestService::start(100_000.0, "site", None);
     service.start_canary(1, 0.5);
@@ -113,7 +125,7 @@
         proxy.exchange(&mut service);
     }
     let connected: Vec<&TestProxy> = all.iter().collect();
-    service.report_traffic(&connected);
+    report_traffic(&mut service, &connected);
     service.advance(1_000.0);
     exchange_all(&mut all, &mut service);
     let shares: Vec<f64> = all.iter().map(|proxy| proxy.share_of(Version(2))).collect();
--- a/crates/control-plane/tests/control_plane/support/reports.rs
+++ b/crates/control-plane/tests/control_plane/support/reports.rs
@@ -1,6 +1,6 @@
 //! Load reports of proxies.
 
-use super::service::host_address;
+use super::hosts::host_address;
 use latchhaven_policy::Version;
 use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, ProxyReport};
 
--- a/crates/control-plane/tests/control_plane/support/service.rs
+++ b/crates/control-plane/tests/control_plane/support/service.rs
@@ -1,12 +1,9 @@
 //! A control plane under the test's clock.
 
-use super::proxy::TestProxy;
-use super::reports::{ReportedOutcomes, load_report};
+use super::hosts::{Host, ready};
 use latchhaven_control_plane::control_plane::{ControlPlane, ControlPlaneConfig};
 use latchhaven_control_plane::state_store::PersistedState;
-use latchhaven_policy::{
-    Action, EndpointEntry, EndpointStatus, Millis, RolloutPhase, RolloutState, Verdict, Version,
-};
+use latchhaven_policy::{Action, Millis, RolloutPhase, RolloutState, Verdict, Version};
 use latchhaven_proxy_config::proxy_config::ProxyConfigSettings;
 use latchhaven_proxy_config::version::VersionSigner;
 use latchhaven_simulator_protocol::{Settings, settings as simulator_settings};
@@ -27,46 +24,6 @@
 /// ms between two polls while time passes.
 const POLL_INTERVAL: Millis = 10.0;
 
-/// A host on the endpoint list; host n is endpoint `s{n}` at port n.
-#[derive(Clone, Copy)]
-pub(crate) struct Host {
-    number: u16,
-    version: Version,
-    is_ready: bool,
-}
-
-pub(crate) fn host(number: u16, version: Version, is_ready: bool) -> Host {
-    Host { number, version, is_ready }
-}
-
-pub(crate) fn ready(number: u16, version: Version) -> Host {
-    host(number, version, true)
-}
-
-pub(crate) fn draining(number: u16, version: Version) -> Host {
-    host(number, version, false)
-}
-
-pub(crate) fn host_address(number: u16) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], number))
-}
-
-impl Host {
-    fn entry(self) -> (EndpointEntry, SocketAddr) {
-        let entry = EndpointEntry {
-            endpoint: format!("s{}", self.number),
-            status: if self.is_ready { EndpointStatus::Ready } else { EndpointStatus::Draining },
-            version: self.version,
-            zone: "a".to_string(),
-            cell: 0,
-            machine_type: String::new(),
-            weight: 1.0,
-            started_at: 0.0,
-        };
-        (entry, host_address(self.number))
-    }
-}
-
 /// A control plane, and what it has published and voted.
 pub(crate) struct TestService {
     pub(crate) control_plane: ControlPlane,
@@ -168,18 +125,6 @@
         self.report_rollout(Version(2), stage, RolloutPhase::Canary, traffic_cap);
         self.advance(20.0);
     }
-
-    /// Proxies report much traffic, all of it successful.
-    pub(crate) fn report_traffic(&mut self, proxies: &[&TestProxy]) {
-        for proxy in proxies {
-            let Some(stream) = proxy.stream_id() else { continue };
-            let outcomes =
-                |class| ReportedOutcomes { class, ..ReportedOutcomes::new(Version(1), 1, 4000, 0) };
-            let report = load_report([outcomes(0), outcomes(1)]);
-            self.control_plane.on_load_report(stream, &report, self.now).expect("the report is sound");
-        }
-        self.advance(300.0);
-    }
 }
 
 fn settings() -> Settings {
--- a/crates/control-plane/tests/state_store.rs
+++ b/crates/control-plane/tests/state_store.rs
@@ -59,22 +59,22 @@
 }
 
 #[test]
-fn store_reopened_holds_the_newest_state_and_is_not_shared_by_two_processes() {
+fn reopened_store_has_the_newest_state_and_is_not_shared_by_two_processes() {
     let folder = folder("again");
     let path = folder.join("state.redb");
     let opened = open(Some(&path));
     assert!(opened.state.is_none());
     let writer = opened.writer.unwrap();
     (0..50).for_each(|version| writer.persist(state(version)));
-    assert!(open(Some(&path)).writer.is_none(), "a second one goes without");
+    assert!(open(Some(&path)).writer.is_none(), "a second process has no store");
     drop(writer);
     assert_eq!(reopen(&path).state, Some(state(49)));
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// A file cut off or damaged at any place is either read as it was, or not used: no crash and no mixture.
+/// A truncated or damaged file either yields the written state or is not used, without a crash.
 #[test]
-fn store_with_a_torn_or_damaged_file_yields_the_last_state_or_none() {
+fn store_with_a_truncated_or_damaged_file_yields_the_last_state_or_none() {
     let folder = folder("torn");
     let path = folder.join("state.redb");
     write_database(&path, &state(3));
@@ -86,7 +86,7 @@
         let mut flipped = intact.clone();
         flipped[at] ^= 0xff;
         for (damage, bytes) in [("cut", intact[..at].to_vec()), ("flipped", flipped)] {
-            // A file of its own each: an earlier store's writer may not have closed yet.
+            // One file each: the writer of an earlier store may still have its file open.
             let path = folder.join(format!("{damage}-{step}.redb"));
             std::fs::write(&path, bytes).unwrap();
             let opened = open(Some(&path));
@@ -95,7 +95,7 @@
         }
     }
     std::panic::set_hook(hook);
-    assert!(decode(b"{\"schema\":2}").unwrap_err().to_string().contains("form is 2"));
+    assert!(decode(b"{\"schema\":2}").unwrap_err().to_string().contains("record schema 2;"));
     assert!(decode(&encode(&state(3))[1..]).is_err());
     assert!(open(Some(&folder.join("no/such/folder/state.redb"))).writer.is_none());
     std::fs::remove_dir_all(folder).unwrap();
--- a/crates/proxy-config/src/share_ledger.rs
+++ b/crates/proxy-config/src/share_ledger.rs
@@ -151,7 +151,7 @@
     }
 
     /// Removes proxies that have been disconnected for [`DISCONNECTED_RETENTION`].
-    pub fn forget_disconnected(&mut self, now: Millis) {
+    pub fn remove_expired(&mut self, now: Millis) {
         self.proxies
             .retain(|_, held| held.disconnected_at.is_none_or(|since| now - since < DISCONNECTED_RETENTION));
     }
--- a/crates/proxy-config/tests/share_ledger.rs
+++ b/crates/proxy-config/tests/share_ledger.rs
@@ -26,7 +26,7 @@
     (0..9).filter(|proxy| *proxy != 3).for_each(|proxy| ledger.acknowledged(proxy, &share(66_000)));
     assert!((ledger.remaining_share(0, 0.1, 300.0) - 0.06 / 0.9).abs() < 1e-9);
     assert!((ledger.remaining_share(0, 0.1, 300.0 + ACKNOWLEDGE_TIMEOUT) - 0.02 / 0.8).abs() < 1e-9);
-    ledger.forget_disconnected(100.0 + DISCONNECTED_RETENTION);
+    ledger.remove_expired(100.0 + DISCONNECTED_RETENTION);
     assert_eq!(ledger.len(), 9);
 }
 
