--- a/crates/control-plane/tests/control_plane/publication.rs
+++ b/crates/control-plane/tests/control_plane/publication.rs
@@ -86,7 +86,7 @@
     let report = |host: u16| load_report([ReportedOutcomes::new(Version(1), host, 1, 0)]);
     assert!(service.control_plane.on_load_report(stream, &report(2), service.now).is_ok());
     let refused = service.control_plane.on_load_report(stream, &report(9), service.now);
-    assert!(refused.unwrap_err().to_string().contains("no host of its cluster"));
+    assert!(refused.unwrap_err().to_string().contains("not an endpoint of its cluster"));
 }
 
 #[test]
--- a/crates/control-plane/tests/control_plane/support/reports.rs
+++ b/crates/control-plane/tests/control_plane/support/reports.rs
@@ -2,9 +2,9 @@
 
 use super::hosts::host_address;
 use latchhaven_policy::Version;
-use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, ProxyReport};
+use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, EndpointReport, ProxyReport};
 
-/// What a proxy counted at one host.
+/// Counts of a proxy at one host.
 pub(crate) struct ReportedOutcomes {
     pub(crate) version: Version,
     pub(crate) class: usize,
@@ -33,7 +33,7 @@
     let clusters = outcomes.into_iter().map(|outcomes| ClusterReport {
         version: outcomes.version,
         class: outcomes.class,
-        endpoints: vec![(host_address(outcomes.host), outcomes.counts)],
+        endpoints: vec![EndpointReport { address: host_address(outcomes.host), counts: outcomes.counts }],
         dropped: 0,
     });
     ProxyReport { interval: 1000.0, clusters: clusters.collect() }
--- a/crates/experiments/src/rollout_simulation/proxies.rs
+++ b/crates/experiments/src/rollout_simulation/proxies.rs
@@ -10,7 +10,7 @@
 use super::simulation::Simulation;
 use latchhaven_control_plane::control_plane::ControlPlane;
 use latchhaven_policy::{Action, AttemptOutcome, Millis, RequestId, Version};
-use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, ProxyReport};
+use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, EndpointReport, ProxyReport};
 use latchhaven_test_support::resource_cache::{CacheRequest, CachedEndpoint, CachedRoute, ResourceCache};
 use latchhaven_xds::resources::{ResourceSnapshot, parse_cluster_name};
 use latchhaven_xds::stream::Stream;
@@ -79,7 +79,7 @@
                 endpoints: Vec::new(),
                 dropped: 0,
             });
-            report.endpoints.push((host_address(host), counts));
+            report.endpoints.push(EndpointReport { address: host_address(host), counts });
         }
         ProxyReport { interval: LOAD_REPORT_INTERVAL, clusters: clusters.into_values().collect() }
     }
--- a/crates/proxy-config/src/canary_share.rs
+++ b/crates/proxy-config/src/canary_share.rs
@@ -1,20 +1,20 @@
-//! The share of requests that a canary may get.
+//! The share of requests that may be routed to a canary.
 //!
-//! Each proxy draws at random for each request, so that the canary's requests in a window are a sum of draws. The safe
-//! share is the largest at which this sum stays within `allowance + traffic_cap * requests`, except for a negligible
-//! probability.
+//! Problem: each proxy draws at random for each request, so that the canary's requests in a window are a sum of draws.
+//! Method: the safe share is the largest at which this sum stays within `allowance + traffic_cap * requests`, except for
+//! a negligible probability, by Bernstein's inequality (S. N. Bernstein, 1924).
 
-/// Probability per window that the draws exceed the cap: once in 60 years of windows of 2 s.
-const EXCEED_PROBABILITY: f64 = 1e-9;
-/// Steps of the bisection: finer than the parts of a million that proxies draw in.
+use crate::limits::{EXCEED_PROBABILITY, WARMUP_BUDGET_SHARE};
+
+/// Steps of the bisection: finer than one part per million.
 const BISECTION_STEPS: usize = 40;
-/// Part of the overload budget that a warming canary may use: load may double before proxies get a new configuration.
-const WARMUP_BUDGET_SHARE: f64 = 0.5;
 
-/// The largest safe share where a window has at least `min_requests` requests.
+/// The largest safe share, from 0 to 1, where a window has at least `min_requests` requests.
 ///
-/// By Bernstein's inequality `P(X >= n * share + t) <= exp(-t^2 / (2 * (n * share + t / 3)))`; it is applied at the
-/// number of requests `n` at which it is weakest. Returns 0 where an argument is negative or not a number.
+/// `traffic_cap` is from 0 to 1, `allowance` in requests per window. By Bernstein's inequality
+/// `P(X >= n * share + t) <= exp(-t^2 / (2 * (n * share + t / 3)))`; it is applied at the number of requests `n` at which
+/// it is weakest. Returns 0 where an argument is negative or not a number.
+#[must_use]
 pub fn max_safe_share(traffic_cap: f64, allowance: f64, min_requests: f64) -> f64 {
     if traffic_cap >= 1.0 {
         return 1.0;
@@ -31,16 +31,17 @@
     let mut low = 0.0;
     let mut high = traffic_cap;
     for _ in 0..BISECTION_STEPS {
-        let middle = (low + high) / 2.0;
+        let middle = f64::midpoint(low, high);
         if is_safe(middle) { low = middle } else { high = middle }
     }
     low
 }
 
-/// The largest share of all requests for canaries that are warming up.
+/// The largest share of all requests for canaries that are warming up, from 0 to 1.
 ///
-/// Each unit of the canaries' present capacity gets at most half of `overload_multiple` times what a unit of the total
-/// capacity gets.
+/// Each unit of the canaries' present capacity receives at most half of `overload_multiple` times the requests of a unit
+/// of the total capacity.
+#[must_use]
 pub fn max_warmup_share(overload_multiple: f64, canary_capacity: f64, total_capacity: f64) -> f64 {
     let share =
         WARMUP_BUDGET_SHARE * overload_multiple * canary_capacity / total_capacity.max(f64::MIN_POSITIVE);
--- a/crates/proxy-config/src/freshness.rs
+++ b/crates/proxy-config/src/freshness.rs
@@ -1,46 +1,39 @@
 //! The newest rollout state and endpoint list known, and whether a configuration may be published at all.
 //!
-//! Endpoint lists come from discovery and states of the newest version from the platform. Versions that proxies hold,
-//! and the version in the state store, show how far both had got before. An older state never replaces a newer one.
-//! Nothing is published before a full endpoint list was received and the platform has reported the state of the newest
-//! version, each at least as new as the newest known to have been published.
+//! Discovery sends endpoint lists, the platform sends states of the newest version. The versions that proxies report, and
+//! the version in the state store, give lower bounds for both. An older state never replaces a newer one. Nothing is
+//! published before a full endpoint list was received and the platform has reported the state of the newest version, each
+//! at least as new as the newest known to have been published.
 
+use crate::limits::{self, MAX_ROLLED_BACK_VERSIONS};
 use crate::version::{ConfigVersion, EndpointListVersion, RolloutStatus, RolloutVersion, SignedVersion};
 use latchhaven_policy::{Millis, RolloutState, Version};
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
 
-/// Rolled-back versions that are remembered: endpoints of older ones have long been replaced.
-const MAX_ROLLED_BACK_VERSIONS: usize = 64;
-/// Time in ms for which lists must stay stale, while discovery answers, to begin a new epoch: discovery itself was
-/// restarted. A replica that lags catches up much sooner.
-const NEW_EPOCH_DELAY: Millis = 60_000.0;
-/// Time in ms by which a proxy's version may be ahead of the local clock: clocks do not differ by more.
-const MAX_CLOCK_SKEW: Millis = 60_000.0;
-
-/// The newest versions known, and where they were learnt.
+/// The newest known versions, and whether the platform has confirmed them.
 #[derive(Clone, Debug, Default)]
 pub struct KnownState {
     rollout: Option<RolloutVersion>,
-    /// The platform itself has reported a state at least as new since this process began.
+    /// The platform has reported a state at least as new since this process started.
     confirmed_by_platform: bool,
     /// The list in use, once a full one was received.
     endpoint_list: Option<EndpointListVersion>,
-    /// The newest list known of.
+    /// The newest list known to exist.
     latest_seen: EndpointListVersion,
     /// Since when all full lists were older than [`Self::latest_seen`].
     stale_since: Option<Millis>,
-    /// The list that came last was a full one, and stale.
+    /// The last received list was a full one, and stale.
     is_last_full_list_stale: bool,
     rolled_back: BTreeSet<Version>,
 }
 
-/// Whether an endpoint list was taken over.
+/// Whether an endpoint list was applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateResult {
-    /// It is in use from now on.
+    /// It is in use.
     Applied,
-    /// It is older than what is known: the earlier one stays.
+    /// It is older than the list in use, which stays.
     Stale,
 }
 
@@ -48,18 +41,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotUnavailable {
     /// No full endpoint list was received.
-    #[error("the list was not heard whole yet")]
+    #[error("no full endpoint list was received yet")]
     NoEndpointList,
     /// The platform has not reported the state of the newest version.
-    #[error("the platform has not told the newest build's state")]
+    #[error("the platform has not reported the rollout state of the newest version")]
     RolloutUnconfirmed,
     /// A newer endpoint list was published before.
-    #[error("the list is older than one that was handed out")]
+    #[error("the endpoint list is older than a published one")]
     StaleEndpointList,
 }
 
 impl KnownState {
-    /// Begins from a stored version: nothing older is published.
+    /// Continues from a stored version: nothing older is published.
     pub fn restore(stored: Option<ConfigVersion>, rolled_back: impl IntoIterator<Item = Version>) -> Self {
         let mut state =
             KnownState { rolled_back: rolled_back.into_iter().collect(), ..KnownState::default() };
@@ -70,7 +63,7 @@
         state
     }
 
-    /// Takes over a state that the platform reported. Returns the state to use, unless a newer one is known.
+    /// Applies a state that the platform reported. Returns the state to use, unless a newer one is known.
     pub fn apply_rollout_state(
         &mut self, state: &RolloutState, is_rejected: bool, now: Millis,
     ) -> Option<RolloutState> {
@@ -78,7 +71,7 @@
         let order = self.rollout.map_or(Ordering::Greater, |known| reported.compare(&known));
         match order {
             Ordering::Less => return None,
-            // The begin that was labelled first stays: labels of one state do not drift apart.
+            // The first labelled begin stays, so that labels of one state stay equal.
             Ordering::Equal => {}
             Ordering::Greater => self.set_rollout(reported),
         }
@@ -86,7 +79,7 @@
         Some(*state)
     }
 
-    /// The newest version was rejected by the canary analysis of this process; published as such from now on.
+    /// The canary analysis of this process rejected the newest version: it is published as rejected.
     pub fn reject_canary(&mut self) {
         if let Some(known) = self.rollout {
             let status = known.status.max(RolloutStatus::Rejected);
@@ -94,13 +87,11 @@
         }
     }
 
-    /// Takes over the version that a proxy holds, if its label is signed. Returns the rollout state in it, if it is
-    /// newer than the one known.
+    /// Applies the version of a proxy's resources, if its label is signed. Returns the rollout state in it, if it is
+    /// newer than the known one.
     pub fn apply_proxy_version(&mut self, label: &SignedVersion, now: Millis) -> Option<RolloutState> {
         let ConfigVersion { rollout, endpoints } = label.version;
-        // A state that has yet to begin cannot have been published.
-        let is_in_future = rollout.since as Millis > now + MAX_CLOCK_SKEW;
-        if !label.is_signed || is_in_future {
+        if !label.is_signed || limits::is_in_future(rollout.since, now) {
             return None;
         }
         self.latest_seen = self.latest_seen.max(endpoints);
@@ -122,7 +113,7 @@
         self.rollout = Some(rollout);
     }
 
-    /// Takes over an endpoint list of discovery. Changes apply to the list in use; only a full list can be the first.
+    /// Applies an endpoint list of discovery. Changes apply to the list in use; the first list must be a full one.
     pub fn apply_endpoint_list(&mut self, version: u64, is_full: bool, now: Millis) -> UpdateResult {
         let result = self.apply_list_version(version, is_full, now);
         self.is_last_full_list_stale = is_full && result == UpdateResult::Stale;
@@ -149,13 +140,13 @@
             return self.use_full_list(received);
         }
         let stale_since = *self.stale_since.get_or_insert(now);
-        if now - stale_since >= NEW_EPOCH_DELAY {
+        if limits::begins_new_epoch(now, stale_since) {
             return self.use_full_list(EndpointListVersion { epoch: received.epoch + 1, version });
         }
         if self.endpoint_list.is_some() {
             return UpdateResult::Stale;
         }
-        // The first list is used although it is stale: changes may bring it up to date.
+        // A stale first list is used, since changes may bring it up to date.
         self.endpoint_list = Some(received);
         UpdateResult::Applied
     }
@@ -167,22 +158,26 @@
         UpdateResult::Applied
     }
 
-    /// A watch or fetch of the list failed: a stale list may have caught up unseen.
+    /// A watch or fetch of the list failed: discovery may have caught up meanwhile.
     pub fn endpoint_list_failed(&mut self) {
         self.stale_since = None;
     }
 
-    /// The newest rollout state known, confirmed by the platform or not.
+    /// The newest known rollout state, confirmed by the platform or not.
+    #[must_use]
     pub fn rollout(&self) -> Option<RolloutVersion> {
         self.rollout
     }
 
     /// Versions that were rolled back.
+    #[must_use]
     pub fn rolled_back_versions(&self) -> &BTreeSet<Version> {
         &self.rolled_back
     }
 
-    /// A full list must be fetched: the list in use is older than the newest known of, or the last full one was stale.
+    /// True where a full list must be fetched: the list in use is older than the newest known one, or the last full list
+    /// was stale.
+    #[must_use]
     pub fn needs_full_list(&self) -> bool {
         self.is_endpoint_list_stale() || self.is_last_full_list_stale
     }
@@ -191,10 +186,10 @@
         self.endpoint_list.is_some_and(|list| list < self.latest_seen)
     }
 
-    /// The version of a configuration published now.
+    /// The version of a configuration that is published now.
     ///
     /// # Errors
-    /// Why none may be published yet.
+    /// No configuration may be published yet.
     pub fn config_version(&self) -> Result<ConfigVersion, SnapshotUnavailable> {
         let endpoints = self.endpoint_list.ok_or(SnapshotUnavailable::NoEndpointList)?;
         let confirmed = self.rollout.filter(|_| self.confirmed_by_platform);
--- a/crates/proxy-config/src/lib.rs
+++ b/crates/proxy-config/src/lib.rs
@@ -4,13 +4,23 @@
 //! - [`version`]: versions of a configuration, their order, and their signed text labels.
 //! - [`freshness`]: the newest rollout state and endpoint list known, and whether a configuration may be published.
 //! - [`parts_per_million`]: the unit of shares, caps and drop rates.
-//! - [`canary_share`]: the share of requests that keeps a canary within its cap although each proxy draws at random.
-//! - [`share_ledger`]: the shares that each proxy may still be using, and what they leave to the others.
+//! - [`canary_share`]: the largest share of requests for a canary at which random draws stay within its cap.
+//! - [`share_ledger`]: the shares that each proxy may still use, and the remaining share of the other proxies.
 //! - [`load_reports`]: load reports of proxies, validated and aggregated into outcome reports.
 //! - [`proxy_config`]: the clusters, endpoints and routes built from a snapshot of the policy.
+//! - [`limits`]: limits and rules of all modules.
+
+#![warn(clippy::pedantic)]
+#![allow(clippy::cast_precision_loss, reason = "counts and times are far below 2^53")]
+#![allow(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "casts of floats saturate at the bounds"
+)]
 
 pub mod canary_share;
 pub mod freshness;
+pub mod limits;
 pub mod load_reports;
 pub mod parts_per_million;
 pub mod proxy_config;
--- a/crates/proxy-config/src/load_reports/outcome_sum.rs
+++ b/crates/proxy-config/src/load_reports/outcome_sum.rs
@@ -1,9 +1,9 @@
 //! Weighted sums of the outcomes of attempts.
 
-use super::EndpointCounts;
+use super::report::EndpointCounts;
 use latchhaven_policy::Millis;
 
-/// A sum of outcomes; fractional, since reports may be weighted down.
+/// A sum of outcomes; fractional, since reports may have a reduced weight.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct OutcomeSum {
     attempts: f64,
@@ -13,7 +13,7 @@
     latency_samples: f64,
 }
 
-/// A sum in whole attempts.
+/// A sum rounded to integers.
 pub(super) struct RoundedOutcomes {
     pub(super) attempts: u64,
     /// At most `attempts`.
@@ -33,12 +33,12 @@
         }
     }
 
-    /// Attempts that ended.
+    /// Completed attempts.
     pub(super) fn attempts(&self) -> f64 {
         self.attempts
     }
 
-    /// Adds another sum, weighted down to at most `max_attempts`.
+    /// Adds another sum, reduced in weight to at most `max_attempts`.
     pub(super) fn add(&mut self, other: &OutcomeSum, max_attempts: f64) {
         let weight = if other.attempts > max_attempts { max_attempts / other.attempts } else { 1.0 };
         self.attempts += weight * other.attempts;
@@ -47,7 +47,7 @@
         self.latency_samples += weight * other.latency_samples;
     }
 
-    /// This sum in whole attempts.
+    /// This sum rounded to integers.
     pub(super) fn rounded(&self) -> RoundedOutcomes {
         let attempts = self.attempts.round() as u64;
         let failures = self.failures.round() as u64;
--- a/crates/proxy-config/src/load_reports/validation.rs
+++ b/crates/proxy-config/src/load_reports/validation.rs
@@ -1,38 +1,31 @@
-//! Checks that a load report does not contradict itself or an earlier one.
+//! Checks that a load report is plausible and does not contradict an earlier one.
 
-use super::{ClusterReport, EndpointCounts, ProxyReport, ReportingProxy};
-use latchhaven_policy::{Millis, Version};
-use std::collections::BTreeSet;
+use super::report::{ClusterKey, ClusterReport, EndpointCounts, EndpointReport, ProxyReport};
+use crate::limits::{MAX_COUNT, MAX_MEAN_LATENCY, REPORT_INTERVAL_RANGE};
+use latchhaven_policy::Version;
+use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use std::ops::RangeInclusive;
 
-/// No proxy counts more in a period.
-const MAX_COUNT: u64 = 1_000_000_000;
-/// The shortest and longest periods in ms that a report may cover: 1 ms to 1 h.
-const INTERVAL_RANGE: RangeInclusive<Millis> = 1.0..=3_600_000.0;
-/// The longest mean latency in ms that is believed: 1 h.
-const MAX_MEAN_LATENCY: Millis = 3_600_000.0;
-
-/// Why a load report is not taken over. The text of each is sent to the proxy.
+/// Why a load report is rejected. The text is sent to the proxy.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReportError {
-    /// The period that it covers is too short, too long, or no number.
+    /// The covered period is too short, too long, or not a number.
     #[error("load_report_interval: not from 1 ms to 1 h")]
     InvalidInterval,
-    /// A cluster is of no known request class, or is in the report twice.
-    #[error("cluster_stats: a cluster that is unknown, or there twice")]
+    /// The request class of a cluster is unknown, or the report has the cluster twice.
+    #[error("cluster_stats: unknown or repeated cluster")]
     UnknownOrRepeatedCluster,
     /// A count at this endpoint is too large.
-    #[error("{0}: counts that cannot be")]
+    #[error("{0}: count above the limit")]
     InvalidCounts(SocketAddr),
-    /// The latency at this endpoint is negative, too large, no number, or without samples.
-    #[error("{0}: times that cannot be")]
+    /// The latency at this endpoint is negative, too large, not a number, or without samples.
+    #[error("{0}: implausible latency")]
     InvalidLatency(SocketAddr),
     /// No endpoint of the cluster's version is at this address.
-    #[error("{0}: no host of its cluster")]
+    #[error("{0}: not an endpoint of its cluster")]
     UnknownEndpoint(SocketAddr),
-    /// More attempts ended in a cluster than had started.
-    #[error("cluster_stats: more ended than had begun")]
+    /// More attempts completed in a cluster than had started.
+    #[error("cluster_stats: more attempts completed than started")]
     MoreEndedThanStarted,
 }
 
@@ -43,12 +36,12 @@
     ended: u64,
 }
 
-/// Checks a report of a proxy, given what that proxy reported before.
+/// Checks a report of a proxy. `in_flight_before`: the attempts in flight in its last report, if there was one.
 pub(super) fn validate(
-    report: &ProxyReport, class_count: usize, previous: Option<&ReportingProxy>,
+    report: &ProxyReport, class_count: usize, in_flight_before: Option<&BTreeMap<ClusterKey, u64>>,
     is_known: impl Fn(&SocketAddr, Version) -> bool,
 ) -> Result<(), ReportError> {
-    if !INTERVAL_RANGE.contains(&report.interval) {
+    if !REPORT_INTERVAL_RANGE.contains(&report.interval) {
         return Err(ReportError::InvalidInterval);
     }
     let mut seen_clusters = BTreeSet::new();
@@ -57,8 +50,8 @@
             return Err(ReportError::UnknownOrRepeatedCluster);
         }
         let totals = validate_endpoints(cluster, &is_known)?;
-        let in_flight_before = previous.and_then(|previous| previous.in_flight.get(&cluster.key()));
-        // A proxy that does not count started attempts cannot contradict itself here.
+        let in_flight_before = in_flight_before.and_then(|in_flight| in_flight.get(&cluster.key()));
+        // Skipped for proxies that do not count started attempts.
         if let Some(in_flight_before) = in_flight_before
             && totals.started > 0
             && totals.ended > totals.started + in_flight_before
@@ -73,7 +66,7 @@
     cluster: &ClusterReport, is_known: impl Fn(&SocketAddr, Version) -> bool,
 ) -> Result<AttemptTotals, ReportError> {
     let mut totals = AttemptTotals::default();
-    for (address, counts) in &cluster.endpoints {
+    for EndpointReport { address, counts } in &cluster.endpoints {
         if !are_counts_plausible(counts, cluster.dropped) {
             return Err(ReportError::InvalidCounts(*address));
         }
--- /dev/null
+++ b/crates/proxy-config/src/proxy_config/context.rs
@@ -0,0 +1,82 @@
+//! The inputs of one configuration, and the capacities and baselines that all its parts use.
+
+use super::model::ProxyConfigSettings;
+use crate::share_ledger::ShareLedger;
+use latchhaven_policy::{EndpointSnapshot, Millis, PolicySnapshot, Version};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The capacity of a baseline version's endpoints that receive requests.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct BaselineCapacity {
+    pub(super) version: Version,
+    pub(super) capacity: f64,
+}
+
+/// The inputs of one configuration, with the capacities and baselines derived from them.
+pub(super) struct ConfigContext<'a> {
+    pub(super) snapshot: &'a PolicySnapshot,
+    pub(super) settings: &'a ProxyConfigSettings,
+    pub(super) proxy_shares: &'a ShareLedger,
+    pub(super) now: Millis,
+    /// Versions whose ready endpoints are all ejected; these receive requests all the same.
+    pub(super) fully_ejected: BTreeSet<Version>,
+    /// The capacity of each version's endpoints that receive requests.
+    pub(super) capacities: BTreeMap<Version, f64>,
+    /// Versions that receive all requests beside the canaries' shares: neither canaries nor rolled back.
+    pub(super) baselines: Vec<BaselineCapacity>,
+}
+
+impl<'a> ConfigContext<'a> {
+    /// The context of a snapshot of the policy at `now`, in ms.
+    pub(super) fn new(
+        snapshot: &'a PolicySnapshot, settings: &'a ProxyConfigSettings, rolled_back: &BTreeSet<Version>,
+        proxy_shares: &'a ShareLedger, now: Millis,
+    ) -> Self {
+        let fully_ejected = fully_ejected_versions(snapshot);
+        let capacities = serving_capacities(snapshot, &fully_ejected);
+        let baselines = baseline_capacities(snapshot, &capacities, rolled_back);
+        ConfigContext { snapshot, settings, proxy_shares, now, fully_ejected, capacities, baselines }
+    }
+
+    /// The capacity of a version's endpoints that receive requests.
+    pub(super) fn capacity(&self, version: Version) -> f64 {
+        self.capacities.get(&version).copied().unwrap_or(0.0)
+    }
+}
+
+fn fully_ejected_versions(snapshot: &PolicySnapshot) -> BTreeSet<Version> {
+    let ready_versions = |is_ejected: bool| -> BTreeSet<Version> {
+        let endpoints = snapshot.endpoints.iter();
+        let ready = endpoints.filter(|endpoint| endpoint.is_ready && endpoint.is_ejected == is_ejected);
+        ready.map(|endpoint| endpoint.version).collect()
+    };
+    &ready_versions(true) - &ready_versions(false)
+}
+
+fn serving_capacities(
+    snapshot: &PolicySnapshot, fully_ejected: &BTreeSet<Version>,
+) -> BTreeMap<Version, f64> {
+    let is_serving = |endpoint: &EndpointSnapshot| {
+        endpoint.is_ready && (!endpoint.is_ejected || fully_ejected.contains(&endpoint.version))
+    };
+    let mut capacities: BTreeMap<Version, f64> = BTreeMap::new();
+    for endpoint in &snapshot.endpoints {
+        if is_serving(endpoint) {
+            *capacities.entry(endpoint.version).or_default() += endpoint.capacity;
+        }
+    }
+    capacities
+}
+
+fn baseline_capacities(
+    snapshot: &PolicySnapshot, capacities: &BTreeMap<Version, f64>, rolled_back: &BTreeSet<Version>,
+) -> Vec<BaselineCapacity> {
+    let is_canary = |version: Version| snapshot.canaries.iter().any(|canary| canary.version == version);
+    let mut baselines = Vec::new();
+    for (&version, &capacity) in capacities {
+        if !is_canary(version) && !rolled_back.contains(&version) && capacity > 0.0 {
+            baselines.push(BaselineCapacity { version, capacity });
+        }
+    }
+    baselines
+}
--- a/crates/proxy-config/src/proxy_config/endpoints.rs
+++ b/crates/proxy-config/src/proxy_config/endpoints.rs
@@ -1,17 +1,12 @@
 //! The endpoints of each version, with their health and weight.
 
-use super::builder::ConfigContext;
-use super::{ConfiguredEndpoint, EndpointHealth};
+use super::context::ConfigContext;
+use super::model::{ConfiguredEndpoint, EndpointHealth};
+use crate::limits;
 use latchhaven_policy::{EndpointSnapshot, Version};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Weight of an endpoint per unit of capacity: finer steps would update all proxies all the time while one warms up.
-const WEIGHT_PER_CAPACITY: f64 = 20.0;
-/// The range of an endpoint's weight.
-const MIN_WEIGHT: f64 = 1.0;
-const MAX_WEIGHT: f64 = 1e6;
-
 /// All endpoints with a known address, by version and in the order of their ids.
 pub(super) fn configured_endpoints(
     context: &ConfigContext<'_>, addresses: &BTreeMap<String, SocketAddr>,
@@ -23,7 +18,7 @@
             endpoint: endpoint.endpoint.clone(),
             address: *address,
             zone: endpoint.zone.clone(),
-            weight: weight(endpoint.capacity),
+            weight: limits::endpoint_weight(endpoint.capacity),
             health: health(context, endpoint),
         });
     }
@@ -33,11 +28,6 @@
     by_version
 }
 
-fn weight(capacity: f64) -> u32 {
-    let steps = (capacity * WEIGHT_PER_CAPACITY).floor();
-    steps.clamp(MIN_WEIGHT, MAX_WEIGHT) as u32
-}
-
 fn health(context: &ConfigContext<'_>, endpoint: &EndpointSnapshot) -> EndpointHealth {
     if !endpoint.is_ready {
         EndpointHealth::Draining
--- a/crates/proxy-config/src/proxy_config/routes.rs
+++ b/crates/proxy-config/src/proxy_config/routes.rs
@@ -1,25 +1,19 @@
 //! The route of each request class: the canary's share, the baselines' shares, and retries.
 
-use super::builder::{BaselineCapacity, ConfigContext, SHARE_STEP};
-use super::{RetryScope, Route, RouteShare, RouteTarget};
+use super::context::{BaselineCapacity, ConfigContext};
+use super::model::{RetryScope, Route, RouteShare, RouteTarget};
 use crate::canary_share::{max_safe_share, max_warmup_share};
+use crate::limits::{self, SHARE_STEP};
 use crate::parts_per_million::PartsPerMillion;
 use latchhaven_policy::{Canary, DedupScope, Idempotency, Millis, RequestClass, Version};
 
-/// Part of the recent request rate that a window brings at least: traffic may fall before proxies are updated.
-const MIN_TRAFFIC_RATIO: f64 = 0.5;
-/// Steps of the share of a canary with a cap: one thousandth.
-const CAPPED_SHARE_STEP: PartsPerMillion = PartsPerMillion::new(1_000);
-/// The longest pause in ms of a proxy between two attempts.
-const MAX_RETRY_BACKOFF: Millis = 100.0;
-
-/// The route of one class and the share in it that canaries get.
+/// The route of one class, and the canaries' share in it.
 pub(super) struct ClassRoute {
     pub(super) route: Route,
     pub(super) canary_share: PartsPerMillion,
 }
 
-/// The retries that a proxy may make of one class's requests.
+/// The retries that a proxy may send for one class's requests.
 struct RetryPolicy {
     scope: RetryScope,
     max_retries: u32,
@@ -47,14 +41,14 @@
         ClassRoute { route, canary_share }
     }
 
-    /// The shares of requests with a key. A key that the canary served must not return to a baseline: requests with a
-    /// key all stay with the baselines while there are any, then move once.
+    /// The shares of requests with a key. A key must not return from the canary to a baseline: all requests with a key
+    /// stay with the baselines while there are any, then migrate once.
     fn sticky_shares(&self, canary_shares: &[RouteShare]) -> Vec<RouteShare> {
         let canary_shares = if self.baselines.is_empty() { canary_shares.to_vec() } else { Vec::new() };
         fill_with_baselines(canary_shares, &self.baselines)
     }
 
-    /// The share of a class that each canary gets.
+    /// Each canary's share of a class.
     fn canary_shares(&self, class: usize) -> Vec<RouteShare> {
         let canaries = &self.snapshot.canaries;
         let canary_capacity = canaries.iter().map(|canary| self.capacity(canary.version)).sum::<f64>();
@@ -66,8 +60,7 @@
             if capacity > 0.0 {
                 let max_share = self.max_canary_share(canary, class, min_requests);
                 let share = (wanted_share * capacity / canary_capacity).min(max_share);
-                // Rounded down to coarse steps, so that a change of traffic does not update all proxies.
-                let step = if canary.traffic_cap < 1.0 { CAPPED_SHARE_STEP } else { SHARE_STEP };
+                let step = limits::canary_share_step(canary.traffic_cap);
                 let share = PartsPerMillion::from_fraction_floor(share).floor_to(step);
                 shares.push(RouteShare { target: RouteTarget::Version(canary.version), share });
             }
@@ -75,7 +68,7 @@
         shares
     }
 
-    /// The largest share for all canaries while one of them warms up and a baseline can take the rest.
+    /// The largest share for all canaries; limited while one of them warms up and there is a baseline.
     fn warmup_limit(&self, canary_capacity: f64) -> f64 {
         let canaries = &self.snapshot.canaries;
         let is_any_warming_up = canaries.iter().any(|canary| self.is_warming_up(canary.version));
@@ -93,30 +86,30 @@
             .any(|endpoint| endpoint.version == version && endpoint.is_ready && endpoint.is_warming_up)
     }
 
-    /// Requests that a window of the exposure rule brings at least: of the class, or of all where it counts all.
+    /// Requests that a window of the exposure rule has at least: of the class, or of all classes where it counts all.
     fn min_requests_per_window(&self, class: usize) -> f64 {
         let exposure = &self.settings.exposure;
         let request_rate: f64 = if exposure.per_class {
-            self.share_ledger.request_rate(class)
+            self.proxy_shares.request_rate(class)
         } else {
             let classes = 0..self.settings.classes.len();
-            classes.map(|class| self.share_ledger.request_rate(class)).sum()
+            classes.map(|class| self.proxy_shares.request_rate(class)).sum()
         };
-        request_rate * exposure.window * MIN_TRAFFIC_RATIO
+        limits::min_requests_per_window(request_rate, exposure.window)
     }
 
-    /// The largest share of a class for a canary: safe under its cap, less what unreachable proxies may be using.
+    /// The largest share of a class for a canary: safe under its cap, reduced by the usage of unreachable proxies.
     fn max_canary_share(&self, canary: &Canary, class: usize, min_requests: f64) -> f64 {
         let exposure = &self.settings.exposure;
         let is_idempotent = self.settings.classes[class].idempotency == Idempotency::Idempotent;
         let is_open = canary.stage >= exposure.closed_stages || is_idempotent;
         let safe_share =
             if is_open { max_safe_share(canary.traffic_cap, exposure.allowance, min_requests) } else { 0.0 };
-        self.share_ledger.remaining_share(class, safe_share, self.now)
+        self.proxy_shares.remaining_share(class, safe_share, self.now)
     }
 }
 
-/// Adds what is left of one whole, by capacity among the baselines; without one it is rejected.
+/// Assigns the remaining share to the baselines, by capacity; without a baseline it is rejected.
 fn fill_with_baselines(mut shares: Vec<RouteShare>, baselines: &[BaselineCapacity]) -> Vec<RouteShare> {
     let canary_share: PartsPerMillion = shares.iter().map(|share| share.share).sum();
     let mut unassigned = PartsPerMillion::FULL.saturating_sub(canary_share);
@@ -137,19 +130,20 @@
     shares
 }
 
-/// Which attempts of a class a proxy may retry, how often, and how long it waits for each.
+/// The attempts of a class that a proxy may retry, how often, and the timeout of each attempt.
 fn retry_policy(class: &RequestClass, max_attempts: usize) -> RetryPolicy {
-    let max_retries = max_attempts.saturating_sub(1) as u32;
+    let max_retries = u32::try_from(max_attempts.saturating_sub(1)).unwrap_or(u32::MAX);
     match class.idempotency {
         Idempotency::Idempotent => RetryPolicy {
             scope: RetryScope::Any,
             max_retries,
             attempt_timeout: Some(class.latency_objective),
         },
-        // A proxy chooses the endpoint of a retry by itself: it may leave a smaller scope of deduplication.
+        // A proxy chooses the endpoint of a retry by itself, possibly outside a smaller deduplication scope.
         Idempotency::IdempotencyKey if class.dedup_scope == DedupScope::All => RetryPolicy {
             scope: RetryScope::Any,
-            max_retries: max_retries.min(retries_in_dedup_window(class)),
+            max_retries: max_retries
+                .min(limits::retries_in_dedup_window(class.dedup_window, class.latency_objective)),
             attempt_timeout: Some(class.latency_objective),
         },
         Idempotency::IdempotencyKey | Idempotency::NonIdempotent => {
@@ -157,10 +151,3 @@
         }
     }
 }
-
-/// Retries of which even the last begins while endpoints still drop duplicates, if each attempt takes its full time.
-fn retries_in_dedup_window(class: &RequestClass) -> u32 {
-    let available_time = (class.dedup_window - MAX_RETRY_BACKOFF).max(0.0);
-    let time_per_retry = class.latency_objective + MAX_RETRY_BACKOFF;
-    (available_time / time_per_retry).floor() as u32
-}
--- a/crates/proxy-config/src/share_ledger.rs
+++ b/crates/proxy-config/src/share_ledger.rs
@@ -1,27 +1,21 @@
 //! The canary shares that each proxy may still be using.
 //!
-//! A proxy that was sent a lower share and has not acknowledged it, or that disconnected, goes on with the share it
-//! holds: nothing can revoke it. The others get less, so that the sum over all proxies stays within the cap.
+//! Problem: a proxy that has not acknowledged a lower share, or that disconnected, continues to use its old share, which
+//! cannot be revoked. Method: the other proxies get less, so that the sum over all proxies, weighted by their request
+//! rates, stays within the cap.
 
+use crate::limits::{self, ShareUsage};
 use crate::parts_per_million::PartsPerMillion;
 use latchhaven_policy::Millis;
 use std::collections::BTreeMap;
 
-/// Time in ms after which a proxy that has not acknowledged its shares counts as not having received them. Half of a
-/// drain grace of 2 s is left to update the others.
-pub const ACKNOWLEDGE_TIMEOUT: Millis = 500.0;
-/// Time in ms for which a disconnected proxy counts; after that it was shut down, or its site is lost.
-pub const DISCONNECTED_RETENTION: Millis = 600_000.0;
-/// The minimum weight of a proxy, as a part of the busiest one's: an idle proxy may get requests again.
-const MIN_RELATIVE_WEIGHT: f64 = 0.1;
-
 /// The canary's share of the requests of each class, by the index of the class.
 pub type CanaryShares = Vec<PartsPerMillion>;
 
 /// Shares that were sent and not yet acknowledged or rejected.
 #[derive(Clone, Debug)]
 struct PendingShares {
-    /// When the first of them was sent.
+    /// When the first of them was sent, in ms.
     since: Millis,
     /// The highest share of each class among them.
     highest: CanaryShares,
@@ -32,16 +26,17 @@
 struct ProxyShares {
     acknowledged: CanaryShares,
     pending: Option<PendingShares>,
-    /// Requests per ms, by class.
+    /// In requests per ms, by class.
     request_rate: Vec<f64>,
     disconnected_at: Option<Millis>,
 }
 
 impl ProxyShares {
-    /// True where the proxy may go on with an outdated share.
+    /// True where the proxy may continue to use an outdated share.
     fn is_unreachable(&self, now: Millis) -> bool {
         let pending = self.pending.as_ref();
-        let is_overdue = pending.is_some_and(|pending| now - pending.since >= ACKNOWLEDGE_TIMEOUT);
+        let is_overdue =
+            pending.is_some_and(|pending| limits::is_acknowledgement_overdue(now, pending.since));
         is_overdue || self.disconnected_at.is_some()
     }
 
@@ -53,7 +48,7 @@
     }
 }
 
-/// The shares of all proxies, by a number that the caller assigns to each of them.
+/// The shares of all proxies, by a number that the caller assigns to each proxy.
 #[derive(Clone, Debug, Default)]
 pub struct ShareLedger {
     proxies: BTreeMap<u64, ProxyShares>,
@@ -61,7 +56,8 @@
 }
 
 impl ShareLedger {
-    /// An empty ledger. Beyond `max_proxies` a new proxy replaces the one that has been disconnected for longest.
+    /// An empty ledger. Above `max_proxies` a new proxy replaces the one that has been disconnected the longest.
+    #[must_use]
     pub fn new(max_proxies: usize) -> Self {
         ShareLedger { proxies: BTreeMap::new(), max_proxies }
     }
@@ -84,104 +80,102 @@
         }
     }
 
-    /// A proxy reported that it holds shares that this process did not send.
+    /// A proxy reported that it uses shares that this process did not send.
     pub fn report_held(&mut self, proxy: u64, shares: CanaryShares) {
         self.proxies.entry(proxy).or_default().acknowledged = shares;
     }
 
-    /// Shares were sent; until they are acknowledged the proxy may use these or the ones before.
+    /// Shares were sent; until they are acknowledged the proxy may use these or earlier ones.
     pub fn sent(&mut self, proxy: u64, shares: &[PartsPerMillion], now: Millis) {
-        let Some(held) = self.proxies.get_mut(&proxy) else { return };
-        match &mut held.pending {
+        let Some(proxy_shares) = self.proxies.get_mut(&proxy) else { return };
+        match &mut proxy_shares.pending {
             Some(PendingShares { highest, .. }) => {
                 highest.resize(highest.len().max(shares.len()), PartsPerMillion::ZERO);
                 for (highest, share) in highest.iter_mut().zip(shares) {
                     *highest = (*highest).max(*share);
                 }
             }
-            None => held.pending = Some(PendingShares { since: now, highest: shares.to_vec() }),
+            None => proxy_shares.pending = Some(PendingShares { since: now, highest: shares.to_vec() }),
         }
     }
 
-    /// The last shares that were sent were acknowledged: the proxy uses no others any more.
+    /// A proxy acknowledged the last sent shares: it uses no others.
     pub fn acknowledged(&mut self, proxy: u64, shares: &[PartsPerMillion]) {
-        if let Some(held) = self.proxies.get_mut(&proxy) {
-            held.acknowledged = shares.to_vec();
-            held.pending = None;
+        if let Some(proxy_shares) = self.proxies.get_mut(&proxy) {
+            proxy_shares.acknowledged = shares.to_vec();
+            proxy_shares.pending = None;
         }
     }
 
-    /// The last shares that were sent were rejected: the proxy stays with the ones before.
+    /// A proxy rejected the last sent shares: it continues to use the ones before.
     pub fn rejected(&mut self, proxy: u64) {
-        if let Some(held) = self.proxies.get_mut(&proxy) {
-            // Overdue from the start: what it holds counts at once.
-            held.pending =
-                Some(PendingShares { since: f64::NEG_INFINITY, highest: held.acknowledged.clone() });
+        if let Some(proxy_shares) = self.proxies.get_mut(&proxy) {
+            // Overdue from the start: the proxy counts as unreachable immediately.
+            proxy_shares.pending =
+                Some(PendingShares { since: f64::NEG_INFINITY, highest: proxy_shares.acknowledged.clone() });
         }
     }
 
-    /// A proxy disconnected; it goes on with the shares it holds.
+    /// A proxy disconnected; it continues to use its shares.
     pub fn disconnected(&mut self, proxy: u64, now: Millis) {
-        if let Some(held) = self.proxies.get_mut(&proxy) {
-            held.disconnected_at = Some(now);
+        if let Some(proxy_shares) = self.proxies.get_mut(&proxy) {
+            proxy_shares.disconnected_at = Some(now);
         }
     }
 
     /// Sets the request rates of a proxy, in requests per ms by class.
     pub fn set_request_rate(&mut self, proxy: u64, request_rate: Vec<f64>) {
-        if let Some(held) = self.proxies.get_mut(&proxy) {
-            held.request_rate = request_rate;
+        if let Some(proxy_shares) = self.proxies.get_mut(&proxy) {
+            proxy_shares.request_rate = request_rate;
         }
     }
 
     /// Requests per ms of one class over all connected proxies, as last reported.
+    #[must_use]
     pub fn request_rate(&self, class: usize) -> f64 {
-        let connected = self.proxies.values().filter(|held| held.disconnected_at.is_none());
-        connected.filter_map(|held| held.request_rate.get(class)).sum()
+        let connected = self.proxies.values().filter(|proxy_shares| proxy_shares.disconnected_at.is_none());
+        connected.filter_map(|proxy_shares| proxy_shares.request_rate.get(class)).sum()
     }
 
     /// The number of proxies, disconnected ones included.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.proxies.len()
     }
 
-    /// True where no proxy is known.
+    /// True where there is no proxy.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.proxies.is_empty()
     }
 
-    /// Removes proxies that have been disconnected for [`DISCONNECTED_RETENTION`].
+    /// Removes proxies that have been disconnected for [`limits::DISCONNECTED_RETENTION`].
     pub fn remove_expired(&mut self, now: Millis) {
-        self.proxies
-            .retain(|_, held| held.disconnected_at.is_none_or(|since| now - since < DISCONNECTED_RETENTION));
+        self.proxies.retain(|_, proxy| {
+            proxy.disconnected_at.is_none_or(|since| limits::retains_disconnected(now, since))
+        });
     }
 
-    /// The share of a class that every reachable proxy may use, so that the sum over all proxies is at most
+    /// The share of a class, from 0 to 1, that each reachable proxy may use, so that the sum over all proxies is at most
     /// `total_share` of the requests.
+    #[must_use]
     pub fn remaining_share(&self, class: usize, total_share: f64, now: Millis) -> f64 {
-        let rate_of = |held: &ProxyShares| held.request_rate.get(class).copied();
+        limits::remaining_share(total_share, self.usage(class, now))
+    }
+
+    /// The weights of all proxies, and the usage of the unreachable ones.
+    fn usage(&self, class: usize, now: Millis) -> ShareUsage {
+        let rate_of = |proxy: &ProxyShares| proxy.request_rate.get(class).copied();
         let busiest_rate = self.proxies.values().filter_map(rate_of).fold(0.0, f64::max);
-        // A proxy that never reported may carry as much as any other.
-        let assumed_rate = if busiest_rate > 0.0 { busiest_rate } else { 1.0 };
-        let mut unreachable_weight = 0.0;
-        let mut unreachable_usage = 0.0;
-        let mut total_weight = 0.0;
-        for held in self.proxies.values() {
-            let weight = rate_of(held).unwrap_or(assumed_rate).max(assumed_rate * MIN_RELATIVE_WEIGHT);
-            total_weight += weight;
-            if held.is_unreachable(now) {
-                unreachable_weight += weight;
-                unreachable_usage += held.highest_possible_share(class).of(weight);
+        let mut usage = ShareUsage::default();
+        for proxy in self.proxies.values() {
+            let weight = limits::proxy_weight(rate_of(proxy), busiest_rate);
+            usage.total_weight += weight;
+            if proxy.is_unreachable(now) {
+                usage.unreachable_weight += weight;
+                usage.unreachable_usage += proxy.highest_possible_share(class).of(weight);
             }
         }
-        // Unreachable proxies that use less than they might leave nothing over: they may be updated at any moment.
-        if unreachable_usage <= total_share * unreachable_weight {
-            return total_share;
-        }
-        if total_weight <= unreachable_weight {
-            return 0.0;
-        }
-        let remaining = total_share * total_weight - unreachable_usage;
-        (remaining / (total_weight - unreachable_weight)).clamp(0.0, total_share)
+        usage
     }
 }
--- a/crates/proxy-config/src/version.rs
+++ b/crates/proxy-config/src/version.rs
@@ -1,10 +1,11 @@
 //! Versions of a proxy configuration, their order, and the text labels that carry them.
 //!
 //! A configuration is based on a state of the newest version's rollout and on a version of the endpoint list. The order
-//! of two configurations follows from these, never from who published them or when: one is newer only where neither of
-//! its two parts is older. A label holds both parts as text, signed where control services share a key, so that a proxy
-//! which reports the label it holds shows another service how far the rollout and the list have got.
+//! of two configurations follows from these two parts, never from the publishing service or the time: one is newer only
+//! where neither part is older. A label contains both parts as text, signed where control services share a key. From the
+//! label that a proxy reports, another service reads which rollout state and endpoint list were published before.
 
+use crate::limits;
 use crate::parts_per_million::PartsPerMillion;
 use hmac::{Hmac, Mac};
 use latchhaven_policy::{Millis, RolloutPhase, RolloutState, Version};
@@ -13,20 +14,15 @@
 use std::cmp::Ordering;
 use std::fmt;
 
-/// Begins of a state that differ by at most so many ms are the same: services read one platform at different moments,
-/// on clocks that differ. Stages and phases last far longer.
-const SINCE_TOLERANCE: u64 = 2_000;
-/// The maximum length of a label's prefix in bytes; longer ones were not made here.
-pub const MAX_LABEL_LENGTH: usize = 160;
-/// Hexadecimal digits of a signature in a label: 64 bits, which nobody guesses over a stream.
+/// Hexadecimal digits of a signature in a label: 64 bits.
 const SIGNATURE_LENGTH: usize = 16;
 /// Hexadecimal digits of a content hash in a label.
 const CONTENT_HASH_LENGTH: usize = 16;
 /// Fields of a label's prefix without a signature.
 const PREFIX_FIELDS: usize = 6;
 
-/// The status of a version's rollout, in the order in which a rollout can pass through them. A version that was once
-/// rejected is not published as a canary again, whatever another service decides.
+/// The status of a version's rollout, in the order in which a rollout can pass through them. A rejected version is not
+/// published as a canary again, whatever another service decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RolloutStatus {
     /// The platform runs it as a canary.
@@ -92,12 +88,12 @@
     /// The newest version.
     #[serde(rename = "build")]
     pub version: Version,
-    /// How far its rollout is.
+    /// The status of its rollout.
     #[serde(rename = "way")]
     pub status: RolloutStatus,
     /// The stage of its rollout, from 0.
     pub stage: u32,
-    /// The share of requests that it may get at this stage.
+    /// The share of requests that it may receive at this stage.
     #[serde(rename = "cap")]
     pub traffic_cap: PartsPerMillion,
     /// Unix time in ms at which the state began.
@@ -106,6 +102,7 @@
 
 impl RolloutVersion {
     /// The version of a state that was reported at the time `now`, in Unix ms.
+    #[must_use]
     pub fn from_state(state: &RolloutState, is_rejected: bool, now: Millis) -> Self {
         RolloutVersion {
             version: state.version,
@@ -117,6 +114,7 @@
     }
 
     /// The state of this version as it is at the time `now`, in Unix ms.
+    #[must_use]
     pub fn to_state(&self, now: Millis) -> RolloutState {
         RolloutState {
             version: self.version,
@@ -127,29 +125,30 @@
         }
     }
 
-    /// Compares by version, status and stage; within a stage by begin. Where begins are too close to be distinguished
-    /// the lower cap is the newer one: to take it for newer by mistake exceeds no cap.
+    /// Compares by version, status and stage; within a stage by begin. Where the begins cannot be distinguished, the lower
+    /// cap counts as newer, since a mistake then exceeds no cap.
+    #[must_use]
     pub fn compare(&self, other: &Self) -> Ordering {
         let progress = |rollout: &Self| (rollout.version, rollout.status, rollout.stage);
-        let within_stage = if self.since.abs_diff(other.since) > SINCE_TOLERANCE {
-            self.since.cmp(&other.since)
-        } else {
+        let within_stage = if limits::is_same_begin(self.since, other.since) {
             other.traffic_cap.cmp(&self.traffic_cap)
+        } else {
+            self.since.cmp(&other.since)
         };
         progress(self).cmp(&progress(other)).then(within_stage)
     }
 }
 
-/// A version of the endpoint list. Discovery counts from the start after its own restart: that begins an epoch.
+/// A version of the endpoint list. Discovery restarts its count when it restarts itself: that begins a new epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EndpointListVersion {
-    /// Restarts of discovery that were noticed.
+    /// The number of detected restarts of discovery.
     pub epoch: u32,
-    /// The version that discovery gave to the list.
+    /// The version that discovery assigned to the list.
     pub version: u64,
 }
 
-/// What a configuration is based on.
+/// The version of a configuration: the states that it is based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigVersion {
     /// The state of the newest version's rollout.
@@ -162,16 +161,19 @@
 
 impl ConfigVersion {
     /// True where neither part is older than the other's.
+    #[must_use]
     pub fn dominates(&self, other: &Self) -> bool {
         self.rollout.compare(&other.rollout) != Ordering::Less && self.endpoints >= other.endpoints
     }
 
     /// True where one part is newer than the other's, and none is older.
+    #[must_use]
     pub fn is_newer_than(&self, other: &Self) -> bool {
         self.dominates(other) && !other.dominates(self)
     }
 
     /// The newer of each part.
+    #[must_use]
     pub fn join(&self, other: &Self) -> Self {
         let is_other_newer = other.rollout.compare(&self.rollout) == Ordering::Greater;
         ConfigVersion {
@@ -181,36 +183,37 @@
     }
 }
 
-/// A label as read: the version and the content that it stands for.
+/// A parsed label: the version and the content hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SignedVersion {
-    /// What the labelled resource is based on.
+    /// The version of the labelled resource.
     pub version: ConfigVersion,
-    /// Distinguishes resources of the same version.
+    /// The hash of the content; distinguishes resources of the same version.
     pub content_hash: u64,
-    /// A service with the same key made the label.
+    /// A service with the same key signed the label.
     pub is_signed: bool,
 }
 
-/// A label's prefix as read.
+/// A parsed prefix of a label.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SignedPrefix {
     /// The version in the prefix.
     pub version: ConfigVersion,
-    /// A service with the same key made the prefix.
+    /// A service with the same key signed the prefix.
     pub is_signed: bool,
 }
 
 /// The two parts of a label's text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LabelParts<'a> {
-    /// The version, with its signature where there is one.
+    /// The version, with its signature if it is signed.
     pub prefix: &'a str,
     /// The hash of the labelled content.
     pub content_hash: u64,
 }
 
-/// Splits a label into its prefix and its content hash; none where it is no label.
+/// Splits a label into its prefix and its content hash; none if it is not a label.
+#[must_use]
 pub fn split_label(label: &str) -> Option<LabelParts<'_>> {
     let (prefix, digits) = label.rsplit_once('.')?;
     if digits.len() != CONTENT_HASH_LENGTH || !digits.bytes().all(|byte| byte.is_ascii_hexdigit()) {
@@ -221,11 +224,12 @@
 }
 
 /// The label of a content under a prefix.
+#[must_use]
 pub fn join_label(prefix: &str, content_hash: u64) -> String {
     format!("{prefix}.{content_hash:016x}")
 }
 
-/// Writes and reads labels, and signs them where it has a key.
+/// Writes and parses labels, and signs them if it has a key.
 #[derive(Clone, Default)]
 pub struct VersionSigner {
     key: Option<Vec<u8>>,
@@ -239,8 +243,9 @@
 }
 
 impl VersionSigner {
-    /// Signs labels with a key. Without one, or with an empty one, labels are plain: then what a proxy reports as held
-    /// guards its own stream only.
+    /// Signs labels with a key. Without a key, or with an empty one, labels are unsigned: then a version that a proxy
+    /// reports protects the proxy's own stream only.
+    #[must_use]
     pub fn new(key: Option<Vec<u8>>) -> Self {
         VersionSigner { key: key.filter(|key| !key.is_empty()) }
     }
@@ -249,11 +254,11 @@
         let mut mac = Hmac::<Sha256>::new_from_slice(self.key.as_ref()?).ok()?;
         mac.update(body.as_bytes());
         let digest = mac.finalize().into_bytes();
-        let digits: String = digest.iter().map(|byte| format!("{byte:02x}")).collect();
-        Some(digits[..SIGNATURE_LENGTH].to_string())
+        let leading_bytes = digest.first_chunk().copied().map(u64::from_be_bytes)?;
+        Some(format!("{leading_bytes:016x}"))
     }
 
-    /// True where a signature is the one that this signer's key gives; in constant time.
+    /// Compares a signature with that of this signer's key, in constant time.
     fn verify(&self, body: &str, signature: &str) -> bool {
         let Some(expected) = self.sign(body) else { return false };
         let pairs = signature.bytes().zip(expected.bytes());
@@ -261,6 +266,7 @@
     }
 
     /// The prefix of all labels of a version; signed once for all resources of that version.
+    #[must_use]
     pub fn prefix(&self, version: &ConfigVersion) -> String {
         let RolloutVersion { version: newest, status, stage, traffic_cap, since } = version.rollout;
         let EndpointListVersion { epoch, version: list_version } = version.endpoints;
@@ -273,21 +279,24 @@
     }
 
     /// The label of a content of a version.
+    #[must_use]
     pub fn label(&self, version: &ConfigVersion, content_hash: u64) -> String {
         join_label(&self.prefix(version), content_hash)
     }
 
-    /// Reads a label; none where its text is no label.
+    /// Parses a label; none if the text is not a label.
+    #[must_use]
     pub fn parse_label(&self, label: &str) -> Option<SignedVersion> {
         let LabelParts { prefix, content_hash } = split_label(label)?;
         let SignedPrefix { version, is_signed } = self.parse_prefix(prefix)?;
         Some(SignedVersion { version, content_hash, is_signed })
     }
 
-    /// Reads a label's prefix; none where its text is no prefix. A prefix that another key signed, or none, may still
-    /// be what a proxy holds: it guards that proxy's stream.
+    /// Parses a label's prefix; none if the text is not a prefix. An unsigned prefix, or one signed with another key, is
+    /// valid: it protects the stream of the proxy that reports it.
+    #[must_use]
     pub fn parse_prefix(&self, prefix: &str) -> Option<SignedPrefix> {
-        if prefix.len() > MAX_LABEL_LENGTH || !prefix.is_ascii() {
+        if prefix.len() > limits::MAX_LABEL_LENGTH || !prefix.is_ascii() {
             return None;
         }
         let fields: Vec<&str> = prefix.split('.').collect();
@@ -308,7 +317,7 @@
     }
 }
 
-/// Reads the first four fields of a prefix.
+/// Parses the first four fields of a prefix.
 fn parse_rollout(fields: &[&str]) -> Option<RolloutVersion> {
     let version = fields[0].strip_prefix('b')?.parse().ok()?;
     let status = RolloutStatus::from_letter(fields[1].chars().next()?)?;
@@ -321,7 +330,7 @@
     Some(RolloutVersion { version, status, stage, traffic_cap, since })
 }
 
-/// Reads the last two fields of a prefix.
+/// Parses the last two fields of a prefix.
 fn parse_endpoint_list(fields: &[&str]) -> Option<EndpointListVersion> {
     let epoch = fields[4].strip_prefix('l')?.parse().ok()?;
     let version = fields[5].parse().ok()?;
--- a/crates/proxy-config/tests/canary_share.rs
+++ b/crates/proxy-config/tests/canary_share.rs
@@ -1,4 +1,4 @@
-//! The share of requests that keeps a canary within its cap.
+//! The largest share of requests at which a canary stays within its cap.
 
 use latchhaven_proxy_config::canary_share::max_safe_share;
 use latchhaven_proxy_config::parts_per_million::PartsPerMillion;
@@ -21,7 +21,7 @@
     }
 }
 
-/// Windows of any size from the least on, drawn many times: none exceeds the cap. At the cap itself half of them do.
+/// Random windows of several sizes from the minimum on: none exceeds the cap. At the cap itself half of them do.
 #[test]
 fn window_at_the_safe_share_never_exceeds_the_cap() {
     let mut rng = Pcg64Mcg::seed_from_u64(5);
--- a/crates/proxy-config/tests/freshness.rs
+++ b/crates/proxy-config/tests/freshness.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn newer_version_of_a_proxy_is_believed_only_with_a_signature() {
+fn newer_version_of_a_proxy_is_applied_only_with_a_signature() {
     let signer = VersionSigner::new(Some(b"site".to_vec()));
     let held = ConfigVersion {
         rollout: rollout_version(9, RolloutStatus::RollingBack, 2, 1_000),
--- a/crates/proxy-config/tests/load_reports.rs
+++ b/crates/proxy-config/tests/load_reports.rs
@@ -1,13 +1,13 @@
-//! Which load reports are taken over, and what they say to the policy.
+//! Which load reports are accepted, and the events for the policy.
 
 use latchhaven_policy::{EndpointOutcomes, Event, OutcomeReport, Version};
 use latchhaven_proxy_config::load_reports::{
-    ClusterReport, EndpointCounts, LoadReportAggregator, ProxyReport, ReportError,
+    ClusterReport, EndpointCounts, EndpointReport, LoadReportAggregator, ProxyReport, ReportError,
 };
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
-/// The largest count that is taken over.
+/// The largest accepted count.
 const MAX_COUNT: u64 = 1_000_000_000;
 
 /// Endpoints at the ports 1 to 3 run version 1.
@@ -25,7 +25,7 @@
 }
 
 fn report(version: u32, port: u16, counts: EndpointCounts) -> ProxyReport {
-    let endpoints = vec![(address(port), counts)];
+    let endpoints = vec![EndpointReport { address: address(port), counts }];
     let cluster = ClusterReport { version: Version(version), class: 0, endpoints, dropped: 0 };
     ProxyReport { interval: 1000.0, clusters: vec![cluster] }
 }
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn invalid_report_is_rejected_as_a_whole() {
+fn invalid_report_is_rejected_completely() {
     let mut aggregator = aggregator(false);
     let mut is_rejected = |report: ProxyReport| aggregator.add_report(1, &report, endpoint_at, 0.0).is_err();
     assert!(!is_rejected(report(1, 1, EndpointCounts { in_flight: 2, ..counts(5, 1) })));
@@ -67,7 +67,7 @@
 
 /// These texts are sent to proxies.
 #[test]
-fn report_error_text_names_what_is_wrong() {
+fn report_error_text_names_field_and_problem() {
     let mut aggregator = aggregator(false);
     let mut error = |report: ProxyReport| aggregator.add_report(1, &report, endpoint_at, 0.0).unwrap_err();
     let too_short = ProxyReport { interval: 0.0, ..report(1, 1, counts(1, 0)) };
@@ -78,22 +78,22 @@
         (
             error(repeated),
             ReportError::UnknownOrRepeatedCluster,
-            "cluster_stats: a cluster that is unknown, or there twice",
+            "cluster_stats: unknown or repeated cluster",
         ),
         (
             error(report(1, 1, counts(MAX_COUNT + 1, 0))),
             ReportError::InvalidCounts(address(1)),
-            "127.0.0.1:1: counts that cannot be",
+            "127.0.0.1:1: count above the limit",
         ),
         (
             error(report(1, 1, timed(3.0, 0))),
             ReportError::InvalidLatency(address(1)),
-            "127.0.0.1:1: times that cannot be",
+            "127.0.0.1:1: implausible latency",
         ),
         (
             error(report(1, 9, counts(1, 0))),
             ReportError::UnknownEndpoint(address(9)),
-            "127.0.0.1:9: no host of its cluster",
+            "127.0.0.1:9: not an endpoint of its cluster",
         ),
     ];
     for (error, expected, text) in errors {
@@ -101,7 +101,7 @@
         assert_eq!(error, expected);
     }
     let text = ReportError::MoreEndedThanStarted.to_string();
-    assert_eq!(text, "cluster_stats: more ended than had begun");
+    assert_eq!(text, "cluster_stats: more attempts completed than started");
 }
 
 #[test]
--- a/crates/proxy-config/tests/proxy_config.rs
+++ b/crates/proxy-config/tests/proxy_config.rs
@@ -1,4 +1,4 @@
-//! What a configuration lets proxies do, for a snapshot of the policy.
+//! The limits and routes of a configuration, for a snapshot of the policy.
 
 use latchhaven_policy::{
     Canary, DedupScope, EndpointSnapshot, ExposureConfig, Idempotency, Millis, PolicySnapshot, RequestClass,
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Part of the recent request rate that a window brings at least.
+/// The fraction of the recent request rate that a window has at least.
 const MIN_TRAFFIC_RATIO: f64 = 0.5;
 
 fn request_class(idempotency: Idempotency, dedup_scope: DedupScope, dedup_window: Millis) -> RequestClass {
@@ -85,24 +85,37 @@
     (0..count).map(|number| (format!("s{number}"), address(number))).collect()
 }
 
-/// One proxy with so many requests per ms of each class.
-fn ledger(request_rate: f64) -> ShareLedger {
-    let mut ledger = ShareLedger::new(10);
-    ledger.connected(1);
-    ledger.set_request_rate(1, vec![request_rate; 4]);
-    ledger
+/// A connected proxy with this rate of each class, in requests per ms.
+fn connected_proxy(request_rate: f64) -> ShareLedger {
+    let mut proxies = ShareLedger::new(10);
+    proxies.connected(1);
+    proxies.set_request_rate(1, vec![request_rate; 4]);
+    proxies
 }
 
 fn build(snapshot: &PolicySnapshot, rolled_back: &BTreeSet<Version>, request_rate: f64) -> ProxyConfig {
-    build_proxy_config(snapshot, &settings(), rolled_back, &addresses(12), &ledger(request_rate), 0.0)
+    build_proxy_config(
+        snapshot,
+        &settings(),
+        rolled_back,
+        &addresses(12),
+        &connected_proxy(request_rate),
+        0.0,
+    )
 }
 
 /// The route of the only class of a configuration.
 fn route_of(class: RequestClass) -> Route {
     let settings = settings_for(vec![class]);
     let snapshot = PolicySnapshot::default();
-    let mut config =
-        build_proxy_config(&snapshot, &settings, &BTreeSet::new(), &BTreeMap::new(), &ledger(1.0), 0.0);
+    let mut config = build_proxy_config(
+        &snapshot,
+        &settings,
+        &BTreeSet::new(),
+        &BTreeMap::new(),
+        &connected_proxy(1.0),
+        0.0,
+    );
     config.routes.remove(0)
 }
 
@@ -135,7 +148,7 @@
 }
 
 #[test]
-fn retries_follow_what_the_class_permits() {
+fn retries_follow_idempotency_and_dedup_window_of_the_class() {
     let retries = |idempotency, dedup_scope, dedup_window| {
         let route = route_of(request_class(idempotency, dedup_scope, dedup_window));
         (route.retry_scope, route.max_retries, route.attempt_timeout)
@@ -146,7 +159,7 @@
     assert_eq!(scoped_key.0, RetryScope::NotExecuted);
     let key = |dedup_window| retries(Idempotency::IdempotencyKey, DedupScope::All, dedup_window);
     assert_eq!(key(9000.0), (RetryScope::Any, 2, Some(600.0)));
-    // Only one retry begins before the window is over, or none.
+    // Only one retry begins within the window, or none.
     assert_eq!(key(900.0).1, 1);
     assert_eq!(key(700.0).1, 0);
 }
@@ -160,13 +173,13 @@
     }
 }
 
-/// The share that is safe for a canary at a rate of so many requests per ms of each of the four classes.
+/// The safe share of a canary at this rate of each of the four classes, in requests per ms.
 fn safe_share(traffic_cap: f64, request_rate: f64) -> PartsPerMillion {
     let min_requests = request_rate * 4.0 * 2000.0 * MIN_TRAFFIC_RATIO;
     PartsPerMillion::from_fraction_floor(max_safe_share(traffic_cap, 2.0, min_requests))
 }
 
-/// What the rules say about the versions of one configuration.
+/// The expected limits of one configuration.
 struct Rules {
     canary_versions: BTreeSet<Version>,
     rolled_back: BTreeSet<Version>,
@@ -211,8 +224,8 @@
 proptest! {
     #![proptest_config(latchhaven_proptest_config::deterministic())]
 
-    /// Whatever the fleet looks like: each route is one whole, the canary within its cap and open only where it may be,
-    /// and a rolled-back version gets nothing.
+    /// For any fleet: the shares of each route sum to 1, the canary is within its cap and receives only permitted classes,
+    /// and a rolled-back version receives nothing.
     #[test]
     fn every_configuration_keeps_the_rules(
         mut endpoints in prop::collection::vec(any_endpoint(), 0..12),
--- a/crates/proxy-config/tests/share_ledger.rs
+++ b/crates/proxy-config/tests/share_ledger.rs
@@ -1,8 +1,9 @@
-//! The share that is left to reachable proxies while others may be using more.
+//! The remaining share of reachable proxies while others may use more.
 
 use latchhaven_policy::Millis;
+use latchhaven_proxy_config::limits::{ACKNOWLEDGE_TIMEOUT, DISCONNECTED_RETENTION};
 use latchhaven_proxy_config::parts_per_million::PartsPerMillion;
-use latchhaven_proxy_config::share_ledger::{ACKNOWLEDGE_TIMEOUT, DISCONNECTED_RETENTION, ShareLedger};
+use latchhaven_proxy_config::share_ledger::ShareLedger;
 use proptest::prelude::*;
 
 fn share(parts: u32) -> [PartsPerMillion; 1] {
@@ -10,27 +11,27 @@
 }
 
 #[test]
-fn reachable_proxies_get_less_while_others_hold_more() {
-    let mut ledger = ShareLedger::new(100);
+fn reachable_proxies_get_less_while_others_use_more() {
+    let mut proxies = ShareLedger::new(100);
     for proxy in 0..10 {
-        ledger.connected(proxy);
-        ledger.sent(proxy, &share(400_000), 0.0);
-        ledger.acknowledged(proxy, &share(400_000));
+        proxies.connected(proxy);
+        proxies.sent(proxy, &share(400_000), 0.0);
+        proxies.acknowledged(proxy, &share(400_000));
     }
-    ledger.disconnected(3, 100.0);
-    assert!((ledger.remaining_share(0, 0.1, 200.0) - 0.06 / 0.9).abs() < 1e-9);
-    assert_eq!(ledger.remaining_share(0, 0.4, 200.0), 0.4);
-    assert_eq!(ledger.remaining_share(0, 0.02, 200.0), 0.0, "the disconnected one uses more than the cap");
+    proxies.disconnected(3, 100.0);
+    assert!((proxies.remaining_share(0, 0.1, 200.0) - 0.06 / 0.9).abs() < 1e-9);
+    assert_eq!(proxies.remaining_share(0, 0.4, 200.0), 0.4);
+    assert_eq!(proxies.remaining_share(0, 0.02, 200.0), 0.0, "the disconnected one uses more than the cap");
     // Nine were sent less; one of them does not acknowledge it.
-    (0..10).filter(|proxy| *proxy != 3).for_each(|proxy| ledger.sent(proxy, &share(66_000), 300.0));
-    (0..9).filter(|proxy| *proxy != 3).for_each(|proxy| ledger.acknowledged(proxy, &share(66_000)));
-    assert!((ledger.remaining_share(0, 0.1, 300.0) - 0.06 / 0.9).abs() < 1e-9);
-    assert!((ledger.remaining_share(0, 0.1, 300.0 + ACKNOWLEDGE_TIMEOUT) - 0.02 / 0.8).abs() < 1e-9);
-    ledger.remove_expired(100.0 + DISCONNECTED_RETENTION);
-    assert_eq!(ledger.len(), 9);
+    (0..10).filter(|proxy| *proxy != 3).for_each(|proxy| proxies.sent(proxy, &share(66_000), 300.0));
+    (0..9).filter(|proxy| *proxy != 3).for_each(|proxy| proxies.acknowledged(proxy, &share(66_000)));
+    assert!((proxies.remaining_share(0, 0.1, 300.0) - 0.06 / 0.9).abs() < 1e-9);
+    assert!((proxies.remaining_share(0, 0.1, 300.0 + ACKNOWLEDGE_TIMEOUT) - 0.02 / 0.8).abs() < 1e-9);
+    proxies.remove_expired(100.0 + DISCONNECTED_RETENTION);
+    assert_eq!(proxies.len(), 9);
 }
 
-/// What a proxy may be using, followed apart from the ledger.
+/// The share that a proxy may use, computed independently.
 #[derive(Clone, Copy, Default)]
 struct ModelProxy {
     acknowledged: u32,
@@ -67,43 +68,43 @@
 proptest! {
     #![proptest_config(latchhaven_proptest_config::deterministic())]
 
-    /// Whatever was sent, acknowledged, rejected or lost: with the remaining share given to all others the sum keeps
-    /// the cap, wherever what unreachable proxies use leaves room for that at all.
+    /// After any sequence of events the sum is within the cap if all reachable proxies use the remaining share, unless
+    /// the unreachable proxies alone exceed it.
     #[test]
     fn sum_of_shares_stays_within_the_total(
         steps in prop::collection::vec((0u64..6, 0u8..5, 0u32..=1_000_000), 0..60), total in 0.0f64..1.0
     ) {
-        let mut ledger = ShareLedger::new(10);
+        let mut proxies = ShareLedger::new(10);
         let mut model = [ModelProxy::default(); 6];
         let mut now = 0.0;
-        (0..6).for_each(|proxy| ledger.connected(proxy));
+        (0..6).for_each(|proxy| proxies.connected(proxy));
         for (proxy, kind, parts) in steps {
             now += 100.0;
             let expected = &mut model[proxy as usize];
             match kind {
                 0 => {
-                    ledger.sent(proxy, &share(parts), now);
+                    proxies.sent(proxy, &share(parts), now);
                     expected.sent(parts, now);
                 }
                 1 => {
-                    ledger.acknowledged(proxy, &share(parts));
+                    proxies.acknowledged(proxy, &share(parts));
                     expected.acknowledged(parts);
                 }
                 2 => {
-                    ledger.rejected(proxy);
+                    proxies.rejected(proxy);
                     expected.rejected();
                 }
                 3 => {
-                    ledger.disconnected(proxy, now);
+                    proxies.disconnected(proxy, now);
                     expected.is_disconnected = true;
                 }
                 _ => {
-                    ledger.connected(proxy);
+                    proxies.connected(proxy);
                     expected.is_disconnected = false;
                 }
             }
         }
-        let remaining = ledger.remaining_share(0, total, now);
+        let remaining = proxies.remaining_share(0, total, now);
         let (mut unreachable, mut sum) = (0.0, 0.0);
         for proxy in &model {
             let used = proxy.highest_possible_share() / 6.0;
--- a/crates/xds/src/load_stats.rs
+++ b/crates/xds/src/load_stats.rs
@@ -5,7 +5,7 @@
 use crate::pb::envoy::service::load_stats::v3::LoadStatsRequest;
 use crate::resources::{REJECT_CLUSTER, parse_cluster_name};
 use latchhaven_policy::Millis;
-use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, ProxyReport};
+use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, EndpointReport, ProxyReport};
 use std::net::SocketAddr;
 
 /// The custom metric in which proxies and endpoints report latencies, in ms for one request.
@@ -87,7 +87,7 @@
 /// The endpoints of a cluster, sorted by address; `endpoint_count` counts those of the whole report.
 fn parse_endpoints(
     stats: &ClusterStats, endpoint_count: &mut usize,
-) -> Result<Vec<(SocketAddr, EndpointCounts)>, LoadReportError> {
+) -> Result<Vec<EndpointReport>, LoadReportError> {
     let mut endpoints = Vec::new();
     for locality in &stats.upstream_locality_stats {
         *endpoint_count += locality.upstream_endpoint_stats.len();
@@ -95,13 +95,13 @@
             return Err(LoadReportError::TooManyEndpoints);
         }
         for endpoint in &locality.upstream_endpoint_stats {
-            let addr = endpoint.address.as_ref().and_then(parse_address);
-            let addr = addr.ok_or(LoadReportError::MissingAddress)?;
-            endpoints.push((addr, parse_counts(endpoint)));
+            let address = endpoint.address.as_ref().and_then(parse_address);
+            let address = address.ok_or(LoadReportError::MissingAddress)?;
+            endpoints.push(EndpointReport { address, counts: parse_counts(endpoint) });
         }
     }
-    endpoints.sort_by_key(|(addr, _)| *addr);
-    if endpoints.windows(2).any(|pair| pair[0].0 == pair[1].0) {
+    endpoints.sort_by_key(|endpoint| endpoint.address);
+    if endpoints.windows(2).any(|pair| pair[0].address == pair[1].address) {
         return Err(LoadReportError::DuplicateEndpoint);
     }
     Ok(endpoints)
