--- a/crates/proxy-config/src/load_reports/validation.rs
+++ b/crates/proxy-config/src/load_reports/validation.rs
@@ -13,7 +13,7 @@
     #[error("load_report_interval: not from 1 ms to 1 h")]
     InvalidInterval,
     /// The request class of a cluster is unknown, or the report has the cluster twice.
-    #[error("cluster_stats: unknown or repeated cluster")]
+    #[error("cluster_stats: unknown cluster, or the same cluster twice")]
     UnknownOrRepeatedCluster,
     /// A count at this endpoint is too large.
     #[error("{0}: count above the limit")]
--- a/crates/proxy-config/tests/load_reports.rs
+++ b/crates/proxy-config/tests/load_reports.rs
@@ -78,7 +78,7 @@
         (
             error(repeated),
             ReportError::UnknownOrRepeatedCluster,
-            "cluster_stats: unknown or repeated cluster",
+            "cluster_stats: unknown cluster, or the same cluster twice",
         ),
         (
             error(report(1, 1, counts(MAX_COUNT + 1, 0))),
