--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -103,12 +103,13 @@
                     self.on_reported_version(proxy, resource_type, &version, now);
                 }
                 StreamEvent::Acknowledged(shares) => self.shares.acknowledged(proxy, &shares),
-                StreamEvent::Rejected { resource_type, message } => {
+                StreamEvent::Rejected { resource_type, nonce, message } => {
                     let node = self.proxies.node(stream);
                     tracing::warn!(
                         node,
                         stream,
                         ?resource_type,
+                        nonce,
                         reason = message,
                         "xds: proxy rejected a configuration"
                     );
--- a/crates/xds/src/admission.rs
+++ b/crates/xds/src/admission.rs
@@ -1,25 +1,17 @@
 //! Admission of new streams.
 //!
-//! When many proxies reconnect at once, their streams begin at a bounded rate, so that established streams continue to
-//! be served. The number of streams, open or pending, is bounded as well. A proxy that reconnects in quick succession
-//! waits behind all others.
+//! Problem: when many proxies reconnect simultaneously, their complete states delay the responses on established streams.
+//! Method: a token bucket bounds the rate of new streams. The number of streams, open or pending, is bounded as well. A
+//! proxy that reconnects frequently has lower priority.
 
+use crate::limits::{self, MAX_ADMISSION_BURST, MAX_RETAINED_REQUEST_TIMES};
 use latchhaven_policy::Millis;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Streams admitted per ms at most. Each costs a complete state of some tens of KiB, so this is 100 MiB per second.
-const ADMISSION_RATE: f64 = 2.0;
-/// Streams admitted at once at most.
-const MAX_BURST: f64 = 50.0;
-/// A proxy whose last request is more recent than this, in ms, is reconnecting in quick succession.
-const FREQUENT_INTERVAL: Millis = 1_000.0;
-/// Proxies whose last request is remembered.
-const MAX_REMEMBERED_PROXIES: usize = 10_000;
-
-/// The answer to a request for a slot.
+/// The result of a request for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionResult {
-    /// The stream is admitted, or waits for [`Admission::poll`] to admit it.
+    /// The stream is admitted, or pending until [`Admission::poll`] admits it.
     Queued,
     /// There are too many streams: the proxy should retry later.
     Full,
@@ -30,22 +22,23 @@
 pub struct Admission {
     max_streams: usize,
     open: BTreeSet<u64>,
-    /// Tokens of the bucket that limits the rate; each stream takes one.
+    /// Tokens of the rate limiter; each admission takes one.
     tokens: f64,
     refilled_at: Option<Millis>,
     pending: VecDeque<u64>,
-    /// Streams of proxies that reconnect in quick succession; admitted while no others are pending.
+    /// Streams of proxies that reconnect frequently; admitted while no others are pending.
     low_priority: VecDeque<u64>,
     last_requests: BTreeMap<String, Millis>,
 }
 
 impl Admission {
-    /// Allows so many streams at most, open or pending.
+    /// Allows `max_streams` streams, open or pending.
+    #[must_use]
     pub fn new(max_streams: usize) -> Self {
         Admission {
             max_streams,
             open: BTreeSet::new(),
-            tokens: MAX_BURST,
+            tokens: MAX_ADMISSION_BURST,
             refilled_at: None,
             pending: VecDeque::new(),
             low_priority: VecDeque::new(),
@@ -53,29 +46,30 @@
         }
     }
 
-    /// A proxy asks for a stream at `now`, in ms.
+    /// A proxy requests admission of a stream at `now`, in ms.
     pub fn request_slot(&mut self, stream: u64, proxy: &str, now: Millis) -> AdmissionResult {
         if self.is_full() {
             return AdmissionResult::Full;
         }
-        let is_frequent = self.last_requests.get(proxy).is_some_and(|last| now - last < FREQUENT_INTERVAL);
+        let is_frequent =
+            self.last_requests.get(proxy).is_some_and(|last| limits::is_frequent_request(now, *last));
         let queue = if is_frequent { &mut self.low_priority } else { &mut self.pending };
         queue.push_back(stream);
-        self.remember_request(proxy, now);
+        self.record_request(proxy, now);
         AdmissionResult::Queued
     }
 
-    fn remember_request(&mut self, proxy: &str, now: Millis) {
+    fn record_request(&mut self, proxy: &str, now: Millis) {
         let is_known = self.last_requests.contains_key(proxy);
-        if !is_known && self.last_requests.len() >= MAX_REMEMBERED_PROXIES {
-            self.last_requests.retain(|_, last| now - *last < FREQUENT_INTERVAL);
+        if !is_known && self.last_requests.len() >= MAX_RETAINED_REQUEST_TIMES {
+            self.last_requests.retain(|_, last| limits::is_frequent_request(now, *last));
         }
-        if is_known || self.last_requests.len() < MAX_REMEMBERED_PROXIES {
+        if is_known || self.last_requests.len() < MAX_RETAINED_REQUEST_TIMES {
             self.last_requests.insert(proxy.to_string(), now);
         }
     }
 
-    /// Admits a stream of load reports at once if there is room: next to nothing is sent on it.
+    /// Admits a stream of load reports immediately, unless there are too many streams. It gets one short response.
     pub fn admit_load_reports(&mut self, stream: u64) -> AdmissionResult {
         if self.is_full() {
             return AdmissionResult::Full;
@@ -91,7 +85,7 @@
     /// Admits pending streams at `now`, in ms, and returns them.
     pub fn poll(&mut self, now: Millis) -> Vec<u64> {
         let elapsed = now - self.refilled_at.replace(now).unwrap_or(now);
-        self.tokens = (self.tokens + ADMISSION_RATE * elapsed.max(0.0)).min(MAX_BURST);
+        self.tokens = limits::refilled_tokens(self.tokens, elapsed);
         let mut admitted = Vec::new();
         while self.tokens >= 1.0 {
             let next = self.pending.pop_front().or_else(|| self.low_priority.pop_front());
@@ -104,11 +98,12 @@
     }
 
     /// True where streams are pending.
+    #[must_use]
     pub fn has_pending(&self) -> bool {
         !self.pending.is_empty() || !self.low_priority.is_empty()
     }
 
-    /// A stream ended, admitted or not. One without a slot, or whose end was reported before, changes nothing.
+    /// A stream was closed, admitted or not. No effect for a stream that was rejected or closed before.
     pub fn on_stream_closed(&mut self, stream: u64) {
         if !self.open.remove(&stream) {
             self.pending.retain(|pending| *pending != stream);
--- a/crates/xds/src/codec.rs
+++ b/crates/xds/src/codec.rs
@@ -6,7 +6,7 @@
 use tonic::Status;
 use tonic::codec::{BufferSettings, Codec, DecodeBuf, Decoder, EncodeBuf, Encoder};
 
-/// Decodes messages `T`; encodes chunks that together are one message.
+/// Decodes messages `T`; encodes the chunks of one message.
 pub struct ChunkCodec<T>(PhantomData<T>);
 
 impl<T> Default for ChunkCodec<T> {
@@ -30,7 +30,7 @@
     }
 }
 
-/// Writes the chunks of a message one after the other.
+/// Writes the chunks of a message in their order.
 pub struct ChunkEncoder;
 
 impl Encoder for ChunkEncoder {
@@ -60,7 +60,7 @@
     fn decode(&mut self, src: &mut DecodeBuf<'_>) -> Result<Option<T>, Status> {
         match T::decode(src) {
             Ok(message) => Ok(Some(message)),
-            Err(error) => Err(Status::invalid_argument(format!("a message cannot be read: {error}"))),
+            Err(error) => Err(Status::invalid_argument(format!("message cannot be read: {error}"))),
         }
     }
 
--- a/crates/xds/src/load_stats.rs
+++ b/crates/xds/src/load_stats.rs
@@ -1,5 +1,6 @@
 //! Parses load reports (LRS). An invalid report is rejected with an error that names the field.
 
+use crate::limits::{MAX_REPORTED_CLUSTERS, MAX_REPORTED_ENDPOINTS};
 use crate::pb::envoy::config::core::v3::{Address, address, socket_address};
 use crate::pb::envoy::config::endpoint::v3::{ClusterStats, UpstreamEndpointStats};
 use crate::pb::envoy::service::load_stats::v3::LoadStatsRequest;
@@ -8,12 +9,8 @@
 use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, EndpointReport, ProxyReport};
 use std::net::SocketAddr;
 
-/// The custom metric in which proxies and endpoints report latencies, in ms for one request.
+/// The custom metric of latencies, in ms for one request.
 pub const LATENCY_METRIC: &str = "latency_ms";
-/// Clusters in one report at most.
-const MAX_CLUSTERS: usize = 1_024;
-/// Endpoints in one report at most, over all clusters.
-const MAX_ENDPOINTS: usize = 20_000;
 /// The interval of a report without clusters, in ms.
 const DEFAULT_INTERVAL: Millis = 1.0;
 /// Milliseconds in one second.
@@ -25,28 +22,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LoadReportError {
     /// The report has too many clusters.
-    #[error("cluster_stats: more than {}", MAX_CLUSTERS)]
+    #[error("cluster_stats: more than {}", MAX_REPORTED_CLUSTERS)]
     TooManyClusters,
     /// A cluster has no interval.
     #[error("load_report_interval: missing")]
     MissingInterval,
     /// An interval is not a positive duration.
-    #[error("load_report_interval: not above 0")]
+    #[error("load_report_interval: not positive")]
     InvalidInterval,
-    /// A cluster is not one that proxies are sent.
-    #[error("cluster_name: no cluster of ours")]
+    /// No published cluster has this name.
+    #[error("cluster_name: unknown cluster")]
     UnknownCluster,
     /// The report has too many endpoints.
-    #[error("upstream_endpoint_stats: more than {}", MAX_ENDPOINTS)]
+    #[error("upstream_endpoint_stats: more than {}", MAX_REPORTED_ENDPOINTS)]
     TooManyEndpoints,
     /// An endpoint has no address and port.
-    #[error("upstream_endpoint_stats: no address")]
+    #[error("upstream_endpoint_stats: address missing or invalid")]
     MissingAddress,
     /// A cluster has the same endpoint twice.
-    #[error("upstream_endpoint_stats: a host twice")]
+    #[error("upstream_endpoint_stats: repeated endpoint")]
     DuplicateEndpoint,
-    /// The drops by category are more than all drops.
-    #[error("dropped_requests: more than in all")]
+    /// The sum over the categories of drops exceeds the total.
+    #[error("dropped_requests: sum above total_dropped_requests")]
     InvalidDropCount,
 }
 
@@ -57,7 +54,7 @@
 pub fn parse_load_report(
     request: &LoadStatsRequest, classes: &[String],
 ) -> Result<ProxyReport, LoadReportError> {
-    if request.cluster_stats.len() > MAX_CLUSTERS {
+    if request.cluster_stats.len() > MAX_REPORTED_CLUSTERS {
         return Err(LoadReportError::TooManyClusters);
     }
     let mut longest_interval: Option<Millis> = None;
@@ -77,21 +74,21 @@
     Ok(ProxyReport { interval: longest_interval.unwrap_or(DEFAULT_INTERVAL), clusters })
 }
 
-/// The time that a cluster's counts cover, in ms.
+/// The period of a cluster's counts, in ms.
 fn parse_interval(stats: &ClusterStats) -> Result<Millis, LoadReportError> {
     let interval = stats.load_report_interval.as_ref().ok_or(LoadReportError::MissingInterval)?;
     let interval = interval.seconds as f64 * MILLIS_PER_SECOND + f64::from(interval.nanos) / NANOS_PER_MILLI;
     if interval > 0.0 && interval.is_finite() { Ok(interval) } else { Err(LoadReportError::InvalidInterval) }
 }
 
-/// The endpoints of a cluster, sorted by address; `endpoint_count` counts those of the whole report.
+/// The endpoints of a cluster, sorted by address; `endpoint_count` counts the endpoints of all clusters.
 fn parse_endpoints(
     stats: &ClusterStats, endpoint_count: &mut usize,
 ) -> Result<Vec<EndpointReport>, LoadReportError> {
     let mut endpoints = Vec::new();
     for locality in &stats.upstream_locality_stats {
         *endpoint_count += locality.upstream_endpoint_stats.len();
-        if *endpoint_count > MAX_ENDPOINTS {
+        if *endpoint_count > MAX_REPORTED_ENDPOINTS {
             return Err(LoadReportError::TooManyEndpoints);
         }
         for endpoint in &locality.upstream_endpoint_stats {
@@ -124,7 +121,7 @@
     counts
 }
 
-/// All dropped requests. The sum of the categories cannot be more.
+/// The total of dropped requests, if the sum over the categories does not exceed it.
 fn parse_dropped(stats: &ClusterStats) -> Result<u64, LoadReportError> {
     let mut categories = stats.dropped_requests.iter();
     let sum = categories.try_fold(0u64, |sum, category| sum.checked_add(category.dropped_count));
@@ -135,6 +132,7 @@
 }
 
 /// The socket address in an xDS address, if it has an IP address and a port.
+#[must_use]
 pub fn parse_address(address: &Address) -> Option<SocketAddr> {
     let Some(address::Address::SocketAddress(socket)) = &address.address else { return None };
     let Some(socket_address::PortSpecifier::PortValue(port)) = socket.port_specifier else { return None };
--- a/crates/xds/src/resources.rs
+++ b/crates/xds/src/resources.rs
@@ -1,15 +1,17 @@
 //! The proxy configuration as xDS resources.
 //!
-//! Each resource is encoded once and shared by all streams. Contents are compared by hash, so a resource whose bytes
-//! did not change is not sent again.
+//! Each resource is encoded once and shared by all streams. Contents are compared by hash: a resource with unchanged bytes
+//! is not sent again.
 //!
 //! - `resource_type`: the resource types and their type URLs.
-//! - `names`: names of resources, and what a cluster name says.
+//! - `names`: names of resources, and their parsing.
+//! - `config`: the settings of resources.
 //! - `snapshot`: all resources at one moment, with their version labels.
 //! - `cluster`, `endpoints`, `listener`, `route`: the messages of each type.
-//! - `encoding`: hashes, protobuf fields and small messages that the others share.
+//! - `encoding`: hashes, protobuf fields and messages that several types share.
 
 mod cluster;
+mod config;
 mod encoding;
 mod endpoints;
 mod listener;
@@ -18,11 +20,11 @@
 mod route;
 mod snapshot;
 
+pub use config::{ListenerConfig, ResourceConfig};
 pub use encoding::{Resource, to_xds_address};
 pub(crate) use encoding::{content_hash, encode_bytes_field};
-pub use listener::ListenerConfig;
 pub use names::{
     LISTENER_NAME, REJECT_CLUSTER, ROUTES_NAME, cluster_name, endpoints_name, parse_cluster_name,
 };
 pub use resource_type::ResourceType;
-pub use snapshot::{ResourceConfig, ResourceSet, ResourceSnapshot, TypeResources};
+pub use snapshot::{ResourceSet, ResourceSnapshot, TypeResources};
--- a/crates/xds/src/resources/cluster.rs
+++ b/crates/xds/src/resources/cluster.rs
@@ -1,17 +1,15 @@
 //! Cluster resources (CDS): one for each pair of version and request class, and the cluster that rejects.
 
+use super::config::ResourceConfig;
 use super::encoding::{ResourceMessage, aggregated_config_source, to_duration, to_uint32_value};
 use super::names::{REJECT_CLUSTER, cluster_name, endpoints_name};
-use super::snapshot::ResourceConfig;
+use crate::limits;
 use crate::pb::envoy::config::cluster::v3::{self as xds, cluster};
 use crate::pb::envoy::r#type::v3::Percent;
 use latchhaven_proxy_config::proxy_config::{Cluster, ProxyConfig};
 use prost::Message;
 use std::collections::BTreeSet;
 
-/// Retries in flight are one in this many of the requests that a cluster may have in flight.
-const REQUESTS_PER_RETRY: u32 = 8;
-
 /// All clusters of a configuration.
 pub(super) fn encode_clusters(proxy_config: &ProxyConfig, config: &ResourceConfig) -> Vec<ResourceMessage> {
     let versions = proxy_config.clusters.iter().map(|cluster| encode_cluster(cluster, config));
@@ -30,13 +28,13 @@
     let circuit_breakers =
         xds::CircuitBreakers { thresholds: vec![thresholds(cluster)], ..Default::default() };
     let common_lb_config = cluster::CommonLbConfig {
-        // Panic mode would send requests to draining endpoints when few healthy ones are left.
+        // Disables the panic mode, which would send requests to draining endpoints if few healthy ones remain.
         healthy_panic_threshold: Some(Percent { value: 0.0 }),
         ..Default::default()
     };
     let message = xds::Cluster {
         name: name.clone(),
-        connect_timeout: to_duration(config.listener.connect_timeout),
+        connect_timeout: Some(to_duration(config.listener.connect_timeout)),
         cluster_discovery_type: Some(cluster::ClusterDiscoveryType::Type(cluster::DiscoveryType::Eds as i32)),
         eds_cluster_config: Some(eds_cluster_config),
         lb_policy: cluster::LbPolicy::LeastRequest as i32,
@@ -47,25 +45,23 @@
     ResourceMessage { name, references: BTreeSet::from([service_name]), bytes: message.encode_to_vec() }
 }
 
-/// Limits of what a proxy may have in flight to a cluster. While a limit counts every attempt there are no retries;
-/// otherwise retries are a part of it.
+/// The circuit breakers of a cluster at each proxy.
 fn thresholds(cluster: &Cluster) -> xds::circuit_breakers::Thresholds {
-    let max_retries =
-        if cluster.allows_retries { (cluster.max_in_flight / REQUESTS_PER_RETRY).max(1) } else { 0 };
+    let max_retries = limits::max_retries_in_flight(cluster.max_in_flight, cluster.allows_retries);
     xds::circuit_breakers::Thresholds {
-        max_requests: to_uint32_value(cluster.max_in_flight),
-        max_pending_requests: to_uint32_value(cluster.max_in_flight),
-        max_retries: to_uint32_value(max_retries),
+        max_requests: Some(to_uint32_value(cluster.max_in_flight)),
+        max_pending_requests: Some(to_uint32_value(cluster.max_in_flight)),
+        max_retries: Some(to_uint32_value(max_retries)),
         ..Default::default()
     }
 }
 
-/// The cluster without endpoints.
+/// The cluster without endpoints, which rejects its requests.
 fn encode_reject_cluster(config: &ResourceConfig) -> ResourceMessage {
     let discovery_type = cluster::ClusterDiscoveryType::Type(cluster::DiscoveryType::Static as i32);
     let message = xds::Cluster {
         name: REJECT_CLUSTER.to_string(),
-        connect_timeout: to_duration(config.listener.connect_timeout),
+        connect_timeout: Some(to_duration(config.listener.connect_timeout)),
         cluster_discovery_type: Some(discovery_type),
         ..xds::Cluster::default()
     };
--- a/crates/xds/src/resources/encoding.rs
+++ b/crates/xds/src/resources/encoding.rs
@@ -1,6 +1,6 @@
 //! Encoded resources, content hashes, and small messages that several resource types share.
 
-use super::ResourceType;
+use super::resource_type::ResourceType;
 use crate::pb::envoy::config::core::v3 as core;
 use crate::pb::google::protobuf::{Any, Duration, UInt32Value};
 use bytes::{BufMut, Bytes, BytesMut};
@@ -16,7 +16,7 @@
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 /// The field `resources` of a `DiscoveryResponse`, and `resource` of the `Resource` in a `DeltaDiscoveryResponse`.
 const RESOURCE_FIELD: u32 = 2;
-/// Bytes that the key and the length of one field take at most, as far as memory is reserved for them.
+/// Bytes reserved for the key and the length of one field.
 const FIELD_HEADER_LENGTH: usize = 8;
 /// Nanoseconds in one millisecond.
 const NANOS_PER_MILLI: f64 = 1e6;
@@ -28,7 +28,7 @@
 pub struct Resource {
     /// Its name, unique within its type.
     pub name: String,
-    /// Hash of its content: the same at every control service.
+    /// Hash of its content, equal at all control services.
     pub hash: u64,
     /// Names of the resources that it references: routes reference clusters, a cluster references its endpoints.
     pub references: BTreeSet<String>,
@@ -50,7 +50,7 @@
         content_hash(self.bytes.iter().copied())
     }
 
-    /// Wraps the message, whose hash is known already.
+    /// Wraps the message, whose hash was computed before.
     pub(super) fn into_resource(self, resource_type: ResourceType, hash: u64) -> Resource {
         let any = Any { type_url: resource_type.url().to_string(), value: self.bytes };
         let any = any.encode_to_vec();
@@ -60,8 +60,8 @@
     }
 }
 
-/// FNV-1a with 64 bits: distinguishes contents and is the same everywhere. It is no protection against forgery;
-/// version labels are signed by other means.
+/// FNV-1a with 64 bits: distinguishes contents, equally at all control services. It does not protect against forgery;
+/// version labels are signed separately.
 pub(crate) fn content_hash(bytes: impl IntoIterator<Item = u8>) -> u64 {
     let add = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
     bytes.into_iter().fold(FNV_OFFSET_BASIS, add)
@@ -80,17 +80,17 @@
 }
 
 /// A number in the wrapper that optional fields use.
-pub(super) fn to_uint32_value(value: u32) -> Option<UInt32Value> {
-    Some(UInt32Value { value })
+pub(super) fn to_uint32_value(value: u32) -> UInt32Value {
+    UInt32Value { value }
 }
 
-/// A duration in ms as the protobuf message; negative ones count as zero.
-pub(super) fn to_duration(duration: Millis) -> Option<Duration> {
+/// A duration in ms as the protobuf message; negative ones become zero.
+pub(super) fn to_duration(duration: Millis) -> Duration {
     let nanos = (duration.max(0.0) * NANOS_PER_MILLI) as i64;
-    Some(Duration { seconds: nanos / NANOS_PER_SECOND, nanos: (nanos % NANOS_PER_SECOND) as i32 })
+    Duration { seconds: nanos / NANOS_PER_SECOND, nanos: (nanos % NANOS_PER_SECOND) as i32 }
 }
 
-/// The config source of everything that a resource references: the aggregated stream.
+/// The config source of all references: the aggregated stream.
 pub(super) fn aggregated_config_source() -> core::ConfigSource {
     let source = core::config_source::ConfigSourceSpecifier::Ads(core::AggregatedConfigSource {});
     core::ConfigSource {
@@ -100,7 +100,8 @@
     }
 }
 
-/// A socket address as resources and load reports hold it.
+/// A socket address in the form of resources and load reports.
+#[must_use]
 pub fn to_xds_address(addr: SocketAddr) -> core::Address {
     let port = core::socket_address::PortSpecifier::PortValue(u32::from(addr.port()));
     let socket_address = core::SocketAddress {
--- a/crates/xds/src/resources/endpoints.rs
+++ b/crates/xds/src/resources/endpoints.rs
@@ -17,7 +17,7 @@
 /// The category under which proxies count requests that they drop to shed load.
 const SHED_CATEGORY: &str = "shed";
 
-/// The endpoints of every version. With `separate`, they refer to collections instead of listing endpoints.
+/// The endpoints of every version. With `separate` they reference collections instead of listing endpoints.
 pub(super) fn encode_endpoints(proxy_config: &ProxyConfig, separate: bool) -> Vec<ResourceMessage> {
     let versions = proxy_config.endpoints.iter();
     versions
@@ -38,9 +38,8 @@
     } else {
         BTreeSet::new()
     };
-    let localities = zones.into_iter().map(|(zone, endpoints)| match separate {
-        true => collection_locality(version, zone),
-        false => inline_locality(zone, &endpoints),
+    let localities = zones.into_iter().map(|(zone, endpoints)| {
+        if separate { collection_locality(version, zone) } else { inline_locality(zone, &endpoints) }
     });
     let message = xds::ClusterLoadAssignment {
         cluster_name: name.clone(),
@@ -57,12 +56,12 @@
     xds::LocalityLbEndpoints {
         locality: Some(locality(zone)),
         lb_endpoints: endpoints.iter().map(|endpoint| lb_endpoint(endpoint)).collect(),
-        load_balancing_weight: to_uint32_value(weight),
+        load_balancing_weight: Some(to_uint32_value(weight)),
         ..xds::LocalityLbEndpoints::default()
     }
 }
 
-/// One zone that refers to a collection. It has no weight of its own: a sum would change with every endpoint.
+/// One zone that references a collection. It has no weight, which would change with every endpoint.
 fn collection_locality(version: Version, zone: &str) -> xds::LocalityLbEndpoints {
     let collection = xds::LedsClusterLocalityConfig {
         leds_config: Some(aggregated_config_source()),
@@ -102,7 +101,7 @@
 fn encode_separate_endpoint(version: Version, endpoint: &ConfiguredEndpoint) -> ResourceMessage {
     let collection = endpoint_collection(version, &endpoint.zone);
     let sanitized = sanitize(&endpoint.endpoint);
-    // Distinguishes ids that differ only in characters that a resource name cannot hold.
+    // Distinguishes ids that differ only in sanitized characters.
     let discriminator = content_hash(endpoint.endpoint.bytes()) as u32;
     ResourceMessage {
         name: format!("{collection}{sanitized}-{discriminator:x}"),
@@ -124,7 +123,7 @@
     });
     xds::LbEndpoint {
         health_status: health as i32,
-        load_balancing_weight: to_uint32_value(endpoint.weight),
+        load_balancing_weight: Some(to_uint32_value(endpoint.weight)),
         host_identifier: Some(identifier),
         ..xds::LbEndpoint::default()
     }
--- a/crates/xds/src/resources/names.rs
+++ b/crates/xds/src/resources/names.rs
@@ -1,27 +1,30 @@
-//! Names of resources. Proxies and load reports repeat them, so their form is part of the protocol.
+//! Names of resources. Requests and load reports contain them, so that their form is part of the protocol.
 
 use latchhaven_policy::Version;
 
-/// The name of the listener that every proxy is sent.
+/// The name of the listener of all proxies.
 pub const LISTENER_NAME: &str = "latchhaven";
-/// The name of the route configuration that every proxy is sent.
+/// The name of the route configuration of all proxies.
 pub const ROUTES_NAME: &str = "latchhaven";
-/// The cluster without endpoints: a request routed to it is rejected at once and never executed.
+/// The cluster without endpoints: a request routed to it is rejected immediately and never executed.
 pub const REJECT_CLUSTER: &str = "decline";
-/// Prefix of the collections that hold single endpoints.
+/// Prefix of the collections of single endpoints.
 const ENDPOINT_COLLECTIONS: &str = "xdstp:///envoy.config.endpoint.v3.LbEndpoint/";
 
-/// The name of the cluster that carries the requests of one class to one version.
+/// The name of the cluster for the requests of one class to one version.
+#[must_use]
 pub fn cluster_name(version: Version, class: &str) -> String {
     format!("b{version}/{class}")
 }
 
 /// The name of the endpoints of one version.
+#[must_use]
 pub fn endpoints_name(version: Version) -> String {
     format!("b{version}")
 }
 
-/// The version and the index of the request class that a cluster name stands for.
+/// The version and the index of the request class in a cluster name.
+#[must_use]
 pub fn parse_cluster_name(name: &str, classes: &[String]) -> Option<(Version, usize)> {
     let (version, class) = name.strip_prefix('b')?.split_once('/')?;
     let version = version.parse().ok()?;
@@ -32,7 +35,7 @@
 /// The version whose endpoints have this name.
 pub(super) fn parse_endpoints_name(name: &str) -> Option<Version> {
     let version: Version = name.strip_prefix('b')?.parse().ok()?;
-    // A number may be written in other ways than ours.
+    // Excludes other forms of the number, such as leading zeros.
     (endpoints_name(version) == name).then_some(version)
 }
 
@@ -41,7 +44,7 @@
     format!("{ENDPOINT_COLLECTIONS}b{version}/z{}/", sanitize(zone))
 }
 
-/// A text reduced to the characters that a resource name may hold.
+/// A text with `_` in place of all characters that are not allowed in a resource name.
 pub(super) fn sanitize(text: &str) -> String {
     let allowed = |character: char| character.is_ascii_alphanumeric() || character == '-';
     text.chars().map(|character| if allowed(character) { character } else { '_' }).collect()
--- a/crates/xds/src/resources/resource_type.rs
+++ b/crates/xds/src/resources/resource_type.rs
@@ -27,6 +27,7 @@
     ];
 
     /// The type URL of this type.
+    #[must_use]
     pub fn url(self) -> &'static str {
         match self {
             ResourceType::Cluster => "type.googleapis.com/envoy.config.cluster.v3.Cluster",
@@ -38,11 +39,13 @@
     }
 
     /// The type with this type URL, if it is served.
+    #[must_use]
     pub fn from_url(url: &str) -> Option<ResourceType> {
         ResourceType::ALL.into_iter().find(|resource_type| resource_type.url() == url)
     }
 
     /// True where a client that names no resources subscribes to all of them.
+    #[must_use]
     pub fn is_wildcard(self) -> bool {
         matches!(self, ResourceType::Cluster | ResourceType::Listener)
     }
--- a/crates/xds/src/resources/route.rs
+++ b/crates/xds/src/resources/route.rs
@@ -1,8 +1,8 @@
-//! The route configuration (RDS) that every proxy is sent.
+//! The route configuration (RDS), the same for all proxies.
 
+use super::config::ResourceConfig;
 use super::encoding::{ResourceMessage, to_duration, to_uint32_value};
 use super::names::{REJECT_CLUSTER, ROUTES_NAME, cluster_name};
-use super::snapshot::ResourceConfig;
 use crate::pb::envoy::config::route::v3::{self as xds, header_matcher::HeaderMatchSpecifier};
 use crate::pb::envoy::r#type::matcher::v3::{StringMatcher, string_matcher::MatchPattern};
 use latchhaven_policy::{Idempotency, RequestClass};
@@ -11,9 +11,9 @@
 use prost::Message;
 use std::collections::BTreeSet;
 
-/// Conditions under which an attempt certainly did not reach an endpoint.
+/// Retry conditions under which an attempt was definitely not executed.
 const RETRY_ON_NOT_EXECUTED: &str = "connect-failure,refused-stream";
-/// Conditions under which an attempt may have been executed.
+/// Retry conditions under which an attempt was possibly executed.
 const RETRY_ON_ANY: &str = "connect-failure,refused-stream,reset,5xx";
 
 /// The routes of all request classes.
@@ -21,7 +21,7 @@
     let mut references = BTreeSet::new();
     let mut routes = Vec::new();
     for route in &proxy_config.routes {
-        // The one for requests with a key goes first: proxies take the first that matches.
+        // The route for requests with a key is first: proxies use the first route that matches.
         if let Some(sticky_shares) = &route.sticky_shares {
             references.extend(target_names(sticky_shares, route, config));
             routes.push(encode_route(route, sticky_shares, true, config));
@@ -48,7 +48,7 @@
     let class = &config.classes[route.class];
     let weighted_clusters = weighted_clusters(shares, class);
     let action = xds::RouteAction {
-        timeout: to_duration(route.timeout),
+        timeout: Some(to_duration(route.timeout)),
         cluster_specifier: Some(xds::route_action::ClusterSpecifier::WeightedClusters(weighted_clusters)),
         retry_policy: (route.max_retries > 0).then(|| retry_policy(route, class)),
         ..xds::RouteAction::default()
@@ -66,9 +66,9 @@
     }
 }
 
-fn target_name(target: &RouteTarget, class: &RequestClass) -> String {
+fn target_name(target: RouteTarget, class: &RequestClass) -> String {
     match target {
-        RouteTarget::Version(version) => cluster_name(*version, &class.name),
+        RouteTarget::Version(version) => cluster_name(version, &class.name),
         RouteTarget::Reject => REJECT_CLUSTER.to_string(),
     }
 }
@@ -78,21 +78,21 @@
     shares: &[RouteShare], route: &Route, config: &ResourceConfig,
 ) -> impl Iterator<Item = String> {
     let class = &config.classes[route.class];
-    shares.iter().map(|share| target_name(&share.target, class))
+    shares.iter().map(|share| target_name(share.target, class))
 }
 
 /// The clusters of a route with their shares in parts per million.
 fn weighted_clusters(shares: &[RouteShare], class: &RequestClass) -> xds::WeightedCluster {
     debug_assert_eq!(shares.iter().map(|share| share.share).sum::<PartsPerMillion>(), PartsPerMillion::FULL);
     let clusters = shares.iter().map(|share| xds::weighted_cluster::ClusterWeight {
-        name: target_name(&share.target, class),
-        weight: to_uint32_value(share.share.get()),
+        name: target_name(share.target, class),
+        weight: Some(to_uint32_value(share.share.get())),
         ..Default::default()
     });
     xds::WeightedCluster { clusters: clusters.collect(), ..xds::WeightedCluster::default() }
 }
 
-/// Headers that a request of this class has.
+/// The headers of a request of this class.
 fn header_matchers(class: &RequestClass, has_key: bool, config: &ResourceConfig) -> Vec<xds::HeaderMatcher> {
     let class_matcher = StringMatcher {
         match_pattern: Some(MatchPattern::Exact(class.name.clone())),
@@ -115,7 +115,7 @@
 }
 
 fn retry_policy(route: &Route, class: &RequestClass) -> xds::RetryPolicy {
-    // A request that is not idempotent is retried only where the proxy knows that it did not reach an endpoint.
+    // A request that is not idempotent is retried only if it was definitely not executed.
     let retry_on = match route.retry_scope {
         RetryScope::NotExecuted => RETRY_ON_NOT_EXECUTED,
         RetryScope::Any if class.idempotency == Idempotency::NonIdempotent => RETRY_ON_NOT_EXECUTED,
@@ -123,8 +123,8 @@
     };
     xds::RetryPolicy {
         retry_on: retry_on.to_string(),
-        num_retries: to_uint32_value(route.max_retries),
-        per_try_timeout: route.attempt_timeout.and_then(to_duration),
+        num_retries: Some(to_uint32_value(route.max_retries)),
+        per_try_timeout: route.attempt_timeout.map(to_duration),
         ..xds::RetryPolicy::default()
     }
 }
--- a/crates/xds/src/resources/snapshot.rs
+++ b/crates/xds/src/resources/snapshot.rs
@@ -1,22 +1,21 @@
 //! All resources at one moment.
 
 use super::cluster::{encode_cluster, encode_clusters};
+use super::config::ResourceConfig;
 use super::encoding::{Resource, ResourceMessage, content_hash};
 use super::endpoints::{encode_endpoints, encode_separate_endpoints};
-use super::listener::{ListenerConfig, encode_listener};
+use super::listener::encode_listener;
 use super::names::parse_endpoints_name;
 use super::resource_type::ResourceType;
 use super::route::encode_routes;
-use latchhaven_policy::{RequestClass, Version};
+use crate::limits::RETIRED_MAX_IN_FLIGHT;
+use latchhaven_policy::Version;
 use latchhaven_proxy_config::proxy_config::{Cluster, ProxyConfig};
 use latchhaven_proxy_config::share_ledger::CanaryShares;
 use latchhaven_proxy_config::version::{ConfigVersion, VersionSigner, join_label};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Requests that a proxy may have in flight to a version that is gone, until it has accepted new routes.
-const RETIRED_MAX_IN_FLIGHT: u32 = 64;
-
 /// The resources of one type, by name.
 pub type ResourceSet = BTreeMap<String, Arc<Resource>>;
 
@@ -29,16 +28,7 @@
     pub resources: Arc<ResourceSet>,
 }
 
-/// What resources are made of beside the proxy configuration.
-#[derive(Clone, Debug)]
-pub struct ResourceConfig {
-    /// The request classes; a proxy configuration refers to them by index.
-    pub classes: Vec<RequestClass>,
-    /// Settings of the proxies' listener.
-    pub listener: ListenerConfig,
-}
-
-/// Which set of resources is meant: endpoints exist inline and as resources of their own.
+/// The key of a set of resources: endpoints exist inline and as resources of their own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SetKey {
     resource_type: ResourceType,
@@ -55,25 +45,25 @@
     }
 }
 
-/// What all proxies are to hold, at one moment.
+/// The resources of all proxies at one moment.
 #[derive(Debug)]
 pub struct ResourceSnapshot {
-    /// The versions of the platform's state that it is based on.
+    /// The version of the configuration.
     pub version: ConfigVersion,
-    /// Counts the snapshots of this process.
+    /// The number of the snapshot, from 1 at the start of the process.
     pub number: u64,
     /// The share of each request class that its routes send to the canary.
     pub canary_shares: CanaryShares,
-    /// What version labels begin with. A resource that has not changed for long is still labelled with the version
-    /// that the snapshot is based on now.
+    /// The prefix of all version labels. An unchanged resource is labelled with the version of this snapshot as well.
     label_prefix: String,
-    /// Also used for the clusters of versions that are gone.
+    /// Also used for the clusters of removed versions.
     config: Arc<ResourceConfig>,
     sets: BTreeMap<SetKey, TypeResources>,
 }
 
 impl ResourceSnapshot {
-    /// The snapshot of a proxy configuration. It shares what has not changed with the `previous` snapshot.
+    /// The snapshot of a proxy configuration. It shares unchanged resources with the `previous` snapshot.
+    #[must_use]
     pub fn build(
         proxy_config: &ProxyConfig, version: ConfigVersion, config: &Arc<ResourceConfig>,
         signer: &VersionSigner, previous: Option<&ResourceSnapshot>,
@@ -97,19 +87,22 @@
     ///
     /// # Panics
     /// Never: [`ResourceSnapshot::build`] makes a set of every type.
+    #[must_use]
     pub fn resources(&self, resource_type: ResourceType, separate_endpoints: bool) -> &TypeResources {
         let set = self.sets.get(&SetKey { resource_type, separate_endpoints });
         let set = set.or_else(|| self.sets.get(&SetKey::inline(resource_type)));
         set.expect("every type has a set")
     }
 
-    /// The version label of a content that is sent now.
+    /// The version label of a content in this snapshot.
+    #[must_use]
     pub fn version_label(&self, content_hash: u64) -> String {
         join_label(&self.label_prefix, content_hash)
     }
 
-    /// The clusters of a version that is gone, found by the name of its endpoints: a proxy that reconnects may still
-    /// route to them until it has accepted new routes.
+    /// The clusters of a removed version, by the name of its endpoints: a reconnected proxy may route to them until it has
+    /// accepted new routes.
+    #[must_use]
     pub fn retired_clusters(&self, endpoints_name: &str) -> Vec<Arc<Resource>> {
         let Some(version) = parse_endpoints_name(endpoints_name) else { return Vec::new() };
         let classes = 0..self.config.classes.len();
@@ -123,7 +116,8 @@
         message.into_resource(ResourceType::Cluster, hash)
     }
 
-    /// True where a proxy would hold the same resources under both snapshots.
+    /// True where both snapshots have the same resources.
+    #[must_use]
     pub fn has_same_resources(&self, other: &ResourceSnapshot) -> bool {
         let is_same = |(key, set): (&SetKey, &TypeResources)| {
             other.sets.get(key).is_some_and(|other| set.content_hash == other.content_hash)
@@ -148,7 +142,7 @@
     sets
 }
 
-/// Wraps messages that changed; resources, or the whole set, stay as they were where the content is the same.
+/// Wraps changed messages; unchanged resources, or an unchanged set, are shared with the previous snapshot.
 fn build_set(
     resource_type: ResourceType, messages: Vec<ResourceMessage>, previous: Option<&TypeResources>,
 ) -> TypeResources {
--- a/crates/xds/src/server/connections.rs
+++ b/crates/xds/src/server/connections.rs
@@ -1,23 +1,20 @@
 //! Accepts connections and counts those that are open.
 
+use crate::limits::ACCEPT_RETRY_INTERVAL;
 use ipnet::IpNet;
+use latchhaven_listener::accept_with_retry;
 use std::io;
 use std::net::SocketAddr;
 use std::pin::Pin;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::task::{Context, Poll};
-use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
-use tokio::time::sleep;
 use tonic::transport::server::Connected;
 
-/// Delay before the next attempt when no connection can be accepted.
-const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-
-/// Who may connect.
+/// Which connections are accepted.
 pub(super) struct ConnectionLimits {
     pub(super) allowed: Vec<IpNet>,
     pub(super) max_connections: usize,
@@ -25,7 +22,7 @@
 
 impl ConnectionLimits {
     fn is_allowed(&self, from: SocketAddr, open: usize) -> bool {
-        // Checked before anything is read, so that a connection which is not allowed costs no more than this.
+        // Checked before the first read: a rejected connection must be cheap.
         if !self.allowed.iter().any(|network| network.contains(&from.ip().to_canonical())) {
             tracing::debug!(%from, "connection rejected: network not allowed");
             return false;
@@ -38,16 +35,17 @@
     }
 }
 
-/// Accepts connections until nobody receives them any more.
+/// Accepts connections until the receiver is closed.
 pub(super) async fn accept(
     listener: TcpListener, limits: ConnectionLimits, accepted: mpsc::Sender<io::Result<CountedConnection>>,
 ) {
     let open = Arc::new(AtomicUsize::new(0));
     loop {
-        let Ok((stream, from)) = listener.accept().await else {
-            sleep(ACCEPT_RETRY_INTERVAL).await;
-            continue;
-        };
+        let accept = async || listener.accept().await;
+        let (stream, from) = accept_with_retry(accept, ACCEPT_RETRY_INTERVAL, |error, scope| {
+            tracing::debug!(%error, ?scope, "accept failed");
+        })
+        .await;
         if !limits.is_allowed(from, open.load(Ordering::Relaxed)) {
             continue;
         }
@@ -59,7 +57,7 @@
     }
 }
 
-/// A connection that is counted while it is open.
+/// A connection that counts as open until it is dropped.
 pub(super) struct CountedConnection {
     stream: TcpStream,
     open: Arc<AtomicUsize>,
--- a/crates/xds/src/server/discovery.rs
+++ b/crates/xds/src/server/discovery.rs
@@ -1,25 +1,22 @@
 //! Discovery streams: runs the [`Stream`] state machine over gRPC.
 
-use super::services::DiscoveryMethod;
+use super::context::{ServerContext, ServerEvent};
+use super::discovery_method::DiscoveryMethod;
 use super::stream_task::{
     ResponseFuture, ResponseItem, ResponseSender, ResponseStream, first_request, service_unavailable,
     spawn_stream, wait_for_admission,
 };
-use super::{ServerContext, ServerEvent};
+use crate::limits::NAMING_GRACE;
 use crate::stream::{Stream, StreamError, SubscriptionRequest};
 use bytes::Bytes;
 use std::pin::pin;
 use std::sync::atomic::Ordering;
-use std::time::Duration;
 use tokio::select;
 use tokio::sync::mpsc::Permit;
 use tokio::time::sleep;
 use tonic::server::StreamingService;
 use tonic::{Request, Status, Streaming};
 
-/// Time for a reconnected proxy to name the resources it holds before it is sent clusters.
-const NAMING_GRACE: Duration = Duration::from_secs(1);
-
 /// The gRPC service of one discovery stream.
 pub(super) struct DiscoveryService {
     pub(super) context: ServerContext,
@@ -54,7 +51,7 @@
     stream_number: u64,
     incremental: bool,
     context: ServerContext,
-    /// There is nothing to send until a request, a snapshot, or the end of the naming grace.
+    /// There is nothing to send until the next request or snapshot, or the end of the naming grace.
     is_idle: bool,
 }
 
@@ -76,7 +73,7 @@
                     let Some(request) = request? else { return Ok(()) };
                     self.on_request(request)?;
                 }
-                // A response is chosen only once there is room for it, so that it is the newest.
+                // The response is selected after the queue has capacity, so that it is the newest.
                 permit = responses.reserve(), if !self.is_idle => {
                     let Ok(permit) = permit else { return Ok(()) };
                     self.send_next_response(permit).await?;
@@ -95,7 +92,7 @@
     }
 
     fn on_request(&mut self, request: impl Into<SubscriptionRequest>) -> Result<(), Status> {
-        self.stream.on_request(request.into()).map_err(to_status)?;
+        self.stream.on_request(request.into()).map_err(|error| to_status(&error))?;
         self.is_idle = false;
         Ok(())
     }
@@ -136,7 +133,7 @@
     }
 }
 
-fn to_status(error: StreamError) -> Status {
+fn to_status(error: &StreamError) -> Status {
     if error.is_resource_exhausted() {
         Status::resource_exhausted(error.to_string())
     } else {
--- a/crates/xds/src/server/load_reports.rs
+++ b/crates/xds/src/server/load_reports.rs
@@ -1,23 +1,20 @@
 //! Streams of load reports (LRS).
 
+use super::context::{ServerContext, ServerEvent};
 use super::stream_task::{
     ResponseFuture, ResponseSender, ResponseStream, first_request, service_unavailable, spawn_stream,
     wait_for_admission,
 };
-use super::{ServerContext, ServerEvent};
+use crate::limits::{LOAD_REPORT_INTERVAL, MAX_NODE_ID_LENGTH};
 use crate::load_stats::parse_load_report;
 use crate::pb::envoy::service::load_stats::v3::{LoadStatsRequest, LoadStatsResponse};
 use crate::pb::google::protobuf::Duration;
-use crate::stream::MAX_NODE_ID_LENGTH;
 use bytes::Bytes;
 use prost::Message;
 use tokio::sync::oneshot;
 use tonic::server::StreamingService;
 use tonic::{Request, Status, Streaming};
 
-/// How often proxies report their load.
-const REPORTING_INTERVAL: Duration = Duration { seconds: 1, nanos: 0 };
-
 /// The gRPC service of one stream of load reports.
 pub(super) struct LoadReportingService {
     pub(super) context: ServerContext,
@@ -57,11 +54,12 @@
     Ok(())
 }
 
-/// The response that tells the proxy what to report and how often.
+/// The response with the clusters to report and the interval.
 fn reporting_instructions() -> Bytes {
+    let interval = Duration { seconds: LOAD_REPORT_INTERVAL.as_secs().cast_signed(), nanos: 0 };
     let instructions = LoadStatsResponse {
         send_all_clusters: true,
-        load_reporting_interval: Some(REPORTING_INTERVAL),
+        load_reporting_interval: Some(interval),
         report_endpoint_granularity: true,
         ..LoadStatsResponse::default()
     };
--- a/crates/xds/src/server/services.rs
+++ b/crates/xds/src/server/services.rs
@@ -1,12 +1,13 @@
 //! Maps gRPC paths to streams.
 
-use super::ServerContext;
+use super::context::ServerContext;
 use super::discovery::DiscoveryService;
+use super::discovery_method::DiscoveryMethod;
 use super::load_reports::LoadReportingService;
 use crate::codec::ChunkCodec;
+use crate::limits::MAX_REQUEST_LENGTH;
 use crate::pb::envoy::service::discovery::v3::{DeltaDiscoveryRequest, DiscoveryRequest};
 use crate::pb::envoy::service::load_stats::v3::LoadStatsRequest;
-use crate::resources::ResourceType;
 use prost::Message;
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -17,8 +18,6 @@
 use tonic::codegen::{BoxFuture, Service, http};
 use tonic::server::Grpc;
 
-/// Bytes of one request: a proxy that holds every endpoint of a large fleet names them all in its first one.
-const MAX_REQUEST_LENGTH: usize = 4 << 20;
 /// The path of load reports.
 const LOAD_REPORTS_PATH: &str = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats";
 
@@ -60,7 +59,7 @@
         return Ok(grpc::<LoadStatsRequest>().streaming(service, request).await);
     }
     let Some(method) = DiscoveryMethod::from_path(path) else {
-        return Ok(Status::unimplemented(format!("'{path}' is not served here")).into_http());
+        return Ok(Status::unimplemented(format!("'{path}' is not implemented")).into_http());
     };
     let service = DiscoveryService { context, stream_number, method };
     if method.incremental {
@@ -73,44 +72,3 @@
 fn grpc<T: Message + Default + Send + 'static>() -> Grpc<ChunkCodec<T>> {
     Grpc::new(ChunkCodec::default()).max_decoding_message_size(MAX_REQUEST_LENGTH)
 }
-
-/// What a path asks for.
-#[derive(Clone, Copy)]
-pub(super) struct DiscoveryMethod {
-    /// The incremental form of the protocol.
-    pub(super) incremental: bool,
-    /// The only type on the stream; none: all types.
-    pub(super) only_type: Option<ResourceType>,
-}
-
-impl DiscoveryMethod {
-    fn from_path(path: &str) -> Option<DiscoveryMethod> {
-        let (service, method) = path.strip_prefix("/envoy.service.")?.split_once('/')?;
-        let only_type = match service {
-            "discovery.v3.AggregatedDiscoveryService" => None,
-            "cluster.v3.ClusterDiscoveryService" => Some(ResourceType::Cluster),
-            "endpoint.v3.EndpointDiscoveryService" => Some(ResourceType::Endpoint),
-            "endpoint.v3.LocalityEndpointDiscoveryService" => Some(ResourceType::LbEndpoint),
-            "listener.v3.ListenerDiscoveryService" => Some(ResourceType::Listener),
-            "route.v3.RouteDiscoveryService" => Some(ResourceType::Route),
-            _ => return None,
-        };
-        let incremental = match method {
-            "StreamAggregatedResources"
-            | "StreamClusters"
-            | "StreamEndpoints"
-            | "StreamListeners"
-            | "StreamRoutes" => false,
-            "DeltaAggregatedResources"
-            | "DeltaClusters"
-            | "DeltaEndpoints"
-            | "DeltaLocalityEndpoints"
-            | "DeltaListeners"
-            | "DeltaRoutes" => true,
-            _ => return None,
-        };
-        // Single endpoints exist in the incremental form only.
-        let is_served = incremental || only_type != Some(ResourceType::LbEndpoint);
-        is_served.then_some(DiscoveryMethod { incremental, only_type })
-    }
-}
--- a/crates/xds/src/server/stream_task.rs
+++ b/crates/xds/src/server/stream_task.rs
@@ -1,29 +1,22 @@
-//! What all streams share: the task that serves a stream, its first request, and its admission.
+//! The task of a stream, its first request, and its admission.
 
-use super::ServerEvent;
+use super::context::ServerEvent;
+use crate::limits::{ADMISSION_TIMEOUT, FIRST_REQUEST_TIMEOUT, MAX_QUEUED_RESPONSES};
 use bytes::Bytes;
 use std::future::Future;
 use std::pin::Pin;
-use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::{Response, Status, Streaming};
 
-/// A stream without a request by then ends.
-const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Limit for the admission of a stream.
-const ADMISSION_TIMEOUT: Duration = Duration::from_secs(30);
-/// Responses on their way on one stream: more would be a queue of outdated ones before a slow reader.
-const MAX_QUEUED_RESPONSES: usize = 1;
-
 /// One response in chunks, or the status that ends the stream.
 pub(super) type ResponseItem = Result<Vec<Bytes>, Status>;
-/// Where the task of a stream puts its responses.
+/// The sender of a stream's responses.
 pub(super) type ResponseSender = mpsc::Sender<ResponseItem>;
 /// The responses of a stream.
 pub(super) type ResponseStream = ReceiverStream<ResponseItem>;
-/// A stream that begins.
+/// The future response stream of a request.
 pub(super) type ResponseFuture =
     Pin<Box<dyn Future<Output = Result<Response<ResponseStream>, Status>> + Send>>;
 
@@ -47,11 +40,11 @@
     })
 }
 
-/// The first request of a stream; none: the stream ended.
+/// The first request of a stream; none if the stream ended.
 pub(super) async fn first_request<R>(requests: &mut Streaming<R>) -> Result<Option<R>, Status> {
     match timeout(FIRST_REQUEST_TIMEOUT, requests.message()).await {
         Ok(request) => request,
-        Err(_) => Err(Status::deadline_exceeded("nothing was asked")),
+        Err(_) => Err(Status::deadline_exceeded("timeout of the first request")),
     }
 }
 
@@ -64,11 +57,13 @@
     events.send(opened).await.map_err(service_unavailable)?;
     match timeout(ADMISSION_TIMEOUT, admission).await {
         Ok(admission) => admission.map_err(service_unavailable)?,
-        Err(_) => Err(Status::resource_exhausted("too many begin at once: come again later")),
+        Err(_) => {
+            Err(Status::resource_exhausted("timeout of the admission: too many new streams, retry later"))
+        }
     }
 }
 
-/// The status of a stream when the receiver of events, or the source of snapshots, is gone.
+/// The status of a stream after the receiver of events, or the sender of snapshots, was dropped.
 pub(super) fn service_unavailable<E>(_: E) -> Status {
-    Status::unavailable("the control service ends")
+    Status::unavailable("the control service is shutting down")
 }
--- a/crates/xds/src/stream.rs
+++ b/crates/xds/src/stream.rs
@@ -1,18 +1,18 @@
 //! One xDS stream of one proxy as a state machine without I/O.
 //!
-//! A driver passes requests in and asks for the next response whenever there is room for one, so that a slow reader
-//! gets the newest state instead of a queue. The state machine guarantees:
+//! The driver passes requests in, and polls the next response when its queue has capacity, so that a slow reader gets the
+//! newest state instead of a queue. The state machine guarantees:
 //!
-//! - *Make before break*: routes are sent once the clusters and endpoints that they reference were accepted; a cluster
-//!   is removed once no route that the proxy may hold references it.
-//! - *No regression*: nothing is sent while the snapshot is older, in any part, than what the proxy holds.
-//! - *One pending response for each type*: a rejected one is not sent again while its content is the same.
+//! - *Make before break*: routes are sent after the clusters and endpoints that they reference were accepted; a cluster
+//!   is removed after all routes that reference it were replaced.
+//! - *No regression*: nothing is sent while any part of the snapshot is older than the proxy's resources.
+//! - *One pending response for each type*: a rejected response is not sent again while its content is the same.
 //!
 //! - `messages`: requests, responses, events and errors.
-//! - `type_state`: subscription and held resources of one type.
-//! - `request_handling`: what a request changes.
-//! - `dependencies`: which references hold a response back, and which resources must stay.
-//! - `response_selection`: what the next response contains.
+//! - `type_state`: the subscription and the proxy's resources of one type.
+//! - `request_handling`: acknowledgements, rejections and subscriptions.
+//! - `dependencies`: references that delay a response, and resources that must not be removed yet.
+//! - `response_selection`: the content of the next response.
 //! - `response_encoding`: its bytes.
 
 mod dependencies;
@@ -22,6 +22,7 @@
 mod response_selection;
 mod type_state;
 
+pub use crate::limits::MAX_NODE_ID_LENGTH;
 pub use messages::{InitialVersion, StreamError, StreamEvent, StreamResponse, SubscriptionRequest};
 
 use crate::resources::{ResourceSnapshot, ResourceType};
@@ -29,31 +30,30 @@
 use std::collections::BTreeMap;
 use type_state::TypeState;
 
-/// The client feature of a proxy that does not know LEDS: its incremental streams get endpoints inline.
+/// The client feature of a proxy without LEDS: its incremental streams get endpoints inline.
 pub const INLINE_ENDPOINTS_FEATURE: &str = "latchhaven.whole_endpoints";
-/// Bytes of a node's id at most.
-pub const MAX_NODE_ID_LENGTH: usize = 256;
 
 /// One stream.
 pub struct Stream {
     incremental: bool,
-    /// Endpoints are sent as resources of their own, if operators allow it.
+    /// Endpoints are sent as resources of their own, if the configuration allows it.
     separate_endpoints: bool,
     /// The only type on this stream; none: an aggregated stream.
     only_type: Option<ResourceType>,
     signer: VersionSigner,
     node: Option<String>,
     types: BTreeMap<ResourceType, TypeState>,
-    /// Responses so far; the last one's nonce is this number.
+    /// The number of responses; it is the nonce of the last one.
     responses: u64,
-    /// Requests with a nonce that was never sent.
+    /// The number of requests with a nonce that was never sent.
     unknown_nonces: u32,
     naming_grace_ended: bool,
     events: Vec<StreamEvent>,
 }
 
 impl Stream {
-    /// A stream without requests yet; `only_type`: it carries this one type.
+    /// A stream before its first request; `only_type`: the only type on it.
+    #[must_use]
     pub fn new(incremental: bool, only_type: Option<ResourceType>, signer: VersionSigner) -> Self {
         Stream {
             incremental,
@@ -69,7 +69,8 @@
         }
     }
 
-    /// The proxy's id, once its first request came.
+    /// The proxy's id, from the first request on.
+    #[must_use]
     pub fn node(&self) -> Option<&str> {
         self.node.as_deref()
     }
@@ -79,7 +80,7 @@
         std::mem::take(&mut self.events)
     }
 
-    /// The proxy has had time to name the resources it holds: clusters no longer wait for that.
+    /// The naming grace has ended: clusters are sent without waiting for the subscription to endpoints.
     pub fn end_naming_grace(&mut self) {
         self.naming_grace_ended = true;
     }
@@ -91,7 +92,8 @@
             .find_map(|resource_type| self.next_response_of_type(resource_type, snapshot))
     }
 
-    /// The first type whose subscribed resources are not held as the snapshot has them, or are not known to be.
+    /// The first type with a pending response, or with subscribed resources that differ from the snapshot's.
+    #[must_use]
     pub fn first_pending_type(&self, snapshot: &ResourceSnapshot) -> Option<ResourceType> {
         let is_behind = |resource_type: ResourceType, state: &TypeState| {
             let set = snapshot.resources(resource_type, self.separate_endpoints);
--- a/crates/xds/src/stream/dependencies.rs
+++ b/crates/xds/src/stream/dependencies.rs
@@ -1,25 +1,25 @@
-//! Dependencies between types: what a response waits for, and which resources stay although the snapshot has them no
-//! more.
+//! Dependencies between types: the references that delay a response, and the resources that are retained although the
+//! snapshot does not have them.
 
 use super::Stream;
 use super::type_state::TypeState;
 use crate::resources::{Resource, ResourceSnapshot, ResourceType, TypeResources};
 use std::collections::BTreeSet;
 
-/// Resources that a proxy keeps although the snapshot has them no more.
+/// Resources that are retained at a proxy although the snapshot does not have them.
 pub(super) enum Retained<'a> {
     /// None of the type.
     None,
-    /// All: which ones the proxy's routes reference is not known.
+    /// All: it is unknown which ones the proxy's routes reference.
     All,
     /// Those with these names.
     Names(BTreeSet<String>),
-    /// Endpoints of the clusters that are held.
+    /// Endpoints of the proxy's clusters.
     EndpointsOf(&'a TypeState),
 }
 
 impl Retained<'_> {
-    /// True where the resource with this name stays.
+    /// True where the resource with this name is retained.
     pub(super) fn contains(&self, name: &str) -> bool {
         match self {
             Retained::None => false,
@@ -30,18 +30,18 @@
     }
 }
 
-/// True where a cluster is held that references these endpoints.
+/// True where one of the proxy's clusters references these endpoints.
 fn has_cluster_with_endpoints(clusters: &TypeState, endpoints_name: &str) -> bool {
     clusters.held.iter().any(|(cluster_name, held)| match &held.resource {
         Some(cluster) => cluster.references.contains(endpoints_name),
-        // Held from an earlier stream: its name begins with that of its endpoints.
+        // From an earlier stream: the name of a cluster begins with that of its endpoints.
         None => cluster_name.split_once('/').is_some_and(|(version, _)| version == endpoints_name),
     })
 }
 
 impl Stream {
-    /// Whether a response of this type may be sent at all: no other one is pending, the snapshot is new enough, and
-    /// what it depends on is in place.
+    /// True where a response of this type may be sent: no other one is pending, the snapshot is at least as new as the
+    /// proxy's resources, and the proxy has accepted the resources that the response references.
     pub(super) fn may_respond(&self, resource_type: ResourceType, snapshot: &ResourceSnapshot) -> bool {
         let Some(state) = self.subscribed(resource_type) else { return false };
         let is_too_old = state.minimum_version.is_some_and(|minimum| !snapshot.version.dominates(&minimum));
@@ -55,7 +55,7 @@
         }
     }
 
-    /// A proxy that reconnects names the endpoints that it holds; until then, or until the grace ends, it is not known
+    /// A reconnected proxy subscribes to its endpoints by name. Until then, or until the naming grace ends, it is unknown
     /// which clusters its routes reference.
     fn waits_for_endpoint_names(&self, clusters: &TypeState) -> bool {
         let has_reconnected = clusters.minimum_version.is_some();
@@ -67,8 +67,8 @@
             && !self.naming_grace_ended
     }
 
-    /// True where all clusters that the new routes reference were accepted, with their endpoints. A stream without
-    /// clusters does not tell.
+    /// True where all clusters that the new routes reference were accepted, with their endpoints. Not checked on a stream
+    /// without clusters.
     fn route_references_are_held(&self, snapshot: &ResourceSnapshot) -> bool {
         if self.only_type.is_some() || self.subscribed(ResourceType::Cluster).is_none() {
             return true;
@@ -84,7 +84,7 @@
         })
     }
 
-    /// True where the endpoints of a cluster are held and, where they are collections, an endpoint of each.
+    /// True where the proxy has the endpoints of a cluster and, if they are collections, an endpoint of each.
     fn endpoints_are_held(&self, cluster: &Resource, endpoints: &TypeResources) -> bool {
         cluster.references.iter().all(|name| {
             let collections = endpoints.resources.get(name).map(|endpoints| &endpoints.references);
@@ -99,11 +99,11 @@
 
     fn holds_endpoint_in(&self, collection: &String) -> bool {
         let Some(endpoints) = self.types.get(&ResourceType::LbEndpoint) else { return false };
-        let first_from_here = endpoints.held.range(collection.clone()..).next();
-        first_from_here.is_some_and(|(name, _)| name.starts_with(collection))
+        let first_after = endpoints.held.range(collection.clone()..).next();
+        first_after.is_some_and(|(name, _)| name.starts_with(collection))
     }
 
-    /// What stays of a type although the snapshot has it no more.
+    /// The resources of a type that are retained although the snapshot does not have them.
     pub(super) fn retained(&self, resource_type: ResourceType, snapshot: &ResourceSnapshot) -> Retained<'_> {
         match resource_type {
             ResourceType::Cluster => match self.routed_clusters(snapshot) {
@@ -118,10 +118,10 @@
         }
     }
 
-    /// The clusters referenced by routes that the proxy holds or may soon hold; none where that is not known.
+    /// The clusters referenced by the proxy's routes and by pending ones; none where they are unknown.
     fn routed_clusters(&self, snapshot: &ResourceSnapshot) -> Option<BTreeSet<String>> {
         let routes = self.subscribed(ResourceType::Route)?;
-        // Before it holds routes of this stream it may use those of an earlier one.
+        // Before it accepts routes on this stream, a proxy may use routes of an earlier one.
         if routes.held.is_empty() {
             return None;
         }
--- a/crates/xds/src/stream/messages.rs
+++ b/crates/xds/src/stream/messages.rs
@@ -1,7 +1,6 @@
-//! What goes in and out of a stream.
+//! Requests, responses, events and errors of a stream.
 
-use super::MAX_NODE_ID_LENGTH;
-use super::request_handling::{MAX_HELD_RESOURCES, MAX_NAME_LENGTH, MAX_SUBSCRIBED_NAMES};
+use crate::limits::{MAX_INITIAL_RESOURCES, MAX_NAME_LENGTH, MAX_NODE_ID_LENGTH, MAX_SUBSCRIBED_NAMES};
 use crate::pb::envoy::config::core::v3::Node;
 use crate::pb::envoy::service::discovery::v3::{DeltaDiscoveryRequest, DiscoveryRequest};
 use crate::resources::ResourceType;
@@ -14,7 +13,7 @@
 pub struct SubscriptionRequest {
     /// The type URL; may be empty where the stream carries one type.
     pub type_url: String,
-    /// The proxy's id, where it is given.
+    /// The proxy's id, if the request has one.
     pub node: Option<String>,
     /// The proxy's client features.
     pub features: Vec<String>,
@@ -22,17 +21,17 @@
     pub names: Vec<String>,
     /// Incremental: names that are no longer subscribed to.
     pub unsubscribed: Vec<String>,
-    /// The nonce of the response that this request answers; empty: none.
+    /// The nonce of the response that this request accepts or rejects; empty: none.
     pub nonce: String,
-    /// The version label of the response that was accepted last.
+    /// The version label of the last accepted response.
     pub version: String,
-    /// Incremental: what the proxy holds from an earlier stream.
+    /// Incremental: the proxy's resources from an earlier stream.
     pub initial_versions: Vec<InitialVersion>,
     /// Why the proxy rejected the response with this nonce.
     pub error: Option<String>,
 }
 
-/// A resource that a proxy holds from an earlier stream.
+/// A resource of a proxy from an earlier stream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InitialVersion {
     /// The name of the resource.
@@ -93,27 +92,32 @@
     #[error("node.id: longer than {} bytes", MAX_NODE_ID_LENGTH)]
     NodeIdTooLong,
     /// The type is unknown, or not carried on this stream.
-    #[error("type_url: '{url}' is not served here")]
+    #[error("type_url: '{url}' is not supported on this stream")]
     UnsupportedType {
         /// The beginning of the type URL.
         url: String,
     },
     /// One request names too many resources.
-    #[error("more than {} names asked for, or {} held", MAX_SUBSCRIBED_NAMES, MAX_HELD_RESOURCES)]
+    #[error(
+        "more than {} subscribed names, or more than {} initial versions or unsubscribed names",
+        MAX_SUBSCRIBED_NAMES,
+        MAX_INITIAL_RESOURCES
+    )]
     RequestTooLarge,
     /// The subscription has grown too large.
-    #[error("more than {} names asked for", MAX_SUBSCRIBED_NAMES)]
+    #[error("more than {} subscribed names", MAX_SUBSCRIBED_NAMES)]
     SubscriptionTooLarge,
     /// A resource name is too long.
-    #[error("a name longer than {} bytes", MAX_NAME_LENGTH)]
+    #[error("resource name longer than {} bytes", MAX_NAME_LENGTH)]
     NameTooLong,
     /// Too many requests had a nonce that was never sent.
-    #[error("response_nonce: given to nobody on this stream")]
+    #[error("response_nonce: unknown on this stream")]
     UnknownNonce,
 }
 
 impl StreamError {
     /// True where a limit was exceeded; false where the request is invalid.
+    #[must_use]
     pub fn is_resource_exhausted(&self) -> bool {
         match self {
             StreamError::NodeIdTooLong
@@ -130,19 +134,21 @@
 /// What a stream reports to the control plane.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamEvent {
-    /// The proxy holds resources of this type from an earlier stream, as new as this version.
+    /// The proxy has resources of this type from an earlier stream.
     Holds {
         /// The type of the resources.
         resource_type: ResourceType,
-        /// The join of all versions that the proxy named.
+        /// The join of their versions.
         version: SignedVersion,
     },
     /// The proxy accepted routes with these shares of the canary.
     Acknowledged(CanaryShares),
-    /// The proxy rejected (NACKed) a response for the first time.
+    /// The proxy rejected (NACK) a content for the first time.
     Rejected {
         /// The type of the response.
         resource_type: ResourceType,
+        /// The nonce of the response.
+        nonce: String,
         /// The proxy's reason, shortened.
         message: String,
     },
@@ -153,8 +159,8 @@
 pub struct StreamResponse {
     /// The type of its resources.
     pub resource_type: ResourceType,
-    /// The encoded message in chunks, some of which other streams share.
+    /// The encoded message in chunks; some are shared with other streams.
     pub chunks: Vec<Bytes>,
-    /// The shares of the canary, where it contains routes.
+    /// The shares of the canary, if the response contains routes.
     pub canary_shares: Option<CanaryShares>,
 }
--- a/crates/xds/src/stream/request_handling.rs
+++ b/crates/xds/src/stream/request_handling.rs
@@ -1,26 +1,19 @@
-//! What a request changes: the node's identity, acknowledgements, and subscriptions.
+//! Handles requests: the node's identity, acknowledgements and rejections, and subscriptions.
 
 use super::messages::{StreamError, StreamEvent, SubscriptionRequest};
 use super::type_state::{HeldResource, PendingResponse};
-use super::{INLINE_ENDPOINTS_FEATURE, MAX_NODE_ID_LENGTH, Stream};
+use super::{INLINE_ENDPOINTS_FEATURE, Stream};
+use crate::limits::{
+    self, MAX_INITIAL_RESOURCES, MAX_NAME_LENGTH, MAX_NODE_ID_LENGTH, MAX_REJECTION_LENGTH,
+    MAX_SUBSCRIBED_NAMES,
+};
 use crate::resources::ResourceType;
 use latchhaven_proxy_config::version::{
     ConfigVersion, LabelParts, SignedPrefix, SignedVersion, VersionSigner, split_label,
 };
 use std::collections::BTreeMap;
 
-/// Names of one type that a stream may subscribe to: a configuration has some tens.
-pub(super) const MAX_SUBSCRIBED_NAMES: usize = 1_024;
-/// Bytes of one resource name.
-pub(super) const MAX_NAME_LENGTH: usize = 512;
-/// Resources that a proxy may say it holds: clusters and endpoints of several versions.
-pub(super) const MAX_HELD_RESOURCES: usize = 20_000;
-/// Requests with nonces that were never sent, after which the stream ends.
-const MAX_UNKNOWN_NONCES: u32 = 16;
-/// Bytes of a proxy's reason for a rejection that are kept.
-const MAX_REJECTION_LENGTH: usize = 512;
-
-/// What the nonce of a request refers to.
+/// The response that the nonce of a request refers to.
 enum Nonce {
     Absent,
     LatestResponse,
@@ -32,7 +25,7 @@
     /// Handles a request.
     ///
     /// # Errors
-    /// The request cannot be answered: the stream ends with this error.
+    /// The request is invalid or exceeds a limit: the stream ends with this error.
     pub fn on_request(&mut self, mut request: SubscriptionRequest) -> Result<(), StreamError> {
         if self.node.is_none() {
             self.identify(&mut request)?;
@@ -43,7 +36,7 @@
         let nonce = self.classify_nonce(resource_type, &request.nonce, is_first);
         match nonce {
             Nonce::Unknown => return self.on_unknown_nonce(),
-            // In the full form a late request is void; in the incremental form it still changes the subscription.
+            // In the full form a late request is ignored; in the incremental form it still changes the subscription.
             Nonce::EarlierResponse if !self.incremental => return Ok(()),
             _ => {}
         }
@@ -56,7 +49,7 @@
         self.update_type(resource_type, is_first, request)
     }
 
-    /// Takes the node's id and features from the first request.
+    /// Reads the node's id and features from the first request.
     fn identify(&mut self, request: &mut SubscriptionRequest) -> Result<(), StreamError> {
         let node = request.node.take().filter(|node| !node.is_empty());
         let node = node.ok_or(StreamError::MissingNodeId)?;
@@ -97,32 +90,38 @@
         }
     }
 
-    /// Such a request is ignored until there were too many.
+    /// Ignores the request unless there were too many of them.
     fn on_unknown_nonce(&mut self) -> Result<(), StreamError> {
         self.unknown_nonces += 1;
-        if self.unknown_nonces < MAX_UNKNOWN_NONCES { Ok(()) } else { Err(StreamError::UnknownNonce) }
+        if limits::has_too_many_unknown_nonces(self.unknown_nonces) {
+            Err(StreamError::UnknownNonce)
+        } else {
+            Ok(())
+        }
     }
 
-    /// Records what the proxy holds from an earlier stream: nothing older is sent to it.
+    /// Records the proxy's resources from an earlier stream: nothing older is sent to it.
     fn record_initial_versions(&mut self, resource_type: ResourceType, request: &SubscriptionRequest) {
         let mut versions = InitialVersions::default();
         let mut held = Vec::new();
         for initial in &request.initial_versions {
-            if let Some(hash) = versions.read(&initial.label, &self.signer) {
+            if let Some(hash) = versions.parse(&initial.label, &self.signer) {
                 held.push((initial.name.clone(), HeldResource { hash, resource: None }));
             }
         }
-        versions.read(&request.version, &self.signer);
+        versions.parse(&request.version, &self.signer);
         let newest = versions.newest();
         let state = self.types.entry(resource_type).or_default();
         state.minimum_version = newest;
         state.held.extend(held);
-        // Signed versions tell the state of the platform; others only what this proxy claims.
-        self.report_held(resource_type, newest, false);
-        self.report_held(resource_type, versions.newest_signed(), true);
+        // Signed versions are evidence of the platform's state, unsigned ones only of this proxy's resources.
+        self.report_version(resource_type, newest, false);
+        self.report_version(resource_type, versions.newest_signed(), true);
     }
 
-    fn report_held(&mut self, resource_type: ResourceType, version: Option<ConfigVersion>, is_signed: bool) {
+    fn report_version(
+        &mut self, resource_type: ResourceType, version: Option<ConfigVersion>, is_signed: bool,
+    ) {
         let Some(version) = version else { return };
         let version = SignedVersion { version, content_hash: 0, is_signed };
         self.events.push(StreamEvent::Holds { resource_type, version });
@@ -132,28 +131,28 @@
     fn conclude_pending(&mut self, resource_type: ResourceType, error: Option<String>) {
         let Some(state) = self.types.get_mut(&resource_type) else { return };
         let Some(pending) = state.pending.take() else { return };
-        match error {
-            Some(message) => self.reject_pending(resource_type, &pending, message),
-            None => {
-                state.on_accepted(pending.content);
-                self.events.extend(pending.canary_shares.map(StreamEvent::Acknowledged));
-            }
+        if let Some(message) = error {
+            self.reject_pending(resource_type, &pending, message);
+            return;
         }
+        state.on_accepted(pending.content);
+        self.events.extend(pending.canary_shares.map(StreamEvent::Acknowledged));
     }
 
     fn reject_pending(&mut self, resource_type: ResourceType, pending: &PendingResponse, message: String) {
         let Some(state) = self.types.get_mut(&resource_type) else { return };
         let is_repeated = state.on_rejected(pending);
         if !is_repeated {
+            let nonce = state.nonce.clone();
             let message = truncate(message, MAX_REJECTION_LENGTH);
-            self.events.push(StreamEvent::Rejected { resource_type, message });
+            self.events.push(StreamEvent::Rejected { resource_type, nonce, message });
         }
     }
 
     fn update_type(
         &mut self, resource_type: ResourceType, is_first: bool, request: SubscriptionRequest,
     ) -> Result<(), StreamError> {
-        // Which endpoints stay depends on which clusters are held.
+        // The retained endpoints depend on the proxy's clusters.
         self.types.entry(ResourceType::Endpoint).or_default().up_to_date_with = None;
         let state = self.types.entry(resource_type).or_default();
         state.up_to_date_with = None;
@@ -166,15 +165,15 @@
     }
 }
 
-/// The versions in the labels that a proxy names. Hundreds of labels have a few prefixes; each is read once.
+/// The versions in the labels of a request. Many labels have the same prefix; each prefix is parsed once.
 #[derive(Default)]
 struct InitialVersions<'a> {
     by_prefix: BTreeMap<&'a str, Option<SignedPrefix>>,
 }
 
 impl<'a> InitialVersions<'a> {
-    /// Reads a label. Returns the content hash in it, unless it is no label of ours.
-    fn read(&mut self, label: &'a str, signer: &VersionSigner) -> Option<u64> {
+    /// Parses a label. Returns its content hash; none if the text is not a label.
+    fn parse(&mut self, label: &'a str, signer: &VersionSigner) -> Option<u64> {
         let LabelParts { prefix, content_hash } = split_label(label)?;
         let version = self.by_prefix.entry(prefix).or_insert_with(|| signer.parse_prefix(prefix));
         version.map(|_| content_hash)
@@ -185,7 +184,7 @@
         join(self.by_prefix.values().flatten())
     }
 
-    /// The join of all versions that were signed with the control services' key.
+    /// The join of all versions signed with the control services' key.
     fn newest_signed(&self) -> Option<ConfigVersion> {
         join(self.by_prefix.values().flatten().filter(|prefix| prefix.is_signed))
     }
@@ -197,8 +196,8 @@
 
 fn check_limits(request: &SubscriptionRequest) -> Result<(), StreamError> {
     let is_too_large = request.names.len() > MAX_SUBSCRIBED_NAMES
-        || request.unsubscribed.len() > MAX_HELD_RESOURCES
-        || request.initial_versions.len() > MAX_HELD_RESOURCES;
+        || request.unsubscribed.len() > MAX_INITIAL_RESOURCES
+        || request.initial_versions.len() > MAX_INITIAL_RESOURCES;
     if is_too_large {
         return Err(StreamError::RequestTooLarge);
     }
@@ -210,7 +209,7 @@
     Ok(())
 }
 
-/// Shortens a text to so many bytes, at a character boundary.
+/// Truncates a text to at most `max_length` bytes, at a character boundary.
 fn truncate(mut text: String, max_length: usize) -> String {
     text.truncate(text.floor_char_boundary(max_length));
     text
--- a/crates/xds/src/stream/response_encoding.rs
+++ b/crates/xds/src/stream/response_encoding.rs
@@ -1,5 +1,4 @@
-//! The bytes of a response. Resources come first in chunks that all streams share; protobuf leaves the order of fields
-//! free.
+//! Encodes responses. Resources are first, in chunks that all streams share; protobuf allows any order of fields.
 
 use super::type_state::ResponseContent;
 use crate::resources::{Resource, ResourceSnapshot, ResourceType, encode_bytes_field};
@@ -25,7 +24,7 @@
 pub(super) struct ResponseMessage<'a> {
     pub(super) resource_type: ResourceType,
     pub(super) incremental: bool,
-    /// Hash of the contents of the whole type.
+    /// Hash of the contents of all resources of the type.
     pub(super) content_hash: u64,
     pub(super) nonce: &'a str,
     pub(super) content: &'a ResponseContent,
@@ -60,8 +59,7 @@
     }
 }
 
-/// The beginning of an entry in a `DeltaDiscoveryResponse`: all but the resource, whose shared bytes follow as its
-/// last field.
+/// The beginning of an entry in a `DeltaDiscoveryResponse`: all fields before the resource, whose shared bytes follow.
 fn encode_entry_head(resource: &Resource, snapshot: &ResourceSnapshot) -> Bytes {
     let version_label = snapshot.version_label(resource.hash);
     let mut fields = BytesMut::new();
--- a/crates/xds/src/stream/response_selection.rs
+++ b/crates/xds/src/stream/response_selection.rs
@@ -1,17 +1,15 @@
-//! What the next response contains.
+//! Selects the content of the next response.
 
 use super::Stream;
 use super::dependencies::Retained;
 use super::messages::{StreamEvent, StreamResponse};
 use super::response_encoding::ResponseMessage;
 use super::type_state::{PendingResponse, ResponseContent, TypeState, response_hash};
+use crate::limits::MAX_RETIRED_VERSIONS;
 use crate::resources::{Resource, ResourceSet, ResourceSnapshot, ResourceType, TypeResources};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Versions that are gone and whose clusters a reconnected proxy may keep for a while.
-const MAX_RETIRED_VERSIONS: usize = 8;
-
 impl Stream {
     /// The next response of one type, if one may be sent now.
     pub(super) fn next_response_of_type(
@@ -22,7 +20,7 @@
         }
         let set = snapshot.resources(resource_type, self.separate_endpoints);
         let state = self.types.get(&resource_type)?;
-        // Most calls find what an earlier one found; clusters depend on the routes that are held as well.
+        // Skips the comparison of unchanged contents; clusters depend on the proxy's routes as well.
         if state.up_to_date_with == Some(set.content_hash) && resource_type != ResourceType::Cluster {
             return None;
         }
@@ -34,16 +32,14 @@
         } else {
             select_new(state, &set.resources)
         };
-        match content {
-            Some(content) => self.respond(resource_type, snapshot, content),
-            None => {
-                self.on_up_to_date(resource_type, snapshot, set);
-                None
-            }
-        }
+        let Some(content) = content else {
+            self.on_up_to_date(resource_type, snapshot, set);
+            return None;
+        };
+        self.respond(resource_type, snapshot, content)
     }
 
-    /// There is nothing to send. Routes that were held all along count as accepted.
+    /// There is nothing to send. Unchanged routes of a reconnected proxy count as accepted.
     fn on_up_to_date(
         &mut self, resource_type: ResourceType, snapshot: &ResourceSnapshot, set: &TypeResources,
     ) {
@@ -58,7 +54,7 @@
         }
     }
 
-    /// Encodes the response and notes that it is pending.
+    /// Encodes the response and records it as pending.
     fn respond(
         &mut self, resource_type: ResourceType, snapshot: &ResourceSnapshot, content: ResponseContent,
     ) -> Option<StreamResponse> {
@@ -83,7 +79,7 @@
         Some(StreamResponse { resource_type, chunks, canary_shares })
     }
 
-    /// A full response of a wildcard type: all resources, with those that stay.
+    /// A full response of a wildcard type: all resources of the snapshot, and the retained ones.
     fn select_all(
         &self, resource_type: ResourceType, snapshot: &ResourceSnapshot, set: &ResourceSet,
         retained: &Retained<'_>,
@@ -91,8 +87,8 @@
         let state = self.types.get(&resource_type)?;
         let mut resources: Vec<_> = state.wanted(set).cloned().collect();
         let absent = state.held.iter().filter(|(name, _)| !set.contains_key(*name));
-        let staying = absent.filter(|(name, _)| retained.contains(name));
-        resources.extend(staying.filter_map(|(_, held)| held.resource.clone()));
+        let retained_resources = absent.filter(|(name, _)| retained.contains(name));
+        resources.extend(retained_resources.filter_map(|(_, held)| held.resource.clone()));
         if resource_type == ResourceType::Cluster && state.wildcard {
             self.add_retired_clusters(snapshot, retained, &mut resources);
         }
@@ -102,7 +98,7 @@
         is_due.then_some(ResponseContent { resources, removed: Vec::new(), replaces_all: true })
     }
 
-    /// Adds the clusters of versions that are gone, but whose endpoints the proxy names.
+    /// Adds the clusters of removed versions whose endpoints the proxy subscribes to.
     fn add_retired_clusters(
         &self, snapshot: &ResourceSnapshot, retained: &Retained<'_>, clusters: &mut Vec<Arc<Resource>>,
     ) {
@@ -120,7 +116,7 @@
     }
 }
 
-/// A full response of a type that is subscribed to by name: what is new, or all of it where more names were added.
+/// A full response of a type that is subscribed to by name: changed resources, or all where names were added.
 fn select_new(state: &TypeState, set: &ResourceSet) -> Option<ResponseContent> {
     let wanted = state.wanted(set);
     let resources: Vec<_> = wanted.filter(|new| state.response_due || !state.holds(new)).cloned().collect();
@@ -129,7 +125,7 @@
     is_due.then_some(ResponseContent { resources, removed: Vec::new(), replaces_all: false })
 }
 
-/// An incremental response: what changed, and what is gone.
+/// An incremental response: changed resources, and names of removed ones.
 fn select_changes(state: &TypeState, set: &ResourceSet, retained: &Retained<'_>) -> Option<ResponseContent> {
     let is_changed = |new: &&Arc<Resource>| {
         let is_rejected = state.rejected_resources.get(&new.name) == Some(&new.hash);
--- a/crates/xds/src/stream/type_state.rs
+++ b/crates/xds/src/stream/type_state.rs
@@ -1,7 +1,7 @@
-//! The state of one resource type on a stream: what is subscribed to, what is held, and what is pending.
+//! The state of one resource type on a stream: the subscription, the proxy's resources, and the pending response.
 
 use super::messages::StreamError;
-use super::request_handling::MAX_SUBSCRIBED_NAMES;
+use crate::limits::MAX_SUBSCRIBED_NAMES;
 use crate::resources::{Resource, ResourceSet, ResourceType, content_hash};
 use latchhaven_proxy_config::share_ledger::CanaryShares;
 use latchhaven_proxy_config::version::ConfigVersion;
@@ -11,21 +11,21 @@
 /// The name by which a client subscribes to all resources of a type.
 const WILDCARD: &str = "*";
 
-/// A resource that the proxy holds.
+/// A resource that the proxy has accepted, on this stream or an earlier one.
 #[derive(Clone, Debug)]
 pub(super) struct HeldResource {
     pub(super) hash: u64,
-    /// None where it was sent on an earlier stream.
+    /// None for a resource from an earlier stream.
     pub(super) resource: Option<Arc<Resource>>,
 }
 
-/// What a response contains.
+/// The content of a response.
 #[derive(Debug)]
 pub(super) struct ResponseContent {
     pub(super) resources: Vec<Arc<Resource>>,
-    /// Names of resources that are gone; incremental only.
+    /// Names of removed resources; incremental only.
     pub(super) removed: Vec<String>,
-    /// It replaces all that the proxy holds of the type.
+    /// It replaces all the proxy's resources of the type.
     pub(super) replaces_all: bool,
 }
 
@@ -40,31 +40,31 @@
 /// The state of one type.
 #[derive(Debug, Default)]
 pub(super) struct TypeState {
-    /// A request for the type came.
+    /// The proxy has requested the type.
     pub(super) is_subscribed: bool,
     /// All resources of the type are subscribed to.
     pub(super) wildcard: bool,
     pub(super) names: BTreeSet<String>,
     pub(super) held: BTreeMap<String, HeldResource>,
-    /// The proxy held this version when it connected: nothing older may be sent.
+    /// The version of the proxy's resources when it connected: nothing older may be sent.
     pub(super) minimum_version: Option<ConfigVersion>,
     pub(super) pending: Option<PendingResponse>,
     /// The nonce of the last response.
     pub(super) nonce: String,
-    /// Hash of the contents for which there was nothing to send; forgotten with every request.
+    /// Hash of the contents for which there was nothing to send; cleared by every request.
     pub(super) up_to_date_with: Option<u64>,
     /// A response is due although no content changed: more names are subscribed to.
     pub(super) response_due: bool,
-    /// Incremental: names to be answered although their content did not change.
+    /// Incremental: names for which a response is due although their content did not change.
     pub(super) due_names: BTreeSet<String>,
-    /// Hash of the full response that was rejected.
+    /// Hash of the rejected full response.
     pub(super) rejected_content: Option<u64>,
-    /// Hashes of the single resources that were rejected, by name.
+    /// Hashes of single rejected resources, by name.
     pub(super) rejected_resources: BTreeMap<String, u64>,
 }
 
 impl TypeState {
-    /// True where the resource is held with its present content.
+    /// True where the proxy has the resource with its current content.
     pub(super) fn holds(&self, resource: &Resource) -> bool {
         self.held.get(&resource.name).is_some_and(|held| held.hash == resource.hash)
     }
@@ -81,7 +81,7 @@
         set.values().filter(|resource| self.wants(&resource.name))
     }
 
-    /// True where every resource of the set that is subscribed to is held with its present content.
+    /// True where the proxy has every subscribed resource of the set with its current content.
     pub(super) fn holds_all_wanted(&self, set: &ResourceSet) -> bool {
         self.wanted(set).all(|resource| self.holds(resource))
     }
@@ -91,7 +91,7 @@
         self.due_names.iter().any(|due| due == name || matches_glob_collection(due, name))
     }
 
-    /// Replaces the subscription by these names, as requests of the full form do.
+    /// Replaces the subscription by these names (full form).
     pub(super) fn replace_subscription(
         &mut self, resource_type: ResourceType, is_first: bool, names: Vec<String>,
     ) {
@@ -100,7 +100,7 @@
         if !is_first && wildcard == self.wildcard && names == self.names {
             return;
         }
-        // Proxies drop what they no longer subscribe to.
+        // Proxies remove resources when their subscription ends.
         self.held.retain(|name, _| wildcard || names.contains(name));
         let has_new_names = names.iter().any(|name| !self.names.contains(name));
         let became_wildcard = wildcard && !self.wildcard;
@@ -109,7 +109,7 @@
         self.wildcard = wildcard;
     }
 
-    /// Adds names to the subscription and removes others, as requests of the incremental form do.
+    /// Adds names to the subscription and removes others (incremental form).
     pub(super) fn update_subscription(
         &mut self, resource_type: ResourceType, is_first: bool, added: Vec<String>, removed: Vec<String>,
     ) -> Result<(), StreamError> {
@@ -133,7 +133,7 @@
             self.wildcard = resource_type.is_wildcard() || self.wildcard;
             return;
         }
-        // A repeated subscription is answered again, unless this first request says that the resource is held.
+        // A repeated subscription is due again, unless this first request names the resource as present.
         if !(is_first && self.held.contains_key(&name)) {
             self.due_names.insert(name.clone());
         }
@@ -158,7 +158,7 @@
         }
         for resource in content.resources {
             self.rejected_resources.remove(&resource.name);
-            // Where the subscription ended while the response was on its way, the proxy has dropped the resource.
+            // If the subscription ended while the response was pending, the proxy has removed the resource.
             if self.wants(&resource.name) {
                 let name = resource.name.clone();
                 self.held.insert(name, HeldResource { hash: resource.hash, resource: Some(resource) });
@@ -170,7 +170,7 @@
         self.rejected_content = None;
     }
 
-    /// The pending response was rejected. Returns whether the same content was rejected just before.
+    /// The pending response was rejected. Returns true if the previous rejection was of the same content.
     pub(super) fn on_rejected(&mut self, pending: &PendingResponse) -> bool {
         let is_repeated = self.rejected_content == Some(pending.content_hash);
         self.rejected_content = Some(pending.content_hash);
--- a/crates/xds/tests/admission.rs
+++ b/crates/xds/tests/admission.rs
@@ -5,7 +5,7 @@
 
 /// Streams admitted per ms at most.
 const ADMISSION_RATE: f64 = 2.0;
-/// Streams admitted at once at most.
+/// Streams admitted in one step at most.
 const MAX_BURST: f64 = 50.0;
 
 #[test]
@@ -17,7 +17,7 @@
     }
     let admitted: Vec<u64> = (0..=230).flat_map(|ms| admission.poll(f64::from(ms))).collect();
     assert!(admitted.len() >= 505 && admitted.len() <= 512, "{}", admitted.len());
-    assert!(admitted[1..500].iter().all(|stream| *stream >= 500), "one noisy proxy starves nobody");
+    assert!(admitted[1..500].iter().all(|stream| *stream >= 500), "one frequent proxy delays no other");
 }
 
 #[test]
@@ -37,7 +37,7 @@
     assert_eq!(admission.admit_load_reports(7), AdmissionResult::Full);
 }
 
-/// Slots that streams occupy, found by filling the free ones of a copy.
+/// Occupied slots, counted by filling the free ones of a copy.
 fn occupied_slots(admission: &Admission, max_streams: usize) -> usize {
     let mut copy = admission.clone();
     let mut probes = u64::MAX - max_streams as u64..u64::MAX;
@@ -45,11 +45,11 @@
     max_streams - free.count()
 }
 
-/// Streams that wait for their admission, found by admitting all on a copy: they are fewer than a burst.
+/// Pending streams, counted by admitting all of them on a copy: they are fewer than a burst.
 fn pending_streams(admission: &Admission) -> usize {
     let mut copy = admission.clone();
     let count = copy.poll(f64::MAX).len();
-    assert!(!copy.has_pending(), "a burst admits all that may be pending");
+    assert!(!copy.has_pending(), "a burst admits all pending streams");
     count
 }
 
--- a/crates/xds/tests/convergence/control_service.rs
+++ b/crates/xds/tests/convergence/control_service.rs
@@ -1,4 +1,4 @@
-//! A control service: what it knows of the platform, and the snapshot that it publishes.
+//! A control service: its state of the platform, and its published snapshot.
 
 use super::platform::PlatformState;
 use latchhaven_policy::{
@@ -62,7 +62,7 @@
     SocketAddr::from(([127, 0, 0, 1], 2000 + index as u16))
 }
 
-/// What both control services have in common.
+/// The settings of both control services.
 pub(crate) struct Setup {
     pub(crate) signer: VersionSigner,
     pub(crate) separate_endpoints: bool,
@@ -90,7 +90,7 @@
 
     fn publish(&mut self, platform: &PlatformState, setup: &Setup) {
         let Ok(version) = self.known.config_version() else { return };
-        // The rollout may be known, by what proxies hold, to be further than the platform state says.
+        // The versions that proxies report may be newer than the platform's state.
         let policy = policy_snapshot(platform, version.rollout.to_state(platform.now));
         let proxy_config = self.proxy_config(platform, &policy);
         let listener = listener_config(setup.separate_endpoints);
@@ -103,18 +103,11 @@
     fn proxy_config(&self, platform: &PlatformState, policy: &PolicySnapshot) -> ProxyConfig {
         let addresses: BTreeMap<_, _> =
             (0..platform.hosts.len()).map(|index| (host_name(index), host_address(index))).collect();
-        let mut share_ledger = ShareLedger::new(10);
-        share_ledger.connected(1);
-        share_ledger.set_request_rate(1, vec![1.0, 1.0]);
+        let mut proxies = ShareLedger::new(10);
+        proxies.connected(1);
+        proxies.set_request_rate(1, vec![1.0, 1.0]);
         let rolled_back = self.known.rolled_back_versions();
-        proxy_config::build_proxy_config(
-            policy,
-            &settings(),
-            rolled_back,
-            &addresses,
-            &share_ledger,
-            platform.now,
-        )
+        proxy_config::build_proxy_config(policy, &settings(), rolled_back, &addresses, &proxies, platform.now)
     }
 }
 
--- a/crates/xds/tests/convergence/main.rs
+++ b/crates/xds/tests/convergence/main.rs
@@ -1,5 +1,5 @@
 //! Proxies and two control services under random rollouts, endpoint changes, lost connections, rejections and restarts:
-//! what a proxy holds never goes back, no reference dangles, and all converge once nothing changes any more.
+//! a proxy's version never decreases, no reference dangles, and all converge after the last change.
 
 // A test fails where it unwraps.
 #![allow(clippy::unwrap_used)]
@@ -14,9 +14,9 @@
 use proptest::prelude::{ProptestConfig, any, prop, proptest};
 use proxy::Proxy;
 
-/// Rounds in which everything arrives, after the random steps.
+/// Rounds without faults after the random steps.
 const QUIET_ROUNDS: usize = 80;
-/// Rounds after which proxies have had time to name what they hold.
+/// Rounds after which the naming grace ends.
 const NAMING_GRACE_ROUNDS: usize = 20;
 /// Exchanges of an undisturbed proxy in one step.
 const UNDISTURBED_EXCHANGES: usize = 12;
@@ -76,7 +76,7 @@
         self.observe_last_seen(service);
     }
 
-    /// A service restarts with a state that may be older than what it had published.
+    /// A service restarts with a state that may be older than its last published one.
     fn restart_service(&mut self, service: usize, pick: usize) {
         self.services[service] = ControlService::new(pick % self.states.len());
         self.observe_last_seen(service);
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Nothing changes any more: services see everything, proxies are connected, and all messages arrive.
+    /// Without further changes: services see the last state, proxies are connected, and all messages arrive.
     fn settle(&mut self) {
         let platform = self.platform();
         self.observe_everywhere(&platform);
@@ -114,7 +114,7 @@
                 }
                 proxy.exchange(&mut self.services, platform.now);
             }
-            // The control service fetches the whole endpoint list while its own is behind what proxies hold.
+            // A control service fetches a snapshot of the endpoint list while a proxy's version is newer than its own.
             self.observe_everywhere(&platform);
         }
     }
--- a/crates/xds/tests/convergence/platform.rs
+++ b/crates/xds/tests/convergence/platform.rs
@@ -19,7 +19,7 @@
     pub(crate) hosts: Vec<Host>,
     pub(crate) list_version: u64,
     pub(crate) now: Millis,
-    /// When the rollout came to its state.
+    /// When the state of the rollout began, in ms.
     pub(crate) rollout_since: Millis,
 }
 
--- a/crates/xds/tests/convergence/proxy.rs
+++ b/crates/xds/tests/convergence/proxy.rs
@@ -9,7 +9,7 @@
 use latchhaven_xds::stream::{Stream, StreamEvent, StreamResponse};
 use std::collections::VecDeque;
 
-/// A stream between a proxy and a control service, with the messages on their way.
+/// A stream between a proxy and a control service, with the messages in transit.
 pub(crate) struct Connection {
     service: usize,
     pub(crate) stream: Stream,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The service has room for one response.
+    /// The service sends one response, if it has one.
     pub(crate) fn send_response(&mut self, services: &[ControlService]) {
         let Some(connection) = &mut self.connection else { return };
         let snapshot = services[connection.service].snapshot.as_ref();
@@ -63,7 +63,7 @@
         let Some(connection) = &mut self.connection else { return };
         let Some(response) = connection.responses.pop_front() else { return };
         connection.requests.extend(self.cache.apply_response(&response.chunks.concat(), reject));
-        assert_eq!(self.cache.regressions, 0, "a state went back");
+        assert_eq!(self.cache.regressions, 0, "an older state was sent");
         assert_eq!(
             self.cache.dangling,
             0,
@@ -86,7 +86,7 @@
         assert_eq!(
             connection.stream.first_pending_type(snapshot),
             None,
-            "it holds what the service has: {:?}\n {:?}\n{:?} {:?}",
+            "the proxy has the resources of the service: {:?}\n {:?}\n{:?} {:?}",
             self.cache,
             service.known,
             snapshot.version,
--- a/crates/xds/tests/error_texts.rs
+++ b/crates/xds/tests/error_texts.rs
@@ -1,4 +1,4 @@
-//! The texts with which streams end: proxies and operators' logs show them.
+//! The texts with which streams end; proxies and operators' logs show them.
 
 use latchhaven_xds::load_stats::LoadReportError;
 use latchhaven_xds::server::LoadReportRejected;
@@ -9,12 +9,12 @@
     let texts = [
         (LoadReportError::TooManyClusters, "cluster_stats: more than 1024"),
         (LoadReportError::MissingInterval, "load_report_interval: missing"),
-        (LoadReportError::InvalidInterval, "load_report_interval: not above 0"),
-        (LoadReportError::UnknownCluster, "cluster_name: no cluster of ours"),
+        (LoadReportError::InvalidInterval, "load_report_interval: not positive"),
+        (LoadReportError::UnknownCluster, "cluster_name: unknown cluster"),
         (LoadReportError::TooManyEndpoints, "upstream_endpoint_stats: more than 20000"),
-        (LoadReportError::MissingAddress, "upstream_endpoint_stats: no address"),
-        (LoadReportError::DuplicateEndpoint, "upstream_endpoint_stats: a host twice"),
-        (LoadReportError::InvalidDropCount, "dropped_requests: more than in all"),
+        (LoadReportError::MissingAddress, "upstream_endpoint_stats: address missing or invalid"),
+        (LoadReportError::DuplicateEndpoint, "upstream_endpoint_stats: repeated endpoint"),
+        (LoadReportError::InvalidDropCount, "dropped_requests: sum above total_dropped_requests"),
     ];
     for (error, text) in texts {
         assert_eq!(error.to_string(), text);
@@ -27,11 +27,15 @@
     let texts = [
         (StreamError::MissingNodeId, "node.id: missing in the first request", false),
         (StreamError::NodeIdTooLong, "node.id: longer than 256 bytes", true),
-        (unsupported, "type_url: 'x' is not served here", false),
-        (StreamError::RequestTooLarge, "more than 1024 names asked for, or 20000 held", true),
-        (StreamError::SubscriptionTooLarge, "more than 1024 names asked for", true),
-        (StreamError::NameTooLong, "a name longer than 512 bytes", true),
-        (StreamError::UnknownNonce, "response_nonce: given to nobody on this stream", false),
+        (unsupported, "type_url: 'x' is not supported on this stream", false),
+        (
+            StreamError::RequestTooLarge,
+            "more than 1024 subscribed names, or more than 20000 initial versions or unsubscribed names",
+            true,
+        ),
+        (StreamError::SubscriptionTooLarge, "more than 1024 subscribed names", true),
+        (StreamError::NameTooLong, "resource name longer than 512 bytes", true),
+        (StreamError::UnknownNonce, "response_nonce: unknown on this stream", false),
     ];
     for (error, text, is_resource_exhausted) in texts {
         assert_eq!(error.to_string(), text);
