--- a/crates/control-plane/src/driver/startup.rs
+++ b/crates/control-plane/src/driver/startup.rs
@@ -70,7 +70,7 @@
     let xds_listener = XdsListener {
         listener,
         allowed_networks: config.xds.allowed_networks.clone(),
-        max_streams: config.xds.streams_most,
+        max_streams: config.xds.max_streams,
     };
     let xds_server = xds_thread::spawn(xds_listener, context)?;
     tracing::info!(name = config.name, %listening, "control service started");
@@ -104,18 +104,18 @@
             exposure: limits.exposure,
             slow_start: limits.slow_start,
             max_attempts: limits.max_attempts,
-            max_in_flight_per_endpoint: config.xds.in_flight_per_host,
+            max_in_flight_per_endpoint: config.xds.max_in_flight_per_endpoint,
         },
         listener: ListenerConfig {
             address: config.xds.listener,
-            class_header: config.xds.product_header.clone(),
+            class_header: config.xds.class_header.clone(),
             key_header: config.xds.key_header.clone(),
-            connect_timeout: f64::from(config.xds.connect_within_ms),
-            separate_endpoints: config.xds.hosts_apart,
+            connect_timeout: f64::from(config.xds.connect_timeout_ms),
+            separate_endpoints: config.xds.separate_endpoints,
         },
         signer,
-        max_streams: config.xds.streams_most,
-        platform_counts_only: config.xds.evidence == OutcomeSource::Platform,
+        max_streams: config.xds.max_streams,
+        platform_counts_only: config.xds.outcome_source == OutcomeSource::Platform,
     }
 }
 
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,42 +1,49 @@
 //! Configuration files of operators.
 //!
 //! A file is a Starlark script (functions, loops, `load` of files in the same folder) that sets `control`, a dict. It is
-//! evaluated within limits of size, steps, memory and depth, without a clock or random numbers, and read into
-//! [`ControlConfig`], whose every key is checked. Settings that the platform hands over stay JSON and are read
-//! elsewhere.
+//! evaluated within limits of size, steps, memory and depth, without a clock or random numbers, and parsed into
+//! [`ControlConfig`], whose keys are all checked. The platform's settings stay JSON; the control service parses them.
 //!
 //! - `control_config`: the records and their schema.
 //! - `script`: evaluates a script and its loads.
-//! - `error`: what is wrong with a file, and where.
+//! - `error`: the errors of a file, with their locations.
+//! - `location`: finds the line of a key.
+//! - `limits`: limits of files and their evaluation, and defaults.
+
+#![warn(clippy::pedantic)]
 
 mod control_config;
 mod error;
+mod limits;
+mod location;
 mod script;
 
 pub use control_config::{ControlConfig, OutcomeSource, XdsConfig};
 pub use error::{ConfigError, ConfigErrors, ConfigProblem, LoadError};
+pub use location::line_of;
 
+use control_config::key_of_field;
 use garde::Validate;
 use script::EvaluatedScript;
 use serde_json::Value;
 use std::path::Path;
 
-/// The name that a script has to set.
+/// The name that a script must set.
 const CONFIG_NAME: &str = "control";
 
-/// A file as read.
+/// A parsed file.
 #[derive(Clone, Debug)]
 pub struct LoadedConfig {
     /// The checked records.
     pub config: ControlConfig,
-    /// The value that the script set, as it was before it was read into records.
+    /// The value that the script set, from which the records were parsed.
     pub json: Value,
 }
 
 /// Reads, evaluates and checks a file.
 ///
 /// # Errors
-/// All errors that were found, each with file, line where there is one, and key.
+/// All errors of the file, each with the file, the line if it is known, and the key.
 pub fn read(path: &Path) -> Result<LoadedConfig, ConfigErrors> {
     let EvaluatedScript { value, text } = script::evaluate(path, CONFIG_NAME)?;
     let error_at = |key: String, message: String| ConfigError {
@@ -50,8 +57,9 @@
         error_at(full_key(&error.path().to_string(), &message), message)
     })?;
     config.validate().map_err(|report| {
-        let errors =
-            report.iter().map(|(key, error)| error_at(format!("{CONFIG_NAME}.{key}"), error.to_string()));
+        let errors = report
+            .iter()
+            .map(|(path, error)| error_at(key_of_field(&format!("{CONFIG_NAME}.{path}")), error.to_string()));
         ConfigErrors(errors.collect())
     })?;
     Ok(LoadedConfig { config, json: value })
@@ -70,19 +78,8 @@
     }
 }
 
-/// The first line, from 1, that names the last part of a key, in a script or in JSON.
-pub fn line_of(text: &str, key: &str) -> Option<usize> {
-    let is_name = |part: &&str| part.parse::<usize>().is_err();
-    let last_name = key.rsplit('.').find(is_name)?;
-    let name = last_name.split('[').next()?;
-    let quoted = format!("\"{name}\"");
-    let assigned = format!("{name} =");
-    let names_key = |line: &str| line.contains(&quoted) || line.trim_start().starts_with(&assigned);
-    let index = text.lines().position(names_key)?;
-    Some(index + 1)
-}
-
 /// The JSON schema of `control`, as published in `docs/control-schema.json`.
+#[must_use]
 pub fn schema() -> Value {
     schemars::schema_for!(ControlConfig).to_value()
 }
--- a/crates/operator-config/src/script.rs
+++ b/crates/operator-config/src/script.rs
@@ -1,7 +1,8 @@
 //! Evaluates a Starlark script within limits of size, steps, memory and depth.
 
 use crate::error::{ConfigError, ConfigProblem, LoadError};
-use crate::line_of;
+use crate::limits::{self, MAX_CALL_DEPTH, MAX_FILE_SIZE, MAX_HEAP_SIZE, MAX_STEPS};
+use crate::location::line_of;
 use serde_json::Value;
 use starlark::environment::{FrozenModule, Globals, Module};
 use starlark::eval::{Evaluator, FileLoader};
@@ -9,28 +10,15 @@
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
 
-/// The maximum size of one file in bytes: a site of thousands of lines has less.
-pub(crate) const MAX_FILE_SIZE: u64 = 1 << 20;
-/// The maximum number of calls and loop iterations of one file: to build records takes thousands.
-const MAX_STEPS: u64 = 1_000_000;
-/// The maximum size of all values in bytes.
-const MAX_HEAP_SIZE: usize = 64 << 20;
-/// The maximum depth of calls within calls.
-const MAX_CALL_DEPTH: usize = 100;
-/// The maximum depth of files that load one another.
-const MAX_LOAD_DEPTH: usize = 8;
-/// The maximum number of loads in all; a file is evaluated once for each `load` of it.
-const MAX_LOADS: usize = 64;
-
-/// What a script gave.
+/// The result of a script.
 pub(crate) struct EvaluatedScript {
-    /// The value of the name that it set.
+    /// The value of the name that the script set.
     pub(crate) value: Value,
     /// The script's own text.
     pub(crate) text: String,
 }
 
-/// Evaluates a file and takes the dict of a name that it sets.
+/// Evaluates a file and returns the dict of a name that it sets.
 pub(crate) fn evaluate(path: &Path, name: &str) -> Result<EvaluatedScript, ConfigError> {
     let text = read_file(path)?;
     let load_count = RefCell::new(0);
@@ -61,10 +49,10 @@
     std::fs::read_to_string(path).map_err(unreadable)
 }
 
-/// Loads files of one folder, and no others.
+/// Loads files of one folder only.
 struct ModuleLoader<'a> {
     folder: PathBuf,
-    /// Loads so far, of all files of a script.
+    /// The number of loads so far, of all files of a script.
     load_count: &'a RefCell<usize>,
     depth: usize,
 }
@@ -94,12 +82,11 @@
 
     fn load_file(&self, name: &str) -> Result<FrozenModule, LoadError> {
         *self.load_count.borrow_mut() += 1;
-        // A path would reach beyond the folder.
+        // A path could leave the folder.
         if name.contains(['/', '\\']) || name.starts_with('.') || name.is_empty() {
             return Err(LoadError::OutsideFolder(name.to_string()));
         }
-        // A circle would never end.
-        if self.depth >= MAX_LOAD_DEPTH || *self.load_count.borrow() > MAX_LOADS {
+        if limits::exceeds_load_limits(self.depth, *self.load_count.borrow()) {
             return Err(LoadError::TooManyLoads(name.to_string()));
         }
         let path = self.folder.join(name);
@@ -116,7 +103,7 @@
     }
 }
 
-/// An error of the interpreter, at the place that it names.
+/// An error of the interpreter, with its location.
 fn located_error(path: &Path, error: &starlark::Error) -> ConfigError {
     let span = error.span();
     ConfigError {
--- a/crates/operator-config/tests/errors.rs
+++ b/crates/operator-config/tests/errors.rs
@@ -1,4 +1,4 @@
-//! What is reported for a file that cannot be used: file, line, key and text.
+//! The errors of invalid files: file, line, key and text.
 
 use latchhaven_operator_config::read;
 use std::path::PathBuf;
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn value_that_does_not_fit_is_reported_by_key_and_line() {
+fn invalid_value_is_reported_by_key_and_line() {
     let folder = Folder::new("values");
     let with_xds = |line: &str| VALID.replace("    \"xds\": {\n", &format!("    \"xds\": {{\n{line}\n"));
     assert!(read(&folder.write("valid.star", VALID)).is_ok());
@@ -101,9 +101,9 @@
     folder.write("empty.star", "");
     for (text, expected) in [
         ("contrl = {}\n", "control.star: control: not set"),
-        ("x = 1\ncontrol = [1]\n", "control.star:2: control: no dict"),
+        ("x = 1\ncontrol = [1]\n", "control.star:2: control: not a dict"),
         ("load(\"../a.star\", \"a\")\n", "load of '../a.star': only files in the same folder, by name"),
-        ("load(\"control.star\", \"control\")\n", "load of 'control.star': too many loads, or in a circle"),
+        ("load(\"control.star\", \"control\")\n", "load of 'control.star': too many loads, or cyclic loads"),
         ("load(\"broken.star\", \"x\")\n", "broken.star:2: Variable `nothing` not found"),
         ("load(\"empty.star\", \"x\")\n", "Module has no symbol `x`"),
         ("x = 1\ncontrol = {\n", "control.star:3: "),
@@ -121,7 +121,7 @@
     let missing = read(&folder.0.join("missing.star")).expect_err("no file").to_string();
     assert!(missing.ends_with("missing.star: No such file or directory (os error 2)"), "{missing}");
     let is_folder = read(&folder.0).expect_err("a folder").to_string();
-    assert_eq!(is_folder, format!("{}: no file of at most 1048576 bytes", folder.0.display()));
+    assert_eq!(is_folder, format!("{}: not a file of at most 1048576 bytes", folder.0.display()));
     let large = folder.errors(&"#".repeat((1 << 20) + 1));
-    assert_eq!(large, "control.star: no file of at most 1048576 bytes");
+    assert_eq!(large, "control.star: not a file of at most 1048576 bytes");
 }
