--- a/crates/control-plane/src/control_plane/publication.rs
+++ b/crates/control-plane/src/control_plane/publication.rs
@@ -65,7 +65,13 @@
         if previous.is_none_or(|previous| previous.version.rollout != version.rollout) {
             let rollout = version.rollout;
             let list_version = version.endpoints.version;
-            tracing::info!(?rollout, list_version, canary_shares = ?config.canary_shares, "publish: new rollout state");
+            tracing::info!(
+                snapshot = snapshot.number,
+                ?rollout,
+                list_version,
+                canary_shares = ?config.canary_shares,
+                "publish: new rollout state"
+            );
         }
         Some(Arc::new(snapshot))
     }
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -99,7 +99,7 @@
         let Some(proxy) = self.proxies.proxy_number(stream) else { return };
         for event in events {
             match event {
-                StreamEvent::Holds { resource_type, version } => {
+                StreamEvent::VersionReported { resource_type, version } => {
                     self.on_reported_version(proxy, resource_type, &version, now);
                 }
                 StreamEvent::Acknowledged(shares) => self.shares.acknowledged(proxy, &shares),
@@ -152,7 +152,7 @@
     ) {
         if resource_type == ResourceType::Route {
             let max_share = limits::max_published_share(&version.version.rollout);
-            self.shares.report_held(proxy, vec![max_share; self.settings.classes.len()]);
+            self.shares.reported(proxy, vec![max_share; self.settings.classes.len()]);
         }
         if let Some(rollout) = self.known_state.apply_proxy_version(version, now) {
             self.pending_events.push(Event::RolloutUpdate(rollout));
--- a/crates/control-plane/src/driver/event_loop.rs
+++ b/crates/control-plane/src/driver/event_loop.rs
@@ -38,22 +38,22 @@
 impl ControlPlaneDriver {
     /// Runs until a channel is closed.
     pub(super) async fn run(
-        mut self, mut gateway_events: mpsc::Receiver<DriverEvent>,
+        mut self, mut upstream_events: mpsc::Receiver<DriverEvent>,
         mut server_events: mpsc::Receiver<ServerEvent>,
     ) {
-        let mut gateway_batch = Vec::new();
+        let mut upstream_batch = Vec::new();
         let mut server_batch = Vec::new();
         loop {
             let next_poll = self.next_poll();
             select! {
                 biased;
-                count = gateway_events.recv_many(&mut gateway_batch, MAX_EVENT_BATCH) => if count == 0 { return },
+                count = upstream_events.recv_many(&mut upstream_batch, MAX_EVENT_BATCH) => if count == 0 { return },
                 count = server_events.recv_many(&mut server_batch, MAX_EVENT_BATCH) => if count == 0 { return },
                 () = sleep_until(next_poll) => {}
             }
             let now = self.clock.now();
-            for event in gateway_batch.drain(..) {
-                self.on_gateway_event(event, now);
+            for event in upstream_batch.drain(..) {
+                self.on_upstream_event(event, now);
             }
             for event in server_batch.drain(..) {
                 self.on_server_event(event, now);
--- a/crates/control-plane/src/driver/mod.rs
+++ b/crates/control-plane/src/driver/mod.rs
@@ -31,7 +31,7 @@
     select! {
         () = signals.stopped(&service.sent_counters) => {}
         served = service.xds_server => served.map_err(io::Error::other)??,
-        () = service.driver.run(service.gateway_events, service.server_events) => {}
+        () = service.driver.run(service.upstream_events, service.server_events) => {}
     }
     Ok(())
 }
--- a/crates/control-plane/src/driver/startup.rs
+++ b/crates/control-plane/src/driver/startup.rs
@@ -29,7 +29,7 @@
 pub(super) struct ControlService {
     pub(super) driver: ControlPlaneDriver,
     /// Events of discovery and the platform.
-    pub(super) gateway_events: mpsc::Receiver<DriverEvent>,
+    pub(super) upstream_events: mpsc::Receiver<DriverEvent>,
     /// Events of proxies' streams.
     pub(super) server_events: mpsc::Receiver<ServerEvent>,
     /// The result of the xDS server, when it ends.
@@ -53,7 +53,7 @@
 
     let listener = bind(config.xds.listen)?;
     let listening = listener.local_addr()?;
-    let (event_sender, gateway_events) = mpsc::channel(MAX_PENDING_EVENTS);
+    let (event_sender, upstream_events) = mpsc::channel(MAX_PENDING_EVENTS);
     let (platform_address, address) = watch::channel(config.platform);
     let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
     let votes = platform::spawn_tasks(&mut rng, address, vote_timeout, &event_sender);
@@ -84,7 +84,7 @@
         state_writer: store.writer,
         snapshots: snapshot_sender,
     };
-    Ok(ControlService { driver, gateway_events, server_events, xds_server, sent_counters, platform_address })
+    Ok(ControlService { driver, upstream_events, server_events, xds_server, sent_counters, platform_address })
 }
 
 fn read_shared_key(config: &ControlConfig) -> io::Result<Option<Vec<u8>>> {
--- a/crates/control-plane/src/driver/upstreams.rs
+++ b/crates/control-plane/src/driver/upstreams.rs
@@ -10,7 +10,7 @@
 
 impl ControlPlaneDriver {
     /// Handles an event of a task of discovery or the platform.
-    pub(super) fn on_gateway_event(&mut self, event: DriverEvent, now: Millis) {
+    pub(super) fn on_upstream_event(&mut self, event: DriverEvent, now: Millis) {
         match event {
             DriverEvent::EndpointList { call, list } => self.on_list_answer(call, list, now),
             DriverEvent::Rollout(rollout) => self.control_plane.on_rollout_state(rollout, now),
--- a/crates/control-plane/src/limits.rs
+++ b/crates/control-plane/src/limits.rs
@@ -34,7 +34,7 @@
 pub(crate) const MAX_EVENT_BATCH: usize = 256;
 /// Events of all streams in the queue to the event loop; a stream with more waits: bounds memory.
 pub(crate) const MAX_PENDING_SERVER_EVENTS: usize = 1024;
-/// Threads that serve proxies: leaves processors to the decisions.
+/// Threads that serve proxies at most.
 const MAX_XDS_THREADS: usize = 4;
 /// Time between two writes of the state store: limits the load on the disk.
 pub(crate) const STATE_WRITE_INTERVAL: Duration = Duration::from_millis(200);
--- a/crates/control-plane/tests/control_plane/restarts.rs
+++ b/crates/control-plane/tests/control_plane/restarts.rs
@@ -1,4 +1,4 @@
-//! Restarted services, services that know less than their proxies, and proxies that reconnect.
+//! Restarted services, services with older states than their proxies, and proxies that reconnect.
 
 use crate::support::{TestProxy, TestService, draining, exchange_all, ready, service_with_canary};
 use latchhaven_policy::{RolloutPhase, Version};
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn service_cut_off_from_the_platform_learns_of_a_rollback_from_proxies() {
+fn service_cut_off_from_the_platform_applies_a_rollback_reported_by_proxies() {
     let (mut service, mut proxies) = service_with_canary(2);
     let mut cut_off = TestService::start(service.now, "site", None);
     cut_off.start_canary(1, 0.5);
@@ -77,7 +77,7 @@
     cut_off.advance(100.0);
     proxies[0].exchange(&mut cut_off);
     assert_eq!(proxies[0].share_of(Version(2)), 0.0);
-    // One that knows nothing gets no share of it there either.
+    // A proxy without a version gets no share of it from that service either.
     let mut fresh = TestProxy::new("fresh", false);
     fresh.connect(&mut cut_off);
     fresh.exchange(&mut cut_off);
--- a/crates/control-plane/tests/control_plane/support/proxy.rs
+++ b/crates/control-plane/tests/control_plane/support/proxy.rs
@@ -7,7 +7,7 @@
 use latchhaven_xds::resources::ResourceType;
 use latchhaven_xds::stream::Stream;
 
-/// An open stream, and the requests that were not sent yet.
+/// An open stream, and its unsent requests.
 pub(crate) struct ProxyStream {
     id: u64,
     pub(crate) stream: Stream,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Sends requests and takes responses until there are no more; how many responses there were.
+    /// Sends requests and receives responses until there are no more. Returns the number of responses.
     pub(crate) fn exchange(&mut self, service: &mut TestService) -> usize {
         let mut responses = 0;
         while self.exchange_once(service) {
@@ -74,7 +74,7 @@
         service.control_plane.on_stream_events(*id, events, service.now);
     }
 
-    /// Sends requests and takes one response; false: there was none.
+    /// Sends requests and receives one response; false: there was none.
     pub(crate) fn exchange_once(&mut self, service: &mut TestService) -> bool {
         self.send_requests(service);
         let Some(ProxyStream { id, stream, requests }) = &mut self.stream else { return false };
--- a/crates/control-plane/tests/state_store.rs
+++ b/crates/control-plane/tests/state_store.rs
@@ -46,7 +46,7 @@
     transaction.commit().expect("the transaction is committed");
 }
 
-/// Opens a store as soon as an earlier writer has let go of it.
+/// Opens a store when an earlier writer has closed it.
 fn reopen(path: &Path) -> OpenedStore {
     for _ in 0..1000 {
         let opened = open(Some(path));
--- a/crates/proxy-config/src/share_ledger.rs
+++ b/crates/proxy-config/src/share_ledger.rs
@@ -80,8 +80,8 @@
         }
     }
 
-    /// A proxy reported that it uses shares that this process did not send.
-    pub fn report_held(&mut self, proxy: u64, shares: CanaryShares) {
+    /// A proxy reported shares that it uses and that this process did not send.
+    pub fn reported(&mut self, proxy: u64, shares: CanaryShares) {
         self.proxies.entry(proxy).or_default().acknowledged = shares;
     }
 
--- a/crates/xds/src/resources/snapshot.rs
+++ b/crates/xds/src/resources/snapshot.rs
@@ -86,7 +86,7 @@
     /// The resources of a type; `separate_endpoints`: for streams that get each endpoint as a resource of its own.
     ///
     /// # Panics
-    /// Never: [`ResourceSnapshot::build`] makes a set of every type.
+    /// Never: [`ResourceSnapshot::build`] builds a set of every type.
     #[must_use]
     pub fn resources(&self, resource_type: ResourceType, separate_endpoints: bool) -> &TypeResources {
         let set = self.sets.get(&SetKey { resource_type, separate_endpoints });
--- a/crates/xds/src/server/context.rs
+++ b/crates/xds/src/server/context.rs
@@ -84,7 +84,7 @@
 /// The inputs and outputs of every stream's task.
 #[derive(Clone)]
 pub struct ServerContext {
-    /// The newest snapshot, once there is one.
+    /// The newest snapshot; none before the first publication.
     pub snapshots: watch::Receiver<Option<Arc<ResourceSnapshot>>>,
     /// Receives the events.
     pub events: mpsc::Sender<ServerEvent>,
--- a/crates/xds/src/stream.rs
+++ b/crates/xds/src/stream.rs
@@ -97,7 +97,7 @@
     pub fn first_pending_type(&self, snapshot: &ResourceSnapshot) -> Option<ResourceType> {
         let is_behind = |resource_type: ResourceType, state: &TypeState| {
             let set = snapshot.resources(resource_type, self.separate_endpoints);
-            state.pending.is_some() || !state.holds_all_wanted(&set.resources)
+            state.pending.is_some() || !state.has_accepted_all(&set.resources)
         };
         let mut subscribed = self.types.iter().filter(|(_, state)| state.is_subscribed);
         subscribed
--- a/crates/xds/src/stream/dependencies.rs
+++ b/crates/xds/src/stream/dependencies.rs
@@ -32,7 +32,7 @@
 
 /// True where one of the proxy's clusters references these endpoints.
 fn has_cluster_with_endpoints(clusters: &TypeState, endpoints_name: &str) -> bool {
-    clusters.held.iter().any(|(cluster_name, held)| match &held.resource {
+    clusters.accepted.iter().any(|(cluster_name, accepted)| match &accepted.resource {
         Some(cluster) => cluster.references.contains(endpoints_name),
         // From an earlier stream: the name of a cluster begins with that of its endpoints.
         None => cluster_name.split_once('/').is_some_and(|(version, _)| version == endpoints_name),
@@ -49,7 +49,7 @@
             return false;
         }
         match resource_type {
-            ResourceType::Route => self.route_references_are_held(snapshot),
+            ResourceType::Route => self.are_route_references_accepted(snapshot),
             ResourceType::Cluster => !self.waits_for_endpoint_names(state),
             _ => true,
         }
@@ -69,7 +69,7 @@
 
     /// True where all clusters that the new routes reference were accepted, with their endpoints. Not checked on a stream
     /// without clusters.
-    fn route_references_are_held(&self, snapshot: &ResourceSnapshot) -> bool {
+    fn are_route_references_accepted(&self, snapshot: &ResourceSnapshot) -> bool {
         if self.only_type.is_some() || self.subscribed(ResourceType::Cluster).is_none() {
             return true;
         }
@@ -79,27 +79,27 @@
         let mut cluster_names = routes.resources.values().flat_map(|route| &route.references);
         cluster_names.all(|name| {
             let cluster = clusters.resources.get(name);
-            self.holds(ResourceType::Cluster, name)
-                && cluster.is_none_or(|cluster| self.endpoints_are_held(cluster, endpoints))
+            self.has_accepted(ResourceType::Cluster, name)
+                && cluster.is_none_or(|cluster| self.are_endpoints_accepted(cluster, endpoints))
         })
     }
 
     /// True where the proxy has the endpoints of a cluster and, if they are collections, an endpoint of each.
-    fn endpoints_are_held(&self, cluster: &Resource, endpoints: &TypeResources) -> bool {
+    fn are_endpoints_accepted(&self, cluster: &Resource, endpoints: &TypeResources) -> bool {
         cluster.references.iter().all(|name| {
             let collections = endpoints.resources.get(name).map(|endpoints| &endpoints.references);
-            self.holds(ResourceType::Endpoint, name)
-                && collections.into_iter().flatten().all(|prefix| self.holds_endpoint_in(prefix))
+            self.has_accepted(ResourceType::Endpoint, name)
+                && collections.into_iter().flatten().all(|prefix| self.has_accepted_endpoint_in(prefix))
         })
     }
 
-    fn holds(&self, resource_type: ResourceType, name: &str) -> bool {
-        self.types.get(&resource_type).is_some_and(|state| state.held.contains_key(name))
+    fn has_accepted(&self, resource_type: ResourceType, name: &str) -> bool {
+        self.types.get(&resource_type).is_some_and(|state| state.accepted.contains_key(name))
     }
 
-    fn holds_endpoint_in(&self, collection: &String) -> bool {
+    fn has_accepted_endpoint_in(&self, collection: &String) -> bool {
         let Some(endpoints) = self.types.get(&ResourceType::LbEndpoint) else { return false };
-        let first_after = endpoints.held.range(collection.clone()..).next();
+        let first_after = endpoints.accepted.range(collection.clone()..).next();
         first_after.is_some_and(|(name, _)| name.starts_with(collection))
     }
 
@@ -122,14 +122,14 @@
     fn routed_clusters(&self, snapshot: &ResourceSnapshot) -> Option<BTreeSet<String>> {
         let routes = self.subscribed(ResourceType::Route)?;
         // Before it accepts routes on this stream, a proxy may use routes of an earlier one.
-        if routes.held.is_empty() {
+        if routes.accepted.is_empty() {
             return None;
         }
         let current = snapshot.resources(ResourceType::Route, self.separate_endpoints);
         let mut names = BTreeSet::new();
-        for (name, held) in &routes.held {
-            let unchanged = current.resources.get(name).filter(|route| route.hash == held.hash);
-            let route = held.resource.as_ref().or(unchanged)?;
+        for (name, accepted) in &routes.accepted {
+            let unchanged = current.resources.get(name).filter(|route| route.hash == accepted.hash);
+            let route = accepted.resource.as_ref().or(unchanged)?;
             names.extend(route.references.iter().cloned());
         }
         if let Some(pending) = &routes.pending {
--- a/crates/xds/src/stream/messages.rs
+++ b/crates/xds/src/stream/messages.rs
@@ -135,7 +135,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamEvent {
     /// The proxy has resources of this type from an earlier stream.
-    Holds {
+    VersionReported {
         /// The type of the resources.
         resource_type: ResourceType,
         /// The join of their versions.
--- a/crates/xds/src/stream/request_handling.rs
+++ b/crates/xds/src/stream/request_handling.rs
@@ -1,7 +1,7 @@
 //! Handles requests: the node's identity, acknowledgements and rejections, and subscriptions.
 
 use super::messages::{StreamError, StreamEvent, SubscriptionRequest};
-use super::type_state::{HeldResource, PendingResponse};
+use super::type_state::{AcceptedResource, PendingResponse};
 use super::{INLINE_ENDPOINTS_FEATURE, Stream};
 use crate::limits::{
     self, MAX_INITIAL_RESOURCES, MAX_NAME_LENGTH, MAX_NODE_ID_LENGTH, MAX_REJECTION_LENGTH,
@@ -103,17 +103,17 @@
     /// Records the proxy's resources from an earlier stream: nothing older is sent to it.
     fn record_initial_versions(&mut self, resource_type: ResourceType, request: &SubscriptionRequest) {
         let mut versions = InitialVersions::default();
-        let mut held = Vec::new();
+        let mut accepted = Vec::new();
         for initial in &request.initial_versions {
             if let Some(hash) = versions.parse(&initial.label, &self.signer) {
-                held.push((initial.name.clone(), HeldResource { hash, resource: None }));
+                accepted.push((initial.name.clone(), AcceptedResource { hash, resource: None }));
             }
         }
         versions.parse(&request.version, &self.signer);
         let newest = versions.newest();
         let state = self.types.entry(resource_type).or_default();
         state.minimum_version = newest;
-        state.held.extend(held);
+        state.accepted.extend(accepted);
         // Signed versions are evidence of the platform's state, unsigned ones only of this proxy's resources.
         self.report_version(resource_type, newest, false);
         self.report_version(resource_type, versions.newest_signed(), true);
@@ -124,7 +124,7 @@
     ) {
         let Some(version) = version else { return };
         let version = SignedVersion { version, content_hash: 0, is_signed };
-        self.events.push(StreamEvent::Holds { resource_type, version });
+        self.events.push(StreamEvent::VersionReported { resource_type, version });
     }
 
     /// The pending response was accepted, or rejected with this error.
@@ -201,8 +201,8 @@
     if is_too_large {
         return Err(StreamError::RequestTooLarge);
     }
-    let held = request.initial_versions.iter().map(|initial| &initial.name);
-    let mut names = request.names.iter().chain(&request.unsubscribed).chain(held);
+    let initial_names = request.initial_versions.iter().map(|initial| &initial.name);
+    let mut names = request.names.iter().chain(&request.unsubscribed).chain(initial_names);
     if names.any(|name| name.len() > MAX_NAME_LENGTH) {
         return Err(StreamError::NameTooLong);
     }
--- a/crates/xds/src/stream/response_selection.rs
+++ b/crates/xds/src/stream/response_selection.rs
@@ -49,7 +49,7 @@
             return;
         }
         let has_reconnected = state.minimum_version.take().is_some();
-        if has_reconnected && state.holds_all_wanted(&set.resources) && !state.held.is_empty() {
+        if has_reconnected && state.has_accepted_all(&set.resources) && !state.accepted.is_empty() {
             self.events.push(StreamEvent::Acknowledged(snapshot.canary_shares.clone()));
         }
     }
@@ -85,16 +85,17 @@
         retained: &Retained<'_>,
     ) -> Option<ResponseContent> {
         let state = self.types.get(&resource_type)?;
-        let mut resources: Vec<_> = state.wanted(set).cloned().collect();
-        let absent = state.held.iter().filter(|(name, _)| !set.contains_key(*name));
+        let mut resources: Vec<_> = state.subscribed_resources(set).cloned().collect();
+        let absent = state.accepted.iter().filter(|(name, _)| !set.contains_key(*name));
         let retained_resources = absent.filter(|(name, _)| retained.contains(name));
-        resources.extend(retained_resources.filter_map(|(_, held)| held.resource.clone()));
+        resources.extend(retained_resources.filter_map(|(_, accepted)| accepted.resource.clone()));
         if resource_type == ResourceType::Cluster && state.wildcard {
             self.add_retired_clusters(snapshot, retained, &mut resources);
         }
-        let is_held = resources.len() == state.held.len() && resources.iter().all(|new| state.holds(new));
+        let is_accepted =
+            resources.len() == state.accepted.len() && resources.iter().all(|new| state.has_accepted(new));
         let is_rejected = state.rejected_content == Some(response_hash(&resources));
-        let is_due = (state.response_due || !is_held) && !is_rejected;
+        let is_due = (state.response_due || !is_accepted) && !is_rejected;
         is_due.then_some(ResponseContent { resources, removed: Vec::new(), replaces_all: true })
     }
 
@@ -118,8 +119,9 @@
 
 /// A full response of a type that is subscribed to by name: changed resources, or all where names were added.
 fn select_new(state: &TypeState, set: &ResourceSet) -> Option<ResponseContent> {
-    let wanted = state.wanted(set);
-    let resources: Vec<_> = wanted.filter(|new| state.response_due || !state.holds(new)).cloned().collect();
+    let subscribed = state.subscribed_resources(set);
+    let resources: Vec<_> =
+        subscribed.filter(|new| state.response_due || !state.has_accepted(new)).cloned().collect();
     let is_rejected = state.rejected_content == Some(response_hash(&resources));
     let is_due = !resources.is_empty() && !is_rejected;
     is_due.then_some(ResponseContent { resources, removed: Vec::new(), replaces_all: false })
@@ -129,10 +131,11 @@
 fn select_changes(state: &TypeState, set: &ResourceSet, retained: &Retained<'_>) -> Option<ResponseContent> {
     let is_changed = |new: &&Arc<Resource>| {
         let is_rejected = state.rejected_resources.get(&new.name) == Some(&new.hash);
-        (!state.holds(new) || state.is_due(&new.name)) && !is_rejected
+        (!state.has_accepted(new) || state.is_due(&new.name)) && !is_rejected
     };
-    let resources: Vec<_> = state.wanted(set).filter(is_changed).cloned().collect();
-    let absent_names = state.held.keys().filter(|name| !set.contains_key(*name) && !retained.contains(name));
+    let resources: Vec<_> = state.subscribed_resources(set).filter(is_changed).cloned().collect();
+    let absent_names =
+        state.accepted.keys().filter(|name| !set.contains_key(*name) && !retained.contains(name));
     let unknown_names =
         state.due_names.iter().filter(|name| !name.ends_with('*') && !set.contains_key(*name));
     let removed: BTreeSet<String> = absent_names.chain(unknown_names).cloned().collect();
--- a/crates/xds/src/stream/type_state.rs
+++ b/crates/xds/src/stream/type_state.rs
@@ -13,7 +13,7 @@
 
 /// A resource that the proxy has accepted, on this stream or an earlier one.
 #[derive(Clone, Debug)]
-pub(super) struct HeldResource {
+pub(super) struct AcceptedResource {
     pub(super) hash: u64,
     /// None for a resource from an earlier stream.
     pub(super) resource: Option<Arc<Resource>>,
@@ -45,7 +45,7 @@
     /// All resources of the type are subscribed to.
     pub(super) wildcard: bool,
     pub(super) names: BTreeSet<String>,
-    pub(super) held: BTreeMap<String, HeldResource>,
+    pub(super) accepted: BTreeMap<String, AcceptedResource>,
     /// The version of the proxy's resources when it connected: nothing older may be sent.
     pub(super) minimum_version: Option<ConfigVersion>,
     pub(super) pending: Option<PendingResponse>,
@@ -65,25 +65,27 @@
 
 impl TypeState {
     /// True where the proxy has the resource with its current content.
-    pub(super) fn holds(&self, resource: &Resource) -> bool {
-        self.held.get(&resource.name).is_some_and(|held| held.hash == resource.hash)
+    pub(super) fn has_accepted(&self, resource: &Resource) -> bool {
+        self.accepted.get(&resource.name).is_some_and(|accepted| accepted.hash == resource.hash)
     }
 
     /// True where the name is subscribed to.
-    pub(super) fn wants(&self, name: &String) -> bool {
+    pub(super) fn subscribes_to(&self, name: &String) -> bool {
         self.wildcard
             || self.names.contains(name)
             || self.names.iter().any(|glob| matches_glob_collection(glob, name))
     }
 
     /// The resources of a set that are subscribed to.
-    pub(super) fn wanted<'a>(&'a self, set: &'a ResourceSet) -> impl Iterator<Item = &'a Arc<Resource>> {
-        set.values().filter(|resource| self.wants(&resource.name))
+    pub(super) fn subscribed_resources<'a>(
+        &'a self, set: &'a ResourceSet,
+    ) -> impl Iterator<Item = &'a Arc<Resource>> {
+        set.values().filter(|resource| self.subscribes_to(&resource.name))
     }
 
     /// True where the proxy has every subscribed resource of the set with its current content.
-    pub(super) fn holds_all_wanted(&self, set: &ResourceSet) -> bool {
-        self.wanted(set).all(|resource| self.holds(resource))
+    pub(super) fn has_accepted_all(&self, set: &ResourceSet) -> bool {
+        self.subscribed_resources(set).all(|resource| self.has_accepted(resource))
     }
 
     /// True where a response is due for the name although its content did not change.
@@ -101,7 +103,7 @@
             return;
         }
         // Proxies remove resources when their subscription ends.
-        self.held.retain(|name, _| wildcard || names.contains(name));
+        self.accepted.retain(|name, _| wildcard || names.contains(name));
         let has_new_names = names.iter().any(|name| !self.names.contains(name));
         let became_wildcard = wildcard && !self.wildcard;
         self.response_due |= is_first || has_new_names || became_wildcard;
@@ -134,7 +136,7 @@
             return;
         }
         // A repeated subscription is due again, unless this first request names the resource as present.
-        if !(is_first && self.held.contains_key(&name)) {
+        if !(is_first && self.accepted.contains_key(&name)) {
             self.due_names.insert(name.clone());
         }
         self.names.insert(name);
@@ -147,25 +149,26 @@
         self.names.remove(name);
         self.due_names.remove(name);
         if !self.wildcard {
-            self.held.retain(|held, _| held != name && !matches_glob_collection(name, held));
+            self.accepted.retain(|accepted, _| accepted != name && !matches_glob_collection(name, accepted));
         }
     }
 
     /// The pending response was accepted.
     pub(super) fn on_accepted(&mut self, content: ResponseContent) {
         if content.replaces_all {
-            self.held.clear();
+            self.accepted.clear();
         }
         for resource in content.resources {
             self.rejected_resources.remove(&resource.name);
             // If the subscription ended while the response was pending, the proxy has removed the resource.
-            if self.wants(&resource.name) {
+            if self.subscribes_to(&resource.name) {
                 let name = resource.name.clone();
-                self.held.insert(name, HeldResource { hash: resource.hash, resource: Some(resource) });
+                self.accepted
+                    .insert(name, AcceptedResource { hash: resource.hash, resource: Some(resource) });
             }
         }
         for name in &content.removed {
-            self.held.remove(name);
+            self.accepted.remove(name);
         }
         self.rejected_content = None;
     }
--- a/crates/xds/tests/convergence/proxy.rs
+++ b/crates/xds/tests/convergence/proxy.rs
@@ -43,7 +43,7 @@
         let Some(request) = connection.requests.pop_front() else { return };
         connection.stream.on_request(request.into()).expect("the proxy's requests are valid");
         for event in connection.stream.take_events() {
-            if let StreamEvent::Holds { version, .. } = event {
+            if let StreamEvent::VersionReported { version, .. } = event {
                 services[connection.service].known.apply_proxy_version(&version, now);
             }
         }
