--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -66,7 +66,7 @@
     #[error("load of '{0}': only files in the same folder, by name")]
     OutsideFolder(String),
     /// Loads are nested too deeply, or there are too many in total.
-    #[error("load of '{0}': too many loads, or cyclic loads")]
+    #[error("load of '{0}': too many loads, or loads in a circle")]
     TooManyLoads(String),
     /// The loaded file has an error.
     #[error(transparent)]
