--- a/crates/control-plane/src/control_plane/mod.rs
+++ b/crates/control-plane/src/control_plane/mod.rs
@@ -81,7 +81,7 @@
     pub actions: Vec<Action>,
     /// A new configuration.
     pub published: Option<Publication>,
-    /// Streams that are admitted now.
+    /// Admitted streams.
     pub admitted_streams: Vec<u64>,
 }
 
--- a/crates/control-plane/tests/control_plane/canary_shares.rs
+++ b/crates/control-plane/tests/control_plane/canary_shares.rs
@@ -4,7 +4,7 @@
 use latchhaven_policy::{RolloutPhase, Version};
 
 #[test]
-fn proxies_that_reject_keep_their_share_and_the_others_make_room() {
+fn proxies_that_reject_keep_their_share_and_the_others_get_less() {
     let (mut service, mut proxies) = service_with_canary(4);
     let held = proxies[0].share_of(Version(2));
     proxies.iter_mut().take(2).for_each(|proxy| proxy.rejects_routes = true);
--- a/crates/experiments/src/rollout_simulation/proxies.rs
+++ b/crates/experiments/src/rollout_simulation/proxies.rs
@@ -12,7 +12,7 @@
 use latchhaven_policy::{Action, AttemptOutcome, Millis, RequestId, Version};
 use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, EndpointReport, ProxyReport};
 use latchhaven_test_support::resource_cache::{CacheRequest, CachedEndpoint, CachedRoute, ResourceCache};
-use latchhaven_xds::resources::{ResourceSnapshot, parse_cluster_name};
+use latchhaven_xds::resources::{ClusterNameParts, ResourceSnapshot, parse_cluster_name};
 use latchhaven_xds::stream::Stream;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -72,7 +72,9 @@
     fn take_report(&mut self, classes: &[String]) -> ProxyReport {
         let mut clusters: BTreeMap<(Version, usize), ClusterReport> = BTreeMap::new();
         for ((cluster, host), counts) in std::mem::take(&mut self.counts) {
-            let Some((version, class)) = parse_cluster_name(&cluster, classes) else { continue };
+            let Some(ClusterNameParts { version, class }) = parse_cluster_name(&cluster, classes) else {
+                continue;
+            };
             let report = clusters.entry((version, class)).or_insert_with(|| ClusterReport {
                 version,
                 class,
--- a/crates/proxy-config/tests/parts_per_million.rs
+++ b/crates/proxy-config/tests/parts_per_million.rs
@@ -1,9 +1,9 @@
-//! Fractions in parts of a million.
+//! Fractions in parts per million.
 
 use latchhaven_proxy_config::parts_per_million::PartsPerMillion;
 
 #[test]
-fn fraction_is_clamped_and_rounded_as_asked() {
+fn fraction_is_clamped_and_rounded() {
     for (fraction, floor, nearest) in [
         (-0.5, 0, 0),
         (0.0, 0, 0),
--- a/crates/proxy-config/tests/proxy_config.rs
+++ b/crates/proxy-config/tests/proxy_config.rs
@@ -227,7 +227,7 @@
     /// For any fleet: the shares of each route sum to 1, the canary is within its cap and receives only permitted classes,
     /// and a rolled-back version receives nothing.
     #[test]
-    fn every_configuration_keeps_the_rules(
+    fn every_configuration_is_within_its_limits(
         mut endpoints in prop::collection::vec(any_endpoint(), 0..12),
         cap in 0.0f64..=1.0, stage in 0u32..2, canary_share in 0.0f64..=1.0, rate in 0.0f64..10.0,
         rolled_back in prop::collection::btree_set((1u32..3).prop_map(Version), 0..2), shed in 0.0f64..=1.0
--- a/crates/xds/src/load_stats.rs
+++ b/crates/xds/src/load_stats.rs
@@ -4,7 +4,7 @@
 use crate::pb::envoy::config::core::v3::{Address, address, socket_address};
 use crate::pb::envoy::config::endpoint::v3::{ClusterStats, UpstreamEndpointStats};
 use crate::pb::envoy::service::load_stats::v3::LoadStatsRequest;
-use crate::resources::{REJECT_CLUSTER, parse_cluster_name};
+use crate::resources::{ClusterNameParts, REJECT_CLUSTER, parse_cluster_name};
 use latchhaven_policy::Millis;
 use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, EndpointReport, ProxyReport};
 use std::net::SocketAddr;
@@ -66,7 +66,7 @@
         if stats.cluster_name == REJECT_CLUSTER {
             continue;
         }
-        let (version, class) =
+        let ClusterNameParts { version, class } =
             parse_cluster_name(&stats.cluster_name, classes).ok_or(LoadReportError::UnknownCluster)?;
         let endpoints = parse_endpoints(stats, &mut endpoint_count)?;
         clusters.push(ClusterReport { version, class, endpoints, dropped: parse_dropped(stats)? });
--- a/crates/xds/src/resources.rs
+++ b/crates/xds/src/resources.rs
@@ -24,7 +24,8 @@
 pub use encoding::{Resource, to_xds_address};
 pub(crate) use encoding::{content_hash, encode_bytes_field};
 pub use names::{
-    LISTENER_NAME, REJECT_CLUSTER, ROUTES_NAME, cluster_name, endpoints_name, parse_cluster_name,
+    ClusterNameParts, LISTENER_NAME, REJECT_CLUSTER, ROUTES_NAME, cluster_name, endpoints_name,
+    parse_cluster_name,
 };
 pub use resource_type::ResourceType;
 pub use snapshot::{ResourceSet, ResourceSnapshot, TypeResources};
--- a/crates/xds/src/resources/names.rs
+++ b/crates/xds/src/resources/names.rs
@@ -23,13 +23,22 @@
     format!("b{version}")
 }
 
-/// The version and the index of the request class in a cluster name.
+/// The parts of a cluster name.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ClusterNameParts {
+    /// The version.
+    pub version: Version,
+    /// The index of the request class.
+    pub class: usize,
+}
+
+/// Parses a cluster name; none if its form or class is unknown. `classes` are the names of the request classes.
 #[must_use]
-pub fn parse_cluster_name(name: &str, classes: &[String]) -> Option<(Version, usize)> {
+pub fn parse_cluster_name(name: &str, classes: &[String]) -> Option<ClusterNameParts> {
     let (version, class) = name.strip_prefix('b')?.split_once('/')?;
     let version = version.parse().ok()?;
     let class = classes.iter().position(|known| known == class)?;
-    Some((version, class))
+    Some(ClusterNameParts { version, class })
 }
 
 /// The version whose endpoints have this name.
