--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -77,10 +77,10 @@
     }
 
     /// A discovery stream requests admission; false: there are too many streams.
-    pub fn request_stream(&mut self, stream: u64, node: String, now: Millis) -> bool {
-        let is_queued = self.admission.request_slot(stream, &node, now) == AdmissionResult::Queued;
+    pub fn request_stream(&mut self, stream: u64, node: &str, now: Millis) -> bool {
+        let is_queued = self.admission.request_slot(stream, node, now) == AdmissionResult::Queued;
         if is_queued {
-            self.proxies.add_pending_stream(stream, node);
+            self.proxies.add_pending_stream(stream, node.to_string());
         }
         is_queued
     }
@@ -141,7 +141,11 @@
         let Some(proxy) = self.proxies.proxy_number(stream) else { return Ok(()) };
         let addresses = &self.addresses;
         let endpoint_at = |address: &SocketAddr, version| addresses.endpoint_at(address, version);
-        let request_rates = self.load_reports.add_report(proxy, report, endpoint_at, now)?;
+        let request_rates =
+            self.load_reports.add_report(proxy, report, endpoint_at, now).inspect_err(|reason| {
+                let node = self.proxies.node(stream);
+                tracing::debug!(node, stream, %reason, "xds: load report rejected");
+            })?;
         self.shares.set_request_rate(proxy, request_rates);
         Ok(())
     }
--- a/crates/control-plane/src/driver/event_loop.rs
+++ b/crates/control-plane/src/driver/event_loop.rs
@@ -94,7 +94,7 @@
                 self.open_load_stream(stream, &node, admitted, now);
             }
             ServerEvent::StreamOpened { stream, node, reports_loads: false, admitted } => {
-                self.request_stream(stream, node, admitted, now);
+                self.request_stream(stream, &node, admitted, now);
             }
             ServerEvent::StreamEvents { stream, events } => {
                 self.control_plane.on_stream_events(stream, events, now);
@@ -115,21 +115,23 @@
 
     fn open_load_stream(&mut self, stream: u64, node: &str, admission: AdmissionSender, now: Millis) {
         if !self.control_plane.open_load_stream(stream, node) {
-            let _ = admission.send(Err(too_many_streams()));
+            let _ = admission.send(Err(too_many_streams(stream, node)));
         } else if admission.send(Ok(())).is_err() {
             self.control_plane.on_stream_closed(stream, now);
         }
     }
 
-    fn request_stream(&mut self, stream: u64, node: String, admission: AdmissionSender, now: Millis) {
+    fn request_stream(&mut self, stream: u64, node: &str, admission: AdmissionSender, now: Millis) {
         if self.control_plane.request_stream(stream, node, now) {
             self.pending_admissions.insert(stream, admission);
         } else {
-            let _ = admission.send(Err(too_many_streams()));
+            let _ = admission.send(Err(too_many_streams(stream, node)));
         }
     }
 }
 
-fn too_many_streams() -> Status {
+/// The status of a stream that is not admitted.
+fn too_many_streams(stream: u64, node: &str) -> Status {
+    tracing::debug!(node, stream, reason = "too many streams", "xds: stream rejected");
     Status::resource_exhausted("too many streams: retry later")
 }
--- a/crates/experiments/src/rollout_simulation/proxies.rs
+++ b/crates/experiments/src/rollout_simulation/proxies.rs
@@ -115,7 +115,7 @@
         for index in 0..sizes.fronts {
             let node = format!("p{index}");
             let is_incremental = index % 2 == 1;
-            control_plane.request_stream(index as u64, node.clone(), 0.0);
+            control_plane.request_stream(index as u64, &node, 0.0);
             let mut cache = ResourceCache::new(&node, is_incremental);
             proxies.push(Proxy {
                 requests: cache.initial_requests(),
