--- a/crates/operator-config/tests/errors.rs
+++ b/crates/operator-config/tests/errors.rs
@@ -103,7 +103,10 @@
         ("contrl = {}\n", "control.star: control: not set"),
         ("x = 1\ncontrol = [1]\n", "control.star:2: control: not a dict"),
         ("load(\"../a.star\", \"a\")\n", "load of '../a.star': only files in the same folder, by name"),
-        ("load(\"control.star\", \"control\")\n", "load of 'control.star': too many loads, or loads in a circle"),
+        (
+            "load(\"control.star\", \"control\")\n",
+            "load of 'control.star': too many loads, or loads in a circle",
+        ),
         ("load(\"broken.star\", \"x\")\n", "broken.star:2: Variable `nothing` not found"),
         ("load(\"empty.star\", \"x\")\n", "Module has no symbol `x`"),
         ("x = 1\ncontrol = {\n", "control.star:3: "),
