--- a/crates/policy/tests/policy/admission.rs
+++ b/crates/policy/tests/policy/admission.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 
 #[rstest]
-fn slow_tenant_does_not_displace_others() {
+fn slow_tenant_displaces_no_other_tenant() {
     let slow = |sent: &SentAttempt| {
         (AttemptOutcome::Success, if sent.id.0.is_multiple_of(2) { 800.0 } else { 50.0 })
     };
@@ -26,25 +26,25 @@
 }
 
 #[rstest]
-#[case::first_try(false, 2000.0, true)]
-#[case::early_repeat(true, 1900.0, true)]
-#[case::late_repeat(true, 1200.0, false)]
-fn retry_past_objective_of_first_attempt_is_rejected_at_once(
-    #[case] repeat: bool, #[case] left: Millis, #[case] sent: bool,
+#[case::first_attempt(false, 2000.0, true)]
+#[case::early_retry(true, 1900.0, true)]
+#[case::late_retry(true, 1200.0, false)]
+fn retry_past_objective_of_first_attempt_is_rejected_immediately(
+    #[case] is_retry: bool, #[case] time_remaining: Millis, #[case] sent: bool,
 ) {
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, succeed);
     gateway.serve_for(100.0, 1);
-    let id = gateway.request_from(None, "look", repeat, left);
+    let id = gateway.request_from(None, "look", is_retry, time_remaining);
     gateway.run_for(30.0);
     assert_eq!((gateway.endpoints_tried(id).is_empty(), gateway.answers.contains_key(&id)), (!sent, !sent));
-    // And what is sent has until its SLA time, so that servers may drop it unbegun.
+    // Attempts time out at the latency objective, so that endpoints may drop them before they begin.
     let beyond = |action: &Action| matches!(action, Action::SendAttempt { timeout: limit, .. } if limit.is_none_or(|l| l > 500.0));
     assert!(!gateway.actions.iter().any(|(_, action)| beyond(action)));
 }
 
 #[rstest]
-fn overload_is_rejected_at_once_and_rest_is_in_time() {
-    // Each endpoint does one request at a time, in order.
+fn overload_is_shed_immediately_and_admitted_requests_are_in_time() {
+    // Each endpoint processes one request at a time, in order.
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, |sent| {
         (AttemptOutcome::Success, 100.0 * (sent.in_flight + 1) as f64)
     });
@@ -55,7 +55,7 @@
         assert_eq!(answers.len(), 1);
         assert!(!gateway.succeeded.contains_key(id));
     }
-    assert!(rejected > 100, "twice what the fleet can do came: {rejected}");
+    assert!(rejected > 100, "requests are twice the capacity, rejected: {rejected}");
     let slow = gateway
         .sent
         .iter()
@@ -69,40 +69,41 @@
 }
 
 #[rstest]
-#[case::a_gateway_of_little_traffic(10)]
-#[case::of_much(2)]
-fn load_shedding_ends_soon_after_a_jam(#[case] every: usize) {
-    // For four seconds nobody answers within the SLA time, then all as succeed as before.
-    let jammed = |sent: &SentAttempt| (103_000.0..107_000.0).contains(&sent.at);
-    let behavior =
-        move |sent: &SentAttempt| if jammed(sent) { (AttemptOutcome::Timeout, 500.0) } else { succeed(sent) };
+#[case::little_traffic(10)]
+#[case::much_traffic(2)]
+fn load_shedding_ends_soon_after_an_overload(#[case] every: usize) {
+    // For four seconds no attempt is answered within the latency objective, then all succeed as before.
+    let is_overloaded = |sent: &SentAttempt| (103_000.0..107_000.0).contains(&sent.at);
+    let behavior = move |sent: &SentAttempt| {
+        if is_overloaded(sent) { (AttemptOutcome::Timeout, 500.0) } else { succeed(sent) }
+    };
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, behavior);
     gateway.serve_for(3000.0, every);
-    assert!(gateway.answers.is_empty(), "rejected with no cause");
+    assert!(gateway.answers.is_empty(), "rejected without an overload");
     gateway.serve_for(4000.0, every);
     let rejected = |gateway: &TestGateway, from: Millis| {
         gateway.answers.values().filter(|answers| answers[0].0 >= from).count()
     };
-    assert!(rejected(&gateway, 105_000.0) * 2 * every > 100, "a jam is not fed");
+    assert!(rejected(&gateway, 105_000.0) * 2 * every > 100, "an overload is shed");
     gateway.serve_for(5000.0, every);
     let still = rejected(&gateway, 109_500.0) * every;
-    assert!(still <= 10, "{still} of 250 are rejected 2.5 to 5 s after the jam");
+    assert!(still <= 10, "{still} of 250 are rejected 2.5 to 5 s after the overload");
 }
 
 #[test]
-fn lasting_jam_gets_few_attempts_from_gateway_with_little_traffic() {
+fn lasting_overload_gets_few_attempts_from_gateway_with_little_traffic() {
     let (mut received, mut sent) = (0, 0);
     for seed in 0..10 {
-        let jammed = |sent: &SentAttempt| {
+        let overloaded = |sent: &SentAttempt| {
             if sent.at > 103_000.0 { (AttemptOutcome::Timeout, 500.0) } else { succeed(sent) }
         };
         let mut gateway =
-            TestGateway::with_endpoints(TestConfig { seed, ..TestConfig::default() }, 4, jammed);
+            TestGateway::with_endpoints(TestConfig { seed, ..TestConfig::default() }, 4, overloaded);
         gateway.serve_for(6000.0, 10);
         let before = gateway.request("look", None);
         gateway.serve_for(5000.0, 10);
         received += gateway.request("look", None).0 - before.0 - 1;
         sent += gateway.sent.iter().filter(|sent| sent.id > before && sent.number == 0).count() as u32;
     }
-    assert!(sent * 4 < received, "{sent} of {received} are sent to where none is served");
+    assert!(sent * 4 < received, "{sent} of {received} are sent to endpoints that serve none");
 }
--- a/crates/policy/tests/policy/canary.rs
+++ b/crates/policy/tests/policy/canary.rs
@@ -8,23 +8,23 @@
 #[case::fails(|sent: &SentAttempt| if sent.version == Version(2) { fail_every(5, sent, AttemptOutcome::Error) } else { succeed(sent) }, true)]
 #[case::too_late(|sent: &SentAttempt| (AttemptOutcome::Success, if sent.version == Version(2) { 700.0 } else { 50.0 }), true)]
 #[case::slow_but_in_time(|sent: &SentAttempt| (AttemptOutcome::Success, if sent.version == Version(2) { 150.0 } else { 50.0 }), true)]
-#[case::turns_bad_late(
+#[case::fails_late(
     |sent: &SentAttempt| if sent.version == Version(2) && sent.at - sent.started_at > 6000.0 { fail_every(3, sent, AttemptOutcome::Error) } else { succeed(sent) },
     true
 )]
 #[case::slows_all(slowed, true)]
 #[case::good(succeed, false)]
 #[case::both_fail(|sent: &SentAttempt| fail_every(10, sent, AttemptOutcome::Error), false)]
-#[case::cold_machines(
+#[case::warming_endpoints(
     |sent: &SentAttempt| (AttemptOutcome::Success, if sent.version == Version(2) && sent.at - sent.started_at < 4000.0 { 110.0 } else { 50.0 }),
     false
 )]
-#[case::one_faulty_machine(
+#[case::one_faulty_endpoint(
     |sent: &SentAttempt| if sent.endpoint == "a7" { fail_every(3, sent, AttemptOutcome::Error) } else { succeed(sent) },
     false
 )]
-#[case::one_slow_machine(|sent: &SentAttempt| (AttemptOutcome::Success, if sent.endpoint == "a7" { 400.0 } else { 50.0 }), false)]
-fn verdict_tells_bad_versions_from_bad_machines(
+#[case::one_slow_endpoint(|sent: &SentAttempt| (AttemptOutcome::Success, if sent.endpoint == "a7" { 400.0 } else { 50.0 }), false)]
+fn verdict_distinguishes_bad_versions_from_outliers(
     #[case] behavior: fn(&SentAttempt) -> (AttemptOutcome, Millis), #[case] bad: bool,
 ) {
     let mut gateway = with_canary(TestConfig::default(), 1, 0.5, behavior);
@@ -34,8 +34,8 @@
 }
 
 #[rstest]
-#[case::as_before(8, true)]
-#[case::four_times_as_much(2, false)]
+#[case::same_load(8, true)]
+#[case::four_times_the_load(2, false)]
 fn slowdown_under_more_load_is_not_attributed_to_canary(#[case] every: usize, #[case] bad: bool) {
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, slowed);
     gateway.serve_for(4000.0, 8);
--- a/crates/policy/tests/policy/discovery.rs
+++ b/crates/policy/tests/policy/discovery.rs
@@ -1,4 +1,4 @@
-//! How the endpoint list is asked for.
+//! When the endpoint list is requested.
 
 use crate::support::{STEP, TestConfig, TestGateway, succeed};
 use latchhaven_policy::{
@@ -18,16 +18,16 @@
     gateway.run_for(1000.0);
     assert_eq!(watches(&gateway), 2);
     gateway.run_for(5000.0);
-    assert_eq!(watches(&gateway), 3, "the call got no answer");
+    assert_eq!(watches(&gateway), 3, "the call is not answered");
 }
 
 #[rstest]
-fn idle_gateway_rests_and_failing_discovery_is_not_stormed() {
+fn idle_gateway_ticks_once_a_second_and_failed_calls_back_off() {
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, succeed);
     gateway.run_for(3000.0);
     let before = gateway.actions.len();
     gateway.run_for(20_000.0);
-    assert!(gateway.actions.len() - before <= 30, "a look a second: {}", gateway.actions.len() - before);
+    assert!(gateway.actions.len() - before <= 30, "one tick a second: {}", gateway.actions.len() - before);
     let watches = |gateway: &TestGateway| {
         gateway.actions.iter().filter(|(_, a)| matches!(a, Action::WatchEndpoints { enabled: true })).count()
     };
@@ -39,12 +39,12 @@
         }
         gateway.step();
     }
-    let asked = watches(&gateway) - before;
-    assert!((6..=16).contains(&asked), "backs off to half the time to ask within: {asked}");
+    let calls = watches(&gateway) - before;
+    assert!((6..=16).contains(&calls), "backs off to half of the polling interval: {calls}");
 }
 
 #[rstest]
-fn restarted_gateway_serves_from_cached_list_and_asks_for_new_one() {
+fn restarted_gateway_serves_from_cached_list_and_opens_a_watch() {
     let mut gateway = TestGateway::new(TestConfig::default());
     let entries: Vec<EndpointEntry> = (0..3)
         .map(|i| gateway.update_endpoint(&format!("a{i}"), Version(1), EndpointStatus::Ready, 0.0))
--- a/crates/policy/tests/policy/discovery_overload.rs
+++ b/crates/policy/tests/policy/discovery_overload.rs
@@ -1,24 +1,24 @@
-//! Hundreds of gateways before a discovery service of bounded rate, on an injected clock.
+//! Hundreds of gateways and a discovery service of limited rate, on an injected clock.
 
 use crate::support::TestConfig;
 use latchhaven_policy::{Action, Event, Millis, Policy, UpdateFailure, UpdateKind};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Unix time in ms at which the simulation starts: gateways in service know no clock that begins at 0.
+/// Unix time in ms at which the simulation starts, as the clock of a gateway in service is not near 0.
 const START: Millis = 1_700_000_000_000.0;
-/// ms after which the service gives up a call that waits.
+/// ms after which the service fails a queued call.
 const SERVICE_TIMEOUT: Millis = 2000.0;
-/// ms of work that may wait; a call beyond that is turned away at once.
+/// ms of work that may be queued; further calls are rejected immediately.
 const MAX_BACKLOG: Millis = 6000.0;
-/// ms of the service for one call of each gateway: the slowest service that the operators name.
+/// ms in which the service answers one call of each gateway: the slowest service that operators specify.
 const ALL_CALLS: Millis = 8000.0;
-/// Gateways of the fleet.
+/// Number of gateways.
 const GATEWAYS: usize = 300;
-/// ms that a restarted gateway is away.
+/// ms between the end of a process and its restart.
 const RESTART: Millis = 1500.0;
 
-/// Something that happens to one gateway.
+/// An event of one gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Kind {
     Timer,
@@ -29,24 +29,24 @@
     Started,
 }
 
-/// When, in µs since [`START`]; the gateway; its process, by number; what.
+/// Time in µs since [`START`], gateway, number of its process, event.
 type Entry = Reverse<(u64, usize, u32, Kind)>;
 
 struct SimulatedGateway {
     policy: Policy,
-    /// Counts its processes: what belongs to an earlier one is dropped.
+    /// Number of its process; events of earlier ones are dropped.
     process: u32,
-    /// When its present process got a list.
+    /// When its present process received a list.
     listed_at: Option<Millis>,
 }
 
-/// A service that works through calls in turn, also through those that were given up; and its callers.
-struct Fleet {
+/// A service that processes calls in order, abandoned ones included, and its callers.
+struct Simulation {
     gateways: Vec<SimulatedGateway>,
     entries: BinaryHeap<Entry>,
-    /// When the service will have worked through what waits.
+    /// When the service will have processed its queue.
     free_at: Millis,
-    /// The service is down in this span.
+    /// Start and end of the outage of the service.
     outage: (Millis, Millis),
     calls: usize,
     answered: usize,
@@ -57,14 +57,14 @@
     Policy::new(TestConfig { seed, gateway_count: GATEWAYS as u32, ..TestConfig::default() }.into())
 }
 
-impl Fleet {
+impl Simulation {
     fn new(outage: (Millis, Millis)) -> Self {
         let gateways = (0..GATEWAYS).map(|gateway| SimulatedGateway {
             policy: policy(gateway, 0),
             process: 0,
             listed_at: None,
         });
-        let mut fleet = Fleet {
+        let mut simulation = Simulation {
             gateways: gateways.collect(),
             entries: BinaryHeap::new(),
             free_at: START,
@@ -73,10 +73,10 @@
             answered: 0,
         };
         for gateway in 0..GATEWAYS {
-            fleet.schedule(START, gateway, Kind::Started);
-            fleet.schedule(outage.0, gateway, Kind::WatchLost);
+            simulation.schedule(START, gateway, Kind::Started);
+            simulation.schedule(outage.0, gateway, Kind::WatchLost);
         }
-        fleet
+        simulation
     }
 
     fn schedule(&mut self, at: Millis, gateway: usize, kind: Kind) {
@@ -88,8 +88,8 @@
         self.entries.push(Reverse((((at - START) * 1000.0).ceil() as u64, gateway, process, kind)));
     }
 
-    /// Kills seven in ten gateways at once, and starts them again at once.
-    fn kill_most(&mut self, at: Millis) {
+    /// Kills seven in ten gateways simultaneously; each restarts after [`RESTART`].
+    fn kill_seven_in_ten(&mut self, at: Millis) {
         for gateway in (0..GATEWAYS).filter(|gateway| gateway % 10 < 7) {
             self.schedule(at, gateway, Kind::Killed);
         }
@@ -154,7 +154,7 @@
         self.schedule(self.free_at, gateway, Kind::CallAnswered);
     }
 
-    /// How many gateways have a list.
+    /// The number of gateways that have a list.
     fn listed(&self) -> usize {
         self.gateways.iter().filter(|gateway| gateway.listed_at.is_some()).count()
     }
@@ -165,19 +165,22 @@
 }
 
 #[test]
-fn fleet_restarted_behind_an_outage_gets_its_lists_from_a_slow_service() {
+fn gateways_restarted_behind_an_outage_get_their_lists_from_a_slow_service() {
     let outage = (START + 20_000.0, START + 28_000.0);
-    let mut fleet = Fleet::new(outage);
-    fleet.run_until(START + 19_000.0);
-    assert_eq!(fleet.listed(), GATEWAYS, "all that start together have a list");
-    fleet.kill_most(START + 31_000.0);
-    let calls_before = fleet.calls;
+    let mut simulation = Simulation::new(outage);
+    simulation.run_until(START + 19_000.0);
+    assert_eq!(simulation.listed(), GATEWAYS, "all gateways that start together have a list");
+    simulation.kill_seven_in_ten(START + 31_000.0);
+    let calls_before = simulation.calls;
     let restarted_at = START + 31_000.0 + RESTART;
-    fleet.run_until(restarted_at + 1.5 * ALL_CALLS);
-    let listed_soon = fleet.listed();
-    fleet.run_until(restarted_at + 5.0 * ALL_CALLS);
-    let calls = fleet.calls - calls_before;
-    assert_eq!(fleet.listed(), GATEWAYS, "all have a list again");
-    assert!(10 * listed_soon >= 5 * GATEWAYS, "{listed_soon} have a list in one and a half times the limit");
+    simulation.run_until(restarted_at + 1.5 * ALL_CALLS);
+    let listed_soon = simulation.listed();
+    simulation.run_until(restarted_at + 5.0 * ALL_CALLS);
+    let calls = simulation.calls - calls_before;
+    assert_eq!(simulation.listed(), GATEWAYS, "all gateways have a list again");
+    assert!(
+        10 * listed_soon >= 5 * GATEWAYS,
+        "{listed_soon} have a list within 1.5 times the service's time for all calls"
+    );
     assert!(calls <= 5 * GATEWAYS, "{calls} calls");
 }
--- a/crates/policy/tests/policy/exposure.rs
+++ b/crates/policy/tests/policy/exposure.rs
@@ -1,15 +1,15 @@
-//! The rule on exposure.
+//! The traffic cap of canaries.
 
 use crate::support::{SentAttempt, TestConfig, class, succeed, with_canary};
 use latchhaven_policy::{DedupScope, Idempotency, Millis, RequestId, RolloutPhase, Version};
 use rstest::rstest;
 
 #[rstest]
-#[case::all(false)]
-#[case::by_product(true)]
-fn canary_attempts_stay_within_cap_in_every_window(#[case] by_product: bool) {
+#[case::all_classes_together(false)]
+#[case::per_class(true)]
+fn canary_attempts_stay_within_cap_in_every_window(#[case] per_class: bool) {
     let mut config = TestConfig::default();
-    config.exposure.per_class = by_product;
+    config.exposure.per_class = per_class;
     config.classes.push(class("rare", Idempotency::Idempotent, DedupScope::All));
     let mut gateway = with_canary(config, 0, 0.1, succeed);
     let mut received: Vec<(Millis, RequestId, bool)> = Vec::new();
@@ -21,14 +21,15 @@
     let exposed: Vec<&SentAttempt> = gateway.sent.iter().filter(|sent| sent.version == Version(2)).collect();
     assert!(exposed.len() > 20, "the canary gets its share: {}", exposed.len());
     let is_rare = |id: RequestId| received.iter().any(|(_, other, rare)| *other == id && *rare);
-    for lane in if by_product { vec![Some(true), Some(false)] } else { vec![None] } {
-        let counts = |rare: bool| lane.is_none_or(|lane| lane == rare);
+    for class_counted in if per_class { vec![Some(true), Some(false)] } else { vec![None] } {
+        let counts = |rare: bool| class_counted.is_none_or(|counted| counted == rare);
         for last in exposed.iter().filter(|sent| counts(is_rare(sent.id))) {
             let within = |at: Millis| at > last.at - 2000.0 && at <= last.at;
             let sent = exposed.iter().filter(|sent| within(sent.at) && counts(is_rare(sent.id))).count();
-            let taken = gateway.sent.iter().filter(|sent| sent.id < received[0].1 && within(sent.at)).count()
-                + received.iter().filter(|(at, _, rare)| within(*at) && counts(*rare)).count();
-            assert!(sent as f64 <= 2.0 + 0.1 * taken as f64 + 1e-9, "{sent} of {taken}");
+            let received_within =
+                gateway.sent.iter().filter(|sent| sent.id < received[0].1 && within(sent.at)).count()
+                    + received.iter().filter(|(at, _, rare)| within(*at) && counts(*rare)).count();
+            assert!(sent as f64 <= 2.0 + 0.1 * received_within as f64 + 1e-9, "{sent} of {received_within}");
         }
     }
 }
@@ -36,7 +37,7 @@
 #[test]
 fn requests_queued_longer_than_the_window_allow_no_exposure() {
     let mut gateway = with_canary(TestConfig::default(), 0, 0.1, succeed);
-    // They waited behind others on their connections, longer than the window of 2 s.
+    // Requests are queued on their connections longer than the window of 2 s.
     gateway.queued_for = 3000.0;
     let from = gateway.now + 2000.0;
     (0..800).for_each(|_| {
@@ -48,7 +49,7 @@
     assert!(!exposed.is_empty());
     for last in &exposed {
         let sent = exposed.iter().filter(|sent| sent.at > last.at - 2000.0 && sent.at <= last.at).count();
-        assert!(sent <= 2, "{sent} where only what is free is allowed");
+        assert!(sent <= 2, "{sent} where only the allowance may be sent");
     }
 }
 
@@ -64,7 +65,7 @@
         gateway.step();
     });
     assert!(gateway.sent.iter().all(|sent| sent.version == Version(1)));
-    // Later versions than the one announced count as in the first stage.
+    // Versions later than the announced one count as in the first stage.
     gateway.start_endpoints(&["b5"], Version(3));
     (0..200).for_each(|_| {
         gateway.request("pay", None);
@@ -82,8 +83,9 @@
         gateway.request("look", Some(&format!("k{}", k % 40)));
         gateway.run_for(20.0);
     }
-    // Ids run on one a request, so the key follows from the id.
-    let first = gateway.sent.iter().find(|sent| sent.version == Version(2)).expect("the canary gets some").id;
+    // Ids are consecutive, so the key follows from the id.
+    let first =
+        gateway.sent.iter().find(|sent| sent.version == Version(2)).expect("an attempt at the canary").id;
     let start = gateway.sent.iter().map(|s| s.id.0).max().unwrap_or(0) - 399;
     let key = |id: RequestId| (id.0 - start) % 40;
     for new in gateway.sent.iter().filter(|sent| sent.version == Version(2) && sent.id >= first) {
--- a/crates/policy/tests/policy/list_lease.rs
+++ b/crates/policy/tests/policy/list_lease.rs
@@ -1,4 +1,4 @@
-//! How long attempts go by an endpoint list that no watch confirms. The grace of drains is 1 s here, the delay of updates 6 s.
+//! How long an endpoint list without a confirming watch is used. Here the drain grace is 1 s, the delay of updates 6 s.
 
 use crate::support::{SentAttempt, TestConfig, TestGateway, succeed};
 use latchhaven_policy::{
@@ -6,11 +6,11 @@
 };
 use rstest::rstest;
 
-/// The watch broke; all that was sent on it has arrived.
+/// The watch is lost; every update on it was received.
 const BROKEN: UpdateFailure = UpdateFailure { silent_for: 0.0, may_have_lost_update: false };
-/// The watch has been silent for a while.
+/// The watch has been silent for 3.5 s.
 const SILENT: UpdateFailure = UpdateFailure { silent_for: 3500.0, may_have_lost_update: false };
-/// The watch was cut off within a list.
+/// The watch was truncated within a list.
 const CUT_OFF: UpdateFailure = UpdateFailure { silent_for: 0.0, may_have_lost_update: true };
 /// ms between two requests, beyond all timers and retries.
 const PAUSE: Millis = 50.0;
@@ -23,12 +23,12 @@
     Event::EndpointUpdateFailed(failure)
 }
 
-/// True if a request that comes now is sent; else it has to be rejected at once.
+/// True if a request received now is sent; otherwise it must be rejected immediately.
 fn is_sent(gateway: &mut TestGateway) -> bool {
     let id = gateway.request("look", None);
     gateway.step();
     let is_sent = !gateway.endpoints_tried(id).is_empty();
-    assert_ne!(is_sent, gateway.answers.contains_key(&id), "sent, or rejected at once");
+    assert_ne!(is_sent, gateway.answers.contains_key(&id), "sent, or rejected immediately");
     gateway.run_for(PAUSE);
     is_sent
 }
@@ -55,18 +55,18 @@
     run_until(&mut gateway, lost_at + lease - 100.0);
     assert!(is_sent(&mut gateway));
     run_until(&mut gateway, lost_at + lease + 10.0);
-    // Calls that go on failing change nothing.
+    // Further failed calls change nothing.
     gateway.deliver(failed(BROKEN));
     assert!(!is_sent(&mut gateway));
     gateway.update_endpoint("a0", Version(1), EndpointStatus::Ready, 0.0);
-    assert!(is_sent(&mut gateway), "a new list is gone by at once");
+    assert!(is_sent(&mut gateway), "a new list is used immediately");
 }
 
 #[rstest]
 #[case::connected_before(Some(0.0), true)]
 #[case::connected_since(Some(f64::MAX), false)]
 #[case::unknown(None, false)]
-fn endpoint_is_used_while_it_answers_on_connections_from_before(
+fn endpoint_is_used_while_it_answers_on_connections_from_before_the_loss(
     #[case] connected_at: Option<Millis>, #[case] is_used: bool,
 ) {
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 2, succeed);
@@ -83,7 +83,7 @@
 #[case::fails(AttemptOutcome::Error)]
 #[case::resets(AttemptOutcome::ConnectionLost)]
 #[case::is_silent(AttemptOutcome::Timeout)]
-fn endpoint_that_answers_nothing_good_is_used_no_longer(#[case] outcome: AttemptOutcome) {
+fn endpoint_without_successful_answers_is_used_no_longer(#[case] outcome: AttemptOutcome) {
     let behavior = move |sent: &SentAttempt| {
         if sent.endpoint == "a0" && sent.at > 100_500.0 { (outcome, 50.0) } else { succeed(sent) }
     };
@@ -108,11 +108,11 @@
     gateway.deliver(failed(CUT_OFF));
     gateway.step();
     run_until(&mut gateway, lost_at + 760.0);
-    assert!(!is_sent(&mut gateway), "nothing was asked since the update was lost");
+    assert!(!is_sent(&mut gateway), "no attempt since the update was lost");
 }
 
 #[rstest]
-fn updates_lost_again_and_again_extend_no_proof() {
+fn repeatedly_lost_updates_extend_no_proof() {
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 2, succeed);
     gateway.connected_at = Some(0.0);
     gateway.deliver(failed(BROKEN));
@@ -124,11 +124,11 @@
         gateway.step();
     }
     run_until(&mut gateway, lost_at + 760.0);
-    assert!(!is_sent(&mut gateway), "what was proven before the first loss is over");
+    assert!(!is_sent(&mut gateway), "proofs from before the first loss have ended");
 }
 
 #[rstest]
-#[case::at_once(0.0, false)]
+#[case::immediately(0.0, false)]
 #[case::after_half_of_the_grace(520.0, true)]
 fn answer_behind_a_lost_update_is_a_proof_only_once_draining_endpoints_reject(
     #[case] after: Millis, #[case] is_proof: bool,
--- a/crates/policy/tests/policy/main.rs
+++ b/crates/policy/tests/policy/main.rs
@@ -1,6 +1,6 @@
-//! The decisions as an adapter meets them: events in, actions out, on an injected clock.
+//! The policy as an adapter uses it: events in, actions out, on an injected clock.
 
-// A test fails where it unwraps.
+// An unwrap that panics fails its test.
 #![allow(clippy::unwrap_used)]
 
 mod admission;
@@ -8,8 +8,8 @@
 mod discovery;
 mod discovery_overload;
 mod exposure;
-mod fleet;
 mod list_lease;
+mod many_gateways;
 mod outliers;
 mod reports;
 mod retries;
--- a/crates/policy/tests/policy/outliers.rs
+++ b/crates/policy/tests/policy/outliers.rs
@@ -6,7 +6,7 @@
 
 #[rstest]
 #[case::everywhere(|sent: &SentAttempt| if sent.id.0.is_multiple_of(3) { (AttemptOutcome::ConnectFailed, 1.0) } else { succeed(sent) }, true)]
-#[case::at_one_instance(|sent: &SentAttempt| if sent.endpoint == "a0" { (AttemptOutcome::ConnectFailed, 1.0) } else { succeed(sent) }, false)]
+#[case::at_one_endpoint(|sent: &SentAttempt| if sent.endpoint == "a0" { (AttemptOutcome::ConnectFailed, 1.0) } else { succeed(sent) }, false)]
 fn idle_connections_are_closed_where_connects_fail_everywhere(
     #[case] behavior: fn(&SentAttempt) -> (AttemptOutcome, Millis), #[case] closes: bool,
 ) {
@@ -18,10 +18,10 @@
 }
 
 #[rstest]
-#[case::now_and_then(|sent: &SentAttempt| sent.id.0.is_multiple_of(20) && sent.number == 0, false)]
-#[case::one_after_another(|sent: &SentAttempt| sent.endpoint == "a0", true)]
+#[case::isolated(|sent: &SentAttempt| sent.id.0.is_multiple_of(20) && sent.number == 0, false)]
+#[case::in_a_row(|sent: &SentAttempt| sent.endpoint == "a0", true)]
 fn endpoint_is_ejected_after_two_lost_connections_in_a_row(
-    #[case] loses: fn(&SentAttempt) -> bool, #[case] aside: bool,
+    #[case] loses: fn(&SentAttempt) -> bool, #[case] is_ejected: bool,
     #[values(AttemptOutcome::ConnectionLost, AttemptOutcome::ConnectFailed)] how: AttemptOutcome,
 ) {
     let behavior = move |sent: &SentAttempt| if loses(sent) { (how, 5.0) } else { succeed(sent) };
@@ -29,15 +29,15 @@
     gateway.serve_for(3000.0, 5);
     let is_logged =
         |action: &Action| matches!(action, Action::Log(line) if line.contains("endpoint ejected"));
-    assert_eq!(gateway.actions.iter().any(|(_, action)| is_logged(action)), aside);
+    assert_eq!(gateway.actions.iter().any(|(_, action)| is_logged(action)), is_ejected);
     assert!(gateway.succeeded.len() > 50);
 }
 
 #[rstest]
 #[case::little_traffic(5, 4500.0)]
-#[case::much(1, 1500.0)]
-fn healthy_endpoints_go_on_while_others_pause(#[case] every: usize, #[case] longest: Millis) {
-    // Each of four stands still for a second in every two; what comes then waits for the end of it.
+#[case::much_traffic(1, 1500.0)]
+fn healthy_endpoints_stay_in_use_while_others_pause(#[case] every: usize, #[case] longest: Millis) {
+    // Four endpoints pause for one second in every two; attempts received then are answered after the pause.
     let pauses = |sent: &SentAttempt| ["a0", "a1", "b5", "b6"].contains(&sent.endpoint.as_str());
     let behavior = move |sent: &SentAttempt| {
         let into = sent.at % 2000.0;
@@ -53,7 +53,7 @@
         let gap = sent.windows(2).map(|two| two[1].at - two[0].at).fold(0.0, f64::max);
         assert!(gap <= longest, "{name} is ejected for {gap} ms");
         let max = sent.iter().map(|sent| sent.in_flight).max().unwrap_or(0);
-        assert!(max <= 6, "{name} has {max} at once");
+        assert!(max <= 6, "{name} has {max} in flight");
     }
     let served = gateway.succeeded.len() as f64 / (1200 / every) as f64;
     assert!(served >= 0.85, "{served} served");
--- a/crates/policy/tests/policy/reports.rs
+++ b/crates/policy/tests/policy/reports.rs
@@ -1,6 +1,6 @@
-//! Verdicts from what the platform and other gateways report.
+//! Verdicts from outcome reports of the platform and wrong-answer reports of other gateways.
 
-use crate::support::{SentAttempt, TestConfig, TestGateway, fail_every, in_large_fleet, succeed};
+use crate::support::{SentAttempt, TestConfig, TestGateway, among_300_gateways, fail_every, succeed};
 use latchhaven_policy::{AttemptOutcome, Event, Millis, RolloutPhase, Verdict, Version};
 use rstest::rstest;
 
@@ -10,16 +10,16 @@
 #[case::slow(0.5, (40, 0, 150.0), (100, 2, 60.0), true)]
 #[case::slow_both(0.5, (40, 0, 150.0), (100, 2, 150.0), false)]
 #[case::few_of_few(0.5, (2, 1, 60.0), (100, 2, 60.0), false)]
-#[case::cold_machines(0.5, (0, 0, 60.0), (100, 2, 60.0), false)]
-#[case::collapse_while_it_carries_all(1.0, (200, 120, 150.0), (4, 0, 60.0), true)]
-#[case::a_tenant_fails_and_the_rest_is_quick(1.0, (200, 120, 60.0), (4, 0, 60.0), false)]
+#[case::warming_endpoints(0.5, (0, 0, 60.0), (100, 2, 60.0), false)]
+#[case::collapse_at_full_traffic(1.0, (200, 120, 150.0), (4, 0, 60.0), true)]
+#[case::one_tenant_fails_and_latencies_stay(1.0, (200, 120, 60.0), (4, 0, 60.0), false)]
 #[case::all_fail(1.0, (200, 200, 0.0), (4, 0, 60.0), true)]
-#[case::some_more_while_it_carries_all(1.0, (200, 20, 60.0), (4, 0, 60.0), false)]
+#[case::few_more_failures_at_full_traffic(1.0, (200, 20, 60.0), (4, 0, 60.0), false)]
 fn reported_outcomes_decide_where_own_outcomes_are_few(
     #[case] cap: f64, #[case] new: (u64, u64, Millis), #[case] old: (u64, u64, Millis), #[case] bad: bool,
 ) {
-    let mut gateway = in_large_fleet(7, cap, succeed);
-    // While the endpoints are warming up, failures do not compare.
+    let mut gateway = among_300_gateways(7, cap, succeed);
+    // Failures of warming endpoints are not compared.
     gateway.report_outcomes(Version(2), 40, 30, 300.0);
     gateway.report_outcomes(Version(1), 100, 2, 60.0);
     gateway.serve_for(4000.0, 40);
@@ -28,19 +28,19 @@
         gateway.report_outcomes(Version(1), old.0, old.1, old.2);
         gateway.serve_for(2000.0, 40);
     }
-    // Few of many vote: give this one time to be drawn.
+    // Few of many gateways vote; run until this one is drawn.
     gateway.run_for(20_000.0);
     assert_eq!(gateway.has_voted(Version(2), Verdict::RollBack), bad);
 }
 
-/// Two machines of the canary are warm and carry its requests, a third has just started.
+/// Two endpoints of the canary are warm and carry its requests, a third has just started.
 #[rstest]
 #[case::failures_compare((60, 30, 60.0), true)]
-#[case::times_do_not((60, 0, 150.0), false)]
+#[case::latencies_do_not((60, 0, 150.0), false)]
 fn failures_compare_while_canary_warms_up_and_latencies_do_not(
     #[case] new: (u64, u64, Millis), #[case] bad: bool,
 ) {
-    let mut gateway = in_large_fleet(7, 0.5, succeed);
+    let mut gateway = among_300_gateways(7, 0.5, succeed);
     gateway.serve_for(4000.0, 40);
     gateway.start_endpoints(&["a32"], Version(2));
     gateway.serve_for(500.0, 40);
@@ -49,24 +49,24 @@
         gateway.report_outcomes(Version(1), 100, 2, 60.0);
         gateway.serve_for(250.0, 40);
     }
-    // Few of many vote: give this one time to be drawn.
+    // Few of many gateways vote; run until this one is drawn.
     gateway.run_for(60_000.0);
     assert_eq!(gateway.has_voted(Version(2), Verdict::RollBack), bad);
 }
 
-/// Failures of old and new alike, in reports of all gateways; each period by the canary's and the others'
-/// counts.
+/// Failures common to canary and baseline, in reports over all gateways. A period has the canary's attempts and failures,
+/// then the baseline's.
 #[rstest]
-#[case::from_the_larger_share_on([(12, 0, 88, 2), (12, 0, 88, 2), (30, 15, 70, 35), (30, 15, 70, 35)], true)]
-#[case::they_were_there_before([(12, 0, 88, 2), (6, 3, 94, 47), (30, 15, 70, 35), (30, 15, 70, 35)], false)]
-#[case::over_and_then_again([(6, 3, 94, 47), (12, 0, 88, 2), (30, 15, 70, 35), (30, 15, 70, 35)], true)]
-#[case::more_came([(12, 0, 88, 2), (12, 0, 88, 2), (60, 30, 140, 70), (60, 30, 140, 70)], false)]
+#[case::since_its_larger_share([(12, 0, 88, 2), (12, 0, 88, 2), (30, 15, 70, 35), (30, 15, 70, 35)], true)]
+#[case::present_before([(12, 0, 88, 2), (6, 3, 94, 47), (30, 15, 70, 35), (30, 15, 70, 35)], false)]
+#[case::ended_and_begun_again([(6, 3, 94, 47), (12, 0, 88, 2), (30, 15, 70, 35), (30, 15, 70, 35)], true)]
+#[case::under_more_load([(12, 0, 88, 2), (12, 0, 88, 2), (60, 30, 140, 70), (60, 30, 140, 70)], false)]
 #[case::too_few([(12, 0, 88, 2), (12, 0, 88, 2), (30, 3, 70, 7), (30, 3, 70, 7)], false)]
 #[case::it_carries_little([(12, 0, 88, 2), (12, 0, 88, 2), (12, 6, 88, 44), (12, 6, 88, 44)], false)]
-fn common_failures_are_attributed_to_canary_that_carries_much(
+fn common_failures_are_attributed_to_canary_with_a_large_share(
     #[case] periods: [(u64, u64, u64, u64); 4], #[case] bad: bool,
 ) {
-    let mut gateway = in_large_fleet(7, 0.5, succeed);
+    let mut gateway = among_300_gateways(7, 0.5, succeed);
     gateway.serve_for(4000.0, 40);
     for (new, failed, old, old_failed) in periods {
         gateway.report_outcomes(Version(2), new, failed, 60.0);
@@ -77,12 +77,12 @@
     assert_eq!(gateway.has_voted(Version(2), Verdict::RollBack), bad, "{:?}", gateway.logs());
 }
 
-/// Two of four machines of the canary are faulty, and this gateway happens to meet them.
+/// Two of four endpoints of the canary are outliers, and this gateway uses them.
 #[rstest]
-#[case::reports_see_no_more_than_usual(Some(0), false)]
-#[case::reports_see_them_too(Some(10), true)]
+#[case::reports_show_none(Some(0), false)]
+#[case::reports_show_them(Some(10), true)]
 #[case::no_reports(None, true)]
-fn own_errors_count_unless_reports_vouch_for_canary(#[case] failed: Option<u64>, #[case] bad: bool) {
+fn own_errors_count_unless_reports_contradict_them(#[case] failed: Option<u64>, #[case] bad: bool) {
     let behavior = |sent: &SentAttempt| match sent.endpoint.as_str() {
         "a7" | "b8" => fail_every(2, sent, AttemptOutcome::Error),
         _ => succeed(sent),
@@ -103,11 +103,11 @@
 }
 
 #[rstest]
-#[case::told_of_the_canary(false, Version(2), true)]
-#[case::told_of_both(false, Version(1), false)]
-#[case::own(true, Version(2), true)]
+#[case::peers_report_the_canary(false, Version(2), true)]
+#[case::peers_report_both(false, Version(1), false)]
+#[case::own_reports(true, Version(2), true)]
 fn wrong_answer_reports_add_up_over_gateways(#[case] own: bool, #[case] other: Version, #[case] bad: bool) {
-    let mut gateway = in_large_fleet(7, 0.5, succeed);
+    let mut gateway = among_300_gateways(7, 0.5, succeed);
     gateway.serve_for(4000.0, 40);
     for k in 0..24u32 {
         let version: Version = if k % 3 == 0 { Version(2) } else { other };
--- a/crates/policy/tests/policy/retries.rs
+++ b/crates/policy/tests/policy/retries.rs
@@ -11,8 +11,8 @@
 #[case::non_idempotent_lost("pay", AttemptOutcome::ConnectionLost, false, true)]
 #[case::non_idempotent_rejected("pay", AttemptOutcome::Rejected, true, false)]
 #[case::non_idempotent_connect_failed("pay", AttemptOutcome::ConnectFailed, true, false)]
-fn retry_is_sent_only_when_class_permits(
-    #[case] class: &str, #[case] outcome: AttemptOutcome, #[case] again: bool, #[case] voided: bool,
+fn retry_is_sent_only_when_class_allows_it(
+    #[case] class: &str, #[case] outcome: AttemptOutcome, #[case] is_retried: bool, #[case] is_failed: bool,
 ) {
     let first_fails = move |sent: &SentAttempt| {
         if sent.number == 0 { (outcome, 20.0) } else { (AttemptOutcome::Success, 20.0) }
@@ -20,9 +20,12 @@
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, first_fails);
     let id = gateway.request(class, None);
     gateway.run_for(300.0);
-    assert_eq!(gateway.endpoints_tried(id).len(), if again { 2 } else { 1 });
-    assert_eq!(gateway.succeeded.contains_key(&id), again);
-    assert_eq!(matches!(gateway.answers.get(&id).map(|a| &a[..]), Some([(_, Action::Fail { .. })])), voided);
+    assert_eq!(gateway.endpoints_tried(id).len(), if is_retried { 2 } else { 1 });
+    assert_eq!(gateway.succeeded.contains_key(&id), is_retried);
+    assert_eq!(
+        matches!(gateway.answers.get(&id).map(|a| &a[..]), Some([(_, Action::Fail { .. })])),
+        is_failed
+    );
 }
 
 #[rstest]
@@ -54,7 +57,7 @@
     gateway.run_for(3000.0);
     for id in ids {
         let [(at, answer)] = &gateway.answers[&id][..] else {
-            panic!("not one answer: {:?}", gateway.answers[&id])
+            panic!("not exactly one final answer: {:?}", gateway.answers[&id])
         };
         assert!(*at <= received_at + 2000.0 + 10.0);
         assert!(
@@ -67,19 +70,23 @@
 #[rstest]
 #[case(true)]
 #[case(false)]
-fn request_at_unresponsive_endpoint_is_hedged_or_retried(#[case] second_copies: bool) {
+fn request_at_unresponsive_endpoint_is_hedged_or_retried(#[case] hedging: bool) {
     let mut config = TestConfig::default();
-    config.permissions.hedging = second_copies;
+    config.permissions.hedging = hedging;
     let hang = |sent: &SentAttempt| {
         if sent.endpoint == "a0" { (AttemptOutcome::Success, 1e9) } else { (AttemptOutcome::Success, 50.0) }
     };
     let mut gateway = TestGateway::with_endpoints(config, 4, hang);
     gateway.serve_for(3000.0, 2);
-    let stuck: Vec<RequestId> = gateway.sent.iter().filter(|s| s.endpoint == "a0").map(|s| s.id).collect();
-    assert!((1..30).contains(&stuck.len()), "ejected before it eats many: {}", stuck.len());
-    assert!(stuck.iter().filter(|id| gateway.succeeded.contains_key(id)).count() * 10 >= stuck.len() * 8);
-    if !second_copies {
-        // The second goes out only after the first was called back.
+    let unresponsive: Vec<RequestId> =
+        gateway.sent.iter().filter(|s| s.endpoint == "a0").map(|s| s.id).collect();
+    assert!((1..30).contains(&unresponsive.len()), "ejected after few attempts: {}", unresponsive.len());
+    assert!(
+        unresponsive.iter().filter(|id| gateway.succeeded.contains_key(id)).count() * 10
+            >= unresponsive.len() * 8
+    );
+    if !hedging {
+        // The second attempt is sent only after the first was cancelled.
         let cancelled = |id: RequestId| {
             gateway.actions.iter().find(|(_, a)| matches!(a, Action::CancelAttempt { id: r, .. } if *r == id))
         };
--- a/crates/policy/tests/policy/robustness.rs
+++ b/crates/policy/tests/policy/robustness.rs
@@ -1,4 +1,4 @@
-//! Stalls, absurd input, determinism and bounds of state.
+//! Stalls, invalid events, determinism and bounds of state.
 
 use crate::support::{TestConfig, TestGateway, fail_every, succeed, with_canary};
 use latchhaven_policy::state::{EndpointRegistry, ExposureLimiter, RequestTable};
@@ -11,7 +11,7 @@
 use rstest::rstest;
 
 #[rstest]
-fn stalled_gateway_learns_nothing_from_its_own_stall() {
+fn stalled_gateway_ignores_latencies_of_its_own_stall() {
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, succeed);
     gateway.serve_for(2000.0, 2);
     (0..20).for_each(|_| {
@@ -23,26 +23,26 @@
     assert!(!gateway.actions.iter().any(|(_, action)| matches!(action, Action::Log(_))));
     let after = gateway.now - 1000.0;
     let late = gateway.answers.values().flatten().filter(|(at, _)| *at > after + 50.0).count();
-    assert_eq!(late, 0, "nothing is rejected for its own stall");
+    assert_eq!(late, 0, "no rejection for its own stall");
 }
 
 #[rstest]
 fn same_events_and_seed_give_same_actions() {
-    let day = || {
+    let run = || {
         let mut gateway =
             with_canary(TestConfig::default(), 1, 0.5, |sent| fail_every(7, sent, AttemptOutcome::Error));
         gateway.serve_for(5000.0, 1);
         gateway.actions
     };
-    assert_eq!(day(), day());
+    assert_eq!(run(), run());
     let config = TestConfig { seed: 8, ..TestConfig::default() };
     let mut other = with_canary(config, 1, 0.5, |sent| fail_every(7, sent, AttemptOutcome::Error));
     other.serve_for(5000.0, 1);
-    assert_ne!(day(), other.actions);
+    assert_ne!(run(), other.actions);
 }
 
 #[rstest]
-fn absurd_events_stall_nothing() {
+fn invalid_events_stall_no_request() {
     let mut gateway = with_canary(TestConfig::default(), 1, 0.5, succeed);
     let endpoint = "nobody".to_string();
     let (outcome, elapsed) = (AttemptOutcome::Success, -5.0);
@@ -95,16 +95,16 @@
     let mut entry =
         TestGateway::new(TestConfig::default()).update_endpoint("a", Version(1), EndpointStatus::Ready, 0.0);
     registry.apply(std::slice::from_ref(&entry), false, 2.0, &mut rng, 0.0);
-    let stays = registry.index_of("a").unwrap();
+    let first = registry.index_of("a").unwrap();
     for n in 0..5000 {
         entry.endpoint = format!("s{n}");
         entry.version = Version(n);
         entry.status = EndpointStatus::Ready;
         registry.apply(std::slice::from_ref(&entry), false, 2.0, &mut rng, 0.0);
         let index = registry.index_of(&entry.endpoint).unwrap();
-        assert_ne!(index, stays);
+        assert_ne!(index, first);
         assert_eq!(registry.endpoints[index].version, Version(n));
-        assert_eq!(registry.endpoints[stays].version, Version(1));
+        assert_eq!(registry.endpoints[first].version, Version(1));
         entry.status = EndpointStatus::Removed;
         registry.apply(std::slice::from_ref(&entry), false, 2.0, &mut rng, 0.0);
         for service in requests.service_levels(&Some(format!("t{n}"))) {
@@ -114,11 +114,11 @@
     }
     assert_eq!((registry.endpoints.iter().count(), registry.index_by_id.len()), (2, 2));
     assert!(requests.retained_tenants() <= MAX_TENANTS && exposure.retained_versions() <= MAX_VERSIONS);
-    // One that still carries a request keeps its index.
-    let carries = registry.index_of(&entry.endpoint).unwrap();
-    registry.endpoints[carries].in_flight = 1;
+    // The index of an endpoint with an attempt in flight is not reused.
+    let in_use = registry.index_of(&entry.endpoint).unwrap();
+    registry.endpoints[in_use].in_flight = 1;
     entry.endpoint = "another".to_string();
     entry.status = EndpointStatus::Ready;
     registry.apply(std::slice::from_ref(&entry), false, 2.0, &mut rng, 0.0);
-    assert_ne!(registry.index_of("another"), Some(carries));
+    assert_ne!(registry.index_of("another"), Some(in_use));
 }
--- a/crates/policy/tests/policy/routing.rs
+++ b/crates/policy/tests/policy/routing.rs
@@ -1,21 +1,21 @@
-//! Which endpoints get attempts.
+//! The choice of endpoints.
 
-use crate::support::{SentAttempt, TestConfig, TestGateway, in_large_fleet, succeed};
+use crate::support::{SentAttempt, TestConfig, TestGateway, among_300_gateways, succeed};
 use latchhaven_policy::{Action, EndpointStatus, Event, RolloutPhase, UpdateKind, Version};
 use rstest::rstest;
 
 #[rstest]
 #[case(EndpointStatus::Draining)]
 #[case(EndpointStatus::Removed)]
-fn draining_or_removed_endpoint_gets_no_attempt(#[case] state: EndpointStatus) {
+fn draining_or_removed_endpoint_gets_no_attempt(#[case] status: EndpointStatus) {
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, succeed);
     gateway.serve_for(500.0, 1);
-    gateway.update_endpoint("a0", Version(1), state, 0.0);
+    gateway.update_endpoint("a0", Version(1), status, 0.0);
     let updated_at = gateway.now;
     gateway.serve_for(1000.0, 1);
     assert!(gateway.sent.iter().any(|sent| sent.endpoint == "a0"));
     assert!(gateway.sent.iter().all(|sent| sent.endpoint != "a0" || sent.at < updated_at));
-    // The id comes back with another version: it counts as that version's, and as warming up.
+    // The id returns with another version: it counts as an endpoint of that version, and as warming up.
     gateway.update_rollout(Version(2), 0, RolloutPhase::Canary, 0.0);
     gateway.start_endpoints(&["a0"], Version(2));
     gateway.serve_for(1000.0, 1);
@@ -33,10 +33,10 @@
 }
 
 #[rstest]
-fn canary_gets_its_share_where_little_is_in_flight() {
+fn canary_gets_its_share_with_little_in_flight() {
     let (mut new, mut all) = (0, 0);
     for seed in 0..20 {
-        let mut gateway = in_large_fleet(seed, 1.0, succeed);
+        let mut gateway = among_300_gateways(seed, 1.0, succeed);
         gateway.update_rollout(Version(2), 1, RolloutPhase::Canary, 0.5);
         gateway.serve_for(5000.0, 40);
         let from = gateway.now;
@@ -45,13 +45,13 @@
         new += gateway.sent.iter().filter(late).filter(|sent| sent.version == Version(2)).count();
         all += gateway.sent.iter().filter(late).count();
     }
-    // Two of 22 endpoints.
+    // The canary has two of 22 endpoints.
     assert!((0.05..0.14).contains(&(new as f64 / all as f64)), "{new} of {all}");
 }
 
 #[rstest]
-fn gateway_with_little_traffic_keeps_to_its_subset() {
-    let met = |seed: u64, every: usize| {
+fn gateway_with_little_traffic_uses_its_subset_only() {
+    let used = |seed: u64, every: usize| {
         let mut gateway =
             TestGateway::with_endpoints(TestConfig { seed, ..TestConfig::default() }, 60, succeed);
         gateway.serve_for(12_000.0, every);
@@ -60,6 +60,6 @@
         names.dedup();
         names
     };
-    assert!(met(1, 40).len() < 20 && met(1, 1).len() > 40, "{} {}", met(1, 40).len(), met(1, 1).len());
-    assert_ne!(met(1, 40), met(2, 40), "another gateway, another part");
+    assert!(used(1, 40).len() < 20 && used(1, 1).len() > 40, "{} {}", used(1, 40).len(), used(1, 1).len());
+    assert_ne!(used(1, 40), used(2, 40), "gateways have different subsets");
 }
--- a/crates/policy/tests/policy/slow_start.rs
+++ b/crates/policy/tests/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! What warming endpoints get.
+//! The traffic of warming endpoints.
 
 use crate::support::{TestConfig, TestGateway, succeed};
 use latchhaven_policy::{EndpointStatus, Millis, Version};
@@ -16,13 +16,13 @@
     gateway.serve_for(1000.0, 1);
     let during_slow_start =
         gateway.sent.iter().filter(|sent| sent.endpoint == "a7" && sent.at >= started).count();
-    // Its part of 100 a second over 4.4 endpoints' worth, at 0.4 to 0.55 of its capacity, is about 10; the
-    // burst raises that by no more than half and a little.
+    // Its part of 100 requests a second, at 0.4 to 0.55 of its capacity beside four warm endpoints, is 10; the burst may
+    // raise that by half.
     assert!((2..=21).contains(&during_slow_start), "{during_slow_start}");
 }
 
 #[rstest]
-fn hundreds_of_gateways_together_keep_warming_budget() {
+fn hundreds_of_gateways_together_stay_within_warming_budget() {
     let sent: usize = (0..100u64)
         .map(|seed| {
             let mut gateway = TestGateway::with_endpoints(
@@ -36,37 +36,37 @@
             gateway.sent.iter().filter(|sent| sent.endpoint == "b99").count()
         })
         .sum();
-    // 250 a second over 20 endpoints: a warm one gets 12.5, its budget is twice 0.4 to 0.55 of that and more.
+    // 250 requests a second over 20 endpoints: a warm one gets 12.5; the budget is twice 0.4 to 0.55 of that.
     assert!((2..=12).contains(&sent), "{sent}");
 }
 
-/// An hour in ms, by which a wall clock may be stepped.
+/// The step of a wall clock in ms: one hour.
 const HOUR: Millis = 3_600_000.0;
 
 #[rstest]
 #[case::ahead(HOUR)]
 #[case::behind(-HOUR)]
-fn endpoint_warms_up_once_where_the_wall_clock_that_lists_its_start_was_stepped(#[case] step: Millis) {
+fn endpoint_listed_by_a_stepped_clock_warms_up_once(#[case] step: Millis) {
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, succeed);
     gateway.serve_for(3000.0, 1);
     let started = gateway.now;
     gateway.update_endpoint("a7", Version(1), EndpointStatus::Ready, 10.0 * HOUR + started + step);
-    // A gateway whose own clock began ten hours later than the others'.
+    // The gateway's own clock is ten hours behind.
     let sent_since = |gateway: &TestGateway, at: Millis| {
         gateway.sent.iter().filter(|sent| sent.endpoint == "a7" && sent.at >= at).count()
     };
     gateway.serve_for(1000.0, 1);
-    assert!(sent_since(&gateway, started) <= 21, "it is cold");
+    assert!(sent_since(&gateway, started) <= 21, "it is warming up");
     gateway.serve_for(4000.0, 1);
     let warm_at = gateway.now;
     gateway.serve_for(2000.0, 1);
-    assert!(sent_since(&gateway, warm_at) >= 25, "it is warm after its time");
+    assert!(sent_since(&gateway, warm_at) >= 25, "it is warm after the warm-up");
 }
 
 #[rstest]
-#[case::long_ago(-HOUR)]
-#[case::to_come(HOUR)]
-fn restart_listed_by_a_stepped_clock_is_a_restart_of_now(#[case] step: Millis) {
+#[case::in_the_past(-HOUR)]
+#[case::in_the_future(HOUR)]
+fn restart_listed_by_a_stepped_clock_counts_from_now(#[case] step: Millis) {
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, succeed);
     gateway.serve_for(3000.0, 1);
     let listed_at = gateway.now;
@@ -76,5 +76,5 @@
     gateway.update_endpoint("a0", Version(1), EndpointStatus::Ready, 40.0 * HOUR + step);
     gateway.serve_for(1000.0, 1);
     let sent = gateway.sent.iter().filter(|sent| sent.endpoint == "a0" && sent.at >= restarted_at).count();
-    assert!(sent <= 25, "cold again: {sent} since {restarted_at}, listed first at {listed_at}");
+    assert!(sent <= 25, "warming up again: {sent} since {restarted_at}, listed first at {listed_at}");
 }
--- a/crates/policy/tests/policy/support/config.rs
+++ b/crates/policy/tests/policy/support/config.rs
@@ -1,11 +1,11 @@
-//! A policy's configuration, with what tests vary.
+//! The configuration of policies under test.
 
 use latchhaven_policy::{
     CostConfig, DedupScope, DiscoveryConfig, ExposureConfig, GatewayIdentity, Idempotency, Millis,
     Permissions, PolicyConfig, RequestClass, SlowStartConfig, VotingConfig,
 };
 
-/// What tests vary of a policy's configuration.
+/// The part of a policy's configuration that tests vary.
 pub(crate) struct TestConfig {
     pub(crate) seed: u64,
     pub(crate) gateway_count: u32,
--- a/crates/policy/tests/policy/support/mod.rs
+++ b/crates/policy/tests/policy/support/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway on an injected clock: endpoints answer as a test wants, and every action is recorded.
+//! A gateway on an injected clock: a test defines how endpoints answer, and every action is recorded.
 
 use latchhaven_policy::{
     Action, AttemptOutcome, CompletedAttempt, EndpointEntry, EndpointStatus, Event, IncomingRequest,
@@ -11,17 +11,17 @@
 mod scenarios;
 
 pub(crate) use config::{TestConfig, class};
-pub(crate) use scenarios::{fail_every, in_large_fleet, slowed, succeed, with_canary};
+pub(crate) use scenarios::{among_300_gateways, fail_every, slowed, succeed, with_canary};
 
 /// ms between two batches of events.
 pub(crate) const STEP: Millis = 10.0;
 
-/// Clock time in ms from which a gateway may be told of endpoints.
+/// Clock time in ms from which a gateway gets endpoints.
 const READY_AT: Millis = 100_000.0;
-/// ms within which a gateway has called for the list: before that it is told of no endpoint.
+/// ms within which a gateway makes its first discovery call; it gets no endpoint before.
 const MAX_FIRST_CALL_DELAY: Millis = 4100.0;
 
-/// How an endpoint answers an attempt, and after which time.
+/// The outcome of an attempt and its latency.
 pub(crate) type Behavior = Box<dyn Fn(&SentAttempt) -> (AttemptOutcome, Millis)>;
 
 /// One attempt, as an endpoint sees it.
@@ -29,31 +29,31 @@
 pub(crate) struct SentAttempt {
     pub(crate) at: Millis,
     pub(crate) id: RequestId,
-    /// 0 for the first attempt at a request.
+    /// 0 for the first attempt of a request.
     pub(crate) number: u32,
     pub(crate) endpoint: String,
     pub(crate) version: Version,
     /// When the endpoint started.
     pub(crate) started_at: Millis,
-    /// Attempts at the endpoint that it has not answered yet.
+    /// Other attempts in flight at the endpoint.
     pub(crate) in_flight: usize,
 }
 
-/// An attempt that ends at some time.
+/// The outcome of an attempt that is still in flight.
 struct ScheduledOutcome {
     at: Millis,
     attempt: SentAttempt,
     outcome: AttemptOutcome,
 }
 
-/// One gateway's policy, its endpoints and all that it did.
+/// One gateway's policy, its endpoints and its recorded actions.
 pub(crate) struct TestGateway {
     policy: Policy,
     pub(crate) now: Millis,
-    /// How long requests had been queued when their outcome is reported.
+    /// How long requests had been queued on their connection when they are received.
     pub(crate) queued_for: Millis,
     pub(crate) behavior: Behavior,
-    /// When the connections to all endpoints came up.
+    /// When the connections to all endpoints were established.
     pub(crate) connected_at: Option<Millis>,
     listed: BTreeMap<String, EndpointEntry>,
     scheduled: Vec<ScheduledOutcome>,
@@ -62,7 +62,7 @@
     pub(crate) sent: Vec<SentAttempt>,
     /// Final answers without a result, with their time.
     pub(crate) answers: BTreeMap<RequestId, Vec<(Millis, Action)>>,
-    /// When a request got its result.
+    /// When each request got its result.
     pub(crate) succeeded: BTreeMap<RequestId, Millis>,
     /// All actions, with their time.
     pub(crate) actions: Vec<(Millis, Action)>,
@@ -70,7 +70,7 @@
 }
 
 impl TestGateway {
-    /// A gateway that knows of no endpoint.
+    /// A gateway without endpoints.
     pub(crate) fn new(config: TestConfig) -> Self {
         let mut gateway = TestGateway {
             policy: Policy::new(config.into()),
@@ -99,7 +99,7 @@
         gateway
     }
 
-    /// A gateway with warm endpoints of version 1, named a0, a1, b2, b3 ... by zone, that behave like this.
+    /// A gateway with warm endpoints of version 1, named a0, a1, b2, b3 ... by zone, with this behavior.
     pub(crate) fn with_endpoints(
         config: TestConfig, count: usize,
         behavior: impl Fn(&SentAttempt) -> (AttemptOutcome, Millis) + 'static,
@@ -114,7 +114,7 @@
         gateway
     }
 
-    /// Tells of one endpoint; its zone is the first letter of its name.
+    /// Delivers an update of one endpoint; its zone is the first letter of its name.
     pub(crate) fn update_endpoint(
         &mut self, name: &str, version: Version, status: EndpointStatus, started_at: Millis,
     ) -> EndpointEntry {
@@ -137,19 +137,19 @@
         entry
     }
 
-    /// Endpoints of a version that started just now.
+    /// Delivers endpoints of a version that start now.
     pub(crate) fn start_endpoints(&mut self, names: &[&str], version: Version) {
         for name in names {
             self.update_endpoint(name, version, EndpointStatus::Ready, self.now);
         }
     }
 
-    /// Hands an event to the policy with the next batch.
+    /// Adds an event to the next batch.
     pub(crate) fn deliver(&mut self, event: Event) {
         self.events.push(event);
     }
 
-    /// Tells the state of the rollout.
+    /// Delivers a rollout state.
     pub(crate) fn update_rollout(
         &mut self, version: Version, stage: u32, phase: RolloutPhase, traffic_cap: f64,
     ) {
@@ -157,12 +157,12 @@
         self.deliver(Event::RolloutUpdate(rollout));
     }
 
-    /// A request of a class, perhaps with a sticky key.
+    /// Receives a request of a class, optionally with a sticky key.
     pub(crate) fn request(&mut self, class: &str, key: Option<&str>) -> RequestId {
         self.receive(None, class, key, false, 2000.0)
     }
 
-    /// A request of a tenant, perhaps a retry, with so much time left.
+    /// Receives a request of a tenant, optionally a retry, with this time remaining in ms.
     pub(crate) fn request_from(
         &mut self, tenant: Option<&str>, class: &str, is_retry: bool, time_remaining: Millis,
     ) -> RequestId {
@@ -190,7 +190,7 @@
         id
     }
 
-    /// What the platform counted of the first class over all gateways.
+    /// Delivers an outcome report of the first class.
     pub(crate) fn report_outcomes(
         &mut self, version: Version, attempts: u64, failures: u64, mean_latency: Millis,
     ) {
@@ -204,7 +204,7 @@
         }));
     }
 
-    /// One batch: what is due, what was delivered, and what is decided.
+    /// Runs one batch: due outcomes, delivered events, a timer; carries out the actions.
     pub(crate) fn step(&mut self) {
         let mut events = std::mem::take(&mut self.events);
         let scheduled = std::mem::take(&mut self.scheduled);
@@ -242,8 +242,9 @@
         match action {
             Action::SendAttempt { id, endpoint, .. } => self.send(*id, endpoint),
             Action::CancelAttempt { id, attempt } => {
-                let is_meant = |sent: &SentAttempt| sent.id == *id && sent.number == *attempt;
-                if let Some(found) = self.scheduled.iter_mut().find(|scheduled| is_meant(&scheduled.attempt))
+                let is_cancelled = |sent: &SentAttempt| sent.id == *id && sent.number == *attempt;
+                if let Some(found) =
+                    self.scheduled.iter_mut().find(|scheduled| is_cancelled(&scheduled.attempt))
                 {
                     found.at = self.now + STEP;
                     found.outcome = AttemptOutcome::Cancelled;
@@ -277,14 +278,14 @@
         self.sent.push(attempt);
     }
 
-    /// Runs for some time without requests.
+    /// Runs for `duration` ms without requests.
     pub(crate) fn run_for(&mut self, duration: Millis) {
         for _ in 0..(duration / STEP) as usize {
             self.step();
         }
     }
 
-    /// Runs for some time with a request of the first class every so many steps.
+    /// Runs for `duration` ms with a request of the first class in each `every`-th step.
     pub(crate) fn serve_for(&mut self, duration: Millis, every: usize) {
         for step in 0..(duration / STEP) as usize {
             if step % every == 0 {
@@ -294,22 +295,22 @@
         }
     }
 
-    /// The endpoints that a request was sent to, in order.
+    /// The endpoints of a request's attempts, in order.
     pub(crate) fn endpoints_tried(&self, id: RequestId) -> Vec<String> {
         self.sent.iter().filter(|sent| sent.id == id).map(|sent| sent.endpoint.clone()).collect()
     }
 
-    /// What it logged, with its time.
+    /// Its log lines, with their time.
     pub(crate) fn logs(&self) -> Vec<&(Millis, Action)> {
         self.actions.iter().filter(|(_, action)| matches!(action, Action::Log(_))).collect()
     }
 
-    /// Whether it ever voted so on a version.
+    /// True if it cast this vote on a version.
     pub(crate) fn has_voted(&self, version: Version, verdict: Verdict) -> bool {
-        let is_wanted = |action: &Action| match action {
+        let is_vote = |action: &Action| match action {
             Action::CastVote { version: of, verdict: cast, .. } => (*of, *cast) == (version, verdict),
             _ => false,
         };
-        self.actions.iter().any(|(_, action)| is_wanted(action))
+        self.actions.iter().any(|(_, action)| is_vote(action))
     }
 }
--- a/crates/policy/tests/policy/support/scenarios.rs
+++ b/crates/policy/tests/policy/support/scenarios.rs
@@ -1,26 +1,26 @@
-//! How endpoints behave, and gateways at the moment at which a canary begins.
+//! Behaviors of endpoints, and gateways at the start of a canary.
 
 use super::{SentAttempt, TestConfig, TestGateway};
 use latchhaven_policy::{AttemptOutcome, Millis, RolloutPhase, Version};
 
-/// Answers in 50 ms.
+/// Succeeds after 50 ms.
 pub(crate) fn succeed(_: &SentAttempt) -> (AttemptOutcome, Millis) {
     (AttemptOutcome::Success, 50.0)
 }
 
-/// Ends one in so many requests' attempts with this outcome, the others well.
+/// Gives attempts of one in `count` requests this outcome; the others succeed.
 pub(crate) fn fail_every(
     count: u32, sent: &SentAttempt, outcome: AttemptOutcome,
 ) -> (AttemptOutcome, Millis) {
     if sent.id.0.is_multiple_of(count) { (outcome, 50.0) } else { succeed(sent) }
 }
 
-/// All are slower from the time at which a canary's endpoints start.
+/// All endpoints are slower from the start of the canary's endpoints on.
 pub(crate) fn slowed(sent: &SentAttempt) -> (AttemptOutcome, Millis) {
     (AttemptOutcome::Success, if sent.at < 104_100.0 { 50.0 } else { 110.0 })
 }
 
-/// Four warm endpoints of version 1 and three of version 2, a canary at this stage and cap.
+/// A gateway with four warm endpoints of version 1 and three of version 2, a canary at this stage and cap.
 pub(crate) fn with_canary(
     config: TestConfig, stage: u32, cap: f64,
     behavior: impl Fn(&SentAttempt) -> (AttemptOutcome, Millis) + 'static,
@@ -33,7 +33,7 @@
 }
 
 /// One of 300 gateways, with 20 endpoints of version 1 and two of version 2, a canary at this cap.
-pub(crate) fn in_large_fleet(
+pub(crate) fn among_300_gateways(
     seed: u64, cap: f64, behavior: impl Fn(&SentAttempt) -> (AttemptOutcome, Millis) + 'static,
 ) -> TestGateway {
     let config = TestConfig { seed, gateway_count: 300, ..TestConfig::default() };
