--- a/crates/client/examples/counter_terminal.rs
+++ b/crates/client/examples/counter_terminal.rs
@@ -2,8 +2,8 @@
 
 use latchhaven_client::{Client, ClientConfig, NonIdempotentOutcome, NonIdempotentRequest};
 
-/// Times that a rejected payment is sent.
-const MAX_TRIES: usize = 3;
+/// Attempts to send a rejected payment.
+const MAX_ATTEMPTS: usize = 3;
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<(), Box<dyn std::error::Error>> {
@@ -16,16 +16,16 @@
         timeout: 4_000.0,
         priority_weight: 2.0,
     };
-    for _ in 0..MAX_TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         match client.send_non_idempotent(payment).await {
             NonIdempotentOutcome::Succeeded(value) => {
                 println!("paid: {} bytes", value.len());
                 return Ok(());
             }
-            // It was not executed, and is given back: the customer may be asked whether to go on.
+            // Not executed: the request is returned and may be sent again.
             NonIdempotentOutcome::Rejected(unsent) => payment = unsent,
             NonIdempotentOutcome::Unknown => {
-                println!("unknown: look the receipt up before anything is done again");
+                println!("unknown: check the receipt before the next payment");
                 return Ok(());
             }
             NonIdempotentOutcome::InvalidName(request) => {
@@ -33,6 +33,6 @@
             }
         }
     }
-    println!("not taken: the gateways are busy");
+    println!("not paid: the gateways are overloaded");
     Ok(())
 }
--- a/crates/client/examples/phone_desk.rs
+++ b/crates/client/examples/phone_desk.rs
@@ -1,16 +1,16 @@
-//! A phone desk that places orders: many at once, each with the key by which endpoints drop duplicates.
+//! A phone desk that places orders: many concurrently, each with the key by which endpoints drop duplicates.
 
 use latchhaven_client::{AttemptCounts, Client, ClientConfig, KeyedRequest};
 
-/// Orders that are placed at once.
-const ORDERS: u8 = 20;
+/// Requests that are in flight concurrently.
+const CONCURRENT_REQUESTS: u8 = 20;
 
 fn order(number: u8) -> KeyedRequest {
     KeyedRequest {
         class: "place-order".to_string(),
         item: format!("order-{number}"),
         document: vec![number],
-        key: format!("desk-4-{number}"),
+        key: format!("terminal-4-{number}"),
         dedup_window: 10_000.0,
         timeout: 3_000.0,
         priority_weight: 3.0,
@@ -22,7 +22,7 @@
     let gateways: Result<Vec<_>, _> = std::env::args().skip(1).map(|address| address.parse()).collect();
     let client = Client::start(ClientConfig::new(gateways?));
     let mut tasks = Vec::new();
-    for number in 0..ORDERS {
+    for number in 0..CONCURRENT_REQUESTS {
         let client = client.clone();
         let request = order(number);
         tasks.push(tokio::spawn(async move { (client.send_keyed(&request).await, request) }));
@@ -35,6 +35,6 @@
         }
     }
     let AttemptCounts { written, retries } = client.attempt_counts();
-    println!("{written} tries, {retries} of them repeats");
+    println!("{written} attempts, {retries} of them retries");
     Ok(())
 }
--- /dev/null
+++ b/crates/client/src/acquired_connection.rs
@@ -0,0 +1,96 @@
+//! A connection while a call uses it.
+
+use crate::call::AttemptOutcome;
+use crate::connection::GatewayConnection;
+use crate::pool_messages::ConnectionEvent;
+use crate::request::Value;
+use crate::time::Millis;
+use crate::wire::Answer;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::time::timeout;
+
+/// A connection that a call uses. Dropped while a query is in flight it is closed, which cancels the request.
+pub(crate) struct AcquiredConnection {
+    connection: Option<Box<GatewayConnection>>,
+    events: mpsc::UnboundedSender<ConnectionEvent>,
+}
+
+impl Drop for AcquiredConnection {
+    fn drop(&mut self) {
+        self.close(ConnectionEvent::Discarded);
+    }
+}
+
+impl AcquiredConnection {
+    pub(crate) fn new(
+        connection: Box<GatewayConnection>, events: mpsc::UnboundedSender<ConnectionEvent>,
+    ) -> Self {
+        AcquiredConnection { connection: Some(connection), events }
+    }
+
+    /// Returns the connection to the pool.
+    pub(crate) fn release(&mut self) {
+        if let Some(connection) = self.connection.take() {
+            let _ = self.events.send(ConnectionEvent::Released(connection));
+        }
+    }
+
+    /// Closes the connection and reports the reason to the pool.
+    fn close(&mut self, event: impl FnOnce(u64) -> ConnectionEvent) {
+        if let Some(connection) = self.connection.take() {
+            let _ = self.events.send(event(connection.id));
+        }
+    }
+
+    /// Returns the connection after an error; a fatal one closes it.
+    fn finish_error(&mut self, is_fatal: bool) {
+        if is_fatal {
+            self.close(ConnectionEvent::Lost);
+        } else {
+            self.release();
+        }
+    }
+
+    /// Makes one attempt: writes a query and reads its answer.
+    ///
+    /// # Errors
+    /// How the attempt ended, where it returned no value.
+    pub(crate) async fn attempt(
+        &mut self, query: &[u8], time_limit: Duration,
+    ) -> Result<Value, AttemptOutcome> {
+        let Some(connection) = &mut self.connection else { return Err(AttemptOutcome::NotSent) };
+        let mut written = 0;
+        let exchange = async {
+            connection.write_query(query, &mut written).await?;
+            connection.read_answer().await
+        };
+        let result = timeout(time_limit, exchange).await;
+        // A query whose last byte was not written was not executed.
+        let is_fully_written = written == query.len();
+        let unless_unsent = |outcome| if is_fully_written { outcome } else { AttemptOutcome::NotSent };
+        match result {
+            Ok(Ok(Answer::Value(value))) => {
+                self.release();
+                Ok(value)
+            }
+            Ok(Ok(Answer::Rejected { retry_after, is_fatal })) => {
+                self.finish_error(is_fatal);
+                Err(AttemptOutcome::Rejected { retry_after: retry_after.map(|time| time as Millis) })
+            }
+            Ok(Ok(Answer::Failed { is_fatal, .. })) => {
+                self.finish_error(is_fatal);
+                Err(AttemptOutcome::Failed)
+            }
+            Ok(Ok(Answer::Ready) | Err(_)) => {
+                self.close(ConnectionEvent::Lost);
+                Err(unless_unsent(AttemptOutcome::ConnectionLost))
+            }
+            Err(_) => {
+                // The answer may still arrive on it: it must not carry another query.
+                self.close(ConnectionEvent::TimedOut);
+                Err(unless_unsent(AttemptOutcome::Timeout))
+            }
+        }
+    }
+}
--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -1,42 +1,15 @@
 //! What one call does next, given the outcomes of its attempts. Pure: no sockets and no clock; the random number
-//! generator comes from the caller.
+//! generator is a parameter. The rules themselves are in `rules`.
 //!
 //! An attempt was definitely not executed only where it was rejected (SQLSTATE 53300 or 57P03), its connection was not
 //! established, or that broke before the last byte was written. Any other attempt was possibly executed.
 
 use crate::retry_budget::RetryBudget;
+use crate::rules::{self, RetryConditions};
 use crate::time::{Millis, Timestamp};
-use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// Time in ms by which a deduplication window is taken to be shorter: the network path to an endpoint, and its clock.
-const DEDUP_MARGIN: Millis = 20.0;
-/// The upper end in ms of the range from which the first backoff is drawn; it doubles with each attempt.
-const INITIAL_BACKOFF: Millis = 25.0;
-/// The largest upper end in ms of that range.
-const MAX_BACKOFF: Millis = 1_000.0;
-/// The largest exponent of the doubling.
-const MAX_BACKOFF_DOUBLINGS: u32 = 16;
-/// A `retry_after` is a minimum: up to this part of it is added at random.
-const RETRY_AFTER_JITTER: f64 = 0.5;
-/// Attempts of one call at most; its timeout usually ends it before.
-const MAX_ATTEMPTS: u32 = 8;
-/// The shortest time in ms that is sent to a gateway as remaining.
-const MIN_TIME_REMAINING: Millis = 1.0;
-
-/// What is known of the effect of executing a call more than once.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Idempotency {
-    /// It may be executed any number of times.
-    Idempotent,
-    /// It has a key by which endpoints drop duplicates.
-    IdempotencyKey {
-        /// The time in ms, from the first attempt that was possibly executed, in which endpoints drop duplicates.
-        dedup_window: Millis,
-    },
-    /// It must be executed once at most.
-    NonIdempotent,
-}
+pub use crate::rules::Idempotency;
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -54,18 +27,18 @@
     NotSent,
     /// The connection broke after the last byte, or the answer was malformed: possibly executed.
     ConnectionLost,
-    /// No answer came in time: possibly executed.
+    /// No answer before the timeout: possibly executed.
     Timeout,
 }
 
-/// What a call comes to.
+/// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
     /// It was executed.
     Succeeded,
-    /// It was definitely not executed: to call again later is harmless.
+    /// It was definitely not executed: calling again later is harmless.
     Rejected,
-    /// It has no answer; to call again is harmless since it is idempotent.
+    /// It has no answer; calling again is harmless since it is idempotent.
     Failed,
     /// It was possibly executed and must not be sent again.
     Unknown,
@@ -74,14 +47,14 @@
 /// What a call does next.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NextStep {
-    /// Makes an attempt.
+    /// Make an attempt.
     Attempt {
         /// The time in ms to wait before it.
         backoff: Millis,
         /// It is not the first attempt.
         is_retry: bool,
     },
-    /// Ends with an outcome.
+    /// Finish with an outcome.
     Finish(CallOutcome),
 }
 
@@ -100,7 +73,8 @@
 }
 
 impl Call {
-    /// A call that starts now and has `timeout` ms.
+    /// A call that starts now, with its timeout and the least time that a request needs, both in ms.
+    #[must_use]
     pub fn new(idempotency: Idempotency, timeout: Millis, min_request_time: Millis, now: Timestamp) -> Self {
         Call {
             idempotency,
@@ -114,16 +88,18 @@
     }
 
     /// The time in ms until the timeout.
+    #[must_use]
     pub fn time_remaining(&self, now: &Timestamp) -> Millis {
         self.timeout - now.since(&self.started_at)
     }
 
-    /// Attempts that were written, or might have been.
+    /// Attempts so far; each was written at least in part, or may have been.
+    #[must_use]
     pub fn attempts(&self) -> u32 {
         self.attempts
     }
 
-    /// What to do first.
+    /// The first step of the call; it earns a part of a retry.
     pub fn start(&mut self, retry_budget: &mut RetryBudget, now: &Timestamp) -> NextStep {
         retry_budget.on_first_attempt(now.monotonic);
         if self.time_remaining(now) < self.min_request_time {
@@ -132,36 +108,29 @@
         NextStep::Attempt { backoff: 0.0, is_retry: false }
     }
 
-    /// Begins an attempt, if it may be written now; returns the time remaining in ms, to be sent to the gateway. To be
-    /// called just before writing: a call that waited for a connection may be late by then, or past the deduplication
-    /// window.
+    /// Begins an attempt and returns the time remaining in ms, which is sent to the gateway; none where an attempt must
+    /// not be written now. The driver calls this immediately before writing: a call that was queued for a connection may
+    /// have passed its timeout or its deduplication window.
     pub fn begin_attempt(&mut self, now: &Timestamp) -> Option<Millis> {
-        let time_remaining = self.time_remaining(now);
-        let is_late = time_remaining < self.min_time_remaining();
-        if self.is_finished || is_late || !self.may_send_in(0.0, now) {
+        let conditions = self.retry_conditions(now);
+        if self.is_finished || !conditions.can_send_now() {
             return None;
         }
         self.attempts += 1;
-        Some(time_remaining)
-    }
-
-    fn min_time_remaining(&self) -> Millis {
-        self.min_request_time.max(MIN_TIME_REMAINING)
+        Some(conditions.time_remaining)
     }
 
-    /// Whether an attempt may be sent `backoff` ms from now, given what was possibly executed before.
-    fn may_send_in(&self, backoff: Millis, now: &Timestamp) -> bool {
-        let Some(executed_at) = &self.possibly_executed_at else { return true };
-        match self.idempotency {
-            Idempotency::Idempotent => true,
-            Idempotency::NonIdempotent => false,
-            Idempotency::IdempotencyKey { dedup_window } => {
-                now.since(executed_at) + backoff < dedup_window - DEDUP_MARGIN
-            }
+    fn retry_conditions(&self, now: &Timestamp) -> RetryConditions {
+        RetryConditions {
+            attempts: self.attempts,
+            time_remaining: self.time_remaining(now),
+            min_request_time: self.min_request_time,
+            idempotency: self.idempotency,
+            since_possibly_executed: self.possibly_executed_at.map(|executed_at| now.since(&executed_at)),
         }
     }
 
-    /// Takes the outcome of an attempt that was written at `sent_at`, and decides what to do next.
+    /// Records the outcome of an attempt that was written at `sent_at`, and decides the next step.
     pub fn on_attempt_ended(
         &mut self, outcome: AttemptOutcome, sent_at: Timestamp, retry_budget: &mut RetryBudget,
         rng: &mut Pcg64Mcg, now: &Timestamp,
@@ -176,35 +145,22 @@
                 return NextStep::Finish(CallOutcome::Succeeded);
             }
             AttemptOutcome::Rejected { retry_after } => {
-                let retry_after = retry_after.unwrap_or(0.0).max(0.0);
-                min_backoff = retry_after * (1.0 + RETRY_AFTER_JITTER * rng.random::<f64>());
+                min_backoff = rules::retry_after_delay(retry_after, rng);
             }
             AttemptOutcome::NotSent => {}
             AttemptOutcome::Failed | AttemptOutcome::ConnectionLost | AttemptOutcome::Timeout => {
                 self.possibly_executed_at.get_or_insert(sent_at);
             }
         }
-        let backoff = self.draw_backoff(rng).max(min_backoff);
-        // The budget comes last: a retry that is not sent spends nothing.
-        if self.can_retry_in(backoff, now) && retry_budget.try_spend(now.monotonic) {
+        let backoff = rules::retry_backoff(self.attempts, rng).max(min_backoff);
+        // The budget is checked last: a retry that is not sent spends nothing.
+        if self.retry_conditions(now).can_retry_in(backoff) && retry_budget.try_spend(now.monotonic) {
             NextStep::Attempt { backoff, is_retry: true }
         } else {
             NextStep::Finish(self.abandon())
         }
     }
 
-    /// Full jitter over a range that doubles with each attempt.
-    fn draw_backoff(&self, rng: &mut Pcg64Mcg) -> Millis {
-        let doublings = self.attempts.min(MAX_BACKOFF_DOUBLINGS);
-        let range = (INITIAL_BACKOFF * f64::from(1u32 << doublings)).min(MAX_BACKOFF);
-        range * rng.random::<f64>()
-    }
-
-    fn can_retry_in(&self, backoff: Millis, now: &Timestamp) -> bool {
-        let is_in_time = self.time_remaining(now) - backoff >= self.min_time_remaining();
-        self.attempts < MAX_ATTEMPTS && is_in_time && self.may_send_in(backoff, now)
-    }
-
     /// Ends the call without a further attempt.
     pub fn abandon(&mut self) -> CallOutcome {
         self.is_finished = true;
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -1,15 +1,19 @@
-//! The client: makes the attempts of calls on connections of the pool. It decides nothing.
+//! The client makes the attempts of calls on connections of the pool; all decisions are in [`crate::call`] and
+//! [`crate::pool`].
 
+use crate::acquired_connection::AcquiredConnection;
 use crate::call::{AttemptOutcome, Call, CallOutcome, Idempotency, NextStep};
 use crate::config::ClientConfig;
-use crate::connection::{ConnectionGuard, GatewayConnection};
-use crate::pool_driver::{AcquireRequest, ConnectionEvent, PoolDriver};
+use crate::connection::GatewayConnection;
+use crate::pool_driver::PoolDriver;
+use crate::pool_messages::{AcquireRequest, ConnectionEvent};
 use crate::request::{
     IdempotentRequest, KeyedRequest, NonIdempotentOutcome, NonIdempotentRequest, RequestContent,
     RequestError, Value,
 };
 use crate::retry_budget::RetryBudget;
-use crate::time::{Millis, Timestamp, to_duration};
+use crate::rules::{ACQUIRE_QUEUE_LENGTH, bounded_wait};
+use crate::time::{Millis, Timestamp};
 use crate::wire::Query;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -19,12 +23,10 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 
-/// Requests for a connection that the pool driver has not yet taken; further ones wait.
-const ACQUIRE_QUEUE_LENGTH: usize = 64;
-/// Makes the seed of retries differ from that of the pool.
+/// Separates the random numbers of retries from those of the pool.
 const RETRY_SEED_MASK: u64 = 0x5bd1_e995;
 
-/// What decides on retries, shared by all calls.
+/// The inputs of retry decisions, shared by all calls.
 struct RetryState {
     budget: RetryBudget,
     rng: Pcg64Mcg,
@@ -69,7 +71,7 @@
     pub retries: u64,
 }
 
-/// What a call came to.
+/// How a call ended.
 enum CallResult {
     Succeeded(Value),
     Rejected,
@@ -80,7 +82,7 @@
 }
 
 impl CallResult {
-    /// `value`: that of the last attempt; empty unless it succeeded.
+    /// `value`: the value of the last attempt; empty unless it succeeded.
     fn new(outcome: CallOutcome, value: Value) -> Self {
         match outcome {
             CallOutcome::Succeeded => CallResult::Succeeded(value),
@@ -105,7 +107,7 @@
     }
 }
 
-/// The limits of one call.
+/// How one call is executed.
 #[derive(Clone, Copy)]
 struct CallOptions {
     idempotency: Idempotency,
@@ -121,6 +123,7 @@
 
 impl Client {
     /// Starts a client on the current tokio runtime. It ends with its last clone.
+    #[must_use]
     pub fn start(config: ClientConfig) -> Self {
         let (acquire_requests, received_requests) = mpsc::channel(ACQUIRE_QUEUE_LENGTH);
         let (events, received_events) = mpsc::unbounded_channel();
@@ -142,6 +145,7 @@
     }
 
     /// Attempts that were written so far.
+    #[must_use]
     pub fn attempt_counts(&self) -> AttemptCounts {
         AttemptCounts {
             written: self.shared.written_attempts.load(Ordering::Relaxed),
@@ -204,7 +208,7 @@
         }
     }
 
-    /// Makes the attempts of one call until it has a result. Dropped on the way it closes the connection it uses.
+    /// Makes the attempts of one call until it has a result. A dropped call closes the connection that it uses.
     async fn run(&self, content: RequestContent<'_>, options: CallOptions) -> CallResult {
         let shared = &self.shared;
         let query = content.to_query(shared.config.tenant.as_deref());
@@ -220,9 +224,9 @@
                 NextStep::Attempt { backoff, is_retry } => (backoff, is_retry),
             };
             if backoff > 0.0 {
-                sleep(to_duration(backoff)).await;
+                sleep(bounded_wait(backoff)).await;
             }
-            let time_remaining = to_duration(call.time_remaining(&shared.now()));
+            let time_remaining = bounded_wait(call.time_remaining(&shared.now()));
             let acquired = timeout(time_remaining, self.acquire(options.priority_weight)).await;
             let Ok(Some(mut connection)) = acquired else {
                 return CallResult::without_value(call.abandon());
@@ -248,18 +252,18 @@
         }
     }
 
-    /// Makes one attempt under an id of its own; none where a name cannot be sent.
+    /// Makes one attempt under a new id; none where a name cannot be sent.
     async fn attempt(
-        &self, connection: &mut ConnectionGuard, query: &Query<'_>, time_limit: Millis,
+        &self, connection: &mut AcquiredConnection, query: &Query<'_>, time_limit: Millis,
     ) -> Option<Result<Value, AttemptOutcome>> {
         let id = format!("{:016x}", self.shared.retry_state().rng.random::<u64>());
         let message = Query { id: &id, ..query.clone() }.encode()?;
         self.shared.count_written(query.is_retry);
-        Some(connection.attempt(&message, to_duration(time_limit)).await)
+        Some(connection.attempt(&message, bounded_wait(time_limit)).await)
     }
 
-    /// Waits for a connection; none where too many calls wait.
-    async fn acquire(&self, priority_weight: f64) -> Option<ConnectionGuard> {
+    /// Waits for a connection; none where the call was rejected by the full queue.
+    async fn acquire(&self, priority_weight: f64) -> Option<AcquiredConnection> {
         let call = self.shared.last_call.fetch_add(1, Ordering::Relaxed);
         let (reply, assigned) = oneshot::channel();
         let mut pending = PendingAcquire { call, events: Some(self.shared.events.clone()) };
@@ -267,14 +271,14 @@
         self.shared.acquire_requests.send(request).await.ok()?;
         let connection: Option<Box<GatewayConnection>> = assigned.await.ok();
         pending.events = None;
-        Some(ConnectionGuard::new(connection?, self.shared.events.clone()))
+        Some(AcquiredConnection::new(connection?, self.shared.events.clone()))
     }
 }
 
 /// A request for a connection, cancelled when its call is dropped.
 struct PendingAcquire {
     call: u64,
-    /// None once it has been answered.
+    /// None once the pool driver has answered.
     events: Option<mpsc::UnboundedSender<ConnectionEvent>>,
 }
 
--- a/crates/client/src/pool.rs
+++ b/crates/client/src/pool.rs
@@ -1,12 +1,13 @@
-//! Which connections are opened, kept and closed, and which call gets one. Pure: a driver carries out the actions.
+//! Which connections are opened, retained and closed, and which call gets one. Pure: a driver carries out the actions.
 //!
-//! A process stays with one gateway, by ranks of its own, so that processes spread evenly over gateways. When a gateway
-//! is lost, all its processes lose it at once: each reconnects, to it or to the next by rank, after a random delay of
-//! some seconds; first with one connection, and with more once that was used.
+//! Problem: when a gateway is lost, all its processes lose it simultaneously and would overload the next one. Method: each
+//! process prefers gateways by random ranks of its own, and reconnects, to the same gateway or to the next by rank, after
+//! a random delay; first with a single connection, and with more once that one has carried an answer.
 
 mod gateway;
 mod queue;
 
+use crate::rules;
 use crate::time::Millis;
 use gateway::Gateway;
 use queue::CallQueue;
@@ -14,49 +15,31 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Attempts in a row without any answer after which a gateway counts as lost.
-const MAX_CONSECUTIVE_TIMEOUTS: u32 = 2;
-/// The age at which a connection is closed varies by this part, so that those opened together do not end together.
-const AGE_JITTER: f64 = 0.2;
+pub use crate::rules::PoolLimits;
 
-/// Limits of a pool.
-#[derive(Clone, Copy, Debug)]
-pub struct PoolLimits {
-    /// Connections at most, those being opened included.
-    pub max_connections: usize,
-    /// Connections being opened at most.
-    pub max_connecting: usize,
-    /// Calls at most that wait for a connection.
-    pub max_queued_calls: usize,
-    /// Time in ms after which an idle connection is closed: before gateways close theirs.
-    pub idle_timeout: Millis,
-    /// Time in ms after which any connection is closed.
-    pub max_age: Millis,
-}
-
-/// What a driver has to do.
+/// What the driver carries out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolAction {
-    /// Opens a connection.
+    /// Open a connection.
     Connect {
         /// The id of the new connection.
         connection: u64,
         /// The index of the gateway.
         gateway: usize,
     },
-    /// Gives a connection to a call.
+    /// Assign a connection to a call.
     Assign {
         /// The call.
         call: u64,
         /// The connection.
         connection: u64,
     },
-    /// Closes an idle connection.
+    /// Close an idle connection.
     Close {
         /// The connection.
         connection: u64,
     },
-    /// Tells a call that it gets no connection: too many wait.
+    /// Reject a call: the queue is full.
     Reject {
         /// The call.
         call: u64,
@@ -74,7 +57,7 @@
 struct Connection {
     gateway: usize,
     state: ConnectionState,
-    /// When it is closed once it is idle.
+    /// Monotonic time in ms after which it is closed as soon as it is idle.
     expires_at: Millis,
 }
 
@@ -87,7 +70,7 @@
     }
 }
 
-/// The connections of one process, and the calls that wait for one.
+/// The connections of one process, and the calls that are queued for one.
 #[derive(Clone, Debug)]
 pub struct Pool {
     limits: PoolLimits,
@@ -97,12 +80,13 @@
     /// The last id that was assigned, to a connection or to a place in the queue.
     last_id: u64,
     rng: Pcg64Mcg,
-    /// No gateway is connected to before: the one that this process stayed with was just lost.
+    /// Monotonic time in ms before which no gateway is connected to: one was just lost.
     reconnect_at: Millis,
 }
 
 impl Pool {
-    /// A pool for so many gateways; the seed ranks them and spreads reconnects.
+    /// A pool for so many gateways; the seed determines their ranks and all delays.
+    #[must_use]
     pub fn new(gateway_count: usize, limits: PoolLimits, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let gateways = (0..gateway_count).map(|_| Gateway::with_rank(rng.random())).collect();
@@ -117,7 +101,7 @@
         }
     }
 
-    /// A call asks for a connection. Where too many wait, the one with the lowest priority is rejected.
+    /// Queues a call for a connection. Where the queue is full, the call with the lowest priority is rejected.
     pub fn acquire(&mut self, call: u64, priority_weight: f64, now: Millis) -> Vec<PoolAction> {
         self.last_id += 1;
         self.queue.push(call, priority_weight, self.last_id);
@@ -131,17 +115,17 @@
         actions
     }
 
-    /// A call no longer waits for a connection.
+    /// Removes a call from the queue.
     pub fn cancel_acquire(&mut self, call: u64) {
         self.queue.remove(call);
     }
 
     /// A connection was established.
     pub fn on_connected(&mut self, connection: u64, now: Millis) -> Vec<PoolAction> {
-        let max_age = self.limits.max_age * (1.0 - AGE_JITTER * self.rng.random::<f64>());
+        let lifetime = rules::connection_lifetime(self.limits.max_age, &mut self.rng);
         if let Some(connection) = self.connections.get_mut(&connection) {
             connection.state = ConnectionState::IdleSince(now);
-            connection.expires_at = now + max_age;
+            connection.expires_at = now + lifetime;
         }
         self.poll(now)
     }
@@ -163,26 +147,26 @@
         self.poll(now)
     }
 
-    /// No answer came on a connection in time, and it was closed.
+    /// A call got no answer on a connection before its timeout, and the connection was closed.
     pub fn on_timeout(&mut self, connection: u64, now: Millis) -> Vec<PoolAction> {
         if let Some(connection) = self.connections.remove(&connection) {
             let gateway = &mut self.gateways[connection.gateway];
             gateway.consecutive_timeouts += 1;
-            if gateway.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS {
+            if rules::is_lost_after(gateway.consecutive_timeouts) {
                 self.gateway_failed(connection.gateway, None, now);
             }
         }
         self.poll(now)
     }
 
-    /// A call was cancelled and its connection closed: the gateway did not fail.
+    /// A connection was closed without a failure of the gateway.
     pub fn discard(&mut self, connection: u64, now: Millis) -> Vec<PoolAction> {
         self.connections.remove(&connection);
         self.poll(now)
     }
 
-    /// A connection broke. An idle one is no failure; where it was in use its gateway is lost, with all connections
-    /// to it. `reconnecting_clients`: how many reconnect, where the gateway reported it.
+    /// A connection broke. Where a call used it, its gateway counts as lost; a gateway may close idle ones.
+    /// `reconnecting_clients`: how many reconnect, where the gateway reported it.
     pub fn on_connection_lost(
         &mut self, connection: u64, reconnecting_clients: Option<u64>, now: Millis,
     ) -> Vec<PoolAction> {
@@ -195,19 +179,18 @@
 
     fn gateway_failed(&mut self, gateway: usize, reconnecting_clients: Option<u64>, now: Millis) {
         let gateway = &mut self.gateways[gateway];
-        // Connections break together: the loss of one gateway is one failure.
+        // All connections to a lost gateway break: they count as one failure.
         if gateway.retry_at > now {
             return;
         }
         gateway.on_failure(now);
-        let reconnect_spread = gateway::reconnect_spread(reconnecting_clients);
-        gateway.retry_at = now + gateway.max_delay(reconnect_spread) * self.rng.random::<f64>();
-        // Nor are the others connected to at once: all processes that lost this one would do so at the same time.
-        let move_at = now + gateway::max_move_delay(reconnect_spread) * self.rng.random::<f64>();
+        let reconnect_spread = rules::reconnect_spread(reconnecting_clients);
+        gateway.retry_at = now + rules::reconnect_delay(gateway.failures, reconnect_spread, &mut self.rng);
+        let move_at = now + rules::move_delay(reconnect_spread, &mut self.rng);
         self.reconnect_at = self.reconnect_at.max(move_at);
     }
 
-    /// Closes, assigns and opens connections. To be called at [`Pool::next_poll_at`] at the latest.
+    /// Closes, assigns and opens connections. The driver calls this at [`Pool::next_poll_at`] at the latest.
     pub fn poll(&mut self, now: Millis) -> Vec<PoolAction> {
         let mut actions = self.close_expired(now);
         self.assign_idle(&mut actions);
@@ -243,7 +226,7 @@
         }
     }
 
-    /// The idle connection that was used last, so that the others may time out.
+    /// The idle connection that was used last, so that the others reach their idle timeout.
     fn last_used_idle(&self) -> Option<u64> {
         let idle =
             self.connections.iter().filter_map(|(id, connection)| Some((*id, connection.idle_since()?)));
@@ -251,17 +234,14 @@
         Some(id)
     }
 
-    /// More calls wait than connections are being opened, and one more may be.
     fn needs_connection(&self) -> bool {
         let is_connecting = |connection: &&Connection| connection.state == ConnectionState::Connecting;
         let connecting = self.connections.values().filter(is_connecting).count();
-        let is_allowed =
-            self.connections.len() < self.limits.max_connections && connecting < self.limits.max_connecting;
-        is_allowed && self.queue.len() > connecting
+        rules::needs_connection(&self.limits, connecting, self.connections.len(), self.queue.len())
     }
 
-    /// Gateways that may be connected to once their time has come. Half open: after a failure a gateway gets a single
-    /// connection until it has answered.
+    /// Gateways that may be connected to once their `retry_at` has passed. Half open: after a failure a gateway gets a
+    /// single connection until it has answered.
     fn available_gateways(&self) -> impl Iterator<Item = (usize, &Gateway)> {
         let in_use: BTreeSet<usize> =
             self.connections.values().map(|connection| connection.gateway).collect();
@@ -284,9 +264,10 @@
         }
     }
 
-    /// When [`Pool::poll`] is to be called next, at the latest.
+    /// Monotonic time in ms at which [`Pool::poll`] must be called at the latest.
+    #[must_use]
     pub fn next_poll_at(&self) -> Millis {
-        // Where no connection may be opened, or a gateway's single one has yet to answer, only an event changes that.
+        // Where no connection may be opened, or a gateway's only one has not answered yet, an event leads to the next step.
         let mut next_poll_at = f64::INFINITY;
         if self.needs_connection() {
             for (_, gateway) in self.available_gateways() {
@@ -303,11 +284,13 @@
     }
 
     /// Connections that are open or being opened.
+    #[must_use]
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Calls that wait for a connection.
+    /// Calls that are queued for a connection.
+    #[must_use]
     pub fn queued_calls(&self) -> usize {
         self.queue.len()
     }
--- a/crates/client/src/pool/queue.rs
+++ b/crates/client/src/pool/queue.rs
@@ -1,7 +1,6 @@
-//! The calls that wait for a connection.
+//! The calls that are queued for a connection.
 
-/// One connection in so many goes to the call that waits longest, whatever its priority.
-const FAIR_INTERVAL: u64 = 4;
+use crate::rules;
 
 #[derive(Clone, Copy, Debug)]
 struct QueuedCall {
@@ -12,11 +11,11 @@
     sequence: u64,
 }
 
-/// Calls by priority, with a share for those that wait longest.
+/// Calls by priority, with a share of the connections for those that are queued longest.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CallQueue {
     calls: Vec<QueuedCall>,
-    /// How often a call was asked for.
+    /// How often [`CallQueue::pop`] was called.
     pops: u64,
 }
 
@@ -30,12 +29,12 @@
         self.calls.push(QueuedCall { call, priority_weight, sequence });
     }
 
-    /// Removes a call, if it waits.
+    /// Removes a call, if it is queued.
     pub(super) fn remove(&mut self, call: u64) {
         self.calls.retain(|queued| queued.call != call);
     }
 
-    /// Removes the call with the lowest priority, and of those the newest: it has waited least.
+    /// Removes the call with the lowest priority, and among equal ones the newest.
     pub(super) fn remove_lowest_priority(&mut self) -> Option<u64> {
         let calls = self.calls.iter().enumerate();
         let lowest = calls.min_by(|(_, left), (_, right)| {
@@ -50,7 +49,7 @@
     pub(super) fn pop(&mut self) -> Option<u64> {
         self.pops += 1;
         let calls = self.calls.iter().enumerate();
-        let first = if self.pops.is_multiple_of(FAIR_INTERVAL) {
+        let first = if rules::is_turn_of_longest_queued(self.pops) {
             calls.min_by_key(|(_, queued)| queued.sequence)
         } else {
             calls.min_by(|(_, left), (_, right)| {
--- a/crates/client/src/pool_driver.rs
+++ b/crates/client/src/pool_driver.rs
@@ -3,7 +3,9 @@
 use crate::config::ClientConfig;
 use crate::connection::GatewayConnection;
 use crate::pool::{Pool, PoolAction};
-use crate::time::{Millis, to_duration};
+use crate::pool_messages::{AcquireRequest, ConnectionEvent};
+use crate::rules::{bounded_wait, poll_interval};
+use crate::time::Millis;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,42 +13,14 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 
-/// The longest time between two looks at the pool and at idle connections.
-const MAX_POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// The shortest time in ms between two looks at the pool.
-const MIN_POLL_INTERVAL: Millis = 0.5;
-
-/// A call's request for a connection.
-pub(crate) struct AcquireRequest {
-    pub(crate) call: u64,
-    pub(crate) priority_weight: f64,
-    /// Dropped where the call gets no connection.
-    pub(crate) reply: oneshot::Sender<Box<GatewayConnection>>,
-}
-
-/// What happened to a connection, by its id, or to a call. There is one event at most under way for each.
-pub(crate) enum ConnectionEvent {
-    Connected(Box<GatewayConnection>),
-    ConnectFailed(u64),
-    /// It may be used again.
-    Released(Box<GatewayConnection>),
-    Lost(u64),
-    /// No answer came in time.
-    TimedOut(u64),
-    /// Its call was cancelled.
-    Discarded(u64),
-    /// This call no longer waits for a connection.
-    AcquireCancelled(u64),
-}
-
-/// Owns the pool, its idle connections, and the calls that wait for one.
+/// Owns the pool, its idle connections, and the replies to the calls that are queued for one.
 pub(crate) struct PoolDriver {
     pool: Pool,
     started_at: Instant,
     gateways: Vec<SocketAddr>,
     connect_timeout: Duration,
     idle: BTreeMap<u64, Box<GatewayConnection>>,
-    waiting: BTreeMap<u64, oneshot::Sender<Box<GatewayConnection>>>,
+    queued: BTreeMap<u64, oneshot::Sender<Box<GatewayConnection>>>,
     events: mpsc::UnboundedSender<ConnectionEvent>,
 }
 
@@ -57,9 +31,9 @@
             pool: Pool::new(config.gateways.len(), config.pool_limits(), config.seed),
             started_at: Instant::now(),
             gateways: config.gateways.clone(),
-            connect_timeout: to_duration(config.connect_timeout),
+            connect_timeout: bounded_wait(config.connect_timeout),
             idle: BTreeMap::new(),
-            waiting: BTreeMap::new(),
+            queued: BTreeMap::new(),
             events,
         }
     }
@@ -68,14 +42,13 @@
         self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Runs until the last clone of the client is gone; connections in use are dropped with their calls.
+    /// Runs until the last clone of the client is dropped; connections in use are dropped with their calls.
     pub(crate) async fn run(
         mut self, mut requests: mpsc::Receiver<AcquireRequest>,
         mut events: mpsc::UnboundedReceiver<ConnectionEvent>,
     ) {
         loop {
-            let until_next_poll = (self.pool.next_poll_at() - self.now()).max(MIN_POLL_INTERVAL);
-            let poll_delay = to_duration(until_next_poll).min(MAX_POLL_INTERVAL);
+            let poll_delay = poll_interval(self.pool.next_poll_at() - self.now());
             let actions = select! {
                 biased;
                 event = events.recv() => match event {
@@ -98,11 +71,11 @@
     fn on_acquire(&mut self, request: AcquireRequest) -> Vec<PoolAction> {
         let AcquireRequest { call, priority_weight, reply } = request;
         self.remove_unusable();
-        self.waiting.insert(call, reply);
+        self.queued.insert(call, reply);
         self.pool.acquire(call, priority_weight, self.now())
     }
 
-    /// Removes idle connections that their gateways have closed: that is no failure.
+    /// Removes idle connections that their gateways have closed; no gateway counts as lost.
     fn remove_unusable(&mut self) {
         let unusable = self.idle.values().filter(|connection| connection.is_unusable());
         let unusable: Vec<u64> = unusable.map(|connection| connection.id).collect();
@@ -127,7 +100,7 @@
             ConnectionEvent::TimedOut(connection) => self.pool.on_timeout(connection, now),
             ConnectionEvent::Discarded(connection) => self.pool.discard(connection, now),
             ConnectionEvent::AcquireCancelled(call) => {
-                self.waiting.remove(&call);
+                self.queued.remove(&call);
                 self.pool.cancel_acquire(call);
                 Vec::new()
             }
@@ -150,7 +123,7 @@
                 PoolAction::Connect { connection, gateway } => self.connect(connection, gateway),
                 PoolAction::Assign { call, connection } => actions.extend(self.assign(call, connection)),
                 PoolAction::Close { connection } => drop(self.idle.remove(&connection)),
-                PoolAction::Reject { call } => drop(self.waiting.remove(&call)),
+                PoolAction::Reject { call } => drop(self.queued.remove(&call)),
             }
         }
     }
@@ -169,9 +142,9 @@
         });
     }
 
-    /// Gives a connection to a call; where the call is gone the connection is idle again.
+    /// Assigns a connection to a call; where the call was cancelled the connection is idle again.
     fn assign(&mut self, call: u64, connection: u64) -> Vec<PoolAction> {
-        let reply = self.waiting.remove(&call);
+        let reply = self.queued.remove(&call);
         let Some(idle) = self.idle.remove(&connection) else { return Vec::new() };
         let result = match reply {
             Some(reply) => reply.send(idle),
--- a/crates/client/src/wire.rs
+++ b/crates/client/src/wire.rs
@@ -1,5 +1,5 @@
-//! The client side of the protocol: PostgreSQL's, version 3, one simple query at a time. Pure: a parser that is fed
-//! bytes, without sockets and clocks.
+//! The client side of the `PostgreSQL` protocol, version 3, one simple query at a time. Pure: the parser reads
+//! bytes that the caller supplies, without sockets and clocks.
 //!
 //! - [`query`]: the bytes of a query and of the startup message.
 //! - [`answer`]: reads answers.
--- a/crates/client/src/wire/answer.rs
+++ b/crates/client/src/wire/answer.rs
@@ -2,69 +2,69 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The longest message in bytes: a value of 64 KiB, or one that a gateway passes on beyond that, and its framing.
+/// The longest message in bytes, with its framing.
 const MAX_MESSAGE_LENGTH: usize = 1 << 20;
 /// The largest sum of the lengths in bytes of all messages of one answer.
 const MAX_ANSWER_LENGTH: usize = 2 << 20;
 /// Bytes of a message before its body: its kind and its length.
 const HEADER_LENGTH: usize = 5;
-/// Bytes of a length, which counts itself.
+/// Bytes of a length field, which counts itself.
 const LENGTH_FIELD: usize = 4;
 /// Bytes of a data row before its only value: the number of values and the value's length.
 const ROW_HEADER_LENGTH: usize = 6;
 /// SQLSTATEs of errors before execution: too many connections, cannot connect now.
 const REJECTED_SQLSTATES: [&str; 2] = ["53300", "57P03"];
 
-/// What is wrong with the bytes of a gateway: its connection must not be used again.
+/// A protocol error of a gateway: its connection must not be used again.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
-    /// A message, or its answer, is too long; the message's length.
-    #[error("a message of {0} bytes")]
+    /// A message, or its answer, is too long; the message's length in bytes.
+    #[error("a message of {0} bytes exceeds the limit")]
     TooLong(usize),
-    /// A message is malformed, or out of place.
-    #[error("no message of this protocol: {0}")]
+    /// A message is malformed, or not allowed at its position.
+    #[error("malformed message: {0}")]
     Malformed(#[from] MalformedMessage),
 }
 
-/// Why a message is malformed, or out of place.
+/// Why a message is malformed, or not allowed at its position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedMessage {
-    /// Its length does not even count itself.
-    #[error("a length below 4")]
+    /// Its length does not count itself.
+    #[error("length field below 4")]
     LengthTooShort,
     /// An answer has one row at most.
-    #[error("a second row, or one behind an error")]
+    #[error("second row, or row after an error")]
     UnexpectedRow,
     /// A row is shorter than its header.
-    #[error("a short row")]
+    #[error("truncated row")]
     ShortRow,
     /// A row has not exactly one value.
-    #[error("a row of another form")]
+    #[error("row without exactly one value")]
     InvalidRow,
     /// The answer ends after a row without the completion of its command.
-    #[error("a row without its end")]
+    #[error("row without command completion")]
     IncompleteRow,
     /// The message is of no kind that a gateway sends.
-    #[error("an unknown kind")]
+    #[error("unknown message type")]
     UnknownKind,
     /// The fields of an error are not terminated.
-    #[error("an error without its end")]
+    #[error("unterminated error")]
     UnterminatedError,
     /// A field of an error has no kind.
-    #[error("an empty field")]
+    #[error("error field without a type")]
     EmptyField,
     /// A field of an error is not UTF-8.
-    #[error("an error that is no text")]
+    #[error("error field is not UTF-8")]
     ErrorNotText,
     /// An error has two SQLSTATEs.
-    #[error("an error with two codes")]
+    #[error("error with two SQLSTATEs")]
     RepeatedCode,
     /// An error has no SQLSTATE.
-    #[error("an error without a code")]
+    #[error("error without a SQLSTATE")]
     MissingCode,
 }
 
-/// An answer up to ReadyForQuery, or up to a fatal error.
+/// An answer up to `ReadyForQuery`, or up to a fatal error.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// The gateway is ready for a first query.
@@ -93,7 +93,7 @@
     }
 }
 
-/// The kind and the length of a message.
+/// The type and the length of a message.
 struct Header {
     kind: u8,
     /// Counts itself and the body.
@@ -118,7 +118,7 @@
 }
 
 impl AnswerReader {
-    /// Reads the next answer, if all of it is in the buffer; messages that were read are taken from the buffer.
+    /// Reads the next answer, if all of it is in the buffer; messages that were read are removed from the buffer.
     ///
     /// # Errors
     /// The bytes are no answer.
@@ -131,7 +131,7 @@
             let mut body = buffer.split_to(header.length + 1).freeze();
             body.advance(HEADER_LENGTH);
             self.answer_length += header.length;
-            if let Some(answer) = self.read_message(header.kind, body)? {
+            if let Some(answer) = self.read_message(header.kind, &body)? {
                 *self = AnswerReader::default();
                 return Ok(Some(answer));
             }
@@ -139,7 +139,7 @@
         Ok(None)
     }
 
-    /// Checked as soon as the header is there: nothing is buffered for a message that is never read.
+    /// Called as soon as the header is read: no bytes are buffered for a message that is too long.
     fn check_length(&self, length: usize) -> Result<(), ProtocolError> {
         if length < LENGTH_FIELD {
             return Err(MalformedMessage::LengthTooShort.into());
@@ -150,13 +150,13 @@
         Ok(())
     }
 
-    fn read_message(&mut self, kind: u8, body: Bytes) -> Result<Option<Answer>, MalformedMessage> {
+    fn read_message(&mut self, kind: u8, body: &Bytes) -> Result<Option<Answer>, MalformedMessage> {
         match kind {
             b'D' => {
                 if self.value.is_some() || self.error.is_some() {
                     return Err(MalformedMessage::UnexpectedRow);
                 }
-                self.value = Some(parse_row(&body)?);
+                self.value = Some(parse_row(body)?);
                 Ok(None)
             }
             b'C' => {
@@ -164,7 +164,7 @@
                 Ok(None)
             }
             b'E' => {
-                let error = parse_error(&body)?;
+                let error = parse_error(body)?;
                 if error.is_fatal() {
                     return Ok(Some(error));
                 }
@@ -178,7 +178,7 @@
         }
     }
 
-    /// The answer at ReadyForQuery.
+    /// The answer at `ReadyForQuery`.
     fn finish(&mut self) -> Result<Answer, MalformedMessage> {
         if let Some(error) = self.error.take() {
             return Ok(error);
@@ -204,7 +204,7 @@
     Ok(body.slice(ROW_HEADER_LENGTH..))
 }
 
-/// An error message. Only one that is complete, with one SQLSTATE, can tell that a query was not executed.
+/// Parses an error message. Only a complete one with one SQLSTATE is proof that a query was not executed.
 fn parse_error(body: &[u8]) -> Result<Answer, MalformedMessage> {
     let mut code = None;
     let mut severity = "";
--- a/crates/client/src/wire/query.rs
+++ b/crates/client/src/wire/query.rs
@@ -1,6 +1,7 @@
 //! The bytes of a query and of the startup message.
 
 use bytes::Bytes;
+use std::fmt::Write;
 
 /// The longest name in bytes.
 const MAX_NAME_LENGTH: usize = 128;
@@ -8,6 +9,7 @@
 const PROTOCOL_VERSION: u32 = 3 << 16;
 
 /// The first message on a connection.
+#[must_use]
 pub fn startup_message() -> Bytes {
     let parameters = b"user\0app\0database\0shop\0\0";
     let mut bytes = Vec::with_capacity(8 + parameters.len());
@@ -20,7 +22,7 @@
 /// One attempt of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Query<'a> {
-    /// The id of the attempt, new with each.
+    /// The id of the attempt; each attempt has its own.
     pub id: &'a str,
     /// The name of the request class.
     pub class: &'a str,
@@ -28,17 +30,18 @@
     pub tenant: Option<&'a str>,
     /// The id of the item.
     pub item: &'a str,
-    /// The document to write; none: the item is read.
+    /// The document to write; without one the item is read.
     pub document: Option<&'a [u8]>,
     /// The idempotency key, where there is one.
     pub key: Option<&'a str>,
-    /// The time in ms for which the answer is waited for.
+    /// The time in ms until the request's timeout.
     pub time_remaining: u64,
     /// It is not the first attempt.
     pub is_retry: bool,
 }
 
 /// True for names that need no quoting in a statement or its comment.
+#[must_use]
 pub fn is_plain_name(name: &str) -> bool {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.' | b':');
     !name.is_empty() && name.len() <= MAX_NAME_LENGTH && name.bytes().all(is_plain)
@@ -46,12 +49,14 @@
 
 impl Query<'_> {
     /// True where all names are plain.
+    #[must_use]
     pub fn has_plain_names(&self) -> bool {
         let names = [Some(self.id), Some(self.class), self.tenant, Some(self.item), self.key];
         names.into_iter().flatten().all(is_plain_name)
     }
 
     /// The query message; none where a name is not plain.
+    #[must_use]
     pub fn encode(&self) -> Option<Bytes> {
         if !self.has_plain_names() {
             return None;
@@ -69,19 +74,22 @@
         let Some(document) = self.document else {
             return format!("SELECT doc FROM items WHERE id = '{item}'");
         };
-        let digits: String = document.iter().map(|byte| format!("{byte:02x}")).collect();
-        format!(r"INSERT INTO items (id, doc) VALUES ('{item}', '\x{digits}') RETURNING doc")
+        let mut text = format!(r"INSERT INTO items (id, doc) VALUES ('{item}', '\x");
+        for byte in document {
+            let _ = write!(text, "{byte:02x}");
+        }
+        text + "') RETURNING doc"
     }
 
     /// The comment that gateways read.
     fn comment(&self) -> String {
         let mut text = format!(" /* id={},c={}", self.id, self.class);
         if let Some(tenant) = self.tenant {
-            text.push_str(&format!(",t={tenant}"));
+            let _ = write!(text, ",t={tenant}");
         }
-        text.push_str(&format!(",d={}", self.time_remaining));
+        let _ = write!(text, ",d={}", self.time_remaining);
         if let Some(key) = self.key {
-            text.push_str(&format!(",k={key}"));
+            let _ = write!(text, ",k={key}");
         }
         text.push_str(if self.is_retry { ",r=1 */" } else { " */" });
         text
--- a/crates/client/tests/call.rs
+++ b/crates/client/tests/call.rs
@@ -140,7 +140,7 @@
     /// Over any outcomes at any times: at most one attempt of a non-idempotent call that was possibly executed, one with
     /// a key sent again only within the deduplication window, nothing written after the timeout, one result.
     #[test]
-    fn every_call_keeps_the_rules(
+    fn every_call_follows_the_rules(
         idempotency in any_idempotency(), timeout in 1.0f64..5_000.0, seed: u64,
         attempts in prop::collection::vec((any_outcome(), 0.0f64..800.0, 0.0f64..800.0), 1..20)
     ) {
--- a/crates/client/tests/client.rs
+++ b/crates/client/tests/client.rs
@@ -111,7 +111,7 @@
     }
 }
 
-fn look_up(timeout: f64) -> IdempotentRequest {
+fn read_request(timeout: f64) -> IdempotentRequest {
     IdempotentRequest {
         class: "look-up".to_string(),
         item: "7f3a".to_string(),
@@ -147,7 +147,7 @@
     let gateway = Gateway::start(&[Reply::Send(VALUE)]).await;
     let client = gateway.client();
     for _ in 0..3 {
-        assert_eq!(client.send_idempotent(&look_up(5_000.0)).await, Ok(Value::from_static(b"abc")));
+        assert_eq!(client.send_idempotent(&read_request(5_000.0)).await, Ok(Value::from_static(b"abc")));
     }
     assert_eq!(gateway.connections(), 1);
     assert_eq!(client.attempt_counts(), AttemptCounts { written: 3, retries: 0 });
@@ -169,7 +169,7 @@
 }
 
 #[tokio::test]
-async fn rejected_non_idempotent_request_is_given_back() {
+async fn rejected_non_idempotent_request_is_returned() {
     let gateway = Gateway::start(&[Reply::Send(REJECTED_FOR_30_S)]).await;
     let outcome = gateway.client().send_non_idempotent(payment()).await;
     assert_eq!(outcome, NonIdempotentOutcome::Rejected(payment()));
@@ -177,7 +177,7 @@
 }
 
 #[tokio::test]
-async fn non_idempotent_request_is_not_sent_again_after_a_lost_connection_or_an_error() {
+async fn non_idempotent_request_is_not_retried_after_a_lost_connection_or_an_error() {
     for reply in [Reply::Close, Reply::Send(FAILED)] {
         let gateway = Gateway::start(&[reply, Reply::Send(VALUE)]).await;
         let outcome = gateway.client().send_non_idempotent(payment()).await;
@@ -197,7 +197,7 @@
 #[tokio::test]
 async fn request_without_an_answer_fails_at_its_timeout() {
     let gateway = Gateway::start(&[Reply::Nothing]).await;
-    assert_eq!(gateway.client().send_idempotent(&look_up(100.0)).await, Err(RequestError::Failed));
+    assert_eq!(gateway.client().send_idempotent(&read_request(100.0)).await, Err(RequestError::Failed));
     assert_eq!(gateway.queries().len(), 1);
 }
 
@@ -207,7 +207,7 @@
     let address = listener.local_addr().expect("an address");
     drop(listener);
     let client = Client::start(ClientConfig::new(vec![address]));
-    assert_eq!(client.send_idempotent(&look_up(100.0)).await, Err(RequestError::Rejected));
+    assert_eq!(client.send_idempotent(&read_request(100.0)).await, Err(RequestError::Rejected));
     assert_eq!(client.attempt_counts(), AttemptCounts { written: 0, retries: 0 });
 }
 
@@ -215,7 +215,7 @@
 async fn request_with_an_unsafe_name_is_not_sent() {
     let gateway = Gateway::start(&[Reply::Send(VALUE)]).await;
     let client = gateway.client();
-    let request = IdempotentRequest { item: "a'b".to_string(), ..look_up(5_000.0) };
+    let request = IdempotentRequest { item: "a'b".to_string(), ..read_request(5_000.0) };
     assert_eq!(client.send_idempotent(&request).await, Err(RequestError::InvalidName));
     let unsafe_payment = || NonIdempotentRequest { item: "a b".to_string(), ..payment() };
     let outcome = client.send_non_idempotent(unsafe_payment()).await;
--- a/crates/client/tests/pool.rs
+++ b/crates/client/tests/pool.rs
@@ -35,7 +35,7 @@
     first
 }
 
-/// Ten thousand processes lose a gateway at once: when each reconnects, and where.
+/// Ten thousand processes lose a gateway simultaneously: when each reconnects, and to which gateway.
 #[test]
 fn processes_reconnect_over_seconds_and_share_the_remaining_gateways() {
     let mut by_tenth = [0u32; 120];
@@ -167,8 +167,8 @@
     ended_calls: BTreeSet<u64>,
 }
 
-fn take(connections: &mut Vec<u64>, choice: usize) -> Option<u64> {
-    if connections.is_empty() { None } else { Some(connections.swap_remove(choice % connections.len())) }
+fn remove_any(connections: &mut Vec<u64>, selector: usize) -> Option<u64> {
+    if connections.is_empty() { None } else { Some(connections.swap_remove(selector % connections.len())) }
 }
 
 impl Model {
@@ -193,20 +193,20 @@
                 self.pool.acquire(self.calls, (choice % 3) as f64, now)
             }
             Step::Connected(choice) => {
-                let connection = take(&mut self.connecting, choice)?;
+                let connection = remove_any(&mut self.connecting, choice)?;
                 self.idle.insert(connection);
                 self.pool.on_connected(connection, now)
             }
             Step::ConnectFailed(choice) => {
-                self.pool.on_connect_failed(take(&mut self.connecting, choice)?, now)
+                self.pool.on_connect_failed(remove_any(&mut self.connecting, choice)?, now)
             }
             Step::Release(choice) => {
-                let connection = take(&mut self.busy, choice)?;
+                let connection = remove_any(&mut self.busy, choice)?;
                 self.idle.insert(connection);
                 self.pool.release(connection, now)
             }
             Step::ConnectionLost(choice) => {
-                self.pool.on_connection_lost(take(&mut self.busy, choice)?, None, now)
+                self.pool.on_connection_lost(remove_any(&mut self.busy, choice)?, None, now)
             }
             Step::PollAfter(time) => {
                 self.now += time;
@@ -244,7 +244,7 @@
 proptest! {
     #![proptest_config(latchhaven_proptest_config::deterministic())]
 
-    /// Over any order of events: the limits hold, each call gets one connection or is rejected once, and no connection
+    /// Over any order of events: the limits are never exceeded, each call gets one connection or is rejected once, and no connection
     /// is in use by two calls.
     #[test]
     fn limits_hold_and_no_connection_serves_two_calls(
--- a/crates/client/tests/wire.rs
+++ b/crates/client/tests/wire.rs
@@ -67,23 +67,23 @@
     let two_rows = [row(b"a"), row(b"b")].concat();
     let row_without_end = [message(b'D', b"\0\x01\0\0\0\x01a"), ready()].concat();
     for (bytes, expected) in [
-        (message(b'E', b"SERROR\0C53300\0Mno"), "an error without its end"),
-        (message(b'E', b"SERROR\0C53300\0C57P03\0\0"), "an error with two codes"),
-        (message(b'E', b"SERROR\0Mno\0\0"), "an error without a code"),
-        (message(b'E', b"SERROR\0C53300\0M\xff\0\0"), "an error that is no text"),
-        (message(b'E', b"SERROR\0\0C53300\0\0"), "an empty field"),
-        (message(b'x', b""), "an unknown kind"),
-        ([message(b'D', b"\0\x02"), ready()].concat(), "a short row"),
-        ([message(b'D', b"\0\x01\xff\xff\xff\xff"), ready()].concat(), "a row of another form"),
-        (two_rows, "a second row, or one behind an error"),
-        (row_without_end, "a row without its end"),
-        (vec![b'D', 0, 0, 0, 1], "a length below 4"),
+        (message(b'E', b"SERROR\0C53300\0Mno"), "unterminated error"),
+        (message(b'E', b"SERROR\0C53300\0C57P03\0\0"), "error with two SQLSTATEs"),
+        (message(b'E', b"SERROR\0Mno\0\0"), "error without a SQLSTATE"),
+        (message(b'E', b"SERROR\0C53300\0M\xff\0\0"), "error field is not UTF-8"),
+        (message(b'E', b"SERROR\0\0C53300\0\0"), "error field without a type"),
+        (message(b'x', b""), "unknown message type"),
+        ([message(b'D', b"\0\x02"), ready()].concat(), "truncated row"),
+        ([message(b'D', b"\0\x01\xff\xff\xff\xff"), ready()].concat(), "row without exactly one value"),
+        (two_rows, "second row, or row after an error"),
+        (row_without_end, "row without command completion"),
+        (vec![b'D', 0, 0, 0, 1], "length field below 4"),
     ] {
         let error = read(&bytes).expect_err(expected);
-        assert_eq!(error.to_string(), format!("no message of this protocol: {expected}"));
+        assert_eq!(error.to_string(), format!("malformed message: {expected}"));
     }
     let too_long = read(&[b'D', 0x7f, 0xff, 0xff, 0xff]).expect_err("too long");
-    assert_eq!(too_long.to_string(), "a message of 2147483647 bytes");
+    assert_eq!(too_long.to_string(), "a message of 2147483647 bytes exceeds the limit");
     assert_eq!(read(&message(b'x', b"")), Err(ProtocolError::Malformed(MalformedMessage::UnknownKind)));
 }
 
