--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,6 @@
-//! Reads batches on standard input, lets each instance decide, writes replies on standard output.
+//! Reads batches of events on standard input, and writes the actions of each instance on standard output.
+
+#![warn(clippy::pedantic)]
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
--- a/crates/simulator-protocol/src/actions.rs
+++ b/crates/simulator-protocol/src/actions.rs
@@ -1,4 +1,4 @@
-//! Actions, in the simulator's words.
+//! Writes actions in the line format of the simulator.
 
 use crate::fields::{MS_PER_S, encode_bytes};
 use latchhaven_policy::{Action, Millis, Verdict};
--- a/crates/simulator-protocol/src/error.rs
+++ b/crates/simulator-protocol/src/error.rs
@@ -1,16 +1,16 @@
-//! What can be wrong with the simulator's input.
+//! The errors of the simulator's input.
 
 use std::io;
 
-/// What ends a run.
+/// Why a run ended.
 #[derive(Debug, thiserror::Error)]
 pub enum HostError {
-    /// A line cannot be read.
+    /// A line cannot be parsed.
     #[error("line {line}: {error}")]
     Input {
         /// The line's number, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// The error in it.
         error: ProtocolError,
     },
     /// Standard input or output failed.
@@ -18,62 +18,62 @@
     Io(#[from] io::Error),
 }
 
-/// What is wrong with one line.
+/// An error in one line.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum ProtocolError {
-    /// The line begins with a word that is no message.
+    /// The line begins with an unknown message.
     #[error("unknown message '{0}'")]
     UnknownMessage(String),
-    /// A field that the message needs.
+    /// A required field is missing; its name.
     #[error("field '{0}' is missing")]
     Missing(&'static str),
-    /// A field, and its value.
+    /// A field has an invalid value; its name and the value.
     #[error("field '{0}' cannot be read: '{1}'")]
     Unreadable(&'static str, String),
-    /// A part of the line is no field.
+    /// A part of the line is not a field.
     #[error("'{0}' is no name=value pair")]
     NoPair(String),
-    /// A message before the batch has begun.
+    /// A message before the start of a batch.
     #[error("{0} outside a batch")]
     OutsideBatch(String),
-    /// Another message than an entry while entries are due.
+    /// Another message than an entry inside a list.
     #[error("{0} inside a list of entries")]
     InsideList(String),
-    /// An entry while none is due.
+    /// An entry outside a list.
     #[error("ENTRY outside a list")]
     EntryOutsideList,
-    /// A message to an instance before one was named.
+    /// A message to an instance before one was selected.
     #[error("{0} before any ON")]
     NoInstance(String),
     /// An instance that was not started, or was stopped.
     #[error("ON for instance '{0}', which is not enlisted")]
     NotEnlisted(String),
-    /// A numbered list that is referred to.
+    /// A numbered list that was not sent; its number.
     #[error("list {0} has not been sent")]
     NoSuchList(usize),
-    /// The settings that an instance is started with.
+    /// The settings of an instance are invalid.
     #[error("settings: {0}")]
     Settings(SettingsError),
-    /// The input ended before the batch did.
+    /// The input ended inside a batch.
     #[error("input ends inside a batch")]
     Truncated,
-    /// The line is no text.
+    /// The line is not UTF-8.
     #[error("not UTF-8")]
     NotText,
 }
 
-/// What is wrong with the settings object.
+/// An error in the settings object.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// It does not have the form of settings; the text names the key.
+    /// It is malformed; the text names the key.
     #[error("{0}")]
     Malformed(String),
-    /// A setting contradicts another, or leaves a rule without its figure.
+    /// A setting contradicts another, or is outside its range.
     #[error("{key}: {problem}")]
     Invalid {
         /// The setting's key.
         key: String,
-        /// What is wrong with its value.
+        /// The problem with its value.
         problem: &'static str,
     },
 }
--- a/crates/simulator-protocol/src/fields.rs
+++ b/crates/simulator-protocol/src/fields.rs
@@ -9,17 +9,17 @@
 pub(crate) const MS_PER_S: f64 = 1000.0;
 /// Fields whose text runs to the end of the line.
 const REST_OF_LINE_FIELDS: [&str; 2] = ["params", "what"];
-/// What stands for no bytes.
+/// The text of an empty byte string.
 const NO_BYTES: &str = "-";
 
 /// The name=value pairs of one line.
 pub struct Fields<'a>(Vec<(&'a str, &'a str)>);
 
 impl<'a> Fields<'a> {
-    /// Splits what follows the message's word.
+    /// Splits the rest of a line, after the name of its message.
     ///
     /// # Errors
-    /// A part that is no name=value pair.
+    /// A part that is not a name=value pair.
     pub fn parse(mut rest: &'a str) -> Result<Self, ProtocolError> {
         let mut pairs = Vec::new();
         while !rest.is_empty() {
@@ -36,7 +36,7 @@
         Ok(Fields(pairs))
     }
 
-    /// A field's text, if it is there.
+    /// A field's text, if it is present.
     #[must_use]
     pub fn optional(&self, name: &'static str) -> Option<&'a str> {
         self.0.iter().find(|(key, _)| *key == name).map(|(_, value)| *value)
@@ -50,10 +50,10 @@
         self.optional(name).filter(|value| !value.is_empty()).ok_or(ProtocolError::Missing(name))
     }
 
-    /// A number, if the field is there.
+    /// A number, if the field is present.
     ///
     /// # Errors
-    /// The field is there and is no such number.
+    /// The field is present and not such a number.
     pub fn optional_number<T: FromStr>(&self, name: &'static str) -> Result<Option<T>, ProtocolError> {
         let unreadable = |value: &str| ProtocolError::Unreadable(name, value.to_string());
         self.optional(name).map(|value| value.parse().map_err(|_| unreadable(value))).transpose()
@@ -62,7 +62,7 @@
     /// A number.
     ///
     /// # Errors
-    /// The field is missing or no such number.
+    /// The field is missing or not such a number.
     pub fn number<T: FromStr>(&self, name: &'static str) -> Result<T, ProtocolError> {
         self.optional_number(name)?.ok_or(ProtocolError::Missing(name))
     }
@@ -70,7 +70,7 @@
     /// A time in seconds, as milliseconds.
     ///
     /// # Errors
-    /// The field is missing or no finite number.
+    /// The field is missing or not a finite number.
     pub fn ms(&self, name: &'static str) -> Result<Millis, ProtocolError> {
         Ok(self.real(name)? * MS_PER_S)
     }
@@ -98,7 +98,7 @@
         }
     }
 
-    /// A field that holds one of a few words.
+    /// A field whose value is one of a few words.
     pub(crate) fn word<T>(
         &self, name: &'static str, read: impl Fn(&str) -> Option<T>,
     ) -> Result<T, ProtocolError> {
@@ -129,12 +129,12 @@
     pub(crate) fn load(&self) -> Result<LoadReport, ProtocolError> {
         let text = self.optional("metrics").unwrap_or("");
         let unreadable = || ProtocolError::Unreadable("metrics", text.to_string());
-        let figure = |pair: &str| {
+        let parse_pair = |pair: &str| {
             let (name, value) = pair.split_once(':').ok_or_else(unreadable)?;
             let value = value.parse::<f64>().ok().filter(|value| value.is_finite());
             Ok((name.to_string(), value.ok_or_else(unreadable)?))
         };
-        text.split(',').filter(|pair| !pair.is_empty()).map(figure).collect()
+        text.split(',').filter(|pair| !pair.is_empty()).map(parse_pair).collect()
     }
 
     pub(crate) fn bytes(&self, name: &'static str) -> Result<Vec<u8>, ProtocolError> {
@@ -144,7 +144,7 @@
     }
 }
 
-/// Bytes as a field holds them.
+/// The text of a byte string in a field.
 pub(crate) fn encode_bytes(bytes: &[u8]) -> String {
     if bytes.is_empty() { NO_BYTES.to_string() } else { STANDARD.encode(bytes) }
 }
--- a/crates/simulator-protocol/src/host.rs
+++ b/crates/simulator-protocol/src/host.rs
@@ -1,4 +1,4 @@
-//! Many instances that share nothing, fed from one stream of batches.
+//! Many instances that share no state, served from one stream of batches.
 
 use crate::actions::write_action;
 use crate::error::{HostError, ProtocolError};
@@ -11,10 +11,10 @@
 use std::io::{self, BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// How many numbered lists a process keeps.
+/// Numbered lists that are stored.
 const LIST_BANKS: usize = 16;
 
-/// One instance's part in the present batch.
+/// The events of one instance in the current batch.
 struct InstanceBatch {
     name: String,
     events: Vec<Event>,
@@ -27,16 +27,16 @@
     entries: Vec<EndpointEntry>,
 }
 
-/// Many instances that share nothing.
+/// Many instances that share no state.
 #[derive(Default)]
 pub struct InstanceHost {
-    /// An instance that was stopped stays known, without its policy.
+    /// By name; an instance that was stopped has no policy.
     instances: BTreeMap<String, Option<Policy>>,
     lists: [Option<Vec<EndpointEntry>>; LIST_BANKS],
-    /// The time of the present batch, while one is being read.
+    /// The time in ms of the current batch; none between batches.
     now: Option<Millis>,
     batches: Vec<InstanceBatch>,
-    /// The instance that messages are for, by its place in `batches`.
+    /// The selected instance, by its index in `batches`.
     current: Option<usize>,
     partial_list: Option<PartialList>,
 }
@@ -45,13 +45,13 @@
     /// Serves until the end of input.
     ///
     /// # Errors
-    /// Malformed input, with its line, or input and output that fail.
+    /// Malformed input, with its line, or a failure of input or output.
     pub fn serve(&mut self, mut input: impl BufRead, mut output: impl Write) -> Result<(), HostError> {
         let hook = std::panic::take_hook();
         std::panic::set_hook(Box::new(|_| ()));
-        let ended = self.serve_lines(&mut input, &mut output);
+        let result = self.serve_lines(&mut input, &mut output);
         std::panic::set_hook(hook);
-        ended
+        result
     }
 
     fn serve_lines(&mut self, input: &mut impl BufRead, output: &mut impl Write) -> Result<(), HostError> {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Takes one line; true at the end of a batch.
+    /// Processes one line; true at the end of a batch.
     fn on_line(&mut self, line: &str) -> Result<bool, ProtocolError> {
         let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
         let fields = Fields::parse(rest)?;
@@ -113,8 +113,8 @@
     }
 
     fn select_instance(&mut self, name: &str) {
-        let known = self.batches.iter().position(|batch| batch.name == name);
-        self.current = Some(known.unwrap_or_else(|| {
+        let existing = self.batches.iter().position(|batch| batch.name == name);
+        self.current = Some(existing.unwrap_or_else(|| {
             self.batches.push(InstanceBatch { name: name.to_string(), events: Vec::new() });
             self.batches.len() - 1
         }));
@@ -198,7 +198,7 @@
     }
 }
 
-/// The entries that an update of the list refers to.
+/// The stored entries of the list in `bank`.
 fn stored_entries(
     lists: &[Option<Vec<EndpointEntry>>], bank: Option<usize>,
 ) -> Result<Vec<EndpointEntry>, ProtocolError> {
--- a/crates/simulator-protocol/src/lib.rs
+++ b/crates/simulator-protocol/src/lib.rs
@@ -1,7 +1,16 @@
 //! The simulator's line protocol.
 //!
 //! [`InstanceHost`] serves many instances from one stream of batches: [`fields`] splits lines, [`messages`] parses
-//! what an instance is told, [`actions`] writes what it does, and [`settings`] parses what it is started with.
+//! messages to an instance, [`actions`] writes its actions, and [`settings`] parses its configuration. The words of the
+//! simulator occur in these modules only.
+
+#![warn(clippy::pedantic)]
+#![allow(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "versions are checked to be small integers"
+)]
+#![allow(clippy::struct_excessive_bools, reason = "each flag is a key of the settings")]
 
 pub mod actions;
 pub mod error;
--- a/crates/simulator-protocol/src/messages.rs
+++ b/crates/simulator-protocol/src/messages.rs
@@ -1,4 +1,4 @@
-//! Messages to an instance, in the simulator's words.
+//! Parses messages to an instance from the line format of the simulator.
 
 use crate::error::ProtocolError;
 use crate::fields::Fields;
@@ -7,19 +7,19 @@
     RolloutPhase, RolloutState, UpdateFailure, UpdateKind, Version, VoteOutcome,
 };
 
-/// Versions are below this.
+/// Versions are less than this.
 const VERSION_LIMIT: f64 = 65536.0;
-/// What tells that a rollout's state answers a vote.
+/// The value of `how` in a rollout's state that answers a vote.
 const ANSWERS_VOTE: u32 = 1;
 
 /// One message to an instance.
 #[derive(Debug, PartialEq)]
 pub enum Message {
-    /// Something that the policy is told.
+    /// An event for the policy.
     Event(Event),
-    /// A list whose entries were sent before.
+    /// An endpoint list whose entries were sent before.
     EndpointList {
-        /// How it relates to the list held so far.
+        /// How it relates to the current list.
         kind: UpdateKind,
         /// The list's version.
         list_version: u64,
@@ -59,7 +59,7 @@
 /// Parses one message to an instance.
 ///
 /// # Errors
-/// A word that is no message, or the field that is missing or cannot be read.
+/// An unknown message, or the field that is missing or invalid.
 pub fn parse_message(word: &str, fields: &Fields) -> Result<Message, ProtocolError> {
     let event = match word {
         "HALT" => return Ok(Message::Halt),
@@ -146,7 +146,7 @@
     })
 }
 
-/// The state of the newest version, told unasked or in answer to a vote.
+/// The state of the newest version: an update, or the answer to a vote.
 fn rollout_event(fields: &Fields) -> Result<Event, ProtocolError> {
     let outcome = fields.outcome()?;
     let answers_vote = fields.optional_number::<u32>("how")?.unwrap_or(0) == ANSWERS_VOTE;
--- a/crates/simulator-protocol/src/settings/schema.rs
+++ b/crates/simulator-protocol/src/settings/schema.rs
@@ -1,82 +1,96 @@
-//! The settings object in its own words: keys, units and defaults. Times are seconds.
+//! The settings object. Field names are the terms of the code; the keys of the simulator occur in `rename` only. Times
+//! are in seconds.
 
 use serde::Deserialize;
 
+/// A class of requests.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
 pub(super) struct Class {
     pub(super) name: String,
     #[serde(rename = "aim-s")]
-    pub(super) aim: f64,
-    #[serde(default)]
-    pub(super) aim_stretch: f64,
+    pub(super) latency_objective: f64,
+    #[serde(rename = "aim-stretch", default)]
+    pub(super) objective_per_work: f64,
     #[serde(rename = "hard-limit-s")]
-    pub(super) hard_limit: f64,
-    pub(super) effect: Effect,
-    #[serde(default)]
-    pub(super) group: Group,
+    pub(super) timeout: f64,
+    #[serde(rename = "effect")]
+    pub(super) idempotency: Idempotency,
+    #[serde(rename = "group", default)]
+    pub(super) dedup_scope: DedupScope,
     #[serde(rename = "dedup-window-s", default)]
     pub(super) dedup_window: f64,
-    pub(super) gain: f64,
-    #[serde(default)]
-    pub(super) late_share: f64,
-    #[serde(default)]
-    pub(super) stream: bool,
+    #[serde(rename = "gain")]
+    pub(super) priority_weight: f64,
+    #[serde(rename = "late-share", default)]
+    pub(super) late_value_share: f64,
+    #[serde(rename = "stream", default)]
+    pub(super) streamed: bool,
 }
 
+/// Whether executing a request more than once is harmless.
 #[derive(Deserialize, PartialEq)]
-#[serde(rename_all = "snake_case")]
-pub(super) enum Effect {
+pub(super) enum Idempotency {
+    #[serde(rename = "idempotent")]
     Idempotent,
-    Deduplicated,
-    AtMostOnce,
+    #[serde(rename = "deduplicated")]
+    Keyed,
+    #[serde(rename = "at_most_once")]
+    NonIdempotent,
 }
 
+/// The endpoints that share their record of idempotency keys.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "snake_case")]
-pub(super) enum Group {
+pub(super) enum DedupScope {
     #[default]
     All,
     Zone,
     Cell,
 }
 
+/// How versions are rolled out.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub(super) struct Domain {
+pub(super) struct Rollout {
     pub(super) allowance: f64,
-    pub(super) caps: Vec<f64>,
+    #[serde(rename = "caps")]
+    pub(super) stage_caps: Vec<f64>,
     #[serde(rename = "window-s")]
     pub(super) window: f64,
-    pub(super) counts: Counts,
-    #[serde(default)]
+    #[serde(rename = "counts")]
+    pub(super) exposure_scope: ExposureScope,
+    #[serde(rename = "closed-stages", default)]
     pub(super) closed_stages: u32,
-    #[serde(default)]
-    pub(super) no_return: bool,
+    #[serde(rename = "no-return", default)]
+    pub(super) sticky_keys: bool,
+    #[serde(rename = "vote-mode")]
     pub(super) vote_mode: VoteMode,
-    #[serde(default)]
-    pub(super) votes_to_go: u32,
-    #[serde(default)]
-    pub(super) to_pause: u32,
-    pub(super) votes_to_revert: u32,
+    #[serde(rename = "votes-to-go", default)]
+    pub(super) promote_quorum: u32,
+    #[serde(rename = "to-pause", default)]
+    pub(super) pause_quorum: u32,
+    #[serde(rename = "votes-to-revert")]
+    pub(super) rollback_quorum: u32,
     #[serde(rename = "vote-ttl-s")]
-    pub(super) vote_ttl: f64,
+    pub(super) vote_lease: f64,
     #[serde(rename = "soak-s", default)]
-    pub(super) soak: f64,
+    pub(super) min_stage_duration: f64,
     #[serde(rename = "auto-after-s", default)]
-    pub(super) auto_after: f64,
+    pub(super) auto_promote_after: f64,
     #[serde(rename = "api-timeout-s", default)]
-    pub(super) api_timeout: f64,
-    pub(super) style: Style,
+    pub(super) answer_timeout: f64,
+    pub(super) style: RolloutStyle,
 }
 
+/// What the exposure of a canary is counted by.
 #[derive(Deserialize, PartialEq)]
-#[serde(rename_all = "snake_case")]
-pub(super) enum Counts {
-    All,
-    PerLane,
+pub(super) enum ExposureScope {
+    #[serde(rename = "all")]
+    AllRequests,
+    #[serde(rename = "per_lane")]
+    PerClass,
 }
 
+/// How votes on a stage are counted.
 #[derive(Deserialize, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum VoteMode {
@@ -85,101 +99,120 @@
     Clocked,
 }
 
+/// Whether endpoints of the baseline remain while a canary is promoted.
 #[derive(Deserialize, PartialEq)]
 #[serde(rename_all = "snake_case")]
-pub(super) enum Style {
+pub(super) enum RolloutStyle {
     SideBySide,
     Rolling,
 }
 
+/// What a gateway may do.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
 pub(super) struct Permissions {
-    pub(super) cancelling: bool,
-    #[serde(default)]
-    pub(super) peers: bool,
-    #[serde(default)]
-    pub(super) probes: bool,
-    #[serde(default)]
+    #[serde(rename = "cancelling")]
+    pub(super) cancel: bool,
+    #[serde(rename = "peers", default)]
+    pub(super) peer_messages: bool,
+    #[serde(rename = "probes", default)]
+    pub(super) health_checks: bool,
+    #[serde(rename = "retry-after", default)]
     pub(super) retry_after: bool,
     #[serde(rename = "max-retry-after-s", default)]
     pub(super) max_retry_after: f64,
-    pub(super) second_copies: bool,
-    pub(super) try_limit: usize,
-    #[serde(rename = "conn-idle-s", default = "default_connection_idle")]
-    pub(super) conn_idle: f64,
-    #[serde(rename = "dial-timeout-s", default = "default_dial_timeout")]
-    pub(super) dial_timeout: f64,
-}
-
-fn default_connection_idle() -> f64 {
+    #[serde(rename = "second-copies")]
+    pub(super) hedging: bool,
+    #[serde(rename = "try-limit")]
+    pub(super) max_attempts: usize,
+    #[serde(rename = "conn-idle-s", default = "default_idle_timeout")]
+    pub(super) idle_timeout: f64,
+    #[serde(rename = "dial-timeout-s", default = "default_connect_timeout")]
+    pub(super) connect_timeout: f64,
+}
+
+/// Seconds.
+fn default_idle_timeout() -> f64 {
     30.0
 }
 
-fn default_dial_timeout() -> f64 {
+/// Seconds.
+fn default_connect_timeout() -> f64 {
     0.25
 }
 
+/// How endpoints report their load.
 #[derive(Deserialize, Default)]
 pub(super) struct LoadReport {
-    #[serde(default)]
-    pub(super) via: Via,
+    #[serde(rename = "via", default)]
+    pub(super) transport: LoadTransport,
 }
 
+/// What carries load reports.
 #[derive(Deserialize, Default)]
-#[serde(rename_all = "snake_case")]
-pub(super) enum Via {
+pub(super) enum LoadTransport {
     #[default]
-    Silent,
-    Piggyback,
-    Pull,
+    #[serde(rename = "silent")]
+    Disabled,
+    #[serde(rename = "piggyback")]
+    Responses,
+    #[serde(rename = "pull")]
+    HealthChecks,
 }
 
+/// What requests cost.
 #[derive(Deserialize, Default)]
-#[serde(rename_all = "kebab-case", default)]
+#[serde(default)]
 pub(super) struct Prices {
+    #[serde(rename = "cross-zone")]
     pub(super) cross_zone: f64,
 }
 
+/// How endpoints are discovered, drained and warmed up.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
 pub(super) struct Rules {
     #[serde(rename = "ask-within-s")]
-    pub(super) ask_within: f64,
+    pub(super) max_poll_interval: f64,
     #[serde(rename = "drain-grace-s")]
     pub(super) drain_grace: f64,
-    pub(super) cold_from: f64,
+    #[serde(rename = "cold-from")]
+    pub(super) initial_capacity: f64,
     #[serde(rename = "warm-up-s")]
-    pub(super) warm_up: f64,
-    pub(super) tip_multiple: f64,
+    pub(super) warmup_duration: f64,
+    #[serde(rename = "tip-multiple")]
+    pub(super) overload_multiple: f64,
     #[serde(rename = "fall-s")]
-    pub(super) fall: f64,
+    pub(super) overload_window: f64,
 }
 
+/// How endpoint lists reach a gateway.
 #[derive(Deserialize, PartialEq)]
-#[serde(rename_all = "snake_case")]
-pub(super) enum RegistryMode {
-    Automatic,
-    Subscribe,
+pub(super) enum DiscoveryMode {
+    #[serde(rename = "automatic")]
+    Pushed,
+    #[serde(rename = "subscribe")]
+    Subscribed,
 }
 
-/// The whole object.
+/// The complete object.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
 pub(super) struct SettingsSchema {
-    #[serde(default)]
-    pub(super) azs: Vec<String>,
+    #[serde(rename = "azs", default)]
+    pub(super) zones: Vec<String>,
     pub(super) classes: Vec<Class>,
-    pub(super) domain: Domain,
-    #[serde(default)]
-    pub(super) locality: String,
-    #[serde(default)]
+    #[serde(rename = "domain")]
+    pub(super) rollout: Rollout,
+    #[serde(rename = "locality", default)]
+    pub(super) zone: String,
+    #[serde(rename = "load-report", default)]
     pub(super) load_report: LoadReport,
-    pub(super) me: u32,
+    #[serde(rename = "me")]
+    pub(super) gateway_index: u32,
     pub(super) permissions: Permissions,
     #[serde(default)]
     pub(super) prices: Prices,
-    pub(super) registry_mode: RegistryMode,
-    pub(super) replicas_of_me: u32,
+    #[serde(rename = "registry-mode")]
+    pub(super) discovery_mode: DiscoveryMode,
+    #[serde(rename = "replicas-of-me")]
+    pub(super) gateway_count: u32,
     pub(super) rules: Rules,
 }
