--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -1,8 +1,8 @@
 //! What the policy asks its adapter to do.
 
-use crate::Millis;
 use crate::request::RequestId;
 use crate::rollout::{Verdict, Version};
+use crate::time::Millis;
 
 /// Why a request gets a final answer without a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/policy/src/canary.rs
+++ b/crates/policy/src/canary.rs
@@ -1,12 +1,15 @@
 //! The evidence on a canary: what this gateway's own attempts and the platform's counts tell of it.
 
-use crate::policy::RUNNING_MEAN_WEIGHT;
-use crate::state::{
-    Attempt, BySide, CanaryAnalysis, CommonFailures, ComparableCounts, Endpoint, EndpointTable, FleetView,
-    Metric, OutcomeCounts, Request,
-};
+use crate::outlier::RUNNING_MEAN_WEIGHT;
+use crate::request::AttemptOutcome;
+use crate::rollout::RolloutState;
+use crate::state::canary::{AnalysisView, CanaryAnalysis};
+use crate::state::endpoint::{Endpoint, Metric};
+use crate::state::evidence::{BySide, CommonFailures, ComparableCounts, OutcomeCounts};
+use crate::state::registry::EndpointTable;
+use crate::state::requests::{Attempt, Request};
 use crate::statistics::{RunningMoments, half_life_decay, indicator};
-use crate::{AttemptOutcome, Millis, RolloutState};
+use crate::time::Millis;
 
 /// Outcomes per version before a comparison means anything (design page).
 pub(crate) const MIN_OUTCOMES: f64 = 10.0;
@@ -74,7 +77,7 @@
 
     /// Lets old evidence lose weight, then takes in what is new.
     pub(crate) fn refresh(
-        &mut self, endpoints: &mut EndpointTable, view: &FleetView, rollout: &RolloutState,
+        &mut self, endpoints: &mut EndpointTable, view: &AnalysisView, rollout: &RolloutState,
     ) {
         let elapsed = view.now - self.analysed_at;
         let decay = |half_life: Millis| half_life_decay(elapsed.min(half_life), half_life);
@@ -89,7 +92,7 @@
     }
 
     /// Weighs the new reports within each period and class, so that their mix does not count.
-    fn weigh_reports(&mut self, view: &FleetView, is_uncapped: bool) {
+    fn weigh_reports(&mut self, view: &AnalysisView, is_uncapped: bool) {
         let ready = view.ready_count();
         let is_idle = self.is_idle();
         let mut comparable = ComparableCounts::default();
@@ -118,7 +121,7 @@
     }
 
     fn weigh_class(
-        &mut self, class: usize, reported: BySide<OutcomeCounts>, view: &FleetView, is_uncapped: bool,
+        &mut self, class: usize, reported: BySide<OutcomeCounts>, view: &AnalysisView, is_uncapped: bool,
     ) {
         let BySide { baseline, canary } = reported;
         // Failures compare once most of the canary is warm; latencies, which cold ones stretch, once all is.
--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -1,7 +1,7 @@
 //! What the policy is configured with, as the settings tell it.
 
-use crate::Millis;
 use crate::request::RequestClass;
+use crate::time::Millis;
 
 /// Everything that a policy is configured with.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/crates/policy/src/discovery_calls.rs
+++ b/crates/policy/src/discovery_calls.rs
@@ -1,8 +1,8 @@
 //! When the endpoint list is asked for. Gateways share one discovery service, and it works through calls in turn, also
 //! through those that waited too long: calls of hundreds at once are spread over the time that it may take for them.
 
-use crate::Millis;
 use crate::config::DiscoveryConfig;
+use crate::time::Millis;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
@@ -20,6 +20,9 @@
 /// Share of the polling interval that the span may reach: a fleet that waited out an outage has to learn of its end.
 const MAX_SPREAD_OF_POLLS: f64 = 0.8;
 
+/// ms after which a call without an answer is repeated.
+pub(crate) const CALL_TIMEOUT: Millis = 4000.0;
+
 /// Time until a new process calls for the list.
 pub(crate) fn first_call_delay(gateways: u32, rng: &mut Pcg64Mcg) -> Millis {
     rng.random_range(0.0..=call_spread(gateways).min(MAX_FIRST_CALL_DELAY))
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -1,21 +1,30 @@
-//! A policy's parts, and the way of each event to the part that handles it. Nothing is decided here.
+//! The parts of a [`Policy`], and the way of each event to the part that handles it. No rule stands here.
 
+use crate::action::{Action, UnservedReason};
+use crate::admission;
 use crate::config::{CostConfig, Permissions, PolicyConfig};
-use crate::event::{EndpointOutcomes, OutcomeReport};
+use crate::discovery_calls;
+use crate::endpoint::{EndpointEntry, UpdateFailure, UpdateKind};
+use crate::event::{EndpointOutcomes, Event, OutcomeReport};
 use crate::exposure::SAFETY_MARGIN;
 use crate::list_lease::ListLease;
-use crate::policy::{own_error_rate, vote_probability};
-use crate::state::canary::{decode_wrong_answer, encode_wrong_answer};
+use crate::log_event::EjectionReason;
+use crate::outlier;
+use crate::request::{RequestClass, RequestId};
+use crate::retry;
+use crate::rollout::{RolloutPhase, Version, VoteOutcome};
+use crate::routing::{self, AttemptGate, ShareInputs};
+use crate::snapshot::PolicySnapshot;
+use crate::state::canary::{CanaryAnalysis, decode_wrong_answer, encode_wrong_answer};
+use crate::state::endpoint::{EndpointIndex, Metric};
+use crate::state::evidence::OutcomeCounts;
+use crate::state::exposure::ExposureLimiter;
+use crate::state::registry::{EndpointRegistry, Sides};
+use crate::state::requests::{Attempt, RequestTable};
 use crate::state::timer::TickTimer;
-use crate::state::{
-    Attempt, CanaryAnalysis, EndpointIndex, EndpointRegistry, ExposureLimiter, Metric, OutcomeCounts,
-    RequestTable, Sides,
-};
 use crate::statistics::indicator;
-use crate::{
-    Action, EndpointEntry, Event, Millis, PolicySnapshot, RequestClass, RequestId, UnservedReason,
-    UpdateFailure, UpdateKind, Version, VoteOutcome, admission, discovery_calls, outlier, policy, retry,
-};
+use crate::time::Millis;
+use crate::verdict;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
@@ -35,7 +44,7 @@
     pub(crate) requests: RequestTable,
     pub(crate) actions: Vec<Action>,
     pub(crate) timer: TickTimer,
-    /// What was sent before then tells nothing: this gateway stood still.
+    /// Attempts sent before then yield no latencies: this process had stalled.
     pub(crate) stalled_until: Millis,
 }
 
@@ -49,15 +58,15 @@
     pub fn new(config: PolicyConfig) -> Self {
         let PolicyConfig { identity, classes, voting, discovery, .. } = config;
         let rng = Pcg64Mcg::seed_from_u64(config.seed);
-        let own_error_rate = own_error_rate(&identity, &voting);
-        let vote_probability = vote_probability(&identity, &voting);
+        let own_error_rate = verdict::own_error_rate(&identity, &voting);
+        let vote_probability = verdict::vote_probability(&identity, &voting);
         let typical_latency = classes.iter().map(initial_latency).collect();
         Policy {
             registry: EndpointRegistry {
                 next_poll_at: discovery.must_subscribe.then_some(0.0),
                 discovery,
                 slow_start: config.slow_start,
-                logs_ejections: f64::from(identity.index) < policy::VOTERS_PER_LOOK,
+                logs_ejections: outlier::logs_ejections(&identity),
                 ..EndpointRegistry::default()
             },
             exposure: ExposureLimiter::new(config.exposure, classes.len()),
@@ -197,13 +206,16 @@
         }
         let attempts = outcomes.attempts as f64;
         let error_rate = outcomes.failures as f64 / attempts;
-        self.registry.record_reported_errors(index, attempts, error_rate, now, &mut self.actions);
+        let endpoint = &mut self.registry.endpoints[index];
+        let ejection = outlier::record_reported_errors(endpoint, attempts, error_rate, now);
+        ejection.into_iter().for_each(|reason| self.eject(index, reason, now));
         let objective = self.classes[class].latency_objective;
         let time_left = outcomes.mean_latency.map_or(0.0, |latency| 1.0 - latency / objective);
-        self.record_reported_service(attempts, error_rate, time_left, now);
+        let quality = admission::reported_quality(error_rate, time_left);
+        self.requests.overall_service.record(now, attempts, quality);
     }
 
-    /// The policy's view at this moment, for adapters that publish decisions instead of asking for each request.
+    /// The policy's view at `now` in ms, for adapters that publish decisions instead of routing each request.
     pub fn snapshot(&mut self, now: Millis) -> PolicySnapshot {
         let sides = self.partition(false);
         let newest = self.exposure.rollout.map(|rollout| rollout.version);
@@ -214,9 +226,18 @@
         let lowest_version = self.registry.lowest_version;
         let canaries =
             versions.into_iter().filter_map(|version| self.exposure.canary(version, lowest_version));
+        let share_inputs = ShareInputs {
+            has_canary: !sides.canary.is_empty(),
+            has_baseline: !sides.baseline.is_empty(),
+            canary_capacity: self.registry.healthy_capacity(&sides.canary, now),
+            baseline_capacity: self.registry.healthy_capacity(&sides.baseline, now),
+            phase: self.exposure.rollout.map_or(RolloutPhase::Canary, |rollout| rollout.phase),
+            is_canary_rejected,
+            has_full_traffic: self.analysis.full_traffic_since.is_some(),
+        };
         PolicySnapshot {
             canaries: canaries.collect(),
-            canary_share: self.canary_share(&sides, is_canary_rejected, now),
+            canary_share: routing::canary_share(&share_inputs),
             is_canary_rejected,
             endpoints: self.registry.snapshot(now),
             shed_probability: self.shed_probability(&None, now).clamp(0.0, 1.0),
@@ -239,19 +260,25 @@
         }
     }
 
-    /// Sends an attempt, if the rules admit it.
+    /// Ejects an endpoint, if it is not ejected already.
+    pub(crate) fn eject(&mut self, index: EndpointIndex, reason: EjectionReason, now: Millis) {
+        let event = self.registry.eject(index, reason, &outlier::EJECTION_BACKOFF, now);
+        self.actions.extend(event.map(|event| Action::Log(event.to_string())));
+    }
+
+    /// Sends an attempt, if the gate admits it.
     pub(crate) fn send_attempt(&mut self, id: RequestId, index: EndpointIndex, now: Millis) -> bool {
         let request = &self.requests.requests[&id];
-        if !self.admits(request, index, now) {
+        let class = &self.classes[request.class];
+        let (registry, exposure, permissions) = (&self.registry, &self.exposure, &self.permissions);
+        if !(AttemptGate { registry, exposure, permissions, now }).admits(request, class, index) {
             return false;
         }
-        let class = &self.classes[request.class];
-        let lease_left = Some(self.registry.lease_expires_at(index) - now).filter(|left| left.is_finite());
+        let lease_left = Some(registry.lease_expires_at(index) - now).filter(|left| left.is_finite());
         let window_left = request.dedup_window_left(class, SAFETY_MARGIN, now);
         let write_within = [lease_left, window_left].into_iter().flatten().reduce(f64::min);
-        // What is late helps nobody: a timeout lets endpoints drop it unexecuted.
-        let timeout = Some((request.objective_deadline - now).max(SAFETY_MARGIN));
-        let warmup_factor = self.registry.warmup_factor(index, now);
+        let timeout = Some(retry::attempt_timeout(request, now));
+        let warmup_factor = registry.warmup_factor(index, now);
         let endpoint = &mut self.registry.endpoints[index];
         endpoint.in_flight += 1;
         endpoint.slow_start_tokens -= indicator(warmup_factor < 1.0);
--- a/crates/policy/src/endpoint.rs
+++ b/crates/policy/src/endpoint.rs
@@ -1,7 +1,7 @@
 //! Entries of the endpoint list, as discovery tells them.
 
-use crate::Millis;
 use crate::rollout::Version;
+use crate::time::Millis;
 
 /// How an update relates to the endpoint list held so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -1,9 +1,9 @@
 //! What the policy is told.
 
-use crate::Millis;
 use crate::endpoint::{EndpointEntry, UpdateFailure, UpdateKind};
 use crate::request::{AttemptOutcome, LoadReport, RequestId};
 use crate::rollout::{RolloutState, Version, VoteOutcome};
+use crate::time::Millis;
 
 /// A client's request as it came in.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/policy/src/exposure.rs
+++ b/crates/policy/src/exposure.rs
@@ -1,7 +1,10 @@
 //! The rule on exposure: how much a canary may get.
 
-use crate::state::{ExposureLimiter, Request};
-use crate::{Idempotency, Millis, Version};
+use crate::request::Idempotency;
+use crate::rollout::Version;
+use crate::state::exposure::ExposureLimiter;
+use crate::state::requests::Request;
+use crate::time::Millis;
 
 /// ms kept from the ends of spans that rules set.
 pub(crate) const SAFETY_MARGIN: Millis = 20.0;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -21,11 +21,13 @@
 pub mod config;
 pub mod endpoint;
 pub mod event;
+pub mod log_event;
 pub mod request;
 pub mod rollout;
 pub mod snapshot;
 pub mod state;
 pub mod statistics;
+pub mod time;
 
 pub use action::{Action, UnservedReason};
 pub use config::{
@@ -36,9 +38,8 @@
 pub use dispatch::Policy;
 pub use endpoint::{EndpointEntry, EndpointStatus, UpdateFailure, UpdateKind};
 pub use event::{CompletedAttempt, EndpointOutcomes, Event, IncomingRequest, OutcomeReport};
+pub use log_event::{EjectionReason, LogEvent, RejectionReason};
 pub use request::{AttemptOutcome, DedupScope, Idempotency, LoadReport, RequestClass, RequestId};
 pub use rollout::{RolloutPhase, RolloutState, Verdict, Version, VoteOutcome};
 pub use snapshot::{Canary, EndpointSnapshot, PolicySnapshot};
-
-/// Milliseconds, with fractions.
-pub type Millis = f64;
+pub use time::Millis;
--- a/crates/policy/src/list_lease.rs
+++ b/crates/policy/src/list_lease.rs
@@ -2,9 +2,9 @@
 //! misses counts as told after some time, arrived or not: then an attempt may only go to an endpoint that has proven
 //! since that it is not draining.
 
-use crate::Millis;
 use crate::config::DiscoveryConfig;
 use crate::endpoint::UpdateFailure;
+use crate::time::Millis;
 
 /// ms kept from the end of a lease: a process may be held up between reading its clock and writing.
 const LEASE_MARGIN: Millis = 250.0;
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -1,73 +1,97 @@
-//! Ejection of endpoints that fail, and how much each may have in flight.
+//! Outlier detection: which endpoints are ejected, and how many attempts each may have in flight.
+//!
+//! [`Policy`](crate::Policy) calls [`record_outcome`] for each attempt that ended and [`record_reported_errors`] for each
+//! report of other senders; both update the endpoint and return the reason for which it is to be ejected, if any. The time
+//! of an ejection follows [`EJECTION_BACKOFF`]. The concurrency limit grows with answers well within the latency objective
+//! and shrinks with late ones, as TCP Vegas does with its window.
 
-use crate::policy::RUNNING_MEAN_WEIGHT;
+use crate::config::GatewayIdentity;
+use crate::log_event::EjectionReason;
+use crate::request::AttemptOutcome;
 use crate::retry::HEAVY_WORK_FACTOR;
-use crate::state::{EndpointIndex, EndpointRegistry};
-use crate::{Action, AttemptOutcome, Millis};
+use crate::state::endpoint::Endpoint;
+use crate::time::Millis;
+use latchhaven_backoff::{ExponentialBackoff, Jitter};
 
-/// Attempts in flight at a fresh endpoint: one running, one to follow.
+/// Attempts in flight at an endpoint without history: one running, one queued.
 pub(crate) const INITIAL_CONCURRENCY_LIMIT: f64 = 2.0;
-/// How far one answer moves that limit.
+/// Attempts by which one answer moves that limit.
 const CONCURRENCY_LIMIT_GAIN: f64 = 0.25;
-/// Share of errors of a faulty machine; versions were never met that bad.
+/// Error rate above which an endpoint is ejected.
 const MAX_ERROR_RATE: f64 = 0.6;
-/// Attempts without an answer, and none from any other, that tell of a dead machine.
+/// Attempts in a row without an answer that eject an endpoint: a single connection may be lost by the network.
 const MAX_CONSECUTIVE_TIMEOUTS: u32 = 2;
-/// ms that an endpoint is ejected at first, doubling.
-const EJECTION_TIME: Millis = 500.0;
-/// ms that it is ejected at most: lost capacity costs too.
-const MAX_EJECTION_TIME: Millis = 4000.0;
+/// ms that an ejection lasts, doubling with each in a row up to a maximum.
+pub(crate) const EJECTION_BACKOFF: ExponentialBackoff = ExponentialBackoff::new(500.0, 4000.0, Jitter::None);
+/// Weight of the newest value in running means.
+pub(crate) const RUNNING_MEAN_WEIGHT: f64 = 0.1;
+/// Share of the latency objective that an answer may take before the concurrency limit falls.
+const MAX_QUEUEING_SHARE: f64 = 0.25;
+/// Gateways that log ejections.
+const MAX_LOGGING_GATEWAYS: u32 = 8;
+/// Share of attempts without a connection above which idle connections are closed.
+const MAX_CONNECT_FAILURE_RATE: f64 = 0.02;
 
-impl EndpointRegistry {
-    fn eject(&mut self, index: EndpointIndex, reason: &str, now: Millis, actions: &mut Vec<Action>) {
-        if self.endpoints[index].is_healthy(now) {
-            actions.extend(self.eject_for(index, EJECTION_TIME, MAX_EJECTION_TIME, reason, now));
-        }
-    }
+/// Whether a gateway logs the endpoints that it ejects: a few suffice for the operators.
+pub(crate) fn logs_ejections(identity: &GatewayIdentity) -> bool {
+    identity.index < MAX_LOGGING_GATEWAYS
+}
 
-    /// Learns what other senders saw of an endpoint: a share of errors over so many attempts.
-    pub(crate) fn record_reported_errors(
-        &mut self, index: EndpointIndex, attempts: f64, error_rate: f64, now: Millis,
-        actions: &mut Vec<Action>,
-    ) {
-        let endpoint = &mut self.endpoints[index];
-        endpoint.record_answers(attempts, error_rate, RUNNING_MEAN_WEIGHT, now);
-        if endpoint.error_rate > MAX_ERROR_RATE {
-            self.eject(index, "reported errors", now, actions);
-        } else if error_rate <= MAX_ERROR_RATE {
-            endpoint.ejection_count = 0;
-        }
+/// How long an answer took relative to what is acceptable: above 1 the concurrency limit falls. `elapsed`, `objective` and
+/// `expected_work` in ms; `warmup_factor`: the share of its capacity that the endpoint had reached.
+pub(crate) fn queueing(
+    elapsed: Millis, warmup_factor: f64, objective: Millis, expected_work: Option<Millis>,
+) -> f64 {
+    let acceptable = (MAX_QUEUEING_SHARE * objective).max(2.0 * expected_work.unwrap_or(0.0));
+    elapsed * warmup_factor / acceptable
+}
+
+/// Whether idle connections to an endpoint are closed, so that other gateways can connect: a share of attempts got no
+/// connection, and none is in flight there.
+pub(crate) fn closes_idle_connections(connect_failure_rate: f64, in_flight: u32) -> bool {
+    connect_failure_rate > MAX_CONNECT_FAILURE_RATE && in_flight == 0
+}
+
+/// Updates an endpoint by what other senders report: a share of errors over so many attempts.
+pub(crate) fn record_reported_errors(
+    endpoint: &mut Endpoint, attempts: f64, error_rate: f64, now: Millis,
+) -> Option<EjectionReason> {
+    endpoint.record_answers(attempts, error_rate, RUNNING_MEAN_WEIGHT, now);
+    if endpoint.error_rate > MAX_ERROR_RATE {
+        return Some(EjectionReason::ReportedErrors);
+    }
+    if error_rate <= MAX_ERROR_RATE {
+        endpoint.ejection_count = 0;
     }
+    None
+}
 
-    /// Learns what one outcome tells of the endpoint; `queueing`: its latency against what is wanted.
-    pub(crate) fn record_outcome(
-        &mut self, index: EndpointIndex, outcome: AttemptOutcome, queueing: f64, now: Millis,
-        actions: &mut Vec<Action>,
-    ) {
-        use AttemptOutcome::*;
-        let endpoint = &mut self.endpoints[index];
-        if matches!(outcome, Success | Error) {
-            endpoint.record_answer(outcome == Error, RUNNING_MEAN_WEIGHT, now);
+/// Updates an endpoint by the outcome of one attempt; `queueing`: see [`queueing`].
+pub(crate) fn record_outcome(
+    endpoint: &mut Endpoint, outcome: AttemptOutcome, queueing: f64, now: Millis,
+) -> Option<EjectionReason> {
+    use AttemptOutcome::{
+        Cancelled, ConnectFailed, ConnectionLost, Error, NotSent, Rejected, Success, Timeout,
+    };
+    if matches!(outcome, Success | Error) {
+        endpoint.record_answer(outcome == Error, RUNNING_MEAN_WEIGHT, now);
+    }
+    endpoint.consecutive_timeouts += u32::from(matches!(outcome, Timeout | ConnectFailed | ConnectionLost));
+    let is_unresponsive = endpoint.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS;
+    match outcome {
+        Timeout if is_unresponsive => return Some(EjectionReason::Timeouts),
+        ConnectFailed if is_unresponsive => return Some(EjectionReason::ConnectFailures),
+        ConnectionLost if is_unresponsive => return Some(EjectionReason::ConnectionsLost),
+        Error if endpoint.error_rate > MAX_ERROR_RATE => return Some(EjectionReason::Errors),
+        Success => {
+            endpoint.ejection_count = 0;
+            let step = 1.0 - queueing.min(HEAVY_WORK_FACTOR);
+            endpoint.move_concurrency_limit(CONCURRENCY_LIMIT_GAIN * step);
         }
-        endpoint.consecutive_timeouts +=
-            u32::from(matches!(outcome, Timeout | ConnectFailed | ConnectionLost));
-        // A single connection may be lost or refused where the machine is well.
-        let is_unresponsive = endpoint.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS;
-        match outcome {
-            Timeout if is_unresponsive => self.eject(index, "timeouts", now, actions),
-            ConnectFailed if is_unresponsive => self.eject(index, "connect failures", now, actions),
-            ConnectionLost if is_unresponsive => self.eject(index, "connections lost", now, actions),
-            Error if endpoint.error_rate > MAX_ERROR_RATE => self.eject(index, "errors", now, actions),
-            // Answers in good time open the endpoint further, late ones and rejections close it.
-            Success => {
-                endpoint.ejection_count = 0;
-                let step = 1.0 - queueing.min(HEAVY_WORK_FACTOR);
-                endpoint.move_concurrency_limit(CONCURRENCY_LIMIT_GAIN * step);
-            }
-            Rejected | Timeout => {
-                endpoint.move_concurrency_limit(CONCURRENCY_LIMIT_GAIN * (1.0 - HEAVY_WORK_FACTOR));
-            }
-            Error | Cancelled | ConnectFailed | ConnectionLost | NotSent => {}
+        Rejected | Timeout => {
+            endpoint.move_concurrency_limit(CONCURRENCY_LIMIT_GAIN * (1.0 - HEAVY_WORK_FACTOR));
         }
+        Error | Cancelled | ConnectFailed | ConnectionLost | NotSent => {}
     }
+    None
 }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,51 +1,40 @@
-//! The one entry of the decisions: batches of events in, actions out. Chance comes from the seed; see docs/design.md.
+//! The entry point of the decisions: batches of events in, actions out.
+//!
+//! An adapter calls [`Policy::handle_events`] with all events since its last call and performs the returned actions in
+//! order. The policy collects the inputs of each rule, calls it (in the module named by its path) and applies the result.
+//! Random numbers come from the seed alone: the same seed and events give the same actions.
 
-use crate::config::{GatewayIdentity, VotingConfig};
+use crate::action::{Action, UnservedReason};
+use crate::admission;
+use crate::discovery_calls::CALL_TIMEOUT;
 use crate::dispatch::Policy;
-use crate::exposure::SAFETY_MARGIN;
-use crate::state::FleetView;
+use crate::event::{CompletedAttempt, Event, IncomingRequest};
+use crate::outlier::{self, RUNNING_MEAN_WEIGHT};
+use crate::request::{AttemptOutcome, RequestId};
+use crate::retry::{self, MAX_RETRY_BUDGET, RETRY_BUDGET_PER_REQUEST};
+use crate::routing::{self, AttemptGate, CoinInputs, EndpointLoad};
+use crate::slow_start::RATE_WINDOW;
+use crate::state::canary::AnalysisView;
+use crate::state::endpoint::EndpointIndex;
+use crate::state::registry::Sides;
+use crate::state::requests::{Attempt, Request};
 use crate::statistics::indicator;
-use crate::verdict::ROLLBACK_ERROR_RATE;
-use crate::{Action, AttemptOutcome, CompletedAttempt, Event, Millis, UnservedReason};
+use crate::time::Millis;
+use rand::RngExt;
 
-/// ms between looks at queued and unresponsive requests: a few of the finest batches.
+/// ms between two ticks while requests are open.
 const TICK: Millis = 10.0;
-/// ms between ticks while there is nothing to judge: idle gateways are hundreds.
+/// ms between two ticks without open requests and without a canary.
 const IDLE_TICK: Millis = 1000.0;
-/// ms between two analyses of a canary (design page).
+/// ms between two analyses of a canary.
 const ANALYSIS_INTERVAL: Millis = 250.0;
-/// ms that a timer may come early.
+/// ms that a timer may fire early.
 const TIMER_ROUNDING: Millis = 1.0;
-/// ms that a timer may come late before this gateway's own latencies mean nothing.
+/// ms that a timer may fire late before this process counts as stalled, which invalidates its latencies.
 const MAX_TIMER_DELAY: Millis = 150.0;
-/// ms over which this gateway's own rate is taken, and its usual one follows.
-pub(crate) const RATE_WINDOW: Millis = 2000.0;
-/// Weight of the newest value in running means.
-pub(crate) const RUNNING_MEAN_WEIGHT: f64 = 0.1;
-/// ms before a failed vote is repeated.
-pub(crate) const RETRY_INTERVAL: Millis = 500.0;
-/// ms before an unanswered call is taken as lost.
-const CALL_TIMEOUT: Millis = 4000.0;
-/// Gateways that vote at each look, of all that would: the platform's calls are few.
-pub(crate) const VOTERS_PER_LOOK: f64 = 8.0;
-/// Share of the latency objective that answers may take before the concurrency limit falls.
-const MAX_QUEUEING_SHARE: f64 = 0.25;
-/// Share of connections refused above which none is kept idle.
-const MAX_CONNECT_FAILURE_RATE: f64 = 0.02;
-
-/// The chance of a wrong rollback that one gateway may take, of all that may roll back alone.
-pub(crate) fn own_error_rate(identity: &GatewayIdentity, voting: &VotingConfig) -> f64 {
-    let deciders = f64::from(identity.gateway_count.max(1)) / f64::from(voting.rollback_quorum.max(1));
-    ROLLBACK_ERROR_RATE / deciders.max(1.0)
-}
-
-pub(crate) fn vote_probability(identity: &GatewayIdentity, voting: &VotingConfig) -> f64 {
-    let quorum = voting.promote_quorum.max(voting.pause_quorum).max(voting.rollback_quorum).max(1);
-    VOTERS_PER_LOOK * f64::from(quorum) / f64::from(identity.gateway_count.max(1))
-}
 
 impl Policy {
-    /// Takes what happened since, in order, and returns what is to be done about it, in order.
+    /// Handles events in order, all of which happened by `now` in ms; returns the actions to perform, in order.
     pub fn handle_events(&mut self, now: Millis, events: Vec<Event>) -> Vec<Action> {
         if now > self.timer.fires_at + MAX_TIMER_DELAY {
             self.stalled_until = now;
@@ -64,29 +53,67 @@
         std::mem::take(&mut self.actions)
     }
 
+    /// Every tick: the poll for the endpoint list, overdue requests, unresponsive attempts, and the canary.
+    fn on_tick(&mut self, now: Millis) {
+        self.timer.next_tick_at = f64::INFINITY;
+        if self.registry.next_poll_at.is_some_and(|at| at <= now + TIMER_ROUNDING) {
+            self.registry.next_poll_at = Some(now + CALL_TIMEOUT);
+            self.actions.push(Action::WatchEndpoints { enabled: true });
+        }
+        let unresponsive = self.unresponsive_attempts(now);
+        let overdue = self.requests.overdue(now);
+        overdue.into_iter().for_each(|id| self.answer_unserved(id, UnservedReason::Overdue, now));
+        unresponsive.into_iter().for_each(|(id, attempt)| self.hedge_or_retry(id, attempt, now));
+        if let Some(rollout) = self.exposure.rollout
+            && now - self.analysis.analysed_at >= ANALYSIS_INTERVAL - TIMER_ROUNDING
+        {
+            let view = AnalysisView::new(&self.registry, self.partition(false), RATE_WINDOW, now);
+            let endpoints = &mut self.registry.endpoints;
+            self.analysis.analyse(&mut self.rng, endpoints, &view, &rollout, &mut self.actions);
+        }
+    }
+
+    /// A request arrived: it is rejected by load shedding, or queued.
+    pub(crate) fn on_request(&mut self, incoming: IncomingRequest, now: Millis) {
+        let id = incoming.id;
+        let Some(class) = self.class_named(&incoming.class) else {
+            return self.actions.push(Action::Fail { id, reason: UnservedReason::UnknownClass });
+        };
+        if !incoming.is_retry {
+            self.registry.arrivals.record(now, 2.0 * RATE_WINDOW);
+        }
+        self.exposure.record_arrival(class, now - incoming.queued_for);
+        self.requests.add_retry_budget(RETRY_BUDGET_PER_REQUEST, MAX_RETRY_BUDGET);
+        let longest_timeout = self.requests.record_timeout(class, incoming.time_remaining);
+        let objective = admission::remaining_objective(&incoming, &self.classes[class], longest_timeout);
+        let draw = self.rng.random::<f64>();
+        let shed_probability = self.shed_probability(&incoming.tenant, now);
+        let is_shed = admission::is_shed(draw, shed_probability, incoming.is_retry);
+        self.requests.requests.insert(id, Request::new(incoming, class, objective, now));
+        if is_shed {
+            self.answer_unserved(id, UnservedReason::Overload, now);
+        } else {
+            self.requests.queue.push(id);
+        }
+    }
+
+    /// An attempt ended: updates what is known of its endpoint, then concludes or retries its request.
     pub(crate) fn on_attempt_completed(&mut self, completed: &CompletedAttempt, now: Millis) {
         let CompletedAttempt { id, outcome, elapsed, connected_at, .. } = *completed;
         let Some(attempt) = self.requests.complete_attempt(completed) else { return };
-        let request = &self.requests.requests[&id];
-        let endpoint = &mut self.registry.endpoints[attempt.endpoint];
-        let is_same_incarnation = endpoint.release(attempt.incarnation);
+        let is_same_incarnation = self.registry.endpoints[attempt.endpoint].release(attempt.incarnation);
         if is_same_incarnation && outcome == AttemptOutcome::Success {
             self.registry.record_proof(attempt.endpoint, connected_at, attempt.sent_at);
         }
-        let endpoint = &mut self.registry.endpoints[attempt.endpoint];
-        // Where connections are refused all over, those that idle here take the places of others.
-        let failed = indicator(outcome == AttemptOutcome::ConnectFailed);
         let failure_rate = &mut self.requests.connect_failure_rate;
+        let failed = indicator(outcome == AttemptOutcome::ConnectFailed);
         *failure_rate += RUNNING_MEAN_WEIGHT * (failed - *failure_rate);
-        if *failure_rate > MAX_CONNECT_FAILURE_RATE && endpoint.in_flight == 0 {
+        let endpoint = &self.registry.endpoints[attempt.endpoint];
+        if outlier::closes_idle_connections(*failure_rate, endpoint.in_flight) {
             self.actions.push(Action::CloseIdleConnections { endpoint: endpoint.id.clone() });
         }
         if is_same_incarnation && attempt.sent_at >= self.stalled_until {
-            let objective = self.classes[request.class].objective_for(request.expected_work);
-            self.analysis.record_outcome(endpoint, &attempt, request, outcome, elapsed, objective);
-            let wanted = (MAX_QUEUEING_SHARE * objective).max(2.0 * request.expected_work.unwrap_or(0.0));
-            let queueing = elapsed * attempt.warmup_factor / wanted;
-            self.registry.record_outcome(attempt.endpoint, outcome, queueing, now, &mut self.actions);
+            self.record_outcome(id, &attempt, outcome, elapsed, now);
         }
         if outcome == AttemptOutcome::Success {
             self.record_success(id, attempt.version, elapsed, RUNNING_MEAN_WEIGHT);
@@ -95,40 +122,163 @@
         self.requests.forget_if_finished(id);
     }
 
-    /// Closes a request that has its answer; retries or answers one that has nothing in flight any more.
+    /// Records an outcome for the verdict on a canary and for outlier detection; `elapsed`: ms since it was sent.
+    fn record_outcome(
+        &mut self, id: RequestId, attempt: &Attempt, outcome: AttemptOutcome, elapsed: Millis, now: Millis,
+    ) {
+        let request = &self.requests.requests[&id];
+        let endpoint = &mut self.registry.endpoints[attempt.endpoint];
+        let objective = self.classes[request.class].objective_for(request.expected_work);
+        self.analysis.record_outcome(endpoint, attempt, request, outcome, elapsed, objective);
+        let queueing = outlier::queueing(elapsed, attempt.warmup_factor, objective, request.expected_work);
+        let ejection = outlier::record_outcome(endpoint, outcome, queueing, now);
+        ejection.into_iter().for_each(|reason| self.eject(attempt.endpoint, reason, now));
+    }
+
+    /// Closes a request that has its answer; retries or answers one without attempts in flight.
     fn conclude_attempt(&mut self, completed: &CompletedAttempt, now: Millis) {
         let id = completed.id;
         let request = &self.requests.requests[&id];
         if completed.is_final {
             let is_success = completed.outcome == AttemptOutcome::Success;
-            let quality = if is_success { Self::service_quality(request, now) } else { 0.0 };
-            self.close(id, quality, now);
-        } else if request.is_open() && request.attempts_in_flight() == 0 {
-            if now >= request.objective_deadline - SAFETY_MARGIN || !self.can_retry(id) {
-                self.answer_unserved(id, UnservedReason::AttemptsFailed, now);
-            } else if !self.requests.queue.contains(&id) {
+            let time_left = request.share_of_objective_left(now);
+            let quality = if is_success { admission::service_quality(time_left) } else { 0.0 };
+            return self.close(id, quality, now);
+        }
+        if !request.is_open() || request.attempts_in_flight() > 0 {
+            return;
+        }
+        if !admission::is_within_objective(request, now) || !self.can_retry(id) {
+            self.answer_unserved(id, UnservedReason::AttemptsFailed, now);
+        } else if !self.requests.queue.contains(&id) {
+            self.requests.queue.push(id);
+        }
+    }
+
+    /// Open requests with an attempt at an unresponsive endpoint, and its number.
+    fn unresponsive_attempts(&self, now: Millis) -> Vec<(RequestId, usize)> {
+        let endpoints = &self.registry.endpoints;
+        let find = |(id, request): (&RequestId, &Request)| {
+            let typical_latency = self.requests.typical_latency[request.class];
+            let class = &self.classes[request.class];
+            let attempt = retry::unresponsive_attempt(request, class, typical_latency, endpoints, now)?;
+            Some((*id, attempt))
+        };
+        self.requests.requests.iter().filter(|(_, request)| request.is_open()).filter_map(find).collect()
+    }
+
+    /// A request waits at an unresponsive endpoint: hedged where permitted, else cancelled to be sent again.
+    fn hedge_or_retry(&mut self, id: RequestId, attempt: usize, now: Millis) {
+        let shed_probability = self.shed_probability(&None, now);
+        if !retry::is_early_retry_allowed(shed_probability, self.requests.retry_budget) || !self.can_retry(id)
+        {
+            return;
+        }
+        let is_retried = match self.permissions.hedging {
+            true => self.route(id, &self.partition(false), now),
+            false => self.cancel(id, attempt),
+        };
+        if is_retried {
+            self.requests.retry_budget -= 1.0;
+        }
+    }
+
+    /// Sends what is queued; answers what can no longer be on time.
+    fn dispatch_queued(&mut self, now: Millis) {
+        if self.requests.queue.is_empty() {
+            return;
+        }
+        self.registry.refill_slow_start_tokens(now);
+        if self.registry.is_list_expired(now) {
+            let queued = std::mem::take(&mut self.requests.queue);
+            return queued
+                .into_iter()
+                .for_each(|id| self.answer_unserved(id, UnservedReason::ListExpired, now));
+        }
+        let sides = [self.partition(true), self.partition(false)];
+        let classes = &self.classes;
+        for id in self.requests.take_queue(|request| admission::queue_rank(request, classes)) {
+            let request = &self.requests.requests[&id];
+            let typical_latency = self.requests.typical_latency[request.class];
+            let expected_latency = admission::expected_latency(request, typical_latency);
+            let is_too_late = admission::is_too_late(request, expected_latency, now);
+            let is_in_time = admission::is_within_objective(request, now);
+            if is_in_time && sides.iter().any(|sides| self.route(id, sides, now)) {
+                continue;
+            }
+            if is_too_late {
+                self.answer_unserved(id, UnservedReason::NoEndpoint, now);
+            } else {
                 self.requests.queue.push(id);
             }
         }
     }
 
-    /// Every tick: the list, unresponsive endpoints, requests past their deadline, and the canary.
-    fn on_tick(&mut self, now: Millis) {
-        self.timer.next_tick_at = f64::INFINITY;
-        if self.registry.next_poll_at.is_some_and(|at| at <= now + TIMER_ROUNDING) {
-            self.registry.next_poll_at = Some(now + CALL_TIMEOUT);
-            self.actions.push(Action::WatchEndpoints { enabled: true });
-        }
-        let unresponsive = self.unresponsive_attempts(now);
-        let overdue = self.requests.overdue(now);
-        overdue.into_iter().for_each(|id| self.answer_unserved(id, UnservedReason::Overdue, now));
-        unresponsive.into_iter().for_each(|(id, attempt)| self.hedge_or_retry(id, attempt, now));
-        if let Some(rollout) = self.exposure.rollout
-            && now - self.analysis.analysed_at >= ANALYSIS_INTERVAL - TIMER_ROUNDING
-        {
-            let view = FleetView::new(&self.registry, self.partition(false), RATE_WINDOW, now);
-            let endpoints = &mut self.registry.endpoints;
-            self.analysis.analyse(&mut self.rng, endpoints, &view, &rollout, &mut self.actions);
+    /// Sends a request to one of some endpoints; false where none is available to it.
+    fn route(&mut self, id: RequestId, sides: &Sides, now: Millis) -> bool {
+        let coin = self.rng.random::<f64>();
+        let is_canary_first = routing::is_canary_first(coin, &self.coin_inputs(sides));
+        let is_rolling_back = self.exposure.is_rolling_back();
+        let warming = routing::warming_endpoints(sides, &self.registry, is_rolling_back, now);
+        let order = match is_canary_first {
+            true => [&warming, &sides.canary, &sides.baseline],
+            false => [&warming, &sides.baseline, &sides.canary],
+        };
+        let chosen = order.into_iter().find_map(|candidates| self.choose_endpoint(id, candidates, now));
+        chosen.is_some_and(|index| self.send_attempt(id, index, now))
+    }
+
+    fn coin_inputs(&self, sides: &Sides) -> CoinInputs {
+        CoinInputs {
+            canary_share: sides.canary_share(),
+            canary_load: self.registry.endpoints.mean_in_flight(&sides.canary),
+            baseline_load: self.registry.endpoints.mean_in_flight(&sides.baseline),
+            has_baseline: !sides.baseline.is_empty(),
+            is_rolling_back: self.exposure.is_rolling_back(),
+            has_full_traffic: self.analysis.full_traffic_since.is_some(),
         }
     }
+
+    fn choose_endpoint(
+        &mut self, id: RequestId, candidates: &[EndpointIndex], now: Millis,
+    ) -> Option<EndpointIndex> {
+        let request = &self.requests.requests[&id];
+        let class = &self.classes[request.class];
+        let (registry, exposure, permissions) = (&self.registry, &self.exposure, &self.permissions);
+        let gate = AttemptGate { registry, exposure, permissions, now };
+        let available = routing::available_endpoints(candidates, request, class, &gate);
+        let has_zone_cost = self.costs.cross_zone > 0.0;
+        let load = |index: EndpointIndex| {
+            let endpoint = &registry.endpoints[index];
+            let load = EndpointLoad {
+                in_flight: endpoint.in_flight,
+                crosses_zones: has_zone_cost && endpoint.zone != self.zone,
+                latency_bias: endpoint.latency_bias,
+                latency_bias_age: now - endpoint.latency_bias_at,
+                capacity: registry.capacity(index, now),
+            };
+            load.value()
+        };
+        routing::choose_of_two(&available, load, &mut self.rng)
+    }
+
+    fn can_retry(&self, id: RequestId) -> bool {
+        let request = &self.requests.requests[&id];
+        let idempotency = self.classes[request.class].idempotency;
+        retry::can_retry(request, idempotency, self.permissions.max_attempts)
+    }
+
+    /// The probability of rejecting a new request of a tenant; below 0 without overload.
+    pub(crate) fn shed_probability(&mut self, tenant: &Option<String>, now: Millis) -> f64 {
+        admission::shed_probability(self.requests.service_levels(tenant), now)
+    }
+
+    /// The gate of all final answers without a result.
+    pub(crate) fn answer_unserved(&mut self, id: RequestId, reason: UnservedReason, now: Millis) {
+        let Some(request) = self.requests.unanswered(id) else { return };
+        let class = &self.classes[request.class];
+        let max_retry_after = self.permissions.max_retry_after;
+        self.actions.push(admission::unserved_answer(id, request, class, max_retry_after, reason));
+        self.close(id, 0.0, now);
+    }
 }
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -1,6 +1,6 @@
 //! Requests of clients, attempts at serving them, and the classes that settings divide requests into.
 
-use crate::Millis;
+use crate::time::Millis;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::num::ParseIntError;
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,64 +1,62 @@
-//! Retries, hedged attempts and cancellation.
+//! Retries and hedged requests.
+//!
+//! Problem: retries multiply the load of an overload, and an unresponsive endpoint consumes a request's latency
+//! objective. Method: a retry budget in proportion to the requests admitted, and a patience after which a request at an
+//! endpoint that answers nothing is hedged or, where hedging is not permitted, cancelled and sent again.
+//!
+//! [`Policy`](crate::Policy) calls [`unresponsive_attempt`] for each open request on each tick, and [`is_early_retry_allowed`]
+//! before it acts on one. [`can_retry`] also decides on requests whose attempts have all failed.
 
-use crate::dispatch::Policy;
-use crate::state::{Attempt, Request};
-use crate::{Idempotency, Millis, RequestId};
+use crate::exposure::SAFETY_MARGIN;
+use crate::request::{Idempotency, RequestClass};
+use crate::state::registry::EndpointTable;
+use crate::state::requests::{Attempt, Request};
+use crate::time::Millis;
 
-/// Retries per request taken: more would feed an overload.
+/// Retries added to the budget by each request: the bound on the load that retries add.
 pub(crate) const RETRY_BUDGET_PER_REQUEST: f64 = 0.15;
-/// Retries that may be saved up.
+/// Retries that the budget holds at most.
 pub(crate) const MAX_RETRY_BUDGET: f64 = 10.0;
-/// Share of the latency objective that an unresponsive endpoint gets before a request goes elsewhere.
+/// Share of the latency objective after which an unanswered attempt counts as unresponsive.
 const PATIENCE_SHARE: f64 = 0.5;
-/// Times its usual or hinted time that a request may take without suspicion.
+/// Factor on the usual or expected time up to which an attempt counts as heavy work.
 pub(crate) const HEAVY_WORK_FACTOR: f64 = 3.0;
 
-impl Policy {
-    /// Whether one more attempt at a request could be sent at all.
-    pub(crate) fn can_retry(&self, id: RequestId) -> bool {
-        let request = &self.requests.requests[&id];
-        let is_once_only = self.classes[request.class].idempotency == Idempotency::NonIdempotent;
-        let has_attempts_left = request.attempts.len() < self.permissions.max_attempts;
-        has_attempts_left && (!is_once_only || request.is_definitely_not_executed())
-    }
+/// Whether one more attempt at a request is permitted; `max_attempts`: attempts per request, the first included.
+pub(crate) fn can_retry(request: &Request, idempotency: Idempotency, max_attempts: usize) -> bool {
+    let is_repeatable = idempotency != Idempotency::NonIdempotent || request.is_definitely_not_executed();
+    request.attempts.len() < max_attempts && is_repeatable
+}
 
-    /// Attempts that wait alone, and long, at an endpoint that answered nothing since.
-    pub(crate) fn unresponsive_attempts(&self, now: Millis) -> Vec<(RequestId, usize)> {
-        let mut found = Vec::new();
-        for (id, request) in self.requests.requests.iter().filter(|(_, request)| request.is_open()) {
-            let patience = self.patience(request);
-            let is_stuck = |attempt: &Attempt| {
-                let is_late = attempt.outcome.is_none() && now - attempt.sent_at >= patience;
-                is_late && !self.registry.endpoints[attempt.endpoint].has_answered_since(attempt)
-            };
-            if request.attempts_in_flight() == 1 && now < request.objective_deadline {
-                let stuck = request.attempts.iter().position(is_stuck);
-                found.extend(stuck.map(|attempt| (*id, attempt)));
-            }
-        }
-        found
+/// The number of the attempt that alone is in flight, has exceeded the patience, and whose endpoint has answered nothing
+/// since it was sent. `typical_latency`: ms that answers of the class usually take.
+pub(crate) fn unresponsive_attempt(
+    request: &Request, class: &RequestClass, typical_latency: Millis, endpoints: &EndpointTable, now: Millis,
+) -> Option<usize> {
+    if request.attempts_in_flight() != 1 || now >= request.objective_deadline {
+        return None;
     }
+    let patience = patience(class, typical_latency, request.expected_work);
+    let is_unresponsive = |attempt: &Attempt| {
+        let is_late = attempt.outcome.is_none() && now - attempt.sent_at >= patience;
+        is_late && !attempt.is_followed_by_answer(&endpoints[attempt.endpoint])
+    };
+    request.attempts.iter().position(is_unresponsive)
+}
 
-    fn patience(&self, request: &Request) -> Millis {
-        let objective = self.classes[request.class].latency_objective;
-        let typical = self.requests.typical_latency[request.class];
-        let heavy = HEAVY_WORK_FACTOR * typical.max(request.expected_work.unwrap_or(0.0));
-        (PATIENCE_SHARE * objective).max(heavy).min(objective)
-    }
+/// ms after which an attempt at an endpoint without answers counts as unresponsive.
+fn patience(class: &RequestClass, typical_latency: Millis, expected_work: Option<Millis>) -> Millis {
+    let heavy = HEAVY_WORK_FACTOR * typical_latency.max(expected_work.unwrap_or(0.0));
+    (PATIENCE_SHARE * class.latency_objective).max(heavy).min(class.latency_objective)
+}
 
-    /// A request stuck at an unresponsive endpoint: hedged where permitted, else cancelled to be sent again.
-    pub(crate) fn hedge_or_retry(&mut self, id: RequestId, attempt: usize, now: Millis) {
-        // In an overload a hedged attempt only takes another's place.
-        let is_overloaded = self.shed_probability(&None, now) > 0.0;
-        if is_overloaded || self.requests.retry_budget < 1.0 || !self.can_retry(id) {
-            return;
-        }
-        let is_retried = match self.permissions.hedging {
-            true => self.route(id, &self.partition(false), now),
-            false => self.cancel(id, attempt),
-        };
-        if is_retried {
-            self.requests.retry_budget -= 1.0;
-        }
-    }
+/// ms that an attempt may take: until the latency objective, so that the endpoint drops late work unexecuted.
+pub(crate) fn attempt_timeout(request: &Request, now: Millis) -> Millis {
+    (request.objective_deadline - now).max(SAFETY_MARGIN)
+}
+
+/// Whether a request may be hedged or sent again before its attempt has ended: not in an overload, where it would only
+/// displace another request. `retry_budget`: retries that may be sent.
+pub(crate) fn is_early_retry_allowed(shed_probability: f64, retry_budget: f64) -> bool {
+    shed_probability <= 0.0 && retry_budget >= 1.0
 }
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -1,6 +1,6 @@
 //! Versions of the endpoints' software, the state of a rollout, and votes on it.
 
-use crate::Millis;
+use crate::time::Millis;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::num::ParseIntError;
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -1,118 +1,207 @@
-//! Where a request goes: the coin between baseline and canary, then a choice of two endpoints.
+//! Routing of an attempt: a coin between baseline and canary, then a choice between two endpoints.
+//!
+//! Problem: a gateway sees only its own attempts in flight, and must compare a canary with the baseline under equal load.
+//! Method: a top-two coin that keeps the attempts in flight per endpoint equal on both sides (top-two sampling), then the
+//! power of two choices (Mitzenmacher, 2001) on attempts in flight per unit of capacity.
+//!
+//! [`Policy`](crate::Policy) calls these rules for each queued request and each hedged request. [`AttemptGate`] is the only
+//! way out for attempts: it applies every rule that an attempt could violate. [`canary_share`] decides the same for
+//! adapters that publish shares instead of routing each request.
 
-use crate::dispatch::Policy;
+use crate::config::Permissions;
 use crate::exposure::SAFETY_MARGIN;
-use crate::state::{Attempt, EndpointIndex, Request, Sides};
+use crate::request::{Idempotency, RequestClass};
+use crate::rollout::RolloutPhase;
+use crate::state::endpoint::EndpointIndex;
+use crate::state::exposure::ExposureLimiter;
+use crate::state::registry::{EndpointRegistry, Sides};
+use crate::state::requests::{Attempt, Request};
 use crate::statistics::{half_life_decay, indicator};
-use crate::{Idempotency, Millis, RequestId, RolloutPhase};
-use rand::RngExt;
+use crate::time::Millis;
 use rand::seq::IndexedRandom;
+use rand_pcg::Pcg64Mcg;
 
-/// Share that the canary carries at the end of its last stage; the rest keeps the baseline's figures fresh.
+/// Share of requests for the canary at the end of its last stage; the rest remains a comparison.
 const FULL_TRAFFIC_SHARE: f64 = 0.9;
-/// In flight that crossing zones counts extra: more would fill the own zone.
+/// Attempts in flight that an endpoint in another zone counts extra, where crossing zones has a cost.
 const CROSS_ZONE_BIAS: f64 = 0.25;
-/// ms in which what latencies tell of load halves.
+/// ms in which the weight of an endpoint's latency in its load halves.
 const LATENCY_BIAS_HALF_LIFE: Millis = 5000.0;
 
-impl Policy {
-    /// Sends a request to an endpoint, if one is open to it.
-    pub(crate) fn route(&mut self, id: RequestId, sides: &Sides, now: Millis) -> bool {
-        let canary_first = self.flip_top_two_coin(sides);
-        let registry = &self.registry;
-        // What a warming endpoint may get is little, by chance and soon used: it goes before the coin.
-        let canary = if self.exposure.is_rolling_back() { &[] } else { sides.canary.as_slice() };
-        let eligible = sides.baseline.iter().chain(canary).copied();
-        let warming = eligible.filter(|index| registry.warmup_factor(*index, now) < 1.0).collect();
-        let order = match canary_first {
-            true => [&warming, &sides.canary, &sides.baseline],
-            false => [&warming, &sides.baseline, &sides.canary],
-        };
-        let chosen = order.into_iter().find_map(|candidates| self.choose_endpoint(id, candidates, now));
-        chosen.is_some_and(|index| self.send_attempt(id, index, now))
-    }
+/// What the coin between baseline and canary depends on.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct CoinInputs {
+    /// The share of the ready endpoints that are canaries'.
+    pub(crate) canary_share: f64,
+    /// Mean attempts in flight at a canary endpoint.
+    pub(crate) canary_load: f64,
+    /// Mean attempts in flight at a baseline endpoint.
+    pub(crate) baseline_load: f64,
+    /// There are ready baseline endpoints.
+    pub(crate) has_baseline: bool,
+    /// The newest version is being rolled back.
+    pub(crate) is_rolling_back: bool,
+    /// The canary gets nearly all requests before its promotion.
+    pub(crate) has_full_traffic: bool,
+}
 
-    /// The top-two coin: true where the canary is to be tried first.
-    fn flip_top_two_coin(&mut self, sides: &Sides) -> bool {
-        let canary_load = self.registry.endpoints.mean_in_flight(&sides.canary);
-        let baseline_load = self.registry.endpoints.mean_in_flight(&sides.baseline);
-        let share = sides.canary_share();
-        let coin = self.rng.random::<f64>();
-        let carries_all = self.analysis.full_traffic_since.is_some() && coin < FULL_TRAFFIC_SHARE;
-        // Parity of less than a request in flight at each endpoint tells little: the coin turns to the share.
-        let parity = share + (0.5 - share).max(0.0) * baseline_load.min(1.0);
-        let is_picked = coin < parity && canary_load <= baseline_load;
-        sides.baseline.is_empty() || (!self.exposure.is_rolling_back() && (carries_all || is_picked))
+/// The top-two coin: true where canary endpoints are tried first; `coin`: uniform between 0 and 1.
+pub(crate) fn is_canary_first(coin: f64, inputs: &CoinInputs) -> bool {
+    if !inputs.has_baseline {
+        return true;
     }
+    let share = inputs.canary_share;
+    let is_full_traffic = inputs.has_full_traffic && coin < FULL_TRAFFIC_SHARE;
+    // With less than one attempt in flight per endpoint, equal load is too coarse: the coin approaches the share.
+    let parity = share + (0.5 - share).max(0.0) * inputs.baseline_load.min(1.0);
+    let is_picked = coin < parity && inputs.canary_load <= inputs.baseline_load;
+    !inputs.is_rolling_back && (is_full_traffic || is_picked)
+}
 
-    /// Power of two choices on attempts in flight, per unit of capacity, among those open to the request.
-    fn choose_endpoint(
-        &mut self, id: RequestId, candidates: &[EndpointIndex], now: Millis,
-    ) -> Option<EndpointIndex> {
-        let request = &self.requests.requests[&id];
-        let endpoints = &self.registry.endpoints;
-        // Better to wait for a healthy one than to use up a request's attempts on ejected ones.
-        let all_ejected = !endpoints.ready().any(|index| endpoints[index].is_healthy(now));
-        let is_open = |index: &EndpointIndex| {
-            let endpoint = &endpoints[*index];
-            f64::from(endpoint.in_flight) < endpoint.concurrency_limit
-                && (endpoint.is_healthy(now) || all_ejected)
-                && self.admits(request, *index, now)
-        };
-        let open: Vec<EndpointIndex> = candidates.iter().copied().filter(is_open).collect();
-        let is_untried = |index: &EndpointIndex| request.attempts.iter().all(|a| a.endpoint != *index);
-        let untried: Vec<EndpointIndex> = open.iter().copied().filter(is_untried).collect();
-        let open = if untried.is_empty() { open } else { untried };
-        let first = *open.choose(&mut self.rng)?;
-        let second = *open.choose(&mut self.rng)?;
-        Some(if self.load(second, now) < self.load(first, now) { second } else { first })
+/// Endpoints that are warming up, of both sides; none of a canary that is being rolled back. They are tried before either
+/// side: their slow start budget is small and randomly distributed over gateways.
+pub(crate) fn warming_endpoints(
+    sides: &Sides, registry: &EndpointRegistry, is_rolling_back: bool, now: Millis,
+) -> Vec<EndpointIndex> {
+    let canary = if is_rolling_back { &[] } else { sides.canary.as_slice() };
+    let eligible = sides.baseline.iter().chain(canary).copied();
+    eligible.filter(|index| registry.warmup_factor(*index, now) < 1.0).collect()
+}
+
+/// The gate of all attempts: every rule that one could violate.
+#[derive(Clone, Copy)]
+pub(crate) struct AttemptGate<'a> {
+    /// Readiness, leases and slow start of the endpoints.
+    pub(crate) registry: &'a EndpointRegistry,
+    /// What canaries have received, and the rule on exposure.
+    pub(crate) exposure: &'a ExposureLimiter,
+    /// What the gateway may do.
+    pub(crate) permissions: &'a Permissions,
+    /// The time in ms.
+    pub(crate) now: Millis,
+}
+
+impl AttemptGate<'_> {
+    /// Whether an attempt at a request of a class may be sent to an endpoint now.
+    pub(crate) fn admits(&self, request: &Request, class: &RequestClass, index: EndpointIndex) -> bool {
+        self.admits_attempt(request, class) && self.admits_endpoint(request, class, index)
     }
 
-    fn load(&self, index: EndpointIndex, now: Millis) -> f64 {
-        let endpoint = &self.registry.endpoints[index];
-        let crosses_zones = self.costs.cross_zone > 0.0 && endpoint.zone != self.zone;
-        let bias = if crosses_zones { CROSS_ZONE_BIAS } else { 0.0 };
-        // With hardly anything in flight of its own, a gateway's own latencies tell of load.
-        let age = now - endpoint.latency_bias_at;
-        let slowness = (endpoint.latency_bias * half_life_decay(age, LATENCY_BIAS_HALF_LIFE)).exp();
-        (f64::from(endpoint.in_flight) + bias + 1.0) * slowness / self.registry.capacity(index, now)
+    /// Whether one more attempt at a request may be sent at all.
+    fn admits_attempt(&self, request: &Request, class: &RequestClass) -> bool {
+        let dedup_window_left = request.dedup_window_left(class, SAFETY_MARGIN, self.now);
+        request.is_open()
+            && self.now < request.deadline
+            && request.attempts.len() < self.permissions.max_attempts
+            && (request.attempts_in_flight() == 0 || self.permissions.hedging)
+            && dedup_window_left.is_none_or(|left| left > 0.0)
     }
 
-    /// The gate of all attempts: every rule that one could break.
-    pub(crate) fn admits(&self, request: &Request, index: EndpointIndex, now: Millis) -> bool {
-        let class = &self.classes[request.class];
+    /// Whether an endpoint may get one more attempt at a request.
+    fn admits_endpoint(&self, request: &Request, class: &RequestClass, index: EndpointIndex) -> bool {
         let endpoint = &self.registry.endpoints[index];
         let is_repeatable = |attempt: &Attempt| match class.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
-            Idempotency::IdempotencyKey => endpoint.recognises_key_of(attempt, class.dedup_scope),
+            Idempotency::IdempotencyKey => attempt.is_recognised_by(endpoint, class.dedup_scope),
         };
         let (version, lowest_version) = (endpoint.version, self.registry.lowest_version);
-        request.is_open()
-            && now < request.deadline
-            && request.attempts.len() < self.permissions.max_attempts
-            && (request.attempts_in_flight() == 0 || self.permissions.hedging)
-            && request.possibly_executed().all(is_repeatable)
-            && request.dedup_window_left(class, SAFETY_MARGIN, now).is_none_or(|left| left > 0.0)
+        request.possibly_executed().all(is_repeatable)
             && endpoint.is_ready
-            && now < self.registry.lease_expires_at(index)
-            && (endpoint.slow_start_tokens >= 1.0 || self.registry.warmup_factor(index, now) >= 1.0)
-            && self.exposure.admits(request, class.idempotency, version, lowest_version, now)
+            && self.now < self.registry.lease_expires_at(index)
+            && (endpoint.slow_start_tokens >= 1.0 || self.registry.warmup_factor(index, self.now) >= 1.0)
+            && self.exposure.admits(request, class.idempotency, version, lowest_version, self.now)
     }
+}
 
-    /// The share of all requests that canaries are to get, for adapters that publish decisions.
-    pub(crate) fn canary_share(&self, sides: &Sides, is_canary_rejected: bool, now: Millis) -> f64 {
-        if sides.baseline.is_empty() {
-            return indicator(!sides.canary.is_empty());
-        }
-        let canary = self.registry.healthy_capacity(&sides.canary, now);
-        let baseline = self.registry.healthy_capacity(&sides.baseline, now);
-        match self.exposure.rollout.map_or(RolloutPhase::Canary, |rollout| rollout.phase) {
-            RolloutPhase::RollingBack | RolloutPhase::RolledBack => 0.0,
-            RolloutPhase::Canary if is_canary_rejected => 0.0,
-            _ if self.analysis.full_traffic_since.is_some() && canary > 0.0 => FULL_TRAFFIC_SHARE,
-            // Over all traffic parity in flight at each endpoint comes to the share of capacity.
-            _ => canary / (canary + baseline).max(f64::MIN_POSITIVE),
+/// Those of some endpoints that may get an attempt at a request now and are below their concurrency limit; among them
+/// those that the request has not tried, if there are any.
+pub(crate) fn available_endpoints(
+    candidates: &[EndpointIndex], request: &Request, class: &RequestClass, gate: &AttemptGate,
+) -> Vec<EndpointIndex> {
+    let endpoints = &gate.registry.endpoints;
+    // An ejected endpoint is used only where all are: waiting costs a request less than a failed attempt.
+    let all_ejected = !endpoints.ready().any(|index| endpoints[index].is_healthy(gate.now));
+    let is_available = |index: &EndpointIndex| {
+        let endpoint = &endpoints[*index];
+        f64::from(endpoint.in_flight) < endpoint.concurrency_limit
+            && (endpoint.is_healthy(gate.now) || all_ejected)
+            && gate.admits(request, class, *index)
+    };
+    let available: Vec<EndpointIndex> = candidates.iter().copied().filter(is_available).collect();
+    let is_untried =
+        |index: &EndpointIndex| request.attempts.iter().all(|attempt| attempt.endpoint != *index);
+    let untried: Vec<EndpointIndex> = available.iter().copied().filter(is_untried).collect();
+    if untried.is_empty() { available } else { untried }
+}
+
+/// Power of two choices: the less loaded of two endpoints drawn at random; none where none is available.
+pub(crate) fn choose_of_two(
+    available: &[EndpointIndex], load: impl Fn(EndpointIndex) -> f64, rng: &mut Pcg64Mcg,
+) -> Option<EndpointIndex> {
+    let first = *available.choose(rng)?;
+    let second = *available.choose(rng)?;
+    Some(if load(second) < load(first) { second } else { first })
+}
+
+/// What the load of an endpoint is computed from.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct EndpointLoad {
+    /// This gateway's attempts in flight there.
+    pub(crate) in_flight: u32,
+    /// It is in another zone, and crossing zones has a cost.
+    pub(crate) crosses_zones: bool,
+    /// Log of the ratio of its recent latencies to the usual ones.
+    pub(crate) latency_bias: f64,
+    /// ms since that was updated.
+    pub(crate) latency_bias_age: Millis,
+    /// Its weight, times the least share of its capacity that it has reached.
+    pub(crate) capacity: f64,
+}
+
+impl EndpointLoad {
+    /// Expected attempts in flight per unit of capacity, were one more sent. A gateway with few attempts of its own in
+    /// flight infers the load of others from latencies.
+    pub(crate) fn value(&self) -> f64 {
+        let bias = if self.crosses_zones { CROSS_ZONE_BIAS } else { 0.0 };
+        let decay = half_life_decay(self.latency_bias_age, LATENCY_BIAS_HALF_LIFE);
+        let slowness = (self.latency_bias * decay).exp();
+        (f64::from(self.in_flight) + bias + 1.0) * slowness / self.capacity
+    }
+}
+
+/// What the published share of the canaries depends on.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ShareInputs {
+    /// There are ready canary endpoints.
+    pub(crate) has_canary: bool,
+    /// There are ready baseline endpoints.
+    pub(crate) has_baseline: bool,
+    /// Capacity of the canary endpoints that are not ejected.
+    pub(crate) canary_capacity: f64,
+    /// Capacity of the baseline endpoints that are not ejected.
+    pub(crate) baseline_capacity: f64,
+    /// The phase of the newest version's rollout.
+    pub(crate) phase: RolloutPhase,
+    /// The newest version was rejected here.
+    pub(crate) is_canary_rejected: bool,
+    /// The canary gets nearly all requests before its promotion.
+    pub(crate) has_full_traffic: bool,
+}
+
+/// The share of all requests, from 0 to 1, that canaries are to get. Over all traffic, equal attempts in flight per
+/// endpoint amount to the canaries' share of the capacity.
+pub(crate) fn canary_share(inputs: &ShareInputs) -> f64 {
+    if !inputs.has_baseline {
+        return indicator(inputs.has_canary);
+    }
+    match inputs.phase {
+        RolloutPhase::RollingBack | RolloutPhase::RolledBack => 0.0,
+        RolloutPhase::Canary if inputs.is_canary_rejected => 0.0,
+        _ if inputs.has_full_traffic && inputs.canary_capacity > 0.0 => FULL_TRAFFIC_SHARE,
+        _ => {
+            let capacity = inputs.canary_capacity + inputs.baseline_capacity;
+            inputs.canary_capacity / capacity.max(f64::MIN_POSITIVE)
         }
     }
 }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,46 +1,85 @@
-//! How much endpoints get while they warm up: one budget over all gateways.
+//! Slow start: how many attempts an endpoint gets while it warms up, under one budget for all gateways.
+//!
+//! Problem: an endpoint that warms up is overloaded by attempts of several gateways, and no gateway knows its part of the
+//! traffic. Method: a token bucket per endpoint that fills in proportion to this gateway's own arrival rate per unit of
+//! capacity; summed over gateways it amounts to a fixed share of the budget, however uneven their traffic.
+//!
+//! The endpoint registry calls [`refill`] before queued requests are sent, and [`start_by_own_clock`] when the list
+//! shows a new start. All inputs are parameters.
 
-use crate::Millis;
-use crate::policy::RATE_WINDOW;
-use crate::state::EndpointRegistry;
+use crate::config::SlowStartConfig;
+use crate::time::Millis;
 
-/// Share of a warming endpoint's budget that is used: twice the capacity may come.
+/// Share of a warming endpoint's budget that is used; the rest covers variation between gateways.
 const BUDGET_SHARE: f64 = 0.5;
-/// Times its usual rate that a burst may raise what warming endpoints get.
+/// Factor on the usual arrival rate up to which a burst raises the refill rate.
 const MAX_RATE_SURGE: f64 = 1.5;
-/// ms in which each endpoint of a gateway's subset is met: its state is known.
+/// ms within which each endpoint of a gateway's subset gets a request, so that its state is current.
 const SUBSET_VISIT_INTERVAL: Millis = 4000.0;
 /// Endpoints of the smallest subset.
 const MIN_SUBSET: f64 = 8.0;
-
-/// ms after its start in which an endpoint is listed, as far as the start that is listed with a change is believed.
+/// ms over which the arrival rate is counted, and in which the usual one follows.
+pub(crate) const RATE_WINDOW: Millis = 2000.0;
+/// ms between a start and its listing as a change beyond which the listed clock time is not used.
 const MAX_DISCOVERY_DELAY: Millis = 60_000.0;
 
-/// When an endpoint started that was not listed before, or not with this start, by this gateway's clock. The wall clocks
-/// of gateways and of the machines that list starts may be an hour apart: a start that is still to come, and one of long ago
-/// that only now comes as a change, are taken to be of this moment.
+/// When an endpoint started by this gateway's clock, in ms; `listed_start`: the clock time on the list. The wall clocks
+/// of gateways and of the machines that list starts may differ by an hour: a start in the future, and one of long ago that
+/// is listed as a change, count as now.
 pub(crate) fn start_by_own_clock(listed_start: Millis, is_snapshot: bool, now: Millis) -> Millis {
     let is_recent = now - listed_start <= MAX_DISCOVERY_DELAY;
-    let is_believed = listed_start <= now && (is_recent || is_snapshot);
-    if is_believed { listed_start } else { now }
+    let is_plausible = listed_start <= now && (is_recent || is_snapshot);
+    if is_plausible { listed_start } else { now }
+}
+
+/// What a refill depends on.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct RefillInputs {
+    /// ms since the last refill.
+    pub(crate) elapsed: Millis,
+    /// Requests that arrived within [`RATE_WINDOW`], without retries.
+    pub(crate) arrivals: usize,
+    /// Ready endpoints.
+    pub(crate) ready_endpoints: usize,
+    /// Sum of the shares of their capacity that they have reached.
+    pub(crate) capacity: f64,
+    /// Running mean of arrivals per ms and unit of capacity before.
+    pub(crate) usual_rate: f64,
+}
+
+/// What a refill leads to.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Refill {
+    /// Running mean of arrivals per ms and unit of capacity.
+    pub(crate) usual_rate: f64,
+    /// The share of the endpoints that is this gateway's subset.
+    pub(crate) subset_size: f64,
+    /// Tokens per ms of an endpoint at full capacity.
+    rate: f64,
+    /// ms since the last refill.
+    elapsed: Millis,
+}
+
+/// The rates that follow from recent arrivals.
+pub(crate) fn refill(inputs: &RefillInputs, config: &SlowStartConfig) -> Refill {
+    let RefillInputs { elapsed, arrivals, ready_endpoints, capacity, .. } = *inputs;
+    let rate = arrivals as f64 / RATE_WINDOW / capacity.max(1.0);
+    let usual_rate = inputs.usual_rate + (elapsed / RATE_WINDOW).min(1.0) * (rate - inputs.usual_rate);
+    let subset = (SUBSET_VISIT_INTERVAL * usual_rate * capacity).max(MIN_SUBSET);
+    let rate = rate.min(MAX_RATE_SURGE * usual_rate);
+    Refill {
+        usual_rate,
+        subset_size: subset / ready_endpoints.max(1) as f64,
+        rate: BUDGET_SHARE * config.overload_multiple * rate,
+        elapsed,
+    }
 }
 
-impl EndpointRegistry {
-    /// Adds to what each warming endpoint may get: summed over all gateways, a fixed share of its budget.
-    pub(crate) fn refill_slow_start_tokens(&mut self, now: Millis) {
-        let elapsed = now - std::mem::replace(&mut self.tokens_refilled_at, now);
-        let capacity: f64 = self.endpoints.ready().map(|index| self.warmup_factor(index, now)).sum();
-        let rate = self.arrivals.count_since(now - RATE_WINDOW) as f64 / RATE_WINDOW / capacity.max(1.0);
-        self.usual_rate += (elapsed / RATE_WINDOW).min(1.0) * (rate - self.usual_rate);
-        let subset = (SUBSET_VISIT_INTERVAL * self.usual_rate * capacity).max(MIN_SUBSET);
-        self.subset_size = subset / self.endpoints.ready().count().max(1) as f64;
-        let rate = rate.min(MAX_RATE_SURGE * self.usual_rate);
-        let refill_rate = BUDGET_SHARE * self.slow_start.overload_multiple * rate;
-        for index in self.endpoints.indices() {
-            let gain = refill_rate * self.warmup_factor(index, now);
-            let max_tokens = 1.0 + gain * self.slow_start.overload_window / 2.0;
-            let tokens = &mut self.endpoints[index].slow_start_tokens;
-            *tokens = (*tokens + gain * elapsed).min(max_tokens);
-        }
+impl Refill {
+    /// The tokens of an endpoint after the refill, at most one plus those of half the overload window.
+    pub(crate) fn refilled(&self, tokens: f64, warmup_factor: f64, config: &SlowStartConfig) -> f64 {
+        let gain = self.rate * warmup_factor;
+        let max_tokens = 1.0 + gain * config.overload_window / 2.0;
+        (tokens + gain * self.elapsed).min(max_tokens)
     }
 }
--- a/crates/policy/src/state/canary.rs
+++ b/crates/policy/src/state/canary.rs
@@ -1,13 +1,12 @@
 //! The evidence on a canary, and the votes cast on it.
 
-use crate::Millis;
 use crate::action::Action;
 use crate::config::VotingConfig;
 use crate::rollout::{RolloutPhase, RolloutState, Verdict, Version};
-use crate::state::{
-    BySide, ClassEvidence, CommonFailures, EndpointIndex, EndpointRegistry, EndpointTable, MetricMoments,
-    OutcomeCounts, Sides, WeightedEvidence,
-};
+use crate::state::endpoint::{EndpointIndex, MetricMoments};
+use crate::state::evidence::{BySide, ClassEvidence, CommonFailures, OutcomeCounts, WeightedEvidence};
+use crate::state::registry::{EndpointRegistry, EndpointTable, Sides};
+use crate::time::Millis;
 
 /// A vote that was cast.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,7 +59,7 @@
 }
 
 /// The endpoints at the moment of an analysis.
-pub struct FleetView {
+pub struct AnalysisView {
     /// Ready endpoints of canaries.
     pub canary: Vec<EndpointIndex>,
     /// Ready endpoints of the baseline.
@@ -112,9 +111,9 @@
     /// Since when that is beyond doubt.
     pub confident_since: Option<Millis>,
     /// There are enough outcomes for a verdict.
-    pub has_enough_samples: bool,
+    pub has_min_samples: bool,
     /// All endpoints are probably slower than before the canary.
-    pub is_fleet_slower: bool,
+    pub are_all_slower: bool,
     /// Since when the canary gets nearly all requests before its promotion.
     pub full_traffic_since: Option<Millis>,
 
@@ -143,13 +142,13 @@
     pub rejection_log: Option<String>,
 }
 
-impl FleetView {
+impl AnalysisView {
     /// What is seen now; `load_window`: the time over which load is counted.
     #[must_use]
     pub fn new(registry: &EndpointRegistry, sides: Sides, load_window: Millis, now: Millis) -> Self {
         let warmup = |index: &EndpointIndex| registry.warmup_factor(*index, now);
         let warmup: Vec<f64> = sides.canary.iter().map(warmup).collect();
-        FleetView {
+        AnalysisView {
             mean_canary_warmup: warmup.iter().sum::<f64>() / warmup.len().max(1) as f64,
             min_canary_warmup: warmup.into_iter().fold(1.0, f64::min),
             load: registry.arrivals_per_answering_endpoint(now - load_window),
@@ -241,7 +240,7 @@
     }
 
     /// Notes the time of an analysis, and remembers the promotion of the watched version for a while.
-    pub fn watch_promotion(&mut self, rollout: &RolloutState, view: &FleetView, duration: Millis) {
+    pub fn watch_promotion(&mut self, rollout: &RolloutState, view: &AnalysisView, duration: Millis) {
         self.analysed_at = view.now;
         self.is_without_baseline = view.baseline.is_empty();
         let (version, now) = (rollout.version, view.now);
--- a/crates/policy/src/state/endpoint.rs
+++ b/crates/policy/src/state/endpoint.rs
@@ -1,18 +1,14 @@
 //! One endpoint, and what this gateway has learnt of it.
 
-use crate::Millis;
 use crate::endpoint::{EndpointEntry, EndpointStatus};
-use crate::request::DedupScope;
 use crate::rollout::Version;
-use crate::state::requests::Attempt;
 use crate::statistics::{RunningMoments, indicator};
+use crate::time::Millis;
+use latchhaven_backoff::ExponentialBackoff;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use std::ops::{Index, IndexMut};
 
-/// Doublings of an ejection's time that are told apart: far above any bound on that time.
-const MAX_DOUBLINGS: u32 = 8;
-
 /// Where an endpoint stands in the table. Indices of removed endpoints are used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EndpointIndex(pub(super) usize);
@@ -149,22 +145,6 @@
         self.latency_bias_at = answered_at;
     }
 
-    /// It recognises the idempotency key of an earlier attempt.
-    #[must_use]
-    pub fn recognises_key_of(&self, attempt: &Attempt, scope: DedupScope) -> bool {
-        match scope {
-            DedupScope::All => true,
-            DedupScope::Zone => attempt.zone == self.zone,
-            DedupScope::Cell => attempt.cell == self.cell && attempt.zone == self.zone,
-        }
-    }
-
-    /// It has answered something, in its present incarnation, since an attempt was sent.
-    #[must_use]
-    pub fn has_answered_since(&self, attempt: &Attempt) -> bool {
-        self.incarnation == attempt.incarnation && self.last_answer_at >= attempt.sent_at
-    }
-
     /// Takes back an attempt in flight; false where it was sent to an earlier incarnation.
     pub fn release(&mut self, incarnation: u32) -> bool {
         let is_same = self.incarnation == incarnation;
@@ -172,12 +152,13 @@
         is_same
     }
 
-    /// Ejects it for a time that doubles with each ejection in a row, and leaves it one attempt in flight after that.
-    pub fn eject(&mut self, now: Millis, base_duration: Millis, max_duration: Millis) {
-        let factor = f64::from(1u32 << self.ejection_count.min(MAX_DOUBLINGS));
-        self.ejected_until = now + (base_duration * factor).min(max_duration);
+    /// Ejects it, leaving it one attempt in flight afterwards; returns for how long in ms.
+    pub fn eject(&mut self, backoff: &ExponentialBackoff, now: Millis) -> Millis {
+        let duration = backoff.upper_bound(self.ejection_count);
+        self.ejected_until = now + duration;
         self.ejection_count += 1;
         self.concurrency_limit = 1.0;
+        duration
     }
 
     /// Moves the concurrency limit; it stays from one to twice what is, or may be, in flight.
--- a/crates/policy/src/state/evidence.rs
+++ b/crates/policy/src/state/evidence.rs
@@ -1,7 +1,7 @@
 //! What is counted for the verdict on a canary.
 
-use crate::Millis;
 use crate::statistics::RunningMoments;
+use crate::time::Millis;
 
 /// Attempts that the platform counted.
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/policy/src/state/exposure.rs
+++ b/crates/policy/src/state/exposure.rs
@@ -1,10 +1,10 @@
 //! What each canary got, against what came in.
 
-use crate::Millis;
 use crate::config::ExposureConfig;
 use crate::rollout::{RolloutPhase, RolloutState, Version};
 use crate::snapshot::Canary;
 use crate::state::window::SlidingWindow;
+use crate::time::Millis;
 use std::collections::BTreeMap;
 
 /// The counts that the rule on exposure is kept by.
--- a/crates/policy/src/state/registry.rs
+++ b/crates/policy/src/state/registry.rs
@@ -1,16 +1,17 @@
 //! The endpoint list: every endpoint by index, and what is counted over all of them.
 
-use crate::Millis;
-use crate::action::Action;
 use crate::config::{DiscoveryConfig, SlowStartConfig};
 use crate::endpoint::EndpointEntry;
 use crate::list_lease::ListLease;
+use crate::log_event::{EjectionReason, LogEvent};
 use crate::rollout::Version;
-use crate::slow_start::start_by_own_clock;
+use crate::slow_start::{self, RATE_WINDOW, RefillInputs, start_by_own_clock};
 use crate::snapshot::EndpointSnapshot;
+use crate::state::endpoint::{Endpoint, EndpointIndex, Metric, MetricMoments};
 use crate::state::window::SlidingWindow;
-use crate::state::{Endpoint, EndpointIndex, Metric, MetricMoments};
 use crate::statistics::RunningMoments;
+use crate::time::Millis;
+use latchhaven_backoff::ExponentialBackoff;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
@@ -197,14 +198,44 @@
         ready.peek().is_some() && ready.all(|index| self.lease_expires_at(index) <= now)
     }
 
-    /// Ejects an endpoint for a time that doubles up to a bound; the first time in a row it may be logged.
-    pub fn eject_for(
-        &mut self, index: EndpointIndex, duration: Millis, max_duration: Millis, reason: &str, now: Millis,
-    ) -> Option<Action> {
+    /// Ejects an endpoint that is not ejected already; the first ejection in a row may be logged.
+    pub fn eject(
+        &mut self, index: EndpointIndex, reason: EjectionReason, backoff: &ExponentialBackoff, now: Millis,
+    ) -> Option<LogEvent> {
         let endpoint = &mut self.endpoints[index];
-        endpoint.eject(now, duration, max_duration);
+        if !endpoint.is_healthy(now) {
+            return None;
+        }
+        let ejected_for = endpoint.eject(backoff, now);
         let is_logged = endpoint.ejection_count == 1 && self.logs_ejections;
-        is_logged.then(|| Action::Log(format!("endpoint ejected endpoint={} reason={reason:?}", endpoint.id)))
+        is_logged.then(|| LogEvent::EndpointEjected {
+            endpoint: endpoint.id.clone(),
+            incarnation: endpoint.incarnation,
+            reason,
+            ejected_for,
+            error_rate: endpoint.error_rate,
+            consecutive_timeouts: endpoint.consecutive_timeouts,
+        })
+    }
+
+    /// Adds slow start tokens to all endpoints.
+    pub(crate) fn refill_slow_start_tokens(&mut self, now: Millis) {
+        let elapsed = now - std::mem::replace(&mut self.tokens_refilled_at, now);
+        let inputs = RefillInputs {
+            elapsed,
+            arrivals: self.arrivals.count_since(now - RATE_WINDOW),
+            ready_endpoints: self.endpoints.ready().count(),
+            capacity: self.endpoints.ready().map(|index| self.warmup_factor(index, now)).sum(),
+            usual_rate: self.usual_rate,
+        };
+        let refill = slow_start::refill(&inputs, &self.slow_start);
+        self.usual_rate = refill.usual_rate;
+        self.subset_size = refill.subset_size;
+        for index in self.endpoints.indices() {
+            let warmup_factor = self.warmup_factor(index, now);
+            let tokens = &mut self.endpoints[index].slow_start_tokens;
+            *tokens = refill.refilled(*tokens, warmup_factor, &self.slow_start);
+        }
     }
 
     /// The least share of its capacity that an endpoint has reached by now.
--- a/crates/policy/src/state/requests.rs
+++ b/crates/policy/src/state/requests.rs
@@ -1,11 +1,11 @@
 //! The requests that a gateway has taken, and how they are served.
 
-use crate::Millis;
 use crate::event::{CompletedAttempt, IncomingRequest};
-use crate::request::{AttemptOutcome, Idempotency, RequestClass, RequestId};
+use crate::request::{AttemptOutcome, DedupScope, Idempotency, RequestClass, RequestId};
 use crate::rollout::Version;
-use crate::state::{Endpoint, EndpointIndex};
+use crate::state::endpoint::{Endpoint, EndpointIndex};
 use crate::statistics::half_life_decay;
+use crate::time::Millis;
 use std::collections::BTreeMap;
 
 /// Tenants that are remembered at most: a bound of memory, far above those that matter at once.
@@ -56,6 +56,22 @@
     pub fn is_possibly_executed(&self) -> bool {
         !self.outcome.is_some_and(AttemptOutcome::is_definitely_not_executed)
     }
+
+    /// An endpoint recognises the idempotency key of this earlier attempt.
+    #[must_use]
+    pub fn is_recognised_by(&self, endpoint: &Endpoint, scope: DedupScope) -> bool {
+        match scope {
+            DedupScope::All => true,
+            DedupScope::Zone => self.zone == endpoint.zone,
+            DedupScope::Cell => self.cell == endpoint.cell && self.zone == endpoint.zone,
+        }
+    }
+
+    /// Its endpoint has answered something, in the same incarnation, since it was sent.
+    #[must_use]
+    pub fn is_followed_by_answer(&self, endpoint: &Endpoint) -> bool {
+        endpoint.incarnation == self.incarnation && endpoint.last_answer_at >= self.sent_at
+    }
 }
 
 /// A request that was taken and is not yet forgotten.
@@ -233,6 +249,13 @@
         Some(attempt.clone())
     }
 
+    /// Records the time in ms that a client left to a request of a class; returns the longest so far.
+    pub fn record_timeout(&mut self, class: usize, time_remaining: Millis) -> Millis {
+        let longest = &mut self.longest_timeout[class];
+        *longest = longest.max(time_remaining);
+        *longest
+    }
+
     /// Allows more retries, up to a bound.
     pub fn add_retry_budget(&mut self, retries: f64, max: f64) {
         self.retry_budget = (self.retry_budget + retries).min(max);
--- a/crates/policy/src/state/timer.rs
+++ b/crates/policy/src/state/timer.rs
@@ -1,7 +1,7 @@
 //! When the policy looks round next, and the timer that it asked for.
 
-use crate::Millis;
 use crate::action::Action;
+use crate::time::Millis;
 
 /// What the timer of ticks is set with.
 const TICK_TOKEN: &str = "look";
--- a/crates/policy/src/state/window.rs
+++ b/crates/policy/src/state/window.rs
@@ -1,6 +1,6 @@
 //! Moments at which something happened, kept for a while.
 
-use crate::Millis;
+use crate::time::Millis;
 use std::collections::VecDeque;
 
 /// Moments, oldest first.
--- /dev/null
+++ b/crates/policy/src/time.rs
@@ -0,0 +1,4 @@
+//! The unit of time of all decisions.
+
+/// Milliseconds, with fractions.
+pub type Millis = f64;
--- a/crates/policy/src/verdict.rs
+++ b/crates/policy/src/verdict.rs
@@ -1,10 +1,14 @@
 //! The verdict on a canary, and the votes that follow from it.
 
+use crate::action::Action;
 use crate::canary::{FAILURE_MARGIN, MAX_LOAD_RATIO, MIN_OUTCOMES, SPEED_MARGIN};
-use crate::policy::RETRY_INTERVAL;
-use crate::state::{CanaryAnalysis, CanaryContext, CastVote, EndpointTable, FleetView, Metric, Suspicion};
+use crate::config::{GatewayIdentity, VoteMode, VotingConfig};
+use crate::rollout::{RolloutPhase, RolloutState, Verdict};
+use crate::state::canary::{AnalysisView, CanaryAnalysis, CanaryContext, CastVote, Suspicion};
+use crate::state::endpoint::Metric;
+use crate::state::registry::EndpointTable;
 use crate::statistics::{MeanComparison, RunningMoments, poisson_probability_of_fewer};
-use crate::{Action, Millis, RolloutPhase, RolloutState, Verdict, VoteMode};
+use crate::time::Millis;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
@@ -33,11 +37,28 @@
 const FULL_TRAFFIC_DURATION: Millis = 6000.0;
 /// Analyses of new reports of one version, which share δ.
 const LOOKS: f64 = 10.0;
+/// ms after which a vote that did not count is cast again.
+const VOTE_RETRY_INTERVAL: Millis = 500.0;
+/// Gateways that vote at one analysis on average, for each vote of the quorum: the platform accepts few calls.
+const VOTERS_PER_ANALYSIS: f64 = 8.0;
+
+/// The probability of a wrong rollback that one gateway may accept: δ shared among all groups of gateways whose votes
+/// suffice.
+pub(crate) fn own_error_rate(identity: &GatewayIdentity, voting: &VotingConfig) -> f64 {
+    let deciders = f64::from(identity.gateway_count.max(1)) / f64::from(voting.rollback_quorum.max(1));
+    ROLLBACK_ERROR_RATE / deciders.max(1.0)
+}
+
+/// The probability that a gateway casts a vote that is due, at one analysis.
+pub(crate) fn vote_probability(identity: &GatewayIdentity, voting: &VotingConfig) -> f64 {
+    let quorum = voting.promote_quorum.max(voting.pause_quorum).max(voting.rollback_quorum).max(1);
+    VOTERS_PER_ANALYSIS * f64::from(quorum) / f64::from(identity.gateway_count.max(1))
+}
 
 impl CanaryAnalysis {
     /// Analyses the canary, or the version just promoted, every so often, and votes.
     pub(crate) fn analyse(
-        &mut self, rng: &mut Pcg64Mcg, endpoints: &mut EndpointTable, view: &FleetView,
+        &mut self, rng: &mut Pcg64Mcg, endpoints: &mut EndpointTable, view: &AnalysisView,
         rollout: &RolloutState, actions: &mut Vec<Action>,
     ) {
         self.refresh(endpoints, view, rollout);
@@ -46,20 +67,23 @@
         let suspicions = self.suspicions(rng, endpoints, view, &context);
         let has_outcomes = |members| endpoints.pooled_metric(Metric::Success, members).count >= MIN_OUTCOMES;
         let has_own = has_outcomes(&view.canary) && (context.is_alone || has_outcomes(&view.baseline));
-        self.has_enough_samples = context.is_canary && (has_own || self.reported_attempts >= MIN_OUTCOMES);
+        self.has_min_samples = context.is_canary && (has_own || self.reported_attempts >= MIN_OUTCOMES);
         self.conclude(suspicions, rollout, view.now);
         let since_start = view.since_newest_start(endpoints).filter(|_| context.is_canary);
         let verdict = self.verdict(rollout, since_start.unwrap_or(f64::NEG_INFINITY), view.now);
         let vote = CastVote { version: rollout.version, stage: rollout.stage, verdict };
         // One vote suffices where one is needed, and the platform takes few: gateways draw who votes.
-        if self.is_vote_due(vote, RETRY_INTERVAL, view.now) && rng.random::<f64>() < self.vote_probability {
+        if self.is_vote_due(vote, VOTE_RETRY_INTERVAL, view.now)
+            && rng.random::<f64>() < self.vote_probability
+        {
             actions.extend(self.record_vote(vote, view.now));
         }
     }
 
     /// All tests that apply; of equally strong ones the last is logged.
     fn suspicions(
-        &mut self, rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &FleetView, context: &CanaryContext,
+        &mut self, rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &AnalysisView,
+        context: &CanaryContext,
     ) -> Vec<Suspicion> {
         // δ is shared among looks, and among gateways but for reports, which are the same for all.
         let error_rate = self.own_error_rate / LOOKS;
@@ -71,7 +95,7 @@
         if context.is_canary && !is_vouched_for {
             suspicions.push(own(self.own_failures(endpoints, view), "own errors and wrong answers"));
         }
-        let slowdown = self.fleet_slowdown(rng, endpoints, view, context);
+        let slowdown = self.slowdown_of_all(rng, endpoints, view, context);
         suspicions.extend(slowdown.map(|probability| own(probability, "fleet slowdown")));
         if context.is_canary && !context.is_alone {
             suspicions.push(own(compare(rng, endpoints, view, Metric::Success, 0.0), "success rate"));
@@ -86,7 +110,7 @@
     }
 
     /// The probability of fewer own errors and wrong answers, were the canary as right as others: too rare for a Gaussian.
-    fn own_failures(&self, endpoints: &EndpointTable, view: &FleetView) -> f64 {
+    fn own_failures(&self, endpoints: &EndpointTable, view: &AnalysisView) -> f64 {
         let wrong = |moments: &RunningMoments| moments.count * (1.0 - moments.mean);
         let canary = endpoints.metric_of(Metric::Correctness, &view.canary);
         let canary = RunningMoments::pooled_without_worst(&canary);
@@ -100,8 +124,9 @@
     }
 
     /// A canary may slow all endpoints, old and new: then only the time before it came compares.
-    fn fleet_slowdown(
-        &mut self, rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &FleetView, context: &CanaryContext,
+    fn slowdown_of_all(
+        &mut self, rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &AnalysisView,
+        context: &CanaryContext,
     ) -> Option<f64> {
         let members = if view.baseline.is_empty() { &view.canary } else { &view.baseline };
         let speed = endpoints.pooled_metric(Metric::Latency, members);
@@ -113,7 +138,7 @@
             && view.load <= MAX_LOAD_RATIO * self.load_before_canary;
         let mut slower = |margin| POSTERIOR.probability_first_is_higher(rng, &before, &speed, margin);
         let clearly_slower = slower(SPEED_MARGIN);
-        self.is_fleet_slower = is_comparable && slower(SPEED_MARGIN / 2.0) > MAX_DOUBT;
+        self.are_all_slower = is_comparable && slower(SPEED_MARGIN / 2.0) > MAX_DOUBT;
         let reports_deny = context.is_reported && self.latency_ratio_log < SPEED_MARGIN / 2.0;
         (is_comparable && !self.has_preexisting_failures && !reports_deny).then_some(clearly_slower)
     }
@@ -160,19 +185,19 @@
             return if is_over { Verdict::Abstain } else { Verdict::RollBack };
         }
         if self.voting.mode == VoteMode::Clocked {
-            let is_doubtful = self.has_enough_samples && self.probability_worse > MAX_DOUBT;
+            let is_doubtful = self.has_min_samples && self.probability_worse > MAX_DOUBT;
             return if is_doubtful { Verdict::Pause } else { Verdict::Abstain };
         }
         let is_fit = self.is_fit(rollout, since_start);
         // Nothing is capped any more: the canary carries nearly all for a while, unless too much fails then.
-        let is_known = self.has_enough_samples || self.full_traffic_since.is_some();
+        let is_known = self.has_min_samples || self.full_traffic_since.is_some();
         let carries_all = is_fit && rollout.traffic_cap >= 1.0 && is_known;
         self.full_traffic_since = carries_all.then(|| self.full_traffic_since.unwrap_or(now));
         let duration = if self.is_without_baseline { SETTLING_TIME } else { FULL_TRAFFIC_DURATION };
         let patience = FEW_OUTCOMES_PATIENCE * f64::from(rollout.stage + 1);
         let has_evidence = match self.full_traffic_since {
-            Some(since) => self.has_enough_samples && now - since >= duration,
-            None => self.has_enough_samples || since_start >= patience,
+            Some(since) => self.has_min_samples && now - since >= duration,
+            None => self.has_min_samples || since_start >= patience,
         };
         if is_fit && has_evidence { Verdict::Promote } else { Verdict::Abstain }
     }
@@ -183,13 +208,13 @@
         let has_few_failures = self.evidence.failures <= self.evidence.expected_failures;
         let is_calm = rollout.traffic_cap < 1.0 || was_slow_before || has_few_failures;
         let is_stable = since_start >= SETTLING_TIME;
-        is_stable && self.probability_worse <= MAX_DOUBT && is_calm && !self.is_fleet_slower
+        is_stable && self.probability_worse <= MAX_DOUBT && is_calm && !self.are_all_slower
     }
 }
 
 /// The probability that the baseline is better in one metric, by all of the canary's endpoints and without the worst.
 fn compare(
-    rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &FleetView, metric: Metric, handicap: f64,
+    rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &AnalysisView, metric: Metric, handicap: f64,
 ) -> f64 {
     let baseline = endpoints.pooled_metric(metric, &view.baseline);
     let canary = endpoints.metric_of(metric, &view.canary);
