--- a/crates/cli/tests/gateway/discovery.rs
+++ b/crates/cli/tests/gateway/discovery.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn watch_starts_at_the_held_version_and_changes_apply_at_once() {
+fn watch_starts_at_the_current_version_and_changes_apply_immediately() {
     let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
     let gateway = Gateway::start_watching(&[&old], |_| ());
     let changes = [host("s0", old.addr, "draining", 1), host("s1", new.addr, "up", 1)];
@@ -94,7 +94,7 @@
     let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start(&[&server]);
     wait_until("silence is noticed", || {
-        gateway.logged("no sign of life") && gateway.discovery.count_calls("watch") >= 2
+        gateway.logged("no keepalive in time") && gateway.discovery.count_calls("watch") >= 2
     });
 }
 
--- a/crates/gateway/src/arrivals.rs
+++ b/crates/gateway/src/arrivals.rs
@@ -1,20 +1,20 @@
-//! When the bytes of a connection arrived: a request's time runs from its last byte, also while it waits behind
-//! others.
+//! When the bytes of a connection arrived. The timeout of a request starts with its last byte, even while it is queued
+//! behind others.
 
+use crate::limits::messages::MAX_ARRIVAL_CHUNKS;
 use latchhaven_policy::Millis;
 use std::collections::VecDeque;
 
-/// Chunks that are told apart at most; further ones count as arrived with the newest of these.
-const MAX_CHUNKS: usize = 64;
-
 /// Bytes that arrived together.
 #[derive(Clone, Debug)]
 struct Chunk {
     bytes: usize,
+    /// In ms.
     arrived_at: Millis,
 }
 
-/// The bytes that were read and not yet consumed, in chunks that arrived together.
+/// The arrival times of bytes that were read and not yet consumed. Above [`MAX_ARRIVAL_CHUNKS`] chunks, new bytes count
+/// with the newest one.
 #[derive(Clone, Debug, Default)]
 pub struct ArrivalTimes {
     chunks: VecDeque<Chunk>,
@@ -22,26 +22,27 @@
 }
 
 impl ArrivalTimes {
-    /// So many bytes are buffered in all by now; what is new arrived at this time.
+    /// `buffered` bytes are buffered now; those that are new arrived at `at` in ms.
     pub fn record(&mut self, buffered: usize, at: Millis) {
         let new_bytes = buffered.saturating_sub(self.buffered);
         if new_bytes == 0 {
             return;
         }
         self.buffered += new_bytes;
-        let is_full = self.chunks.len() >= MAX_CHUNKS;
+        let is_full = self.chunks.len() >= MAX_ARRIVAL_CHUNKS;
         match self.chunks.back_mut() {
             Some(newest) if newest.arrived_at == at || is_full => newest.bytes += new_bytes,
             _ => self.chunks.push_back(Chunk { bytes: new_bytes, arrived_at: at }),
         }
     }
 
-    /// How many bytes are known of.
+    /// The number of recorded bytes.
+    #[must_use]
     pub fn buffered(&self) -> usize {
         self.buffered
     }
 
-    /// So many bytes are still buffered; when the last one of those that were consumed arrived.
+    /// `buffered` bytes are left. Returns when the last consumed byte arrived, in ms.
     pub fn consume(&mut self, buffered: usize) -> Option<Millis> {
         let mut consumed = self.buffered.saturating_sub(buffered);
         let mut last_arrival = None;
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock, and durations of ms.
+//! The gateway's clock, and the conversion between durations and the decisions' milliseconds.
 
 use latchhaven_policy::Millis;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -10,12 +10,19 @@
 /// The duration of so many ms.
 ///
 /// # Panics
-/// Where they are negative or beyond all reason.
+/// Where they are negative or exceed the range of a [`Duration`].
+#[must_use]
 pub fn duration(ms: Millis) -> Duration {
     Duration::from_secs_f64(ms / MS_PER_SECOND)
 }
 
-/// Unix time in ms at the start, and monotonic from there: the list gives the starts of endpoints in Unix time.
+/// A duration in ms.
+#[must_use]
+pub fn millis(duration: Duration) -> Millis {
+    duration.as_secs_f64() * MS_PER_SECOND
+}
+
+/// Unix time in ms at the start, and monotonic from there. Unix time, because the endpoint list gives start times in it.
 #[derive(Clone, Copy)]
 pub struct Clock {
     unix_at_start: Millis,
@@ -23,24 +30,26 @@
 }
 
 impl Clock {
-    /// A clock that is set by the system's time now.
+    /// A clock that is set to the system's time.
+    #[must_use]
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix_at_start: unix.as_secs_f64() * MS_PER_SECOND, started_at: Instant::now() }
+        Clock { unix_at_start: millis(unix), started_at: Instant::now() }
     }
 
-    /// The time now.
+    /// The current time in ms.
+    #[must_use]
     pub fn now(&self) -> Millis {
-        self.unix_at_start + self.started_at.elapsed().as_secs_f64() * MS_PER_SECOND
+        self.unix_at_start + millis(self.started_at.elapsed())
     }
 
-    /// The time of an instant of the runtime.
+    /// The time in ms of an instant of the runtime.
     pub(crate) fn time_of(&self, instant: Instant) -> Millis {
         let since_start = instant.saturating_duration_since(self.started_at);
-        self.unix_at_start + since_start.as_secs_f64() * MS_PER_SECOND
+        self.unix_at_start + millis(since_start)
     }
 
-    /// The runtime's instant of a time; times before the start count as the start.
+    /// The runtime's instant of a time in ms; a time before the start is mapped to the start.
     pub(crate) fn instant(&self, at: Millis) -> Instant {
         self.started_at + duration((at - self.unix_at_start).max(0.0))
     }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,5 +1,6 @@
-//! The one place where the gateway's configuration is read, checked and given defaults. Errors name the faulty key.
+//! Reads and checks the gateway's configuration, and sets defaults. Errors name the faulty key.
 
+use crate::limits::start::{DEFAULT_DESCRIPTORS, MIN_DESCRIPTORS};
 use crate::net::list::{self, List};
 use crate::net::platform;
 use latchhaven_policy::RolloutState;
@@ -9,26 +10,22 @@
 
 /// The variable that names the file.
 const CONFIG_VARIABLE: &str = "BALANCER_CONFIG";
-/// Descriptors where `limits.sockets` is not given.
-const DEFAULT_SOCKETS: u64 = 1024;
-/// The fewest descriptors that a gateway can work with.
-const MIN_SOCKETS: u64 = 64;
 
 /// What is wrong with the configuration.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum ConfigError {
-    /// A variable that is needed is not set.
+    /// A required variable is not set.
     #[error("{0}: not set")]
     Unset(&'static str),
     /// The file cannot be read.
     #[error("{0}: cannot be read: {1}")]
     Unreadable(String, String),
-    /// A key has a value that is not valid, or is missing.
+    /// A key is missing or has an invalid value.
     #[error("{0}: {1}")]
     Key(String, String),
 }
 
-/// Where this gateway listens, and whom it speaks with.
+/// Addresses of the gateway and of the services that it calls.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Addresses {
     /// This gateway's name, in logs.
@@ -37,11 +34,11 @@
     pub listen: SocketAddr,
     /// The discovery service.
     pub discovery: SocketAddr,
-    /// The platform; without one there are neither rollout states nor votes.
+    /// The platform. None: there are no rollout states and no votes.
     pub platform: Option<SocketAddr>,
 }
 
-/// What was known when this gateway was started; the list may be old.
+/// The cached state at the start; the list may be old.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InitialState {
     /// The endpoint list.
@@ -50,17 +47,17 @@
     pub rollout: Option<RolloutState>,
 }
 
-/// All that a file says.
+/// The content of a configuration file.
 pub struct GatewayConfig {
-    /// Where the gateway listens, and whom it speaks with.
+    /// Addresses of the gateway and of the services that it calls.
     pub addresses: Addresses,
     /// Descriptors that the gateway may use.
     pub max_sockets: usize,
-    /// What is known at the start.
+    /// The cached state.
     pub initial_state: InitialState,
     /// Seeds the random generators.
     pub seed: u64,
-    /// Classes, permissions, rules and votes.
+    /// Classes, permissions, rules and voting.
     pub settings: Settings,
 }
 
@@ -73,7 +70,7 @@
     pub platform: Option<SocketAddr>,
 }
 
-/// Reads the file that `BALANCER_CONFIG` names; the other variables go before what stands in it.
+/// Reads the file that `BALANCER_CONFIG` names; other variables take precedence over its keys.
 ///
 /// # Errors
 /// The first fault, with its key.
@@ -81,7 +78,7 @@
     read_file(env, DiscoverySource::VariableFirst)
 }
 
-/// Reads and checks the whole file once more: where discovery and the platform are from now on.
+/// Reads and checks the file again, and returns the addresses that may change.
 ///
 /// # Errors
 /// The first fault, with its key.
@@ -90,7 +87,7 @@
     Ok(ServiceAddresses { discovery: addresses.discovery, platform: addresses.platform })
 }
 
-/// Which address of the discovery service counts. The variable named it at the start; what the file says later is newer.
+/// Which address of the discovery service takes precedence: the variable at the start, the file at a reload.
 #[derive(Clone, Copy, PartialEq)]
 enum DiscoverySource {
     VariableFirst,
@@ -115,7 +112,7 @@
     let unreadable = |reason: String| ConfigError::Unreadable(format!("{CONFIG_VARIABLE}: {path}"), reason);
     let text = std::fs::read_to_string(path).map_err(|error| unreadable(error.to_string()))?;
     let file: Value = serde_json::from_str(&text).map_err(|error| unreadable(error.to_string()))?;
-    if file.is_object() { Ok(file) } else { Err(unreadable("no JSON object".to_string())) }
+    if file.is_object() { Ok(file) } else { Err(unreadable("not a JSON object".to_string())) }
 }
 
 fn addresses(
@@ -135,16 +132,16 @@
     Ok(Addresses { name, listen, discovery, platform })
 }
 
-/// Descriptors; the limit of memory is checked as well.
+/// The limit of descriptors. The limit of memory is only checked.
 fn max_sockets(file: &Value) -> Result<usize, ConfigError> {
     let sockets = match present(file, "/limits/sockets") {
-        None => DEFAULT_SOCKETS,
-        Some(value) => value.as_u64().ok_or_else(|| key_error("limits.sockets", "no whole number"))?,
+        None => DEFAULT_DESCRIPTORS,
+        Some(value) => value.as_u64().ok_or_else(|| key_error("limits.sockets", "not an integer"))?,
     };
-    if sockets < MIN_SOCKETS {
-        return Err(key_error("limits.sockets", &format!("{sockets} is below {MIN_SOCKETS}")));
+    if sockets < MIN_DESCRIPTORS {
+        return Err(key_error("limits.sockets", &format!("{sockets} is below {MIN_DESCRIPTORS}")));
     }
-    // Checked though nothing is derived from it: a gateway without memory would die without a word.
+    // Nothing is derived from it, but a gateway with too little would be killed without an error message.
     let memory = file.pointer("/limits/memory_mb");
     if memory.is_some_and(|value| !value.as_f64().is_some_and(|mib| mib > 0.0)) {
         return Err(key_error("limits.memory_mb", "not above 0"));
@@ -174,7 +171,7 @@
         Some(Value::Number(number)) => number.as_u64(),
         Some(value) => u64::from_str_radix(text("seed", value)?, 16).ok(),
     };
-    seed.ok_or_else(|| key_error("seed", "no hexadecimal number of up to 16 digits"))
+    seed.ok_or_else(|| key_error("seed", "not a hexadecimal number of up to 16 digits"))
 }
 
 fn settings(file: &Value) -> Result<Settings, ConfigError> {
@@ -182,7 +179,7 @@
     settings::parse(&settings.to_string()).map_err(|error| key_error("settings", &error.to_string()))
 }
 
-/// The value at a path, if there is one and it is not null.
+/// The value at a path unless it is missing or null.
 fn present<'a>(file: &'a Value, path: &str) -> Option<&'a Value> {
     file.pointer(path).filter(|value| !value.is_null())
 }
@@ -192,7 +189,7 @@
 }
 
 fn text<'a>(key: &str, value: &'a Value) -> Result<&'a str, ConfigError> {
-    value.as_str().filter(|text| !text.is_empty()).ok_or_else(|| key_error(key, "no text"))
+    value.as_str().filter(|text| !text.is_empty()).ok_or_else(|| key_error(key, "not a non-empty string"))
 }
 
 fn variable_or_key(
@@ -208,5 +205,5 @@
 }
 
 fn parse_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| key_error(key, &format!("'{text}' is no address:port")))
+    text.parse().map_err(|_| key_error(key, &format!("'{text}' is not address:port")))
 }
--- a/crates/gateway/src/counters.rs
+++ b/crates/gateway/src/counters.rs
@@ -1,12 +1,12 @@
-//! Counters of this process, and invariants: a violated invariant ends a debug build and is counted in a release
-//! build.
+//! Counters of this process, and invariants. A violated invariant panics in a debug build, and is counted and logged in
+//! a release build.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 macro_rules! counters {
     ($($name:ident),* $(,)?) => {
-        /// One metric for each thing that happens; docs/counters.md says what each one means.
+        /// The metrics; docs/counters.md describes each one.
         #[derive(Default)]
         pub struct Counters {
             $(
@@ -32,7 +32,7 @@
     };
 }
 
-/// One figure that is counted, set, or raised.
+/// One number: a counter, a gauge or a maximum.
 #[derive(Default)]
 pub struct Metric(AtomicU64);
 
@@ -42,17 +42,18 @@
         self.0.fetch_add(1, Relaxed);
     }
 
-    /// Sets a figure that goes up and down.
+    /// Sets a gauge.
     pub fn set(&self, value: usize) {
         self.0.store(value as u64, Relaxed);
     }
 
-    /// Raises a figure to the highest value that there was.
+    /// Raises a maximum.
     pub fn record_max(&self, value: usize) {
         self.0.fetch_max(value as u64, Relaxed);
     }
 
-    /// The present figure.
+    /// The current value.
+    #[must_use]
     pub fn value(&self) -> u64 {
         self.0.load(Relaxed)
     }
@@ -114,8 +115,8 @@
     invariant_violations_total,
 );
 
-/// Checks an invariant: a violation ends a debug build, and is counted and logged in a release build. Returns whether
-/// it holds.
+/// Checks an invariant. A violation panics in a debug build, and is counted and logged in a release build. Returns
+/// whether the condition is true.
 #[macro_export]
 macro_rules! invariant {
     ($condition:expr, $description:expr) => {{
--- a/crates/gateway/src/discovery/calls.rs
+++ b/crates/gateway/src/discovery/calls.rs
@@ -6,16 +6,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// What the driver has to do, in the order in which it is given.
+/// A command to the driver. Commands are executed in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryCommand {
-    /// Start a watch of what changes after a version; version 0 asks for everything.
+    /// Start a watch of changes after a version; version 0 requests all endpoints.
     StartWatch {
         /// The call's id.
         call: CallId,
         /// The discovery service.
         address: SocketAddr,
-        /// The version that is held.
+        /// The version of the current list.
         after_version: u64,
     },
     /// Start a single call for a snapshot.
@@ -61,7 +61,7 @@
         self.commands.push(DiscoveryCommand::Abort { call });
     }
 
-    /// Directs later calls to another address; false if it is the present one.
+    /// Sets the address of later calls. False: it is unchanged.
     pub(super) fn set_address(&mut self, address: SocketAddr) -> bool {
         let has_changed = self.address != address;
         self.address = address;
--- a/crates/gateway/src/discovery/ordered_client.rs
+++ b/crates/gateway/src/discovery/ordered_client.rs
@@ -1,51 +1,52 @@
-//! The gateway's client of the discovery service. It watches from the version it holds, and takes a list over only if
-//! it is newer. When the service's address changes, the earlier watch goes on until the new one has delivered a list.
+//! The gateway's client of the discovery service. It watches from the current version, and applies a list only if it is
+//! newer. When the service's address changes, the previous watch continues until the new one has delivered a list.
 
 use super::calls::{CallId, CallStarter, DiscoveryCommand};
 use super::list_version::{ReceivedVersion, VersionOrder, compare_versions};
 use std::net::SocketAddr;
 
-/// A call that was started and not replaced.
+/// A call that was started and not replaced by another one.
 #[derive(Clone, Copy, Debug)]
 struct ActiveCall {
     id: CallId,
     has_delivered: bool,
-    /// How many lists had been taken over when it was started, or when it last delivered one.
+    /// The number of lists that were applied before it was started, or before it last delivered one.
     lists_seen: u64,
 }
 
-/// What becomes of a list that a call has delivered.
+/// What is to be done with a list that a call has delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListDecision {
-    /// The call was replaced: nothing follows.
+    /// The call was replaced: the list is ignored.
     Ignored,
     /// The list is newer: it is to be applied.
     Apply,
     /// The list is not newer, and its call is aborted.
     Discard {
-        /// The call was a current one: its failure is to be reported.
+        /// The call is current: the decisions have to be notified of its failure.
         is_current: bool,
     },
 }
 
-/// The calls for the endpoint list, and the version that is held.
+/// The calls for the endpoint list, and the version of the current list.
 #[derive(Debug)]
 pub struct EndpointListClient {
     starter: CallStarter,
-    held_version: u64,
+    current_version: u64,
     lists_applied: u64,
     watch: Option<ActiveCall>,
     fetch: Option<ActiveCall>,
-    /// The watch of an earlier address, until the new watch has delivered a list.
+    /// The watch at a previous address, until the new watch has delivered a list.
     previous_watch: Option<ActiveCall>,
 }
 
 impl EndpointListClient {
     /// A client without a list and without calls.
+    #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         EndpointListClient {
             starter: CallStarter::new(address),
-            held_version: 0,
+            current_version: 0,
             lists_applied: 0,
             watch: None,
             fetch: None,
@@ -53,9 +54,9 @@
         }
     }
 
-    /// The version that is held; 0 if the next watch is to begin with everything.
-    pub fn held_version(&self) -> u64 {
-        self.held_version
+    /// The version of the current list; 0 if the next watch is to request all endpoints.
+    pub fn current_version(&self) -> u64 {
+        self.current_version
     }
 
     /// The commands recorded since the last call of this method.
@@ -63,13 +64,13 @@
         self.starter.take_commands()
     }
 
-    /// Holds a list that did not come from a call.
+    /// Sets the version of a list that no call has delivered.
     pub fn restore(&mut self, version: u64) {
-        self.held_version = version;
+        self.current_version = version;
         self.lists_applied += 1;
     }
 
-    /// Ends the watch, and starts a new one if `enabled`.
+    /// Aborts the watch, and starts a new one if `enabled`.
     pub fn set_watch(&mut self, enabled: bool) {
         if let Some(watch) = self.watch.take() {
             self.starter.abort(watch.id);
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Starts a call for a snapshot in place of an earlier one.
+    /// Fetches a snapshot; replaces an earlier fetch.
     pub fn fetch(&mut self) {
         let id = self.starter.start_fetch();
         let replaced = self.fetch.replace(self.active_call(id));
@@ -95,32 +96,32 @@
         };
         let is_overtaken = lists_seen < self.lists_applied;
         let received = ReceivedVersion { version, is_snapshot, is_overtaken };
-        match compare_versions(self.held_version, received) {
+        match compare_versions(self.current_version, received) {
             VersionOrder::Newer => {
                 self.apply(call, version);
                 return ListDecision::Apply;
             }
             VersionOrder::Stale => {}
-            // The list that this delta changes is not known here: a snapshot has to come.
-            VersionOrder::Gap => self.held_version = 0,
+            // The delta refers to an unknown list: the next watch has to request all endpoints.
+            VersionOrder::Gap => self.current_version = 0,
         }
         self.starter.abort(call);
         ListDecision::Discard { is_current: self.is_current(call) }
     }
 
-    /// A call has failed, or a watch has ended. True if its failure is to be reported.
+    /// A call has failed, or a watch has ended. True if the decisions have to be notified.
     pub fn on_failure(&self, call: CallId) -> bool {
         self.is_current(call)
     }
 
-    /// The discovery service has moved: calls that are not finished are made again there at once. False if the address
-    /// is the present one.
+    /// The discovery service has moved: unfinished calls are immediately repeated at the new address. False: the address
+    /// is unchanged.
     pub fn on_address_changed(&mut self, address: SocketAddr, is_finished: impl Fn(CallId) -> bool) -> bool {
         if !self.starter.set_address(address) {
             return false;
         }
         if let Some(watch) = self.watch.take() {
-            self.keep_delivering_watch(watch, &is_finished);
+            self.continue_delivering_watch(watch, &is_finished);
             self.start_watch();
         }
         if self.fetch.is_some_and(|fetch| !is_finished(fetch.id)) {
@@ -129,21 +130,21 @@
         true
     }
 
-    /// Of two watches the one that has delivered goes on: the other one may never deliver anything.
-    fn keep_delivering_watch(&mut self, watch: ActiveCall, is_finished: impl Fn(CallId) -> bool) {
+    /// Of two watches the one that has delivered continues: the other one may never deliver.
+    fn continue_delivering_watch(&mut self, watch: ActiveCall, is_finished: impl Fn(CallId) -> bool) {
         let previous = self.previous_watch.take().filter(|previous| !is_finished(previous.id));
-        let (kept, ended) = match previous {
+        let (continued, ended) = match previous {
             Some(previous) if !watch.has_delivered => (previous, Some(watch)),
             previous => (watch, previous),
         };
         if let Some(ended) = ended {
             self.starter.abort(ended.id);
         }
-        self.previous_watch = Some(kept);
+        self.previous_watch = Some(continued);
     }
 
     fn apply(&mut self, call: CallId, version: u64) {
-        self.held_version = version;
+        self.current_version = version;
         self.lists_applied += 1;
         let lists_applied = self.lists_applied;
         if let Some(active) = self.find(call) {
@@ -159,7 +160,7 @@
     }
 
     fn start_watch(&mut self) {
-        let id = self.starter.start_watch(self.held_version);
+        let id = self.starter.start_watch(self.current_version);
         self.watch = Some(self.active_call(id));
     }
 
@@ -167,7 +168,7 @@
         ActiveCall { id, has_delivered: false, lists_seen: self.lists_applied }
     }
 
-    /// True for the watch and the single call that were started last.
+    /// True for the watch and the fetch that were started last.
     pub fn is_current(&self, call: CallId) -> bool {
         [self.watch, self.fetch].into_iter().flatten().any(|active| active.id == call)
     }
--- a/crates/gateway/src/discovery/snapshot_client.rs
+++ b/crates/gateway/src/discovery/snapshot_client.rs
@@ -1,5 +1,5 @@
-//! The control plane's client of the discovery service. It fetches a snapshot while it holds no version, and watches
-//! from there. It passes on every list of a current call: its owner decides which lists are newer.
+//! The control plane's client of the discovery service. It fetches a snapshot first, and watches from its version. It
+//! passes on every list of a current call: its owner decides which lists are newer.
 
 use super::calls::{CallId, CallStarter, DiscoveryCommand};
 use std::net::SocketAddr;
@@ -8,16 +8,22 @@
 #[derive(Debug)]
 pub struct SnapshotFirstClient {
     starter: CallStarter,
-    /// 0 until a snapshot has come.
-    held_version: u64,
+    /// 0 until a snapshot was received.
+    current_version: u64,
     watch: Option<CallId>,
     fetch: Option<CallId>,
 }
 
 impl SnapshotFirstClient {
     /// A client without a list and without calls.
+    #[must_use]
     pub fn new(address: SocketAddr) -> Self {
-        SnapshotFirstClient { starter: CallStarter::new(address), held_version: 0, watch: None, fetch: None }
+        SnapshotFirstClient {
+            starter: CallStarter::new(address),
+            current_version: 0,
+            watch: None,
+            fetch: None,
+        }
     }
 
     /// The commands recorded since the last call of this method.
@@ -25,7 +31,7 @@
         self.starter.take_commands()
     }
 
-    /// Ends the watch. If `enabled`, starts a new one, or a fetch while no version is held.
+    /// Aborts the watch. If `enabled`, starts a new one, or a fetch if there was no snapshot yet.
     pub fn set_watch(&mut self, enabled: bool) {
         if let Some(watch) = self.watch.take() {
             self.starter.abort(watch);
@@ -33,14 +39,14 @@
         if !enabled {
             return;
         }
-        if self.held_version == 0 {
+        if self.current_version == 0 {
             self.fetch();
         } else {
             self.start_watch();
         }
     }
 
-    /// Starts a call for a snapshot in place of an earlier one.
+    /// Fetches a snapshot; replaces an earlier fetch.
     pub fn fetch(&mut self) {
         let call = self.starter.start_fetch();
         if let Some(replaced) = self.fetch.replace(call) {
@@ -48,14 +54,14 @@
         }
     }
 
-    /// A call has delivered a list; true if the list is to be passed on. The first snapshot starts the watch.
+    /// A call has delivered a list. True if it is to be passed on. The first snapshot starts the watch.
     pub fn on_list(&mut self, call: CallId, version: u64, is_snapshot: bool) -> bool {
         if !self.is_current(call) {
             return false;
         }
-        let is_first = self.held_version == 0 && is_snapshot;
-        if is_snapshot || self.held_version > 0 {
-            self.held_version = version;
+        let is_first = self.current_version == 0 && is_snapshot;
+        if is_snapshot || self.current_version > 0 {
+            self.current_version = version;
         }
         if is_first {
             self.start_watch();
@@ -63,13 +69,13 @@
         true
     }
 
-    /// A call has failed, or a watch has ended. True if its failure is to be reported.
+    /// A call has failed, or a watch has ended. True if the owner has to be notified.
     pub fn on_failure(&self, call: CallId) -> bool {
         self.is_current(call)
     }
 
     fn start_watch(&mut self) {
-        let call = self.starter.start_watch(self.held_version);
+        let call = self.starter.start_watch(self.current_version);
         if let Some(replaced) = self.watch.replace(call) {
             self.starter.abort(replaced);
         }
--- a/crates/gateway/src/gateway/event_loop.rs
+++ b/crates/gateway/src/gateway/event_loop.rs
@@ -1,20 +1,21 @@
-//! The event loop: events of the drivers in, actions of the decisions out.
+//! The event loop: passes events of the drivers to the decisions, and executes the resulting actions.
 
 use super::Gateway;
 use super::timers::Timer;
 use crate::config::InitialState;
 use crate::counters::COUNTERS;
 use crate::invariant;
+use crate::limits::MAX_PENDING_EVENTS;
+use crate::net::DriverEvent;
 use crate::net::platform::{OutcomeCounts, Vote};
 use crate::net::upstream::{CallResult, UpstreamCall};
-use crate::net::{DriverEvent, MAX_PENDING_EVENTS};
 use latchhaven_policy::{Action, AttemptOutcome, Event, Millis, Verdict, Version, VoteOutcome};
 use tokio::select;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
 impl Gateway {
-    /// Starts from what was known, and serves until dropped.
+    /// Starts with the cached list and rollout state, and serves until dropped.
     pub async fn run(mut self, initial_state: InitialState, mut events: mpsc::Receiver<DriverEvent>) {
         self.start(initial_state);
         let mut batch = Vec::new();
@@ -42,8 +43,8 @@
         self.decide(events);
     }
 
-    /// Waits for an event or a timer, and takes all events that are there. Tasks run in the order in which they were
-    /// woken: all that this wake-up brought is there by then.
+    /// Waits for an event or a timer, then drains the queue into `batch`. Tasks run in the order in which they were woken,
+    /// so the events of the drivers that woke together are in one batch.
     async fn wait(&self, events: &mut mpsc::Receiver<DriverEvent>, batch: &mut Vec<DriverEvent>) {
         if self.next_events.is_empty() {
             let timer = self.timers.next_at().map(|at| self.clock.instant(at));
@@ -149,7 +150,7 @@
             }
             Action::CastVote { version, stage, verdict } => self.cast_vote(version, stage, verdict),
             Action::Log(line) => tracing::info!("{line}"),
-            // There is no protocol between gateways yet.
+            // Gateways have no protocol between them.
             Action::SendPeerMessage { .. } => {}
         }
     }
@@ -160,11 +161,11 @@
 
     fn cast_vote(&mut self, version: Version, stage: u32, verdict: Verdict) {
         let vote = Vote { version, stage, verdict, cast_at: Instant::now() };
-        invariant!(self.votes.try_send(vote).is_ok(), "few votes wait for the platform");
+        invariant!(self.votes.try_send(vote).is_ok(), "the queue of votes is not full");
     }
 }
 
-/// Updates of the list and the platform come before everything that is decided after them.
+/// Updates of the endpoint list and the platform precede other events of a batch, so that decisions use them.
 fn is_update(event: &DriverEvent) -> bool {
     matches!(
         event,
--- a/crates/gateway/src/gateway/list_confirmation.rs
+++ b/crates/gateway/src/gateway/list_confirmation.rs
@@ -1,14 +1,14 @@
-//! Logs when the endpoint list stops and begins to be confirmed by the discovery service.
+//! Logs when a watch confirms the endpoint list, and when requests are rejected because it expired.
 
 use tokio::time::Instant;
 
-/// A time without a confirmed list.
+/// A period without a confirmed list.
 struct Unconfirmed {
     since: Instant,
     is_expired_logged: bool,
 }
 
-/// Whether the list is confirmed; a new process has none that is.
+/// Whether a watch confirms the list. At the start none does.
 pub(super) struct ListConfirmation(Option<Unconfirmed>);
 
 impl Default for ListConfirmation {
@@ -18,7 +18,7 @@
 }
 
 impl ListConfirmation {
-    /// A watch has delivered a list.
+    /// A watch delivered a list of this version.
     pub(super) fn confirm(&mut self, version: u64) {
         if let Some(unconfirmed) = self.0.take() {
             let unconfirmed_ms = unconfirmed.since.elapsed().as_millis();
@@ -26,12 +26,12 @@
         }
     }
 
-    /// The watch is lost.
+    /// The watch was lost.
     pub(super) fn lose(&mut self) {
         self.0.get_or_insert_with(|| Unconfirmed { since: Instant::now(), is_expired_logged: false });
     }
 
-    /// A request was rejected because the list was not confirmed for too long.
+    /// A request was rejected because the list was unconfirmed for too long. Logged once per period.
     pub(super) fn log_expired(&mut self) {
         if let Some(unconfirmed) = &mut self.0
             && !std::mem::replace(&mut unconfirmed.is_expired_logged, true)
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -1,13 +1,14 @@
-//! The gateway: owns the decisions, the pending requests, the clock and the timers. Events of the drivers go to the
-//! decisions, those of one wake-up in one batch; actions are carried out in the order given.
+//! The gateway: owns the decisions, the pending requests, the clock and the timers. Events of the drivers are passed to
+//! the decisions, those of one wake-up as one batch; the resulting actions are executed in the order given.
 //!
 //! - `event_loop`: waits for events and timers, and dispatches events and actions.
 //! - `requests`: requests from their arrival to their answer.
 //! - `upstream_calls`: attempts and health checks from their start to their end.
-//! - `updates`: the endpoint list and the rollout's state.
-//! - `request_table`, `rollout_tracker`, `list_confirmation`, `timers`: the state that belongs together.
+//! - `updates`: the endpoint list and the rollout state.
+//! - `request_table`, `health_checks`, `rollout_tracker`, `list_confirmation`, `timers`: the state of these.
 
 mod event_loop;
+mod health_checks;
 mod list_confirmation;
 mod request_table;
 mod requests;
@@ -23,6 +24,7 @@
 use crate::net::platform::Vote;
 use crate::net::upstream::UpstreamPool;
 use crate::readiness::ReadinessSender;
+use health_checks::HealthChecks;
 use latchhaven_policy::{Event, Policy, UpstreamConnectionConfig};
 use list_confirmation::ListConfirmation;
 use request_table::RequestTable;
@@ -30,25 +32,24 @@
 use std::net::SocketAddr;
 use timers::Timers;
 use tokio::sync::mpsc;
-use upstream_calls::HealthChecks;
 
-/// What a gateway is made of.
+/// The parts of a gateway.
 pub struct GatewayParts {
     /// The decisions.
     pub policy: Policy,
-    /// The clock that the drivers use as well.
+    /// The clock, shared with the drivers.
     pub clock: Clock,
     /// The connections to endpoints.
     pub pool: UpstreamPool,
-    /// What is permitted on these.
+    /// Timeouts and permissions of these connections.
     pub connections: UpstreamConnectionConfig,
-    /// The discovery service.
+    /// The address of the discovery service.
     pub discovery_address: SocketAddr,
-    /// Tells clients that the gateway is ready.
+    /// Reports that health checks of the load balancer may be answered.
     pub readiness: ReadinessSender,
     /// Votes for the platform.
     pub votes: mpsc::Sender<Vote>,
-    /// Where calls for the endpoint list send their answers.
+    /// The event loop, for the results of calls for the endpoint list.
     pub events: mpsc::Sender<DriverEvent>,
 }
 
@@ -61,7 +62,7 @@
     pool: UpstreamPool,
     connections: UpstreamConnectionConfig,
     timers: Timers,
-    /// Events that actions brought about, for the next batch.
+    /// Events caused by actions, for the next batch.
     next_events: Vec<Event>,
     rollout: RolloutTracker,
     discovery: EndpointListClient,
@@ -73,6 +74,7 @@
 
 impl Gateway {
     /// A gateway without requests and endpoints.
+    #[must_use]
     pub fn new(parts: GatewayParts) -> Self {
         Gateway {
             policy: parts.policy,
--- a/crates/gateway/src/gateway/request_table.rs
+++ b/crates/gateway/src/gateway/request_table.rs
@@ -1,4 +1,4 @@
-//! Requests that were received and are not finished, with their attempts.
+//! Pending requests and their attempts.
 
 use crate::net::Answer;
 use crate::proto::pg::Statement;
@@ -7,18 +7,20 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// One attempt.
+/// One attempt of a request.
 pub(super) struct Attempt {
     pub(super) endpoint: String,
+    /// In ms.
     pub(super) started_at: Millis,
     pub(super) has_ended: bool,
 }
 
-/// A request that is not finished.
+/// A request without an answer, or with an attempt that has not ended.
 pub(super) struct PendingRequest {
     pub(super) statement: Rc<Statement>,
+    /// In ms.
     pub(super) deadline: Millis,
-    /// None: it has its final answer, or the client has gone away.
+    /// None: it is answered, or its client has disconnected.
     pub(super) reply: Option<oneshot::Sender<Answer>>,
     pub(super) attempts: Vec<Attempt>,
 }
@@ -30,14 +32,14 @@
     }
 }
 
-/// The requests that are not finished.
+/// The pending requests.
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: BTreeMap<RequestId, PendingRequest>,
 }
 
 impl RequestTable {
-    /// Adds a request; false if there was one with its id, which it replaces.
+    /// Adds a request. False: it replaces one with the same id.
     pub(super) fn insert(&mut self, id: RequestId, request: PendingRequest) -> bool {
         self.requests.insert(id, request).is_none()
     }
--- a/crates/gateway/src/gateway/requests.rs
+++ b/crates/gateway/src/gateway/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: their arrival, their answer, and clients that go away.
+//! Requests: arrival, answer, and disconnected clients.
 
 use super::Gateway;
 use super::request_table::PendingRequest;
@@ -12,7 +12,7 @@
 use tokio::sync::oneshot;
 
 impl Gateway {
-    /// A request has been read; its last byte came at `arrived_at`.
+    /// A request was received. `arrived_at`: when its last byte arrived, in ms.
     pub(super) fn on_request(
         &mut self, id: RequestId, statement: Rc<Statement>, arrived_at: Millis,
         reply: oneshot::Sender<Answer>, events: &mut Vec<Event>,
@@ -32,10 +32,10 @@
             is_write: statement.is_write,
         }));
         let request = PendingRequest { statement, deadline, reply: Some(reply), attempts: Vec::new() };
-        invariant!(self.requests.insert(id, request), "a request has an id of its own");
+        invariant!(self.requests.insert(id, request), "request ids are unique");
     }
 
-    /// The client of a request has gone away.
+    /// The client of a request has disconnected.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId, events: &mut Vec<Event>) {
         COUNTERS.clients_disconnected_total.increment();
         if let Some(request) = self.requests.get_mut(id) {
@@ -45,7 +45,7 @@
         self.on_answered(id);
     }
 
-    /// Answers a request: not executed, a retry is harmless.
+    /// Rejects a request: it was not executed, and a retry is safe after `retry_after` ms.
     pub(super) fn reject(&mut self, id: RequestId, retry_after: Option<Millis>, reason: UnservedReason) {
         record_unserved(id, reason);
         if reason == UnservedReason::ListExpired {
@@ -54,7 +54,7 @@
         self.answer(id, Answer::Rejected { retry_after }, &COUNTERS.requests_rejected_total);
     }
 
-    /// Answers a request: failed, its effect is unknown.
+    /// Fails a request: its effect is unknown.
     pub(super) fn fail(&mut self, id: RequestId, reason: UnservedReason) {
         record_unserved(id, reason);
         self.answer(id, Answer::Failed, &COUNTERS.requests_failed_total);
@@ -68,8 +68,8 @@
         self.on_answered(id);
     }
 
-    /// A request has its final answer, or its client has gone: attempts that wait for a connection are not sent any
-    /// more, whether the decisions may cancel or not.
+    /// A request is answered, or its client has disconnected: attempts that were not written yet are aborted. This needs
+    /// no permission to cancel.
     pub(super) fn on_answered(&mut self, id: RequestId) {
         let mut events = Vec::new();
         for attempt in 0..self.requests.attempt_count(id) {
--- a/crates/gateway/src/gateway/rollout_tracker.rs
+++ b/crates/gateway/src/gateway/rollout_tracker.rs
@@ -1,45 +1,42 @@
-//! The state of the newest version's rollout. The feed and the answers to votes come on connections of their own and
-//! may cross: the state that began last holds.
+//! The state of the newest version's rollout. It is reported by the feed and by answers to votes, on different
+//! connections, so an older state may be received after a newer one: the state that began last is current.
 
+use crate::limits::platform::is_older_state;
 use latchhaven_policy::{Millis, RolloutState};
 
-/// ms by which the beginnings of two states may differ by chance: ages come in whole ms and a little late.
-const AGE_TOLERANCE: Millis = 20.0;
-
-/// What becomes of a reported state.
+/// What a reported state changes.
 pub(super) enum RolloutChange {
-    /// It is the state that is known.
+    /// It is the current state.
     Unchanged(RolloutState),
-    /// It is older than the state that is known, which is given here with its present age.
+    /// It is older than the current state, which is given here with its age now.
     Superseded(RolloutState),
-    /// It holds from now on.
+    /// It is current from now on.
     Changed(RolloutState),
 }
 
-/// A state, and the time at which it began.
+/// A state and its start time in ms.
 struct KnownRollout {
     state: RolloutState,
     began_at: Millis,
 }
 
-/// The state that is known, if there is one.
+/// The current state, if one was reported.
 #[derive(Default)]
 pub(super) struct RolloutTracker {
     known: Option<KnownRollout>,
 }
 
 impl RolloutTracker {
-    /// Takes in a reported state.
+    /// Applies a reported state. `now` in ms.
     pub(super) fn apply(&mut self, state: RolloutState, now: Millis) -> RolloutChange {
         let began_at = now - state.age;
         if let Some(known) = &self.known {
             if is_same_state(&known.state, &state) {
                 return RolloutChange::Unchanged(state);
             }
-            let is_older_version = state.version < known.state.version;
-            let is_older_state =
-                state.version == known.state.version && began_at < known.began_at - AGE_TOLERANCE;
-            if is_older_version || is_older_state {
+            let is_superseded = state.version < known.state.version
+                || state.version == known.state.version && is_older_state(began_at, known.began_at);
+            if is_superseded {
                 return RolloutChange::Superseded(RolloutState { age: now - known.began_at, ..known.state });
             }
         }
--- a/crates/gateway/src/gateway/timers.rs
+++ b/crates/gateway/src/gateway/timers.rs
@@ -1,4 +1,4 @@
-//! Timers of the gateway, by microsecond.
+//! Timers of the gateway, with a resolution of one microsecond.
 
 use crate::net::upstream::UpstreamCall;
 use latchhaven_policy::Millis;
@@ -8,14 +8,14 @@
 /// Microseconds in a ms.
 const MICROS_PER_MS: f64 = 1000.0;
 
-/// What is due. Of timers of the same microsecond those that stand first here fire first.
+/// What a timer triggers. Timers of the same microsecond fire in the order of these variants.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// A timer of the decisions, with its token.
+    /// A timer that the decisions set, with its token.
     Policy(String),
     /// The gateway stops waiting for the answer to a call.
     CallTimeout(UpstreamCall),
-    /// A call that is not written by now may not be written any more.
+    /// The call may not be written any more.
     WriteDeadline(UpstreamCall),
 }
 
@@ -26,18 +26,18 @@
 }
 
 impl Timers {
-    /// Sets a timer. It never fires early.
+    /// Sets a timer for a time in ms. It never fires early.
     pub(super) fn set(&mut self, at: Millis, timer: Timer) {
         let micros = (at.max(0.0) * MICROS_PER_MS).ceil() as u64;
         self.heap.push(Reverse((micros, timer)));
     }
 
-    /// When the next one fires.
+    /// When the next timer fires, in ms.
     pub(super) fn next_at(&self) -> Option<Millis> {
         self.heap.peek().map(|Reverse((micros, _))| *micros as f64 / MICROS_PER_MS)
     }
 
-    /// Takes out the first timer that is due.
+    /// Removes and returns the first timer that is due at `now` in ms.
     pub(super) fn pop_due(&mut self, now: Millis) -> Option<Timer> {
         let now = (now * MICROS_PER_MS) as u64;
         let Reverse((micros, _)) = self.heap.peek()?;
--- a/crates/gateway/src/gateway/updates.rs
+++ b/crates/gateway/src/gateway/updates.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list and of the rollout's state.
+//! Updates of the endpoint list and of the rollout state.
 
 use super::Gateway;
 use super::rollout_tracker::RolloutChange;
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 
 impl Gateway {
-    /// A call for the endpoint list has delivered a list, or failed.
+    /// A call for the endpoint list delivered a list, or failed.
     pub(super) fn on_list_answer(
         &mut self, call: CallId, list: Result<List, UpdateFailure>, events: &mut Vec<Event>,
     ) {
@@ -26,6 +26,7 @@
             }
         };
         let is_current = self.discovery.is_current(call);
+        let current_version = self.discovery.current_version();
         let decision = self.discovery.on_list(call, list.version, list.is_snapshot);
         self.run_discovery_commands();
         match decision {
@@ -33,6 +34,7 @@
             ListDecision::Apply => {
                 COUNTERS.endpoint_list_updates_total.increment();
                 tracing::debug!(
+                    call = call.0,
                     list.version,
                     list.whole = list.is_snapshot,
                     entries = list.entries.len(),
@@ -43,8 +45,10 @@
             }
             ListDecision::Discard { is_current } => {
                 tracing::info!(
+                    call = call.0,
                     list.version,
                     list.whole = list.is_snapshot,
+                    current_version,
                     "discovery: list not newer, requested again"
                 );
                 COUNTERS.discovery_failures_total.increment();
@@ -57,7 +61,7 @@
         }
     }
 
-    /// The discovery service is at another address from now on.
+    /// The discovery service has moved to another address.
     pub(super) fn on_discovery_moved(&mut self, address: SocketAddr, events: &mut Vec<Event>) {
         let tasks = &self.discovery_tasks;
         if self.discovery.on_address_changed(address, |call| tasks.is_finished(call)) {
@@ -67,7 +71,7 @@
         self.run_discovery_commands();
     }
 
-    /// Starts and aborts the calls that the discovery client has decided on.
+    /// Executes the commands of the discovery client.
     pub(super) fn run_discovery_commands(&mut self) {
         self.discovery_tasks.run(self.discovery.take_commands());
     }
@@ -75,24 +79,22 @@
     fn apply_received_list(&mut self, kind: UpdateKind, list: List, is_current: bool) -> Event {
         let list_version = list.version;
         let entries = self.apply_list(kind, list);
-        match is_current {
-            true => {
-                self.readiness.set_ready();
-                self.list_confirmation.confirm(list_version);
-                Event::EndpointUpdate { kind, list_version, entries }
-            }
-            false => Event::EndpointUpdateFromPreviousAddress { kind, entries },
+        if !is_current {
+            return Event::EndpointUpdateFromPreviousAddress { kind, entries };
         }
+        self.readiness.set_ready();
+        self.list_confirmation.confirm(list_version);
+        Event::EndpointUpdate { kind, list_version, entries }
     }
 
-    /// Takes over the list that the gateway was started with.
+    /// Applies the list that the gateway was started with.
     pub(super) fn apply_cached_list(&mut self, list: List) -> Event {
         let kind = UpdateKind::CachedSnapshot;
         let list_version = list.version;
         Event::EndpointUpdate { kind, list_version, entries: self.apply_list(kind, list) }
     }
 
-    /// Applies a list; attempts that were not yet written to an endpoint that changed are decided anew.
+    /// Applies a list. Attempts that were not yet written to a changed endpoint are returned to the decisions.
     fn apply_list(&mut self, kind: UpdateKind, list: List) -> Vec<EndpointEntry> {
         let mut unsent = Vec::new();
         if kind != UpdateKind::Delta {
@@ -110,14 +112,14 @@
         list.entries.into_iter().map(|(entry, _)| entry).collect()
     }
 
-    /// Takes in a reported state of the rollout; returns the state to go on with.
+    /// Applies a reported rollout state. Returns the current state.
     pub(super) fn apply_rollout(&mut self, state: RolloutState) -> RolloutState {
         COUNTERS.rollout_updates_total.increment();
         tracing::debug!(?state, "platform: rollout state");
         match self.rollout.apply(state, self.clock.now()) {
             RolloutChange::Unchanged(state) | RolloutChange::Superseded(state) => state,
             RolloutChange::Changed(state) => {
-                // Decided under the state before, and not yet written: these would count under the new one.
+                // Attempts that were not written yet were decided under the earlier state.
                 let unsent = self.pool.take_queued();
                 self.return_unsent(unsent);
                 state
--- a/crates/gateway/src/gateway/upstream_calls.rs
+++ b/crates/gateway/src/gateway/upstream_calls.rs
@@ -5,46 +5,25 @@
 use super::timers::Timer;
 use crate::counters::{COUNTERS, Metric};
 use crate::invariant;
+use crate::limits::upstream::attempt_deadline;
 use crate::net::Answer;
 use crate::net::upstream::{CallResult, CancelResult, QueuedCall, UpstreamCall};
 use crate::proto::pg;
 use latchhaven_policy::{AttemptOutcome, CompletedAttempt, Event, LoadReporting, Millis, RequestId};
-use std::collections::BTreeMap;
-
-/// A health check that has not ended.
-struct HealthCheck {
-    endpoint: String,
-    started_at: Millis,
-}
-
-/// The health checks that have not ended, by number.
-#[derive(Default)]
-pub(super) struct HealthChecks {
-    active: BTreeMap<u64, HealthCheck>,
-    last_number: u64,
-}
-
-impl HealthChecks {
-    fn start(&mut self, endpoint: String, started_at: Millis) -> u64 {
-        self.last_number += 1;
-        self.active.insert(self.last_number, HealthCheck { endpoint, started_at });
-        self.last_number
-    }
-}
 
 impl Gateway {
-    /// Starts an attempt; one that cannot be sent ends at once.
+    /// Starts an attempt. One that cannot be sent ends with `NotSent`. `timeout`, `write_within`: ms from now.
     pub(super) fn send_attempt(
         &mut self, id: RequestId, endpoint: String, timeout: Option<Millis>, write_within: Option<Millis>,
     ) {
         let now = self.clock.now();
         let write_by = write_within.map(|within| now + within);
         let Some(request) = self.requests.get_mut(id) else {
-            invariant!(false, "only pending requests are sent on");
+            invariant!(false, "an attempt belongs to a pending request");
             return;
         };
         COUNTERS.attempts_total.increment();
-        let deadline = timeout.map_or(request.deadline, |timeout| (now + timeout).min(request.deadline));
+        let deadline = attempt_deadline(now, timeout, request.deadline);
         let call = UpstreamCall::Attempt { id, attempt: request.attempts.len() as u32 };
         request.attempts.push(Attempt { endpoint: endpoint.clone(), started_at: now, has_ended: false });
         let is_wanted = request.reply.is_some() && deadline > now;
@@ -64,7 +43,7 @@
         }
     }
 
-    /// Starts a health check; one that cannot be sent ends at once.
+    /// Starts a health check. One that cannot be sent ends with `NotSent`.
     pub(super) fn check_health(&mut self, endpoint: String) {
         let now = self.clock.now();
         COUNTERS.health_checks_total.increment();
@@ -80,7 +59,7 @@
         }
     }
 
-    /// Calls that were never written end; the decisions hear of it in the next batch.
+    /// Ends calls that were never written; the decisions receive the results in the next batch.
     pub(super) fn return_unsent(&mut self, calls: Vec<UpstreamCall>) {
         let mut events = Vec::new();
         for call in calls {
@@ -89,7 +68,7 @@
         self.next_events.append(&mut events);
     }
 
-    /// Stops waiting for a call. One that was never written was never executed.
+    /// Stops waiting for a call. One that was never written ends with `NotSent` instead of `outcome`.
     pub(super) fn stop(&mut self, call: UpstreamCall, outcome: AttemptOutcome, events: &mut Vec<Event>) {
         let Some(endpoint) = self.endpoint_of(call) else { return };
         let outcome = match self.pool.cancel(&endpoint, call) {
@@ -112,7 +91,7 @@
         }
     }
 
-    /// A call has ended. The first value of a request goes to its client at once.
+    /// A call has ended. The first value of a request is sent to its client immediately.
     pub(super) fn on_call_ended(&mut self, call: UpstreamCall, result: CallResult, events: &mut Vec<Event>) {
         match call {
             UpstreamCall::Attempt { id, attempt } => self.on_attempt_ended(id, attempt, result, events),
@@ -155,7 +134,7 @@
     }
 
     fn health_check_completed(&mut self, number: u64, result: CallResult) -> Option<Event> {
-        let check = self.health_checks.active.remove(&number)?;
+        let check = self.health_checks.remove(number)?;
         let reported = match &result.value {
             Some([_, row, _]) if self.connections.load_reporting == LoadReporting::InHealthChecks => {
                 pg::row_text(row).map(pg::parse_load_report)
@@ -176,9 +155,7 @@
             UpstreamCall::Attempt { id, attempt } => {
                 self.requests.active_attempt(id, attempt).map(|attempt| attempt.endpoint.clone())
             }
-            UpstreamCall::HealthCheck(number) => {
-                self.health_checks.active.get(&number).map(|check| check.endpoint.clone())
-            }
+            UpstreamCall::HealthCheck(number) => self.health_checks.endpoint(number),
         }
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod counters;
 pub mod discovery;
 pub mod gateway;
+pub mod limits;
 pub mod net;
 pub mod proto;
 pub mod readiness;
--- /dev/null
+++ b/crates/gateway/src/limits/discovery.rs
@@ -0,0 +1,20 @@
+//! Limits of calls to the discovery service.
+
+use crate::clock::millis;
+use latchhaven_policy::Millis;
+use std::time::Duration;
+
+/// A watch without a keepalive or update for this long has failed. Keepalives are due every [`KEEPALIVE_INTERVAL`].
+pub const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(3500);
+/// Longest interval at which the discovery service sends keepalives.
+pub const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(2000);
+/// Longest time of a fetch, and until a watch is answered. The discovery service itself times out after 2 s.
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(3000);
+
+/// How long in ms the service has been silent when a watch ends; 0 where no keepalive was missed. `silence`: the time
+/// since the last keepalive or update. `is_answered`: there has been one.
+#[must_use]
+pub fn missed_keepalive(is_answered: bool, silence: Duration) -> Millis {
+    let is_silent = is_answered && silence > KEEPALIVE_INTERVAL;
+    if is_silent { millis(silence) } else { 0.0 }
+}
--- /dev/null
+++ b/crates/gateway/src/limits/mod.rs
@@ -0,0 +1,33 @@
+//! Time limits and bounds of the gateway, and the rules that follow from them. Drivers take every limit from here.
+//!
+//! Times are [`Duration`]s; [`millis`](crate::clock::millis) converts them where the decisions need milliseconds.
+//!
+//! - [`clients`]: how long a client may take, and which connection is evicted.
+//! - [`shutdown`]: what happens when after SIGTERM.
+//! - [`start`]: descriptors, binding, and the first health check of the load balancer.
+//! - [`upstream`]: connections to endpoints and the answers read from them.
+//! - [`discovery`], [`platform`]: calls to these services.
+//! - [`messages`]: sizes of protocol messages.
+
+pub mod clients;
+pub mod discovery;
+pub mod messages;
+pub mod platform;
+pub mod shutdown;
+pub mod start;
+pub mod upstream;
+
+use std::time::Duration;
+
+/// Events that wait for the event loop; a driver with another event waits.
+pub const MAX_PENDING_EVENTS: usize = 4096;
+/// Votes that wait to be cast; the decisions cast a vote only after the result of the one before it.
+pub const MAX_PENDING_VOTES: usize = 64;
+/// Longest time to open a connection to the discovery service or the platform.
+pub const SERVICE_CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Most bytes of one read from a socket. Bounds how long one connection occupies the thread.
+pub const MAX_READ: usize = 16 * 1024;
+/// Most buffers of one write to a socket.
+pub const MAX_BUFFERS_PER_WRITE: usize = 8;
+/// Of the log lines that peers can cause at will, one in this many is logged at `info` or above.
+pub const LOG_SAMPLING: u64 = 100;
--- /dev/null
+++ b/crates/gateway/src/limits/upstream.rs
@@ -0,0 +1,35 @@
+//! Limits of connections to endpoints and of the answers read from them.
+
+use crate::clock::{MS_PER_SECOND, duration};
+use latchhaven_policy::Millis;
+use std::time::Duration;
+
+/// Longest time from an answer until the endpoint reports that it is ready for the next query.
+pub const READY_TIMEOUT: Duration = Duration::from_millis(500);
+/// An answer above this many bytes needs a permit, which it holds until its client has received it.
+pub const LARGE_ANSWER: usize = 64 * 1024;
+/// Most answers above [`LARGE_ANSWER`] that are buffered at a time. Bounds memory.
+pub const MAX_LARGE_ANSWERS: usize = 12;
+
+/// Part of the endpoint's idle timeout after which a connection is not reused.
+const REUSE_FRACTION: f64 = 0.8;
+
+/// An idle connection is not reused after this. `idle_timeout`: ms after which the endpoint closes it.
+#[must_use]
+pub fn reuse_timeout(idle_timeout: Millis) -> Duration {
+    duration(idle_timeout * REUSE_FRACTION)
+}
+
+/// An idle connection is closed after this: midway between [`reuse_timeout`] and `idle_timeout` in ms, after which the
+/// endpoint closes it.
+#[must_use]
+pub fn close_timeout(idle_timeout: Millis) -> Duration {
+    Duration::from_secs_f64(idle_timeout * (1.0 + REUSE_FRACTION) / (2.0 * MS_PER_SECOND))
+}
+
+/// When the gateway stops waiting for an attempt's answer. All times in ms: `timeout` is that of the attempt,
+/// `request_deadline` that of the request.
+#[must_use]
+pub fn attempt_deadline(now: Millis, timeout: Option<Millis>, request_deadline: Millis) -> Millis {
+    timeout.map_or(request_deadline, |timeout| (now + timeout).min(request_deadline))
+}
--- a/crates/gateway/src/net/clients/closing.rs
+++ b/crates/gateway/src/net/clients/closing.rs
@@ -1,7 +1,7 @@
-//! Closes connections so that what was written last arrives.
+//! Closes connections so that the client can read the last message.
 
-use super::limits::{DISCONNECT_POLL_INTERVAL, LINGER_TIMEOUT, MAX_LINGER_BYTES, WRITE_TIMEOUT};
-use super::session::{ClientSession, SessionState};
+use super::client_session::ClientSession;
+use crate::limits::clients::{DISCONNECT_POLL_INTERVAL, LINGER_TIMEOUT, MAX_LINGER_BYTES, WRITE_TIMEOUT};
 use crate::net::io::is_closed_by_peer;
 use crate::net::{read_some, write_all};
 use bytes::{Bytes, BytesMut};
@@ -12,19 +12,19 @@
 use tokio::select;
 use tokio::time::{sleep, timeout};
 
-/// How a connection ends.
+/// Why a connection is closed. Decides how the rest of its input is treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// Nothing is on its way to the client.
+    /// No message is on its way to the client: closed immediately.
     Quiet,
-    /// An answer may be, and requests that were not read are the client's to send again.
+    /// An answer may be on its way. Unread requests remain unanswered; the client may retry them.
     Answered,
-    /// An error may be, and nothing behind it counts.
+    /// An error may be on its way. The rest of the input is discarded.
     Refused,
 }
 
-/// Holds a connection until the client has read what was written last: closed at once over unread bytes, it would be
-/// reset, and a reset takes with it what the client has not read yet.
+/// Keeps a connection open until the client has read the last message. Closing a socket with unread input resets the
+/// connection, and the client would lose what it has not read yet.
 pub(super) async fn linger(stream: &TcpStream, session: &ClientSession, reason: CloseReason) {
     if reason == CloseReason::Quiet || SockRef::from(stream).shutdown(Shutdown::Write).is_err() {
         return;
@@ -33,23 +33,22 @@
         if reason == CloseReason::Refused {
             discard_input(stream).await;
         } else {
-            // What comes now was not read and never will be: its client sends it again elsewhere.
             client_disconnected(stream, || ()).await;
         }
     };
-    let asked_to_leave = async {
-        while session.state.get() != SessionState::Leaving {
+    let evicted = async {
+        while !session.is_evicted() {
             session.wake.notified().await;
         }
     };
     select! {
         () = client_leaves => {}
         () = sleep(LINGER_TIMEOUT) => {}
-        () = asked_to_leave => {}
+        () = evicted => {}
     }
 }
 
-/// Reads and drops what comes, within bounds.
+/// Reads and discards input up to a bound.
 async fn discard_input(stream: &TcpStream) {
     let mut buffer = BytesMut::new();
     let mut remaining = MAX_LINGER_BYTES;
@@ -61,7 +60,7 @@
     }
 }
 
-/// Waits until a client has ended its sending, without reading what it sent before that.
+/// Waits until a client has closed its side, without reading its input. Calls `on_poll` before each wait.
 pub(super) async fn client_disconnected(stream: &TcpStream, mut on_poll: impl FnMut()) {
     while !is_closed_by_peer(stream) {
         on_poll();
@@ -69,7 +68,7 @@
     }
 }
 
-/// Writes all to a client, which may not take forever.
+/// Writes all buffers to a client within a timeout.
 pub(super) async fn write(stream: &TcpStream, buffers: &[Bytes]) -> io::Result<()> {
     timeout(WRITE_TIMEOUT, write_all(stream, buffers)).await.map_err(io::Error::from)?
 }
--- a/crates/gateway/src/net/clients/mod.rs
+++ b/crates/gateway/src/net/clients/mod.rs
@@ -1,15 +1,17 @@
 //! Clients: accepts connections, reads queries one after another, and writes each one's answer.
 //!
-//! - `accept`: accepts connections and closes others for want of room.
-//! - `session`: one connection, from its first byte to its close.
-//! - `reading`: waits for input within limits of time and room.
+//! - `accept`: accepts connections, and evicts others when there are too many.
+//! - `session`: the task of one connection, from the startup message to the close.
+//! - `reading`: reads input within its limits.
 //! - `requests`: one request, from its query to its answer.
-//! - `closing`: closes connections so that what was written last arrives.
-//! - `shutdown`, `read_buffer`, `limits`: state and figures of these.
+//! - `closing`: closes connections so that the client can read the last message.
+//! - `client_session`, `read_buffer`, `shutdown`: the state of these.
+//!
+//! The limits and the rules for evictions and the shutdown are in [`limits`](crate::limits).
 
 mod accept;
+mod client_session;
 mod closing;
-mod limits;
 mod read_buffer;
 mod reading;
 mod requests;
@@ -18,21 +20,21 @@
 
 use super::DriverEvent;
 use crate::clock::Clock;
+use crate::limits::clients::{MAX_LARGE_MESSAGES, SessionState};
 use crate::readiness::Readiness;
 use bytes::Bytes;
+use client_session::ClientSession;
 use latchhaven_policy::{Idempotency, RequestClass};
-use limits::MAX_LARGE_MESSAGES;
-use session::{ClientSession, SessionState};
 use shutdown::Shutdown;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use tokio::sync::{Semaphore, mpsc};
 
-/// A class that clients may name.
+/// A class that requests may belong to.
 struct KnownClass {
     name: String,
-    /// Its requests carry an idempotency key.
+    /// Its requests must carry an idempotency key.
     needs_idempotency_key: bool,
 }
 
@@ -41,7 +43,7 @@
     sessions: RefCell<BTreeMap<u64, Rc<ClientSession>>>,
     max_sessions: usize,
     classes: Vec<KnownClass>,
-    /// The ids of open requests, as clients named them.
+    /// The ids of pending requests, as given by clients.
     open_ids: RefCell<BTreeSet<Bytes>>,
     /// Permits to read a large message.
     large_messages: Semaphore,
@@ -53,22 +55,22 @@
     events: mpsc::Sender<DriverEvent>,
 }
 
-/// What clients are served with.
+/// What [`Clients`] need.
 pub struct ClientsConfig {
-    /// Connections at most.
+    /// Most connections at a time.
     pub max_sessions: usize,
-    /// The classes that clients may name.
+    /// The classes that requests may belong to.
     pub classes: Vec<RequestClass>,
     /// The gateway's clock.
     pub clock: Clock,
-    /// When probes are answered.
+    /// When health checks of the load balancer are answered.
     pub readiness: Readiness,
-    /// The gateway's events.
+    /// The event loop.
     pub events: mpsc::Sender<DriverEvent>,
 }
 
 impl Clients {
-    /// No connections yet.
+    /// Clients without connections.
     pub fn new(config: ClientsConfig) -> Rc<Self> {
         let ClientsConfig { max_sessions, classes, clock, readiness, events } = config;
         let shutdown = Shutdown::new(&classes);
@@ -91,8 +93,8 @@
         })
     }
 
-    /// From now on a connection ends after its answer, or at once where nothing more is requested; one that has not
-    /// requested anything yet gets a moment to do so.
+    /// Begins the shutdown: each connection closes when its requests are answered. One that has not sent a request yet
+    /// may still do so for [`FIRST_REQUEST_TIMEOUT`](crate::limits::shutdown::FIRST_REQUEST_TIMEOUT).
     pub fn shut_down(&self) {
         self.shutdown.begin(self.clock.now());
         for session in self.sessions.borrow().values() {
--- a/crates/gateway/src/net/clients/read_buffer.rs
+++ b/crates/gateway/src/net/clients/read_buffer.rs
@@ -1,4 +1,4 @@
-//! The bytes of a connection that were read and not yet consumed, and when they arrived.
+//! The input of a connection that was read and not yet consumed, and when it arrived.
 
 use crate::arrivals::ArrivalTimes;
 use crate::net::io::has_unread_bytes;
@@ -11,27 +11,28 @@
 pub(super) struct ReadBuffer {
     pub(super) bytes: BytesMut,
     arrivals: ArrivalTimes,
-    /// When something was first seen that could not be read for want of room here.
+    /// When input was first noticed that could not be read because the buffer was full.
     pub(super) unread_since: Option<Millis>,
-    /// The client writes queries behind others.
+    /// The client sends queries before earlier ones are answered.
     pub(super) is_pipelined: bool,
 }
 
 impl ReadBuffer {
-    /// Records when the bytes arrived that were read since the last call.
+    /// Records that the bytes read since the last call arrived at `now` in ms, or when they were noticed before that.
     pub(super) fn record_arrival(&mut self, stream: &TcpStream, now: Millis) {
-        // All that waited unread counts as arrived with its first byte: a later one may have less time than is right.
+        // Unread input is dated to the time when it was noticed: the deadline of a later request may be too early, never
+        // too late.
         self.arrivals.record(self.bytes.len(), self.unread_since.unwrap_or(now));
         self.unread_since = self.unread_since.filter(|_| has_unread_bytes(stream));
     }
 
-    /// Records that bytes were consumed; when the last one of them arrived.
+    /// Records that bytes were consumed. Returns when the last of them arrived, in ms.
     pub(super) fn consume(&mut self) -> Option<Millis> {
         self.arrivals.consume(self.bytes.len())
     }
 }
 
-/// Records since when nothing was read, where something waits.
+/// Sets `unread_since` to `since` in ms if the socket has unread input.
 pub(super) fn record_unread(unread_since: &mut Option<Millis>, stream: &TcpStream, since: Millis) {
     if unread_since.is_none() && has_unread_bytes(stream) {
         *unread_since = Some(since);
--- a/crates/gateway/src/net/clients/requests.rs
+++ b/crates/gateway/src/net/clients/requests.rs
@@ -1,12 +1,14 @@
 //! One request, from its query to its answer.
 
 use super::Clients;
+use super::client_session::ClientSession;
 use super::closing::client_disconnected;
-use super::limits::{MAX_READ_AHEAD, SLOW_WRITE};
 use super::read_buffer::{ReadBuffer, record_unread};
-use super::session::{ClientSession, SessionTask};
+use super::session::SessionTask;
+use crate::clock::millis;
 use crate::counters::COUNTERS;
 use crate::invariant;
+use crate::limits::clients::{MAX_READ_AHEAD, SLOW_WRITE};
 use crate::net::{Answer, DriverEvent, read_some};
 use crate::proto::pg::{self, Statement, StatementError};
 use bytes::Bytes;
@@ -17,7 +19,7 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep_until;
 
-/// Why a query is not taken; its client is told so.
+/// Why a query is not admitted; the text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum QueryError {
     #[error(transparent)]
@@ -42,7 +44,7 @@
 }
 
 impl Clients {
-    /// Reads a statement; what is wrong with it is answered here, no endpoint has to look at it.
+    /// Parses and checks a statement, so that endpoints receive valid ones only.
     pub(super) fn admit(&self, text: Bytes) -> Result<Rc<Statement>, QueryError> {
         let statement = Statement::parse(text)?;
         let class = self.classes.iter().find(|class| class.name == statement.class);
@@ -56,7 +58,7 @@
         Ok(Rc::new(statement))
     }
 
-    /// Waits until the process is about to be killed.
+    /// Waits until pending requests are to be abandoned.
     async fn abandon_time(&self, session: &ClientSession) {
         loop {
             match self.shutdown.abandon_at() {
@@ -67,7 +69,7 @@
     }
 }
 
-/// The id of a request stays among the open ones until this is dropped.
+/// Marks the id of a request as pending until dropped.
 struct OpenId<'a> {
     clients: &'a Clients,
     id: Bytes,
@@ -87,11 +89,14 @@
 }
 
 impl SessionTask<'_> {
-    /// Hands a request on and writes its answer; an error: the client has gone away.
+    /// Passes a request to the event loop and writes its answer.
+    ///
+    /// # Errors
+    /// The client has disconnected.
     pub(super) async fn handle_request(
         &mut self, statement: Rc<Statement>, arrived_at: Millis,
     ) -> io::Result<()> {
-        if self.clients.shutdown.is_too_late_for(arrived_at) {
+        if self.clients.shutdown.rejects_request(arrived_at) {
             COUNTERS.requests_total.increment();
             COUNTERS.requests_rejected_total.increment();
             return self.write(&[rejection(None), Bytes::from_static(pg::encode::READY)]).await;
@@ -115,14 +120,14 @@
         let answer = self.wait_for_answer(id, answer).await?;
         let since = self.clients.clock.now();
         let written = self.write_answer(answer).await;
-        // A client that takes its answer slowly may have sent on meanwhile.
-        if self.clients.clock.now() - since > SLOW_WRITE {
+        // Nothing was read during the write.
+        if self.clients.clock.now() - since > millis(SLOW_WRITE) {
             record_unread(&mut self.input.unread_since, self.stream, since);
         }
         written
     }
 
-    /// Waits for the final answer, and reads ahead meanwhile to see the client go away.
+    /// Waits for the final answer, and reads ahead to detect that the client disconnects.
     async fn wait_for_answer(
         &mut self, id: RequestId, mut answer: oneshot::Receiver<Answer>,
     ) -> io::Result<Answer> {
@@ -141,7 +146,7 @@
                     invariant!(answer.is_ok(), "every request gets an answer");
                     return Ok(answer.unwrap_or(Answer::Failed));
                 }
-                // What is behind this one has to be answered as well.
+                // Queries behind this one have to be answered as well.
                 () = clients.abandon_time(self.session), if has_input_behind && !is_abandoned => {
                     is_abandoned = true;
                     let _ = clients.events.send(DriverEvent::Abandon { id }).await;
@@ -151,7 +156,7 @@
                         return Err(io::ErrorKind::UnexpectedEof.into());
                     }
                 }
-                // Behind so much that waits unread its end cannot be read.
+                // The end of the stream cannot be read behind unread input.
                 () = client_disconnected(stream, || record_unread(unread_since, stream, clients.clock.now())),
                     if !can_read =>
                 {
@@ -177,7 +182,7 @@
     }
 }
 
-/// What a client gets that may retry.
+/// The error that permits the client to retry, after `retry_after` ms.
 fn rejection(retry_after: Option<Millis>) -> Bytes {
     let detail = retry_after.map(|after| format!("{}", after.ceil()));
     let code = pg::sqlstate::TOO_MANY_CONNECTIONS;
--- a/crates/gateway/src/net/clients/session.rs
+++ b/crates/gateway/src/net/clients/session.rs
@@ -1,70 +1,40 @@
-//! One client's connection, from its first byte to its close.
+//! The task of one client's connection, from the startup message to the close.
 
 use super::Clients;
+use super::client_session::ClientSession;
 use super::closing::{CloseReason, write};
-use super::limits::{LOG_SAMPLING, MAX_BAD_QUERIES};
 use super::read_buffer::ReadBuffer;
-use super::reading::ReadOutcome;
 use crate::counters::{COUNTERS, Metric};
+use crate::limits::LOG_SAMPLING;
+use crate::limits::clients::{MAX_INVALID_QUERIES, SessionState};
 use crate::net::read_some;
 use crate::proto::pg::{self, Frontend, FrontendMessage};
 use bytes::Bytes;
 use latchhaven_policy::Millis;
-use std::cell::Cell;
 use std::io;
 use std::ops::ControlFlow;
 use tokio::net::TcpStream;
 use tokio::select;
-use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What a client is told that sends nothing whole in time.
+/// Error text for a client that sends no complete query in time.
 const LATE: &str = "nothing whole was asked in time";
-/// What a client is told that is closed before its first request.
-const NO_ROOM: &str = "no room, or stopping: come again";
-
-/// What a connection is doing.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum SessionState {
-    /// No request was ever taken on it.
-    New,
-    /// A request is pending.
-    Busy,
-    /// All requests are answered.
-    Idle,
-    /// It was asked to leave.
-    Leaving,
-    /// Its last message was written; only its end is waited for.
+/// Error text for a client whose connection is closed before its first request.
+const NO_CAPACITY: &str = "no room, or stopping: come again";
+
+/// How an attempt to read more input ended.
+pub(super) enum ReadOutcome {
+    /// There is more input.
+    Read,
+    /// The client has disconnected, or was idle for too long.
+    Left,
+    /// The connection was evicted, or the gateway is shutting down.
     Closing,
+    /// No complete message arrived in time.
+    Late,
 }
 
-/// One client's connection, as the others see it.
-pub(super) struct ClientSession {
-    pub(super) state: Cell<SessionState>,
-    /// When it was accepted, or when it began to idle.
-    pub(super) since: Cell<Instant>,
-    pub(super) has_requested: Cell<bool>,
-    /// Wakes its task: it was asked to leave, or the process ends.
-    pub(super) wake: Notify,
-}
-
-impl ClientSession {
-    pub(super) fn new() -> Self {
-        ClientSession {
-            state: Cell::new(SessionState::New),
-            since: Cell::new(Instant::now()),
-            has_requested: Cell::new(false),
-            wake: Notify::new(),
-        }
-    }
-
-    pub(super) fn ask_to_leave(&self) {
-        self.state.set(SessionState::Leaving);
-        self.wake.notify_one();
-    }
-}
-
-/// Whether a session goes on.
+/// Whether a connection is served further.
 type Step = ControlFlow<CloseReason>;
 
 /// The task of a connection.
@@ -72,32 +42,35 @@
     pub(super) clients: &'a Clients,
     pub(super) session: &'a ClientSession,
     pub(super) stream: &'a TcpStream,
-    /// There are not too many clients.
-    has_room: bool,
+    /// It is within the limit of connections.
+    is_admitted: bool,
     frontend: Frontend,
     pub(super) input: ReadBuffer,
-    bad_queries: u32,
-    /// When a message began to come that is not whole yet.
+    invalid_queries: u32,
+    /// When the first byte of an incomplete message arrived.
     pub(super) message_began: Option<Instant>,
 }
 
 impl<'a> SessionTask<'a> {
     pub(super) fn new(
-        clients: &'a Clients, session: &'a ClientSession, stream: &'a TcpStream, has_room: bool,
+        clients: &'a Clients, session: &'a ClientSession, stream: &'a TcpStream, is_admitted: bool,
     ) -> Self {
         SessionTask {
             clients,
             session,
             stream,
-            has_room,
+            is_admitted,
             frontend: Frontend::default(),
             input: ReadBuffer::default(),
-            bad_queries: 0,
+            invalid_queries: 0,
             message_began: None,
         }
     }
 
-    /// Serves until the connection is to be closed; an error: it is lost.
+    /// Serves until the connection is to be closed. Returns why.
+    ///
+    /// # Errors
+    /// The connection is lost.
     pub(super) async fn serve(mut self) -> io::Result<CloseReason> {
         self.stream.set_nodelay(true)?;
         loop {
@@ -118,7 +91,7 @@
         }
     }
 
-    /// A message that comes one byte at a time would never be late if each byte gave it more time.
+    /// Records the start of an incomplete message once: its timeout does not start again with each byte.
     fn track_message_start(&mut self, is_complete: bool) {
         if self.input.bytes.is_empty() || is_complete {
             self.message_began = None;
@@ -137,16 +110,13 @@
         Ok(Step::Break(reason))
     }
 
-    /// This gateway wants the connection to end.
+    /// The gateway closes the connection.
     async fn close(&mut self) -> io::Result<CloseReason> {
         if !self.session.has_requested.get() {
-            // Closed without a word, it would not know that a retry is harmless.
-            return self.reject_client(NO_ROOM).await;
-        }
-        match self.session.state.get() {
-            SessionState::Leaving => Ok(CloseReason::Quiet),
-            _ => Ok(CloseReason::Answered),
+            // Without an error the client would not know that a retry is safe.
+            return self.reject_client(NO_CAPACITY).await;
         }
+        Ok(if self.session.is_evicted() { CloseReason::Quiet } else { CloseReason::Answered })
     }
 
     async fn on_message(&mut self, message: FrontendMessage, arrived_at: Option<Millis>) -> io::Result<Step> {
@@ -157,14 +127,14 @@
             FrontendMessage::Cancel | FrontendMessage::Terminate => {
                 return Ok(Step::Break(CloseReason::Answered));
             }
-            FrontendMessage::Startup if !self.has_room => {
+            FrontendMessage::Startup if !self.is_admitted => {
                 return self.reject_client("too many connections").await.map(Step::Break);
             }
             FrontendMessage::Startup => self.write(&[pg::encode::greeting()]).await?,
             FrontendMessage::Sync => self.write(&[Bytes::from_static(pg::encode::READY)]).await?,
             FrontendMessage::Extended => {
                 let code = pg::sqlstate::FEATURE_NOT_SUPPORTED;
-                return self.on_bad_query(code, "only simple queries are known here", false).await;
+                return self.on_invalid_query(code, "only simple queries are known here", false).await;
             }
             FrontendMessage::Query(text) if text.trim_ascii().is_empty() => {
                 self.wait_until_ready().await?;
@@ -176,7 +146,10 @@
         Ok(Step::Continue(()))
     }
 
-    /// Waits until the gateway is ready, unless its client goes away, writes on, or is to leave.
+    /// Waits until the gateway is ready, or until more input arrives or the connection is to be closed.
+    ///
+    /// # Errors
+    /// The client has disconnected.
     async fn wait_until_ready(&mut self) -> io::Result<()> {
         if !self.input.bytes.is_empty() {
             return Ok(());
@@ -197,7 +170,7 @@
     async fn on_query(&mut self, text: Bytes, arrived_at: Option<Millis>) -> io::Result<Step> {
         let statement = match self.clients.admit(text) {
             Ok(statement) => statement,
-            Err(error) => return self.on_bad_query(error.sqlstate(), &error.to_string(), true).await,
+            Err(error) => return self.on_invalid_query(error.sqlstate(), &error.to_string(), true).await,
         };
         self.session.state.set(SessionState::Busy);
         self.session.has_requested.set(true);
@@ -209,34 +182,34 @@
         Ok(Step::Continue(()))
     }
 
-    /// Answers a query that cannot be taken; after too many of them the connection ends. `is_ready`: the answer ends the
+    /// Answers an invalid query; after too many of them the connection is closed. `is_ready`: the answer completes the
     /// query.
-    async fn on_bad_query(&mut self, code: &str, reason: &str, is_ready: bool) -> io::Result<Step> {
-        self.bad_queries += 1;
-        self.log_bad_input(reason, &COUNTERS.invalid_queries_total);
-        let is_fatal = self.bad_queries >= MAX_BAD_QUERIES;
+    async fn on_invalid_query(&mut self, code: &str, reason: &str, is_ready: bool) -> io::Result<Step> {
+        self.invalid_queries += 1;
+        self.log_malformed_input(reason, &COUNTERS.invalid_queries_total);
+        let is_fatal = self.invalid_queries >= MAX_INVALID_QUERIES;
         let error = pg::encode::error(is_fatal, code, reason, None);
         let end: &[u8] = if is_ready && !is_fatal { pg::encode::READY } else { &[] };
         self.write(&[error, Bytes::from_static(end)]).await?;
         Ok(if is_fatal { Step::Break(CloseReason::Refused) } else { Step::Continue(()) })
     }
 
-    /// Ends a connection that does not keep to the protocol.
+    /// Closes a connection that violates the protocol.
     async fn refuse(&self, reason: &str, counter: &Metric) -> io::Result<CloseReason> {
-        self.log_bad_input(reason, counter);
+        self.log_malformed_input(reason, counter);
         self.write(&[pg::encode::error(true, pg::sqlstate::PROTOCOL_VIOLATION, reason, None)]).await?;
         Ok(CloseReason::Refused)
     }
 
-    /// Ends a connection for which there is no room.
+    /// Closes a connection above the limit, or before its first request.
     async fn reject_client(&self, reason: &str) -> io::Result<CloseReason> {
         COUNTERS.clients_rejected_total.increment();
         self.write(&[pg::encode::error(true, pg::sqlstate::TOO_MANY_CONNECTIONS, reason, None)]).await?;
         Ok(CloseReason::Refused)
     }
 
-    /// Counts bad input, and logs its peer and the reason; of lines that clients can bring about at will, few are logged.
-    fn log_bad_input(&self, reason: &str, counter: &Metric) {
+    /// Counts and logs malformed input; sampled, because clients can cause it at will.
+    fn log_malformed_input(&self, reason: &str, counter: &Metric) {
         let peer = self.stream.peer_addr().ok().map(tracing::field::display);
         if counter.value().is_multiple_of(LOG_SAMPLING) {
             tracing::info!(peer, reason, "clients: malformed input");
--- a/crates/gateway/src/net/discovery_tasks.rs
+++ b/crates/gateway/src/net/discovery_tasks.rs
@@ -1,6 +1,6 @@
-//! Carries out the commands of a discovery client: one task per call.
+//! Executes the commands of a discovery client: one task per call.
 
-use super::{DriverEvent, list};
+use super::{DriverEvent, discovery_calls};
 use crate::discovery::calls::{CallId, DiscoveryCommand};
 use std::collections::BTreeMap;
 use tokio::sync::mpsc;
@@ -10,13 +10,14 @@
 pub struct DiscoveryTasks {
     /// Finished tasks are dropped when the next call starts.
     tasks: BTreeMap<CallId, AbortHandle>,
-    notes: mpsc::Sender<DriverEvent>,
+    events: mpsc::Sender<DriverEvent>,
 }
 
 impl DiscoveryTasks {
-    /// No tasks yet; their answers go to `notes`.
-    pub fn new(notes: mpsc::Sender<DriverEvent>) -> Self {
-        DiscoveryTasks { tasks: BTreeMap::new(), notes }
+    /// No tasks yet; their results are sent to `events`.
+    #[must_use]
+    pub fn new(events: mpsc::Sender<DriverEvent>) -> Self {
+        DiscoveryTasks { tasks: BTreeMap::new(), events }
     }
 
     /// Starts and aborts calls, in the order given.
@@ -24,10 +25,11 @@
         for command in commands {
             match command {
                 DiscoveryCommand::StartWatch { call, address, after_version } => {
-                    self.spawn(call, list::watch(address, after_version, call, self.notes.clone()));
+                    let events = self.events.clone();
+                    self.spawn(call, discovery_calls::watch(address, after_version, call, events));
                 }
                 DiscoveryCommand::StartFetch { call, address } => {
-                    self.spawn(call, list::fetch(address, call, self.notes.clone()));
+                    self.spawn(call, discovery_calls::fetch(address, call, self.events.clone()));
                 }
                 DiscoveryCommand::Abort { call } => self.abort(call),
             }
@@ -35,6 +37,7 @@
     }
 
     /// The call's task has ended.
+    #[must_use]
     pub fn is_finished(&self, call: CallId) -> bool {
         self.tasks.get(&call).is_none_or(AbortHandle::is_finished)
     }
--- a/crates/gateway/src/net/io.rs
+++ b/crates/gateway/src/net/io.rs
@@ -1,5 +1,6 @@
-//! Reading and writing of sockets.
+//! Reads and writes on sockets.
 
+use crate::limits::{MAX_BUFFERS_PER_WRITE, MAX_READ};
 use bytes::{Bytes, BytesMut};
 use socket2::SockRef;
 use std::io::{self, IoSlice};
@@ -9,23 +10,18 @@
 use tokio::net::TcpStream;
 use tokio::task::yield_now;
 
-/// Bytes that a read takes at most at once; a connection holds at most a message and this.
-const MAX_READ: usize = 16 * 1024;
-/// Buffers that one system call writes at most.
-const MAX_BUFFERS_PER_WRITE: usize = 8;
-
-/// Nothing may be written on this idle connection: its peer has ended it, or sent what nobody asked for.
+/// This idle connection cannot be used: its peer has closed it, or sent unsolicited data.
 pub fn is_unusable(stream: &TcpStream) -> bool {
     let peeked = SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
     !matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// Bytes have come that were not read.
+/// There is unread input.
 pub fn has_unread_bytes(stream: &TcpStream) -> bool {
     matches!(SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]), Ok(count) if count > 0)
 }
 
-/// The peer has ended its sending, also behind bytes that were not read.
+/// The peer has closed its side, even if there is unread input before the end.
 pub fn is_closed_by_peer(stream: &TcpStream) -> bool {
     if matches!(SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]), Ok(0)) {
         return true;
@@ -35,15 +31,16 @@
     matches!(polled, Poll::Ready(Ok(ready)) if ready.is_read_closed())
 }
 
-/// Nothing was transferred, and nothing is wrong with the socket.
+/// Nothing was transferred, and the socket is still usable.
 fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// Reads what is there, up to 16 KiB; 0: the peer has ended its sending.
+/// Reads available bytes, at most [`MAX_READ`]. 0: the peer has closed its side. Where the future is dropped, bytes that
+/// were read are in the buffer.
 ///
 /// # Errors
-/// The socket's.
+/// Those of the socket.
 pub async fn read_some(stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<usize> {
     loop {
         stream.readable().await?;
@@ -54,8 +51,7 @@
         match stream.try_read_buf(buffer) {
             Err(error) if is_retryable(&error) => {}
             Ok(read) if read >= MAX_READ => {
-                // A peer that never stops sending is always ready: its task would never let others run.
-                // Whoever drops this here finds what was read in the buffer.
+                // The socket of a peer that sends continuously is always ready: let other tasks run.
                 yield_now().await;
                 return Ok(read);
             }
@@ -64,10 +60,10 @@
     }
 }
 
-/// Writes all buffers, several with one system call. An error says that the last byte was not written.
+/// Writes all buffers, several with one system call.
 ///
 /// # Errors
-/// The socket's.
+/// Those of the socket; the last byte was not written then.
 pub async fn write_all(stream: &TcpStream, buffers: &[Bytes]) -> io::Result<()> {
     let mut cursor = WriteCursor { buffers, index: 0, offset: 0 };
     loop {
@@ -85,12 +81,12 @@
     }
 }
 
-/// How far buffers have been written.
+/// The position up to which buffers were written.
 struct WriteCursor<'a> {
     buffers: &'a [Bytes],
-    /// The present buffer.
+    /// The current buffer.
     index: usize,
-    /// Bytes of the present buffer that were written.
+    /// Bytes of the current buffer that were written.
     offset: usize,
 }
 
@@ -110,7 +106,7 @@
         self.offset += written;
     }
 
-    /// What is to be written next, and in how many slices.
+    /// The next slices to write, and their number.
     fn slices(&self) -> ([IoSlice<'a>; MAX_BUFFERS_PER_WRITE], usize) {
         let mut slices = [IoSlice::new(&[]); MAX_BUFFERS_PER_WRITE];
         let mut count = 0;
--- a/crates/gateway/src/net/mod.rs
+++ b/crates/gateway/src/net/mod.rs
@@ -1,20 +1,21 @@
-//! Drivers between sockets and the gateway's state machines, by peer. They decide neither routes nor votes.
+//! Drivers between sockets and the gateway's state machines, by peer. They decide neither routes nor votes; their time
+//! limits are in [`limits`](crate::limits).
 //!
 //! - [`clients`]: clients of the gateway.
 //! - [`upstream`]: connections to endpoints.
-//! - [`list`], [`discovery_tasks`]: the discovery service.
-//! - [`call_error`]: why calls to discovery or the platform fail.
+//! - [`list`], [`discovery_calls`], [`discovery_tasks`]: the discovery service.
 //! - [`platform`]: the feed of rollout states, and votes.
-//! - [`io`]: reading and writing of sockets.
+//! - [`io`]: reads and writes on sockets.
 
-pub mod call_error;
 pub mod clients;
+mod discovery_calls;
 pub mod discovery_tasks;
 pub mod io;
 pub mod list;
 pub mod platform;
 pub mod upstream;
 
+pub use crate::limits::MAX_PENDING_EVENTS;
 pub use io::{is_unusable, read_some, write_all};
 
 use crate::discovery::calls::CallId;
@@ -23,45 +24,37 @@
 use latchhaven_policy::{Millis, RequestId, RolloutState, UpdateFailure, UpdateKind, VoteOutcome};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::sync::oneshot;
 use upstream::{CallResult, UpstreamConnection};
 
-/// Votes that wait for an answer: the decisions cast one at a time and few behind it.
-pub const MAX_PENDING_VOTES: usize = 64;
-/// Events that wait for the gateway; a driver that has more waits.
-pub const MAX_PENDING_EVENTS: usize = 4096;
-/// A connection to discovery or the platform that is not up by then never comes up.
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
-
-/// What a driver has seen, for the gateway.
+/// What a driver reports to the event loop.
 pub enum DriverEvent {
-    /// A request's last byte has come.
+    /// A request was received.
     RequestReceived {
         /// The request.
         id: RequestId,
-        /// What it asks for.
+        /// Its statement.
         statement: Rc<Statement>,
-        /// When its last byte came.
+        /// When its last byte arrived, in ms.
         arrived_at: Millis,
-        /// Takes its final answer.
+        /// Receives its final answer.
         reply: oneshot::Sender<Answer>,
     },
-    /// The client of a request has gone away.
+    /// The client of a request has disconnected.
     ClientDisconnected {
         /// The request.
         id: RequestId,
     },
-    /// The process ends, and other requests wait behind this one.
+    /// The gateway is shutting down, and other requests are queued behind this one on its connection.
     Abandon {
         /// The request.
         id: RequestId,
     },
-    /// A connection to an endpoint is up, or ready again.
+    /// A connection to an endpoint is ready for a call.
     ConnectionReady {
         /// The connection.
         connection: Rc<UpstreamConnection>,
-        /// It has just come up.
+        /// It was just opened.
         is_first: bool,
     },
     /// A connection to an endpoint could not be opened.
@@ -69,7 +62,7 @@
         /// The connection.
         connection: Rc<UpstreamConnection>,
     },
-    /// A connection to an endpoint has ended.
+    /// A connection to an endpoint has closed.
     ConnectionClosed {
         /// The connection.
         connection: Rc<UpstreamConnection>,
@@ -81,21 +74,21 @@
         /// How it ended.
         result: CallResult,
     },
-    /// A call for the endpoint list has delivered a list or a delta, or has failed.
+    /// A call for the endpoint list delivered a list or a delta, or failed.
     EndpointList {
         /// The call.
         call: CallId,
-        /// The list, or what its failure means for the list that is held.
+        /// The list, or what the failure means for the current one.
         list: Result<list::List, UpdateFailure>,
     },
-    /// The discovery service is at another address from now on.
+    /// The discovery service has moved.
     DiscoveryMoved {
         /// The new address.
         address: SocketAddr,
     },
     /// The state of the newest version's rollout.
     Rollout(RolloutState),
-    /// A vote was answered, or will not be.
+    /// The result of a vote.
     VoteCompleted(VoteOutcome),
     /// Outcomes that the platform counted.
     Outcomes(platform::OutcomeCounts),
@@ -105,7 +98,7 @@
 pub enum Answer {
     /// The row: its description, the row, and its completion, as the endpoint sent them.
     Success([Bytes; 3]),
-    /// Not executed: a retry is harmless.
+    /// Not executed: a retry is safe.
     Rejected {
         /// ms after which the client should retry.
         retry_after: Option<Millis>,
--- a/crates/gateway/src/net/platform/feed.rs
+++ b/crates/gateway/src/net/platform/feed.rs
@@ -1,34 +1,66 @@
-//! Keeps a feed of the platform open. A lost one is opened again, later each time it brings nothing. One at a new address
-//! is open before the earlier one is closed: what is sent while none is open is not sent again.
+//! Receives the platform's feed. A lost feed is opened again after an exponential backoff. When the platform's address
+//! changes, the new feed is open before the earlier one is closed: the platform does not repeat what it sent meanwhile.
 
-use super::messages::{FeedMessage, read_feed_line};
+use super::messages::{FeedMessage, MessageError, read_feed_line};
+use crate::clock::duration;
 use crate::counters::COUNTERS;
-use crate::net::call_error::CallError;
-use crate::net::{CONNECT_TIMEOUT, DriverEvent, read_some, write_all};
+use crate::limits::SERVICE_CONNECT_TIMEOUT;
+use crate::limits::platform::{FEED_BACKOFF, FEED_SILENCE_TIMEOUT};
+use crate::net::{DriverEvent, read_some, write_all};
 use crate::proto::http::{self, BodyBuffer, ResponsePart, ResponseReader};
 use bytes::{Bytes, BytesMut};
-use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
+use std::io;
 use std::net::SocketAddr;
 use std::pin::pin;
-use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::select;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// A feed without a sign of life for so long is ended: the platform sends one every 1 s.
-const FEED_SILENCE_TIMEOUT: Duration = Duration::from_millis(3000);
-/// A lost feed is opened again after this, doubling up to the maximum, each time less a random half.
-const MIN_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// The longest time after which a lost feed is opened again.
-const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(1600);
+/// Why a feed could not be opened or was lost. The texts are logged.
+#[derive(Debug, thiserror::Error)]
+enum FeedError {
+    /// The connection could not be opened, or broke.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The response is not valid HTTP.
+    #[error(transparent)]
+    Response(#[from] http::ParseError),
+    /// A line cannot be read; lines after it may be out of step.
+    #[error("a line cannot be read: {0}")]
+    Line(MessageError),
+    /// The response has another status than 200.
+    #[error("status {0}")]
+    Status(u16),
+    /// The connection was not established in time.
+    #[error("no connection in time")]
+    NoConnection,
+    /// The response began without a head.
+    #[error("no response head")]
+    NoHead,
+    /// The head of the response was not received in time.
+    #[error("no response head in time")]
+    NoHeadInTime,
+    /// The connection closed before the head of the response was complete.
+    #[error("connection closed before the response head")]
+    ClosedBeforeHead,
+    /// The feed delivered no line in time.
+    #[error("no keepalive in time")]
+    Silent,
+    /// The platform closed the feed.
+    #[error("the feed ended")]
+    Ended,
+    /// There is no open feed.
+    #[error("no feed is open")]
+    NotOpen,
+}
 
-/// Keeps a feed open at the address, which may change.
+/// Receives the feed at an address, which may change.
 pub async fn feed(
     address: watch::Receiver<Option<SocketAddr>>, rng: Pcg64Mcg, events: mpsc::Sender<DriverEvent>,
 ) {
-    let task = FeedTask { address, rng, events, retry_interval: MIN_RETRY_INTERVAL, open: None };
+    let task = FeedTask { address, rng, events, failures: 0, open: None };
     task.run().await;
 }
 
@@ -36,8 +68,9 @@
     address: watch::Receiver<Option<SocketAddr>>,
     rng: Pcg64Mcg,
     events: mpsc::Sender<DriverEvent>,
-    retry_interval: Duration,
-    /// The feed that is open.
+    /// Feeds in a row that could not be opened or delivered no line.
+    failures: u32,
+    /// The open feed.
     open: Option<Feed>,
 }
 
@@ -46,13 +79,13 @@
         loop {
             let lines = match self.open_next().await {
                 None => {
-                    self.retry_interval = MIN_RETRY_INTERVAL;
+                    self.failures = 0;
                     continue;
                 }
                 Some(Ok(feed)) => {
                     self.open = Some(feed);
                     let Some(lines) = self.deliver_until_lost().await else {
-                        self.retry_interval = MIN_RETRY_INTERVAL;
+                        self.failures = 0;
                         continue;
                     };
                     lines
@@ -62,17 +95,16 @@
                     0
                 }
             };
-            let doubled = (2 * self.retry_interval).min(MAX_RETRY_INTERVAL);
-            self.retry_interval = if lines > 0 { MIN_RETRY_INTERVAL } else { doubled };
+            self.failures = if lines > 0 { 0 } else { self.failures.saturating_add(1) };
             self.wait_before_retry().await;
         }
     }
 
-    /// Opens a feed at the present address, and goes on with an open one meanwhile. None: the address has changed.
-    async fn open_next(&mut self) -> Option<Result<Feed, CallError>> {
+    /// Opens a feed at the current address, and delivers from an open one meanwhile. None: the address has changed.
+    async fn open_next(&mut self) -> Option<Result<Feed, FeedError>> {
         let FeedTask { address, events, open, .. } = self;
-        let present_address = *address.borrow_and_update();
-        let mut opening = pin!(Feed::open(present_address));
+        let current_address = *address.borrow_and_update();
+        let mut opening = pin!(Feed::open(current_address));
         loop {
             select! {
                 opened = &mut opening => return Some(opened),
@@ -82,7 +114,7 @@
         }
     }
 
-    /// Delivers what the open feed brings. How many lines it brought until it was lost; none: the address has changed.
+    /// Delivers the open feed until it is lost. Returns the number of its lines. None: the address has changed.
     async fn deliver_until_lost(&mut self) -> Option<u64> {
         let FeedTask { address, events, open, .. } = self;
         select! {
@@ -95,15 +127,14 @@
         }
     }
 
-    /// Waits until a feed is to be opened again, at once where the address changes.
+    /// Waits until a feed is to be opened again: for the backoff, or until the address changes.
     async fn wait_before_retry(&mut self) {
-        let delay = self.retry_interval.mul_f64(self.rng.random_range(0.5..1.0));
-        let FeedTask { address, events, open, retry_interval, .. } = self;
-        let delay = sleep(delay);
+        let delay = sleep(duration(FEED_BACKOFF.delay(self.failures, &mut self.rng)));
+        let FeedTask { address, events, open, failures, .. } = self;
         let mut wait = pin!(async {
             select! {
                 () = delay => {}
-                Ok(()) = address.changed() => *retry_interval = MIN_RETRY_INTERVAL,
+                Ok(()) = address.changed() => *failures = 0,
             }
         });
         loop {
@@ -115,17 +146,17 @@
     }
 }
 
-fn drop_lost(error: &CallError, open: &mut Option<Feed>) {
+fn drop_lost(error: &FeedError, open: &mut Option<Feed>) {
     COUNTERS.feed_lost_total.increment();
     let lines = open.take().map(|feed| feed.lines);
     tracing::info!(reason = error.to_string(), lines, "platform: feed lost");
 }
 
-/// Delivers what a feed brings until it is lost; why that is.
-async fn deliver(open: &mut Option<Feed>, events: &mpsc::Sender<DriverEvent>) -> CallError {
+/// Delivers a feed until it is lost. Returns why.
+async fn deliver(open: &mut Option<Feed>, events: &mpsc::Sender<DriverEvent>) -> FeedError {
     match open {
-        Some(feed) => feed.deliver(events).await.err().unwrap_or(CallError::FeedEnded),
-        None => CallError::NoFeed,
+        Some(feed) => feed.deliver(events).await.err().unwrap_or(FeedError::Ended),
+        None => FeedError::NotOpen,
     }
 }
 
@@ -136,23 +167,22 @@
     body: BodyBuffer,
     buffer: BytesMut,
     lines: u64,
-    last_sign_of_life: Instant,
+    last_line_at: Instant,
 }
 
 impl Feed {
-    /// Opens a feed, up to the head of its response.
-    async fn open(address: Option<SocketAddr>) -> Result<Feed, CallError> {
-        // No platform is known: until another configuration names one there is none.
+    /// Opens a feed. Pending while no platform is configured.
+    async fn open(address: Option<SocketAddr>) -> Result<Feed, FeedError> {
         let Some(address) = address else { return std::future::pending().await };
         let opened = timeout(FEED_SILENCE_TIMEOUT, Feed::request(address)).await;
-        let feed = opened.unwrap_or(Err(CallError::NoHeadInTime))?;
+        let feed = opened.unwrap_or(Err(FeedError::NoHeadInTime))?;
         COUNTERS.feed_opened_total.increment();
         Ok(feed)
     }
 
-    async fn request(address: SocketAddr) -> Result<Feed, CallError> {
-        let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
-        let stream = connected.map_err(|_| CallError::NoConnection)??;
+    async fn request(address: SocketAddr) -> Result<Feed, FeedError> {
+        let connected = timeout(SERVICE_CONNECT_TIMEOUT, TcpStream::connect(address)).await;
+        let stream = connected.map_err(|_| FeedError::NoConnection)??;
         stream.set_nodelay(true)?;
         write_all(&stream, &[http::get(&address.to_string(), "/v1/feed")]).await?;
         let mut reader = ResponseReader::default();
@@ -160,18 +190,18 @@
         loop {
             match reader.next(&mut buffer)? {
                 Some(ResponsePart::Head { status: 200, .. }) => break,
-                Some(ResponsePart::Head { status, .. }) => return Err(CallError::Status(status)),
-                Some(_) => return Err(CallError::NoHead),
+                Some(ResponsePart::Head { status, .. }) => return Err(FeedError::Status(status)),
+                Some(_) => return Err(FeedError::NoHead),
                 None if read_some(&stream, &mut buffer).await? > 0 => {}
-                None => return Err(CallError::EndedBeforeHead),
+                None => return Err(FeedError::ClosedBeforeHead),
             }
         }
-        let last_sign_of_life = Instant::now();
-        Ok(Feed { stream, reader, body: BodyBuffer::default(), buffer, lines: 0, last_sign_of_life })
+        let last_line_at = Instant::now();
+        Ok(Feed { stream, reader, body: BodyBuffer::default(), buffer, lines: 0, last_line_at })
     }
 
-    /// Delivers line by line. Nothing is lost where this is dropped and called again.
-    async fn deliver(&mut self, events: &mpsc::Sender<DriverEvent>) -> Result<(), CallError> {
+    /// Delivers line by line. Can be dropped and called again without loss.
+    async fn deliver(&mut self, events: &mpsc::Sender<DriverEvent>) -> Result<(), FeedError> {
         loop {
             let Ok(permit) = events.reserve().await else { return Ok(()) };
             if let Some(line) = self.body.next_line() {
@@ -189,23 +219,22 @@
         }
     }
 
-    /// Only whole lines are signs of life: one that never ends is none.
-    fn on_line(&mut self, line: &Bytes) -> Result<Option<DriverEvent>, CallError> {
+    /// A line counts as a keepalive when it is complete: one that never ends must not extend the feed.
+    fn on_line(&mut self, line: &Bytes) -> Result<Option<DriverEvent>, FeedError> {
         self.lines += 1;
-        self.last_sign_of_life = Instant::now();
+        self.last_line_at = Instant::now();
         match read_feed_line(line) {
             Ok(FeedMessage::Rollout(state)) => Ok(Some(DriverEvent::Rollout(state))),
             Ok(FeedMessage::Outcomes(counts)) => Ok(Some(DriverEvent::Outcomes(counts))),
             Ok(FeedMessage::Nothing) => Ok(None),
             Err(_) if line.trim_ascii().is_empty() => Ok(None),
-            // Where one line is malformed, what follows it may be out of step.
-            Err(error) => Err(CallError::Line(error)),
+            Err(error) => Err(FeedError::Line(error)),
         }
     }
 
-    async fn read(&mut self) -> Result<usize, CallError> {
-        let deadline = self.last_sign_of_life + FEED_SILENCE_TIMEOUT;
+    async fn read(&mut self) -> Result<usize, FeedError> {
+        let deadline = self.last_line_at + FEED_SILENCE_TIMEOUT;
         let read = timeout_at(deadline, read_some(&self.stream, &mut self.buffer)).await;
-        Ok(read.map_err(|_| CallError::Silent)??)
+        Ok(read.map_err(|_| FeedError::Silent)??)
     }
 }
--- a/crates/gateway/src/net/platform/messages.rs
+++ b/crates/gateway/src/net/platform/messages.rs
@@ -1,38 +1,36 @@
-//! What the platform says: states of rollouts, and outcomes that it counted.
+//! The platform's messages: rollout states, and counted outcomes.
 
+use crate::clock::millis;
+use crate::limits::platform::MAX_AGE;
 use latchhaven_policy::{Millis, OutcomeReport, RolloutPhase, RolloutState, Version};
 use serde::Deserialize;
 use serde_json::{Map, Value};
 
-/// The highest age in ms that is believed: a year.
-const MAX_AGE: Millis = 365.0 * 86_400_000.0;
-
 /// Why a message cannot be read; the text names the faulty key.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// A rollout's state is no JSON, or lacks keys.
+    /// A rollout state is not JSON, or a key is missing or invalid.
     #[error(transparent)]
     State(#[from] serde_path_to_error::Error<serde_json::Error>),
-    /// A line is no JSON object, or something stands behind it.
+    /// A line is not a JSON object, or there is data after it.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The cap of a stage is no share.
-    #[error("maxWeight: not from 0 to 1")]
+    /// The traffic cap is not between 0 and 1.
+    #[error("maxWeight: not between 0 and 1")]
     InvalidTrafficCap,
-    /// An age is negative or beyond belief.
-    #[error("observedAgoMs: no sensible age")]
+    /// An age is negative or above [`MAX_AGE`].
+    #[error("observedAgoMs: out of range")]
     InvalidAge,
-    /// Counted outcomes contradict each other.
-    #[error("SAMPLE: figures that cannot be")]
+    /// Counted outcomes contradict each other, or a value is out of range.
+    #[error("SAMPLE: inconsistent counts, or a value out of range")]
     InvalidOutcomes,
     /// A line has no type.
     #[error("no type")]
     MissingType,
 }
 
-/// What the platform counted over a period.
+/// Outcomes that the platform counted over a period.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-#[serde(rename_all = "camelCase")]
 pub struct OutcomeCounts {
     /// The version.
     pub version: Version,
@@ -45,7 +43,7 @@
     /// Those of them that failed.
     #[serde(default)]
     pub failures: u64,
-    /// Mean time of the others, in ms.
+    /// Mean latency of the others, in ms.
     #[serde(rename = "avgMs")]
     pub mean_latency: Option<Millis>,
     /// Age in ms of the end of the period.
@@ -56,7 +54,7 @@
 impl OutcomeCounts {
     fn is_valid(&self) -> bool {
         self.failures <= self.attempts
-            && (0.0..=MAX_AGE).contains(&self.age)
+            && is_valid_age(self.age)
             && self.mean_latency.is_none_or(|latency| latency >= 0.0)
     }
 }
@@ -74,70 +72,82 @@
     }
 }
 
+/// `age` in ms.
+fn is_valid_age(age: Millis) -> bool {
+    (0.0..=millis(MAX_AGE)).contains(&age)
+}
+
+/// A rollout state as it is sent.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
 struct RolloutMessage {
     version: Version,
-    step: u32,
-    status: RolloutMessageStatus,
-    max_weight: f64,
-    #[serde(default)]
-    observed_ago_ms: Millis,
+    #[serde(rename = "step")]
+    stage: u32,
+    #[serde(rename = "status")]
+    phase: RolloutPhaseMessage,
+    #[serde(rename = "maxWeight")]
+    traffic_cap: f64,
+    /// Age in ms.
+    #[serde(rename = "observedAgoMs", default)]
+    age: Millis,
 }
 
+/// A phase of a rollout as it is sent.
 #[derive(Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
-enum RolloutMessageStatus {
-    InProgress,
+enum RolloutPhaseMessage {
+    #[serde(rename = "IN_PROGRESS")]
+    Canary,
     RollingBack,
-    Complete,
+    #[serde(rename = "COMPLETE")]
+    Promoted,
     RolledBack,
 }
 
-/// What one line of the feed says.
+/// One line of the feed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FeedMessage {
     /// The state of the newest version's rollout.
     Rollout(RolloutState),
     /// Counted outcomes.
     Outcomes(OutcomeCounts),
-    /// A sign of life, or something that is not known here.
+    /// A keepalive, or a message of an unknown type.
     Nothing,
 }
 
-/// Reads the state of the newest version's rollout.
+/// Reads a rollout state.
 ///
 /// # Errors
-/// What is wrong with it.
+/// The text is malformed or has invalid values.
 pub fn read_rollout_state(text: &[u8]) -> Result<RolloutState, MessageError> {
     let mut reader = serde_json::Deserializer::from_slice(text);
     let message: RolloutMessage = serde_path_to_error::deserialize(&mut reader)?;
     reader.end()?;
-    if !(0.0..=1.0).contains(&message.max_weight) {
+    if !(0.0..=1.0).contains(&message.traffic_cap) {
         return Err(MessageError::InvalidTrafficCap);
     }
-    if !(0.0..=MAX_AGE).contains(&message.observed_ago_ms) {
+    if !is_valid_age(message.age) {
         return Err(MessageError::InvalidAge);
     }
-    let phase = match message.status {
-        RolloutMessageStatus::InProgress => RolloutPhase::Canary,
-        RolloutMessageStatus::RollingBack => RolloutPhase::RollingBack,
-        RolloutMessageStatus::Complete => RolloutPhase::Promoted,
-        RolloutMessageStatus::RolledBack => RolloutPhase::RolledBack,
+    let phase = match message.phase {
+        RolloutPhaseMessage::Canary => RolloutPhase::Canary,
+        RolloutPhaseMessage::RollingBack => RolloutPhase::RollingBack,
+        RolloutPhaseMessage::Promoted => RolloutPhase::Promoted,
+        RolloutPhaseMessage::RolledBack => RolloutPhase::RolledBack,
     };
     Ok(RolloutState {
         version: message.version,
-        stage: message.step,
+        stage: message.stage,
         phase,
-        traffic_cap: message.max_weight,
-        age: message.observed_ago_ms,
+        traffic_cap: message.traffic_cap,
+        age: message.age,
     })
 }
 
 /// Reads a line of the feed.
 ///
 /// # Errors
-/// What is wrong with it.
+/// The line is malformed or has invalid values.
 pub fn read_feed_line(line: &[u8]) -> Result<FeedMessage, MessageError> {
     let mut line: Map<String, Value> = serde_json::from_slice(line)?;
     let kind = line.remove("type");
@@ -153,7 +163,6 @@
             }
         }
         None if !line.is_empty() || !object.is_null() || kind.is_some() => Err(MessageError::MissingType),
-        // A sign of life, or a kind that is not known here yet.
         _ => Ok(FeedMessage::Nothing),
     }
 }
--- a/crates/gateway/src/net/platform/mod.rs
+++ b/crates/gateway/src/net/platform/mod.rs
@@ -1,7 +1,7 @@
-//! The platform: its feed on a connection of its own, and votes, one after another, on another one.
+//! The platform: its feed on one connection, and votes, one after another, on a second one.
 //!
-//! - [`messages`]: what the platform says.
-//! - [`mod@feed`]: keeps a feed open.
+//! - [`messages`]: the platform's messages.
+//! - [`mod@feed`]: receives the feed, and reopens it when it is lost.
 //! - [`mod@votes`]: casts votes.
 
 pub mod feed;
@@ -12,7 +12,8 @@
 pub use messages::{FeedMessage, MessageError, OutcomeCounts, read_feed_line, read_rollout_state};
 pub use votes::{Vote, votes};
 
-use super::{DriverEvent, MAX_PENDING_VOTES};
+use super::DriverEvent;
+use crate::limits::MAX_PENDING_VOTES;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::net::SocketAddr;
@@ -20,7 +21,7 @@
 use tokio::sync::{mpsc, watch};
 
 /// Starts the feed and the task that casts votes, within a `LocalSet`. The feed's random generator is drawn from `rng`.
-/// Returns where votes are sent to.
+/// Returns the queue of votes. `vote_timeout`: the longest time from casting a vote to its result.
 pub fn spawn_tasks(
     rng: &mut Pcg64Mcg, address: watch::Receiver<Option<SocketAddr>>, vote_timeout: Duration,
     events: &mpsc::Sender<DriverEvent>,
--- a/crates/gateway/src/net/platform/votes.rs
+++ b/crates/gateway/src/net/platform/votes.rs
@@ -1,21 +1,57 @@
-//! Casts votes in order, each at most once; a connection stays open for the next one.
+//! Casts votes in order, each at most once. The connection of an answered vote is reused for a while.
 
-use super::messages::read_rollout_state;
+use super::messages::{MessageError, read_rollout_state};
 use crate::counters::COUNTERS;
-use crate::net::call_error::CallError;
+use crate::limits::platform::MAX_VOTE_CONNECTION_IDLE;
 use crate::net::{DriverEvent, is_unusable, read_some, write_all};
 use crate::proto::http::{self, BodyBuffer, ResponsePart, ResponseReader};
 use bytes::{Bytes, BytesMut};
 use latchhaven_policy::{RolloutState, Verdict, Version, VoteOutcome};
 use serde::Deserialize;
+use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, timeout_at};
 
-/// A connection that idled longer is not used again: the platform closes some before 10 s.
-const MAX_CONNECTION_IDLE: Duration = Duration::from_secs(3);
+/// Why a vote failed. The texts are logged.
+#[derive(Debug, thiserror::Error)]
+enum VoteError {
+    /// The connection could not be opened, or broke.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The response is not valid HTTP.
+    #[error(transparent)]
+    Response(#[from] http::ParseError),
+    /// The rollout state in the response cannot be read.
+    #[error(transparent)]
+    State(#[from] MessageError),
+    /// The platform rejected the vote with this status.
+    #[error("status {0}")]
+    Status(u16),
+    /// The body of a response with this status cannot be read.
+    #[error("status {status}: {error}")]
+    StatusBody { status: u16, error: serde_json::Error },
+    /// The status does not belong to the error in the body.
+    #[error("status {0} does not match the error in its body")]
+    StatusMismatch(u16),
+    /// The vote was not written in time.
+    #[error("no connection in time")]
+    NoConnectionInTime,
+    /// The response had no head.
+    #[error("no response head")]
+    NoHead,
+    /// There was no response in time.
+    #[error("no response in time")]
+    NoResponseInTime,
+    /// The connection closed within the response.
+    #[error("connection closed within the response")]
+    Truncated,
+    /// No platform is configured.
+    #[error("no platform is configured")]
+    NoPlatform,
+}
 
 /// One vote.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -30,12 +66,12 @@
     pub cast_at: Instant,
 }
 
-/// How a vote ended.
+/// The result of a vote.
 enum VoteResult {
     Counted(RolloutState),
-    NotCounted(CallError),
-    /// It may have been carried out, or may yet be.
-    Unknown(CallError),
+    NotCounted(VoteError),
+    /// The platform may count it.
+    Unknown(VoteError),
 }
 
 /// A connection on which a vote was answered.
@@ -46,15 +82,15 @@
 }
 
 impl VoteConnection {
-    /// The platform closes what idles, and what is written to such a connection may have been carried out.
+    /// The platform closes idle connections, and a vote written to a closed one would have an unknown result.
     fn is_usable(&self, address: SocketAddr) -> bool {
         self.address == address
-            && self.idle_since.elapsed() < MAX_CONNECTION_IDLE
+            && self.idle_since.elapsed() < MAX_VOTE_CONNECTION_IDLE
             && !is_unusable(&self.stream)
     }
 }
 
-/// Casts the votes of a queue, each within `vote_timeout` from its casting.
+/// Casts the votes of a queue, each within `vote_timeout` after [`Vote::cast_at`].
 pub async fn votes(
     address: watch::Receiver<Option<SocketAddr>>, vote_timeout: Duration, mut queue: mpsc::Receiver<Vote>,
     events: mpsc::Sender<DriverEvent>,
@@ -67,9 +103,9 @@
     }
 }
 
-/// Counts and logs how a vote ended.
+/// Counts and logs the result of a vote.
 fn record(result: VoteResult, vote: &Vote) -> VoteOutcome {
-    let build = vote.version.0;
+    let version = vote.version.0;
     let stage = vote.stage;
     match result {
         VoteResult::Counted(rollout) => {
@@ -78,12 +114,12 @@
         }
         VoteResult::NotCounted(error) => {
             COUNTERS.votes_not_counted_total.increment();
-            tracing::info!(reason = error.to_string(), build, stage, "platform: vote not counted");
+            tracing::info!(reason = error.to_string(), version, stage, "platform: vote not counted");
             VoteOutcome::NotCounted
         }
         VoteResult::Unknown(error) => {
             COUNTERS.votes_unknown_total.increment();
-            tracing::info!(reason = error.to_string(), build, stage, "platform: vote outcome unknown");
+            tracing::info!(reason = error.to_string(), version, stage, "platform: vote outcome unknown");
             VoteOutcome::Unknown
         }
     }
@@ -103,29 +139,29 @@
             Ok(Ok(result)) => result,
             Ok(Err(error)) if is_written => VoteResult::Unknown(error),
             Ok(Err(error)) => VoteResult::NotCounted(error),
-            Err(_) if is_written => VoteResult::Unknown(CallError::NoResponseInTime),
-            Err(_) => VoteResult::NotCounted(CallError::NoConnectionInTime),
+            Err(_) if is_written => VoteResult::Unknown(VoteError::NoResponseInTime),
+            Err(_) => VoteResult::NotCounted(VoteError::NoConnectionInTime),
         }
     }
 
-    /// Casts one vote; an error leaves open what the platform did if `is_written` is set.
+    /// Casts one vote. Sets `is_written` when the platform may have received it: the result is unknown after an error
+    /// then.
     async fn cast(
         &mut self, address: Option<SocketAddr>, vote: &Vote, is_written: &mut bool,
-    ) -> Result<VoteResult, CallError> {
-        let address = address.ok_or(CallError::NoPlatform)?;
+    ) -> Result<VoteResult, VoteError> {
+        let address = address.ok_or(VoteError::NoPlatform)?;
         let stream = self.connect(address).await?;
         write_all(&stream, &[http::post(&address.to_string(), "/v1/ballots", &ballot(vote))]).await?;
         *is_written = true;
         let response = Response::read(&stream).await?;
         let result = vote_result(response.status, &response.body)?;
-        // Only what was read whole leaves a connection in step.
         if response.keeps_connection && !is_unusable(&stream) {
             self.idle = Some(VoteConnection { stream, address, idle_since: Instant::now() });
         }
         Ok(result)
     }
 
-    async fn connect(&mut self, address: SocketAddr) -> Result<TcpStream, CallError> {
+    async fn connect(&mut self, address: SocketAddr) -> Result<TcpStream, VoteError> {
         if let Some(idle) = self.idle.take()
             && idle.is_usable(address)
         {
@@ -137,7 +173,7 @@
     }
 }
 
-/// A vote as the platform reads it.
+/// A vote as it is sent.
 fn ballot(vote: &Vote) -> String {
     let word = match vote.verdict {
         Verdict::Abstain => "clear",
@@ -148,16 +184,16 @@
     serde_json::json!({"version": vote.version, "step": vote.stage, "vote": word}).to_string()
 }
 
-/// The whole response to a vote.
+/// The complete response to a vote.
 struct Response {
     status: u16,
     body: Bytes,
-    /// The connection stays open, and nothing has come behind the response.
+    /// The connection stays open, and there was no data after the response.
     keeps_connection: bool,
 }
 
 impl Response {
-    async fn read(stream: &TcpStream) -> Result<Self, CallError> {
+    async fn read(stream: &TcpStream) -> Result<Self, VoteError> {
         let mut reader = ResponseReader::default();
         let mut body = BodyBuffer::default();
         let mut buffer = BytesMut::new();
@@ -169,29 +205,29 @@
                 Some(ResponsePart::End) => break,
                 None if read_some(stream, &mut buffer).await? > 0 => {}
                 None if reader.is_complete_at_close() => break,
-                None => return Err(CallError::CutOff),
+                None => return Err(VoteError::Truncated),
             }
         }
-        let (status, is_last) = head.ok_or(CallError::NoResponse)?;
+        let (status, is_last) = head.ok_or(VoteError::NoHead)?;
         Ok(Response { status, body: body.take(), keeps_connection: !is_last && buffer.is_empty() })
     }
 }
 
-/// Reads the response to a vote: only status and words together tell what was done.
-fn vote_result(status: u16, body: &[u8]) -> Result<VoteResult, CallError> {
+/// Reads the response to a vote. Only a known status with its own error states that the vote was not counted.
+fn vote_result(status: u16, body: &[u8]) -> Result<VoteResult, VoteError> {
     #[derive(Deserialize)]
-    struct Refusal {
+    struct Rejection {
         error: String,
     }
     if status == 200 {
         return Ok(VoteResult::Counted(read_rollout_state(body)?));
     }
-    let refusal: Refusal =
-        serde_json::from_slice(body).map_err(|error| CallError::StatusBody { status, error })?;
-    match (status, refusal.error.as_str()) {
+    let rejection: Rejection =
+        serde_json::from_slice(body).map_err(|error| VoteError::StatusBody { status, error })?;
+    match (status, rejection.error.as_str()) {
         (400, "SYNTAX") | (409, "STALE") | (429, "BUSY") | (500, "FAILED") => {
-            Ok(VoteResult::NotCounted(CallError::Status(status)))
+            Ok(VoteResult::NotCounted(VoteError::Status(status)))
         }
-        _ => Err(CallError::StatusMismatch(status)),
+        _ => Err(VoteError::StatusMismatch(status)),
     }
 }
--- /dev/null
+++ b/crates/gateway/src/net/upstream/connection_task.rs
@@ -0,0 +1,155 @@
+//! The task of a connection: opens it, carries one call after another, and reports their results.
+
+use super::call::CallResult;
+use super::connection::{OutgoingQuery, UpstreamConnection};
+use super::exchange::{Exchange, NextStep, QueryChannel};
+use crate::clock::duration;
+use crate::counters::COUNTERS;
+use crate::limits::upstream::{READY_TIMEOUT, close_timeout};
+use crate::net::{DriverEvent, is_unusable, read_some, write_all};
+use crate::proto::pg::{self, BackendMessage};
+use latchhaven_policy::{AttemptOutcome, UpstreamConnectionConfig};
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use tokio::net::TcpStream;
+use tokio::select;
+use tokio::sync::{Semaphore, mpsc};
+use tokio::time::{Instant, sleep_until, timeout};
+
+/// Drives a connection from its opening to its close.
+pub(super) async fn run(
+    connection: Rc<UpstreamConnection>, address: SocketAddr, config: UpstreamConnectionConfig,
+    large_answers: Arc<Semaphore>, events: mpsc::Sender<DriverEvent>,
+) {
+    let channel = QueryChannel::new(connection.clone(), config.load_reporting, large_answers);
+    let mut task = ConnectionTask { connection: connection.clone(), config, events, channel };
+    if let Err(error) = task.open(address).await {
+        COUNTERS.server_connects_failed_total.increment();
+        let connected = connection.stream.get().is_some();
+        let endpoint = &connection.endpoint;
+        let incarnation = connection.incarnation;
+        tracing::debug!(endpoint, incarnation, reason = %error, connected, "upstream: connection failed");
+        task.report(DriverEvent::ConnectFailed { connection }).await;
+        return;
+    }
+    let Some(stream) = connection.stream.get() else { return };
+    task.serve(stream).await;
+    connection.close();
+    if connection.call.get().is_some() && !connection.is_written.get() {
+        // The pool assigned the call while the connection was closing.
+        task.report_call_ended(CallResult::without_answer(AttemptOutcome::ConnectFailed)).await;
+    }
+    task.report(DriverEvent::ConnectionClosed { connection }).await;
+}
+
+struct ConnectionTask {
+    connection: Rc<UpstreamConnection>,
+    config: UpstreamConnectionConfig,
+    events: mpsc::Sender<DriverEvent>,
+    channel: QueryChannel,
+}
+
+impl ConnectionTask {
+    /// Opens the connection, unless it is closed meanwhile.
+    async fn open(&mut self, address: SocketAddr) -> io::Result<()> {
+        let connect_timeout = duration(self.config.connect_timeout);
+        let connection = self.connection.clone();
+        select! {
+            opened = timeout(connect_timeout, self.connect(&connection, address)) => opened?,
+            () = connection.closed() => Err(io::ErrorKind::ConnectionAborted.into()),
+        }
+    }
+
+    /// Connects and waits until the endpoint is ready for a query.
+    async fn connect(&mut self, connection: &UpstreamConnection, address: SocketAddr) -> io::Result<()> {
+        let stream = TcpStream::connect(address).await?;
+        connection.connected_at.set(Some(Instant::now()));
+        stream.set_nodelay(true)?;
+        let stream = connection.stream.get_or_init(|| stream);
+        write_all(stream, &[pg::encode::startup()]).await?;
+        loop {
+            let message = self.channel.next_message();
+            match message.map_err(|error| invalid_data(&error.to_string()))? {
+                Some(BackendMessage::Ready) => return Ok(()),
+                Some(BackendMessage::Parameter { .. }) => {}
+                Some(BackendMessage::Error(code)) => return Err(invalid_data(&code)),
+                Some(BackendMessage::Row(_)) => return Err(invalid_data("a row before any query")),
+                None if read_some(stream, &mut self.channel.buffer).await? == 0 => {
+                    return Err(io::ErrorKind::UnexpectedEof.into());
+                }
+                None => {}
+            }
+        }
+    }
+
+    /// Carries calls until the connection closes.
+    async fn serve(&mut self, stream: &TcpStream) {
+        let connection = self.connection.clone();
+        let mut is_first = true;
+        loop {
+            self.report(DriverEvent::ConnectionReady { connection: connection.clone(), is_first }).await;
+            is_first = false;
+            let Some(query) = self.next_query(stream).await else { return };
+            let exchange = select! {
+                exchange = self.channel.exchange(stream, query) => exchange,
+                () = connection.closed() => return,
+            };
+            let Exchange { result, next } = exchange;
+            self.report_call_ended(result).await;
+            if !self.is_ready_again(stream, next).await {
+                return;
+            }
+            // Data after the answer: the connection is out of step.
+            if !self.channel.buffer.is_empty() || is_unusable(stream) {
+                COUNTERS.unsolicited_responses_total.increment();
+                return;
+            }
+        }
+    }
+
+    async fn is_ready_again(&mut self, stream: &TcpStream, next: NextStep) -> bool {
+        match next {
+            NextStep::Ready => true,
+            NextStep::AwaitReady => {
+                timeout(READY_TIMEOUT, self.channel.await_ready(stream)).await == Ok(true)
+            }
+            NextStep::Close => false,
+        }
+    }
+
+    /// Idles until there is a query. None: the connection closes first.
+    async fn next_query(&mut self, stream: &TcpStream) -> Option<OutgoingQuery> {
+        let idle_until = Instant::now() + close_timeout(self.config.idle_timeout);
+        let connection = self.connection.clone();
+        while !connection.is_closed.get() {
+            if let Some(query) = connection.outgoing.take() {
+                return Some(query);
+            }
+            select! {
+                () = connection.wake.notified() => {}
+                read = read_some(stream, &mut self.channel.buffer) => {
+                    if read.ok()? == 0 || !self.channel.accept_idle_messages() {
+                        return None;
+                    }
+                }
+                () = sleep_until(idle_until) => return None,
+            }
+        }
+        None
+    }
+
+    async fn report_call_ended(&self, mut result: CallResult) {
+        result.connected_at = self.connection.connected_at.get();
+        self.report(DriverEvent::CallEnded { connection: self.connection.clone(), result }).await;
+    }
+
+    async fn report(&self, event: DriverEvent) {
+        let _ = self.events.send(event).await;
+    }
+}
+
+fn invalid_data(reason: &str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, reason.to_string())
+}
--- a/crates/gateway/src/net/upstream/exchange.rs
+++ b/crates/gateway/src/net/upstream/exchange.rs
@@ -1,31 +1,31 @@
-//! One query on a connection, and its answer.
+//! One query on a connection and its answer.
 
-use super::CallResult;
-use super::connection::{ConnectionTask, OutgoingQuery};
+use super::call::CallResult;
+use super::connection::{OutgoingQuery, UpstreamConnection};
 use crate::counters::COUNTERS;
+use crate::limits::upstream::LARGE_ANSWER;
 use crate::net::{is_unusable, read_some, write_all};
-use crate::proto::pg::{self, BackendMessage};
-use bytes::Bytes;
+use crate::proto::pg::{self, Backend, BackendMessage, ParseError};
+use bytes::{Bytes, BytesMut};
 use latchhaven_policy::{AttemptOutcome, LoadReport, LoadReporting};
 use std::io;
+use std::rc::Rc;
+use std::sync::Arc;
 use tokio::net::TcpStream;
-use tokio::sync::OwnedSemaphorePermit;
+use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{Instant, timeout_at};
 
-/// Bytes from which an answer needs a permit to be read on, which it holds until its client has it.
-pub(super) const LARGE_ANSWER: usize = 64 * 1024;
-
 /// The parameter by which an endpoint reports its load with an answer.
 const LOAD_PARAMETER: &str = "load";
 
-/// What follows an answer on its connection.
+/// What is to be done with the connection after an answer.
 #[derive(PartialEq)]
 pub(super) enum NextStep {
     /// The endpoint is ready for a query.
     Ready,
-    /// The answer is whole; the endpoint has not yet said that it is ready.
+    /// The answer is complete; the endpoint has not reported yet that it is ready.
     AwaitReady,
-    /// The connection is out of step, or gone.
+    /// The connection is out of step or lost.
     Close,
 }
 
@@ -35,7 +35,7 @@
     pub(super) next: NextStep,
 }
 
-/// A row that holds a permit for large answers for as long as it is held itself.
+/// A row with a permit for large answers, which is released when the row is dropped.
 struct LargeRow {
     row: Bytes,
     _permit: OwnedSemaphorePermit,
@@ -47,7 +47,7 @@
     }
 }
 
-/// What has come of an answer.
+/// The part of an answer that was received.
 #[derive(Default)]
 struct PartialAnswer {
     outcome: Option<AttemptOutcome>,
@@ -73,7 +73,30 @@
     }
 }
 
-impl ConnectionTask {
+/// Sends queries on a connection and reads their answers.
+pub(super) struct QueryChannel {
+    connection: Rc<UpstreamConnection>,
+    load_reporting: LoadReporting,
+    /// Permits for large answers.
+    large_answers: Arc<Semaphore>,
+    backend: Backend,
+    /// Input that was not parsed yet.
+    pub(super) buffer: BytesMut,
+}
+
+impl QueryChannel {
+    pub(super) fn new(
+        connection: Rc<UpstreamConnection>, load_reporting: LoadReporting, large_answers: Arc<Semaphore>,
+    ) -> Self {
+        let backend = Backend::default();
+        QueryChannel { connection, load_reporting, large_answers, backend, buffer: BytesMut::new() }
+    }
+
+    /// The next buffered message of the endpoint, if it is complete.
+    pub(super) fn next_message(&mut self) -> Result<Option<BackendMessage>, ParseError> {
+        self.backend.next(&mut self.buffer)
+    }
+
     /// Sends one query and reads its answer.
     pub(super) async fn exchange(&mut self, stream: &TcpStream, query: OutgoingQuery) -> Exchange {
         if let Err(outcome) = self.send_query(stream, query).await {
@@ -83,14 +106,14 @@
         self.read_answer(stream).await
     }
 
-    /// Writes a query whole, or not to its end: then it was not executed.
+    /// Writes a query. After an error its last byte was not written, and the endpoint has not executed it.
     async fn send_query(&mut self, stream: &TcpStream, query: OutgoingQuery) -> Result<(), AttemptOutcome> {
-        // Handed over in the moment in which something came that nobody asked for.
+        // Unsolicited data arrived after the pool chose this connection.
         if !self.buffer.is_empty() || is_unusable(stream) {
             COUNTERS.unsolicited_responses_total.increment();
             return Err(AttemptOutcome::NotSent);
         }
-        // Checked here, where it is written: a process that stood still since was handed it in time.
+        // Checked again just before the write: the process may have been suspended since the pool checked it.
         if query.write_by.is_some_and(|write_by| Instant::now() >= write_by) {
             return Err(AttemptOutcome::NotSent);
         }
@@ -108,25 +131,26 @@
         let mut answer = PartialAnswer::default();
         loop {
             let is_complete = answer.outcome.is_some();
-            match self.backend.next(&mut self.buffer) {
+            match self.next_message() {
                 Ok(Some(BackendMessage::Row(row))) if !is_complete => answer.set_row(row),
                 Ok(Some(BackendMessage::Error(code))) if !is_complete => {
                     tracing::debug!(
                         endpoint = self.connection.endpoint,
+                        call = ?self.connection.call.get(),
                         code,
                         "upstream: server returned an error"
                     );
                     answer.outcome = Some(outcome_of_code(&code));
                 }
                 Ok(Some(BackendMessage::Parameter { name, value })) => {
-                    if name == LOAD_PARAMETER && self.config.load_reporting == LoadReporting::InResponses {
+                    if name == LOAD_PARAMETER && self.load_reporting == LoadReporting::InResponses {
                         answer.load = pg::parse_load_report(&value);
                     }
                 }
                 Ok(Some(BackendMessage::Ready)) if is_complete => {
                     return answer.finish(AttemptOutcome::ConnectionLost, NextStep::Ready);
                 }
-                // The client need not wait for what follows.
+                // The client need not wait for the ReadyForQuery.
                 Ok(None) if is_complete => {
                     return answer.finish(AttemptOutcome::ConnectionLost, NextStep::AwaitReady);
                 }
@@ -136,10 +160,11 @@
                     }
                 }
                 out_of_step => {
-                    // It was executed, or may have been: an error of the endpoint as far as any request goes.
+                    // It may have been executed, so it counts as an error of the endpoint.
                     COUNTERS.malformed_responses_total.increment();
                     tracing::debug!(
                         endpoint = self.connection.endpoint,
+                        call = ?self.connection.call.get(),
                         ?out_of_step,
                         "upstream: malformed response"
                     );
@@ -149,7 +174,7 @@
         }
     }
 
-    /// Reads on, a large answer only with a permit; false: the connection is gone.
+    /// Reads more input, of a large answer only with a permit. False: the connection is lost.
     async fn read_more(&mut self, stream: &TcpStream, permit: &mut Option<OwnedSemaphorePermit>) -> bool {
         if permit.is_none() && self.buffer.len() > LARGE_ANSWER {
             *permit = self.large_answers.clone().acquire_owned().await.ok();
@@ -157,10 +182,10 @@
         matches!(read_some(stream, &mut self.buffer).await, Ok(count) if count > 0)
     }
 
-    /// Reads on until the endpoint is ready again.
+    /// Reads until the endpoint is ready again. False: the connection is lost or out of step.
     pub(super) async fn await_ready(&mut self, stream: &TcpStream) -> bool {
         loop {
-            match self.backend.next(&mut self.buffer) {
+            match self.next_message() {
                 Ok(Some(BackendMessage::Ready)) => return true,
                 Ok(Some(BackendMessage::Parameter { .. })) => {}
                 Ok(None) => {
@@ -173,9 +198,21 @@
             }
         }
     }
+
+    /// Parses messages between queries: only complete parameters and notices are valid. The start of an answer would
+    /// be read as part of the next call's answer.
+    pub(super) fn accept_idle_messages(&mut self) -> bool {
+        loop {
+            match self.next_message() {
+                Ok(Some(BackendMessage::Parameter { .. })) => {}
+                Ok(None) => return self.buffer.is_empty(),
+                _ => return false,
+            }
+        }
+    }
 }
 
-/// Some errors promise that the query was not executed.
+/// Some errors state that the query was not executed.
 fn outcome_of_code(code: &str) -> AttemptOutcome {
     if [pg::sqlstate::TOO_MANY_CONNECTIONS, pg::sqlstate::CANNOT_CONNECT_NOW].contains(&code) {
         AttemptOutcome::Rejected
--- a/crates/gateway/src/net/upstream/pool.rs
+++ b/crates/gateway/src/net/upstream/pool.rs
@@ -1,10 +1,11 @@
 //! The pool of connections to endpoints.
 
-use super::connection::{self, OutgoingQuery, UpstreamConnection};
-use super::{CancelResult, IDLE_TIMEOUT_FRACTION, UpstreamCall};
-use crate::clock::duration;
+use super::call::{CancelResult, UpstreamCall};
+use super::connection::{OutgoingQuery, UpstreamConnection};
+use super::connection_task;
 use crate::counters::COUNTERS;
 use crate::invariant;
+use crate::limits::upstream::{MAX_LARGE_ANSWERS, reuse_timeout};
 use crate::net::{DriverEvent, is_unusable};
 use crate::proto::pg::{self, Statement};
 use latchhaven_policy::{EndpointEntry, EndpointStatus, LoadReporting, Millis, UpstreamConnectionConfig};
@@ -15,11 +16,7 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::Instant;
 
-/// Answers above [`LARGE_ANSWER`](super::exchange::LARGE_ANSWER) that are held at once, until their clients have them:
-/// all together fit a small memory.
-const MAX_LARGE_ANSWERS: usize = 12;
-
-/// A call that waits for a connection, or goes out on one.
+/// A call that is to be sent.
 pub struct QueuedCall {
     /// Identifies the call.
     pub call: UpstreamCall,
@@ -34,7 +31,7 @@
 /// An endpoint of the list.
 struct UpstreamEndpoint {
     address: SocketAddr,
-    /// Changes with the address, version or start of what is behind the endpoint's id.
+    /// Changes with the address, version or start time of the endpoint with this id.
     incarnation: u64,
     entry: EndpointEntry,
     idle: Vec<Rc<UpstreamConnection>>,
@@ -55,7 +52,7 @@
         }
     }
 
-    /// What is behind the id stays the same, and goes on to take what was sent to it.
+    /// The entry describes the same incarnation, and calls that were queued for it can still be sent.
     fn is_continued_by(&self, entry: &EndpointEntry, address: SocketAddr) -> bool {
         let is_same = self.address == address
             && self.entry.version == entry.version
@@ -63,8 +60,8 @@
         is_same && (self.entry.status == entry.status || entry.status == EndpointStatus::Ready)
     }
 
-    /// Closes idle connections; connections that are being opened belong to the incarnation before. The calls that
-    /// were queued.
+    /// Closes idle connections; those that are being opened belong to the previous incarnation. Returns the queued
+    /// calls.
     fn begin_incarnation(&mut self, incarnation: u64) -> Vec<UpstreamCall> {
         self.incarnation = incarnation;
         self.connecting = 0;
@@ -86,7 +83,7 @@
 /// All connections to endpoints.
 pub struct UpstreamPool {
     endpoints: BTreeMap<String, UpstreamEndpoint>,
-    /// The calls that were handed to a connection.
+    /// The calls that were assigned to a connection.
     active: BTreeMap<UpstreamCall, Rc<UpstreamConnection>>,
     open: usize,
     max_open: usize,
@@ -111,7 +108,7 @@
         }
     }
 
-    /// Applies an entry of the list; returns the calls that were not written and have to be decided anew.
+    /// Applies an entry of the list. Returns queued calls that can no longer be sent.
     pub fn update_endpoint(&mut self, entry: &EndpointEntry, address: SocketAddr) -> Vec<UpstreamCall> {
         if entry.status == EndpointStatus::Removed {
             return self.remove_endpoint(&entry.endpoint);
@@ -132,14 +129,14 @@
         Vec::new()
     }
 
-    /// Removes an endpoint that has left the list; returns the calls that were not written.
+    /// Removes an endpoint that is not listed any more. Returns its queued calls.
     pub fn remove_endpoint(&mut self, endpoint: &str) -> Vec<UpstreamCall> {
         let Some(mut endpoint) = self.endpoints.remove(endpoint) else { return Vec::new() };
         endpoint.close_idle();
         endpoint.take_queue()
     }
 
-    /// Sets the metrics of what is held now.
+    /// Sets the metrics of endpoints and connections.
     pub fn record_metrics(&self) {
         COUNTERS.listed_endpoints.set(self.endpoints.len());
         COUNTERS.open_server_connections.set(self.open);
@@ -150,12 +147,13 @@
         self.endpoints.keys().cloned().collect()
     }
 
-    /// Takes out all calls that wait for a connection, to be decided anew.
+    /// Removes and returns all calls that wait for a connection.
     pub fn take_queued(&mut self) -> Vec<UpstreamCall> {
         self.endpoints.values_mut().flat_map(UpstreamEndpoint::take_queue).collect()
     }
 
-    /// Sends a call on an idle connection, or opens one. False: no connection can be had, nothing was sent.
+    /// Sends a call on an idle connection, or opens one. `now` in ms. False: no connection is available, and nothing was
+    /// sent.
     pub fn send(&mut self, endpoint: &str, queued: QueuedCall, now: Millis) -> bool {
         if !self.endpoints.contains_key(endpoint) {
             return false;
@@ -164,13 +162,13 @@
             self.start_call(connection, queued, now);
             return true;
         }
-        if self.open >= self.max_open && !self.make_room() {
+        if self.open >= self.max_open && !self.close_longest_idle() {
             return false;
         }
         self.open_connection(endpoint, queued)
     }
 
-    /// A connection is up or ready again: it takes the call that has waited longest, or idles.
+    /// A connection is ready: it carries the call that has waited longest, or idles. `now` in ms.
     pub fn on_connection_ready(&mut self, connection: Rc<UpstreamConnection>, is_first: bool, now: Millis) {
         let Some(endpoint) = self.endpoints.get_mut(&connection.endpoint) else { return connection.close() };
         if endpoint.incarnation != connection.incarnation || connection.is_closed.get() {
@@ -186,7 +184,7 @@
         }
     }
 
-    /// A connection could not be opened. The call that cannot be sent for this, if there is one.
+    /// A connection could not be opened. Returns the call that cannot be sent because of this.
     pub fn on_connect_failed(&mut self, connection: &Rc<UpstreamConnection>) -> Option<UpstreamCall> {
         self.open -= 1;
         let endpoint = self.endpoints.get_mut(&connection.endpoint)?;
@@ -194,30 +192,30 @@
             return None;
         }
         endpoint.connecting -= 1;
-        // Others may still come up for those that wait.
+        // Each queued call still has a connection that is being opened.
         if endpoint.queue.len() <= endpoint.connecting {
             return None;
         }
         endpoint.queue.pop_front().map(|queued| queued.call)
     }
 
-    /// A connection has ended.
+    /// A connection has closed.
     pub fn on_connection_closed(&mut self, connection: &Rc<UpstreamConnection>) {
-        invariant!(connection.call.get().is_none(), "an ended connection carries nothing");
+        invariant!(connection.call.get().is_none(), "a closed connection has no call");
         self.open -= 1;
         if let Some(endpoint) = self.endpoints.get_mut(&connection.endpoint) {
             endpoint.idle.retain(|idle| !Rc::ptr_eq(idle, connection));
         }
     }
 
-    /// The call on a connection has ended; none if it was cancelled before.
+    /// The call on a connection has ended. None: it was cancelled before.
     pub fn on_call_ended(&mut self, connection: &Rc<UpstreamConnection>) -> Option<UpstreamCall> {
         let call = connection.call.take()?;
         self.active.remove(&call);
         Some(call)
     }
 
-    /// Cancels a call: takes it out of the queue, or closes its connection.
+    /// Cancels a call: removes it from the queue, or closes its connection.
     pub fn cancel(&mut self, endpoint: &str, call: UpstreamCall) -> CancelResult {
         if self.abort_unsent(endpoint, call) {
             return CancelResult::Unwritten;
@@ -228,7 +226,7 @@
         CancelResult::Written
     }
 
-    /// Cancels a call if its last byte was not written yet; false: it was, or there is no such call.
+    /// Cancels a call if its last byte was not written yet. False: it was written, or there is no such call.
     pub fn abort_unsent(&mut self, endpoint: &str, call: UpstreamCall) -> bool {
         if let Some(connection) = self.active.get(&call)
             && !connection.is_written.get()
@@ -252,9 +250,9 @@
         }
     }
 
-    /// The connection that has idled shortest and can be used; unusable ones are closed.
+    /// The usable connection that became idle last; unusable ones are closed.
     fn take_idle(&mut self, endpoint: &str) -> Option<Rc<UpstreamConnection>> {
-        let max_idle = duration(self.config.idle_timeout * IDLE_TIMEOUT_FRACTION);
+        let max_idle = reuse_timeout(self.config.idle_timeout);
         let endpoint = self.endpoints.get_mut(endpoint)?;
         while let Some(connection) = endpoint.idle.pop() {
             let is_usable = !connection.is_closed.get()
@@ -268,7 +266,7 @@
         None
     }
 
-    /// Opens a connection for a call, which waits in the queue meanwhile.
+    /// Opens a connection for a call, which waits in the queue.
     fn open_connection(&mut self, id: &str, queued: QueuedCall) -> bool {
         self.open += 1;
         COUNTERS.server_connections_max.record_max(self.open);
@@ -278,7 +276,7 @@
         endpoint.connecting += 1;
         let connection = Rc::new(UpstreamConnection::new(id, endpoint.incarnation));
         let address = endpoint.address;
-        let task = connection::run(
+        let task = connection_task::run(
             connection,
             address,
             self.config.clone(),
@@ -289,8 +287,8 @@
         true
     }
 
-    /// Closes the connection that has idled longest; its descriptor is free a moment later.
-    fn make_room(&mut self) -> bool {
+    /// Closes the connection that has idled longest; its descriptor is released when its task runs.
+    fn close_longest_idle(&mut self) -> bool {
         let idle_longest = |endpoint: &&mut UpstreamEndpoint| {
             endpoint.idle.iter().map(|connection| connection.idle_since.get()).min()
         };
--- a/crates/gateway/src/readiness.rs
+++ b/crates/gateway/src/readiness.rs
@@ -1,15 +1,12 @@
-//! Whether the gateway is ready for clients. A new process holds a list of unknown age: it answers the probe of the load
-//! balancer in front once it has a confirmed list, or once it has waited long enough for one.
+//! Whether the gateway answers health checks of the load balancer in front. A new process has an endpoint list of
+//! unknown age: it answers once a watch has confirmed the list, or after
+//! [`MAX_READINESS_DELAY`].
 
-use std::time::Duration;
+use crate::limits::start::MAX_READINESS_DELAY;
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-/// A probe is answered after this time at the latest, list or no list: the first call for the list is made within 4 s, and
-/// an answer takes a moment.
-const MAX_PROBE_DELAY: Duration = Duration::from_millis(4500);
-
-/// Tells that the gateway is ready.
+/// Reports that the gateway is ready.
 pub struct ReadinessSender(watch::Sender<bool>);
 
 /// Waits until the gateway is ready.
@@ -18,21 +15,22 @@
     deadline: Instant,
 }
 
-/// A gateway that has just started.
+/// The readiness of a gateway that starts now.
+#[must_use]
 pub fn readiness() -> (ReadinessSender, Readiness) {
     let (sender, is_ready) = watch::channel(false);
-    (ReadinessSender(sender), Readiness { is_ready, deadline: Instant::now() + MAX_PROBE_DELAY })
+    (ReadinessSender(sender), Readiness { is_ready, deadline: Instant::now() + MAX_READINESS_DELAY })
 }
 
 impl ReadinessSender {
-    /// The gateway holds a confirmed list. Later calls change nothing.
+    /// The endpoint list is confirmed. Later calls change nothing.
     pub fn set_ready(&self) {
         self.0.send_if_modified(|is_ready| !std::mem::replace(is_ready, true));
     }
 }
 
 impl Readiness {
-    /// Waits until the gateway is ready, or has waited long enough.
+    /// Waits until the gateway is ready, or until its deadline.
     pub(crate) async fn wait(&self) {
         let mut is_ready = self.is_ready.clone();
         tokio::select! {
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -1,15 +1,17 @@
-//! Starts the gateway, handles signals, and ends it.
+//! Starts the gateway, handles signals, and shuts it down.
 
 mod bind;
 mod signals;
 
 use crate::clock::{Clock, duration};
-use crate::config;
+use crate::config::{self, GatewayConfig};
 use crate::counters::COUNTERS;
 use crate::gateway::{Gateway, GatewayParts};
+use crate::limits::start::DescriptorShares;
+use crate::limits::{MAX_PENDING_EVENTS, shutdown};
 use crate::net::clients::{Clients, ClientsConfig};
+use crate::net::platform;
 use crate::net::upstream::UpstreamPool;
-use crate::net::{MAX_PENDING_EVENTS, platform};
 use crate::readiness::readiness;
 use bind::bind_with_retry;
 use rand::{RngExt, SeedableRng};
@@ -20,50 +22,64 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::select;
+use tokio::signal::unix::Signal;
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// Descriptors kept for everything but clients and endpoints: the list, the feed, votes, the runtime, logs.
-const RESERVED_DESCRIPTORS: usize = 48;
-/// Of the rest, how many of eight go to clients; endpoints get the others.
-const CLIENT_EIGHTHS: usize = 4;
-/// After SIGTERM connections are accepted for so long: the load balancer in front hands them out for 0.4 s at most.
-const SHUTDOWN_ACCEPT_TIME: Duration = Duration::from_millis(550);
-/// How often the last connections are looked at during shutdown.
-const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
-
 fn environment(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
-/// Serves until SIGTERM or SIGINT, within a `LocalSet` on a runtime of one thread. `counters_interval`: so often the
-/// counters are logged unasked, at the first time after a part of it that the seed draws, lest hundreds of
-/// gateways log at once.
+/// Serves until SIGTERM or SIGINT, within a `LocalSet` on a runtime of one thread. With a `counters_interval` the
+/// counters are logged that often; the first time is drawn at random within it, so that gateways started together do
+/// not all log at the same moment.
 ///
 /// # Errors
-/// A faulty configuration, a listener that cannot be had, or an end of the gateway that nobody asked for.
+/// The configuration is faulty, the listener cannot be bound, or the event loop ended.
 pub async fn serve(counters_interval: Option<Duration>) -> io::Result<()> {
     let clock = Clock::start();
-    // Before anything that takes time: unhandled, each signal would end the process.
+    // First: an unhandled signal ends the process.
     let signals = Signals::install()?;
     let config = config::read(environment).map_err(io::Error::other)?;
     let listener = bind_with_retry(config.addresses.listen).await?;
-
     let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
+    let name = config.addresses.name.clone();
+    let endpoints = config.initial_state.list.entries.len();
+    let Started { clients, mut gateway } = start(config, signals.reload, clock, &mut rng);
+    let listening = listener.local_addr()?;
+    tracing::info!(name, %listening, servers = endpoints, "gateway started");
+    select! {
+        () = accept_until_stopped(signals.stop, &clients) => {}
+        () = clients.clone().accept(&listener) => {}
+        () = signals::print_counters(signals.print_counters) => {}
+        () = log_counters(counters_interval, &mut rng) => {}
+        ended = &mut gateway => return Err(io::Error::other(format!("the gateway ended: {ended:?}"))),
+    }
+    shut_down(&clients, listener, &gateway).await;
+    Ok(())
+}
+
+/// The tasks of a gateway, except for the listener.
+struct Started {
+    clients: Rc<Clients>,
+    /// The event loop.
+    gateway: JoinHandle<()>,
+}
+
+/// Starts the event loop and the drivers.
+fn start(config: GatewayConfig, reload: Signal, clock: Clock, rng: &mut Pcg64Mcg) -> Started {
     let (events, event_receiver) = mpsc::channel(MAX_PENDING_EVENTS);
     let (platform_sender, platform_address) = watch::channel(config.addresses.platform);
     let connections = config.settings.upstream_connections();
     let vote_timeout = duration(connections.vote_timeout);
-    let votes = platform::spawn_tasks(&mut rng, platform_address, vote_timeout, &events);
-    let reload = signals::reload_config(signals.reload, events.clone(), platform_sender);
-    tokio::task::spawn_local(reload);
+    let votes = platform::spawn_tasks(rng, platform_address, vote_timeout, &events);
+    tokio::task::spawn_local(signals::reload_config(reload, events.clone(), platform_sender));
 
-    let (client_descriptors, server_descriptors) = share_descriptors(config.max_sockets);
-    let pool = UpstreamPool::new(server_descriptors, connections.clone(), events.clone());
+    let descriptors = DescriptorShares::of(config.max_sockets);
     let (readiness_sender, readiness) = readiness();
     let clients = Clients::new(ClientsConfig {
-        max_sessions: client_descriptors,
+        max_sessions: descriptors.clients,
         classes: config.settings.classes(),
         clock,
         readiness,
@@ -72,46 +88,26 @@
     let gateway = Gateway::new(GatewayParts {
         policy: config.settings.on_sockets().start_policy(config.seed),
         clock,
-        pool,
+        pool: UpstreamPool::new(descriptors.endpoints, connections.clone(), events.clone()),
         connections,
         discovery_address: config.addresses.discovery,
         readiness: readiness_sender,
         votes,
         events,
     });
-    let name = &config.addresses.name;
-    let listening = listener.local_addr()?;
-    let servers = config.initial_state.list.entries.len();
-    tracing::info!(name, %listening, servers, "gateway started");
-
-    let mut gateway = tokio::task::spawn_local(gateway.run(config.initial_state, event_receiver));
-    select! {
-        () = accept_until_stopped(signals.stop, &clients) => {}
-        () = clients.clone().accept(&listener) => {}
-        () = signals::print_counters(signals.print_counters) => {}
-        () = log_counters(counters_interval, &mut rng) => {}
-        ended = &mut gateway => return Err(io::Error::other(format!("the gateway ended: {ended:?}"))),
-    }
-    shut_down(&clients, listener, &gateway).await;
-    Ok(())
-}
-
-/// The descriptors for clients and for endpoints.
-fn share_descriptors(max_sockets: usize) -> (usize, usize) {
-    let descriptors = max_sockets - RESERVED_DESCRIPTORS;
-    let client_descriptors = descriptors * CLIENT_EIGHTHS / 8;
-    (client_descriptors, descriptors - client_descriptors)
+    let gateway = tokio::task::spawn_local(gateway.run(config.initial_state, event_receiver));
+    Started { clients, gateway }
 }
 
-/// Waits for the end of the process, and for the last connections that the load balancer hands out after it.
+/// Waits for a stop signal, and then for the connections that the load balancer still hands out.
 async fn accept_until_stopped(mut stop: StopSignals, clients: &Clients) {
     stop.received().await;
     tracing::info!("shutdown started");
     clients.shut_down();
-    sleep(SHUTDOWN_ACCEPT_TIME).await;
+    sleep(shutdown::ACCEPT_TIME).await;
 }
 
-/// Logs the counters unasked, if that is wanted.
+/// Logs the counters periodically, if an interval is given.
 async fn log_counters(interval: Option<Duration>, rng: &mut Pcg64Mcg) {
     let Some(interval) = interval else { return std::future::pending().await };
     sleep(interval.mul_f64(rng.random())).await;
@@ -121,7 +117,7 @@
     }
 }
 
-/// Serves the connections that are left, until the last one is closed.
+/// Serves the open connections until the last one is closed.
 async fn shut_down(clients: &Rc<Clients>, listener: TcpListener, gateway: &JoinHandle<()>) {
     if let Err(error) = clients.accept_rest(listener) {
         tracing::warn!(%error, "shutdown: final accept failed");
@@ -131,7 +127,7 @@
     let busy = clients.busy_sessions();
     tracing::info!(connections, busy, "shutdown: listener closed");
     while clients.open_sessions() > 0 && !gateway.is_finished() {
-        sleep(SHUTDOWN_POLL_INTERVAL).await;
+        sleep(shutdown::POLL_INTERVAL).await;
     }
     tracing::info!("counters: {COUNTERS}");
     tracing::info!("gateway stopped");
--- a/crates/gateway/src/serve/signals.rs
+++ b/crates/gateway/src/serve/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: SIGTERM and SIGINT end the gateway, SIGUSR1 logs its counters, SIGHUP has its configuration read again.
+//! Signals: SIGTERM and SIGINT stop the gateway, SIGUSR1 logs the counters, SIGHUP reloads the configuration.
 
 use crate::config;
 use crate::counters::COUNTERS;
@@ -16,7 +16,7 @@
 }
 
 impl StopSignals {
-    /// Returns when one of them has come.
+    /// Returns when one of them is received.
     pub(super) async fn received(&mut self) {
         select! {
             _ = self.terminate.recv() => {}
@@ -25,7 +25,7 @@
     }
 }
 
-/// The signals that are handled from the moment of their installation on; unhandled, each would end the process.
+/// The handled signals. Before [`Signals::install`] each of them ends the process.
 pub(super) struct Signals {
     pub(super) stop: StopSignals,
     pub(super) print_counters: Signal,
@@ -45,25 +45,25 @@
     }
 }
 
-/// Logs the counters with each signal.
+/// Logs the counters at each signal.
 pub(super) async fn print_counters(mut signal: Signal) {
     while signal.recv().await.is_some() {
         tracing::info!("counters: {COUNTERS}");
     }
 }
 
-/// Reads the configuration with each signal, and passes changed addresses on.
+/// Reloads the configuration at each signal, and passes on changed addresses.
 pub(super) async fn reload_config(
     mut signal: Signal, events: mpsc::Sender<DriverEvent>, platform: watch::Sender<Option<SocketAddr>>,
 ) {
     while signal.recv().await.is_some() {
         match config::reload(super::environment) {
             Ok(addresses) => {
-                let list = addresses.discovery;
-                tracing::info!(%list, platform = ?addresses.platform, "configuration reloaded");
-                let _ = events.send(DriverEvent::DiscoveryMoved { address: list }).await;
-                platform.send_if_modified(|held| {
-                    std::mem::replace(held, addresses.platform) != addresses.platform
+                let discovery = addresses.discovery;
+                tracing::info!(list = %discovery, platform = ?addresses.platform, "configuration reloaded");
+                let _ = events.send(DriverEvent::DiscoveryMoved { address: discovery }).await;
+                platform.send_if_modified(|current| {
+                    std::mem::replace(current, addresses.platform) != addresses.platform
                 });
             }
             Err(error) => tracing::warn!(%error, "configuration not reloaded"),
--- a/crates/gateway/tests/discovery_calls.rs
+++ b/crates/gateway/tests/discovery_calls.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn ordered_client_watch_disabled_and_enabled_aborts_and_starts_from_the_held_version() {
+fn ordered_client_watch_disabled_and_enabled_aborts_and_starts_from_the_current_version() {
     let mut client = watching_client();
     assert_eq!(client.on_list(CallId(1), 6, false), ListDecision::Apply);
     client.set_watch(false);
@@ -57,7 +57,7 @@
     assert!(!client.on_failure(CallId(2)));
     assert!(client.on_failure(CallId(3)));
     assert_eq!(client.on_list(CallId(3), 9, true), ListDecision::Apply);
-    assert_eq!(client.held_version(), 9);
+    assert_eq!(client.current_version(), 9);
 }
 
 #[test]
@@ -68,7 +68,7 @@
     assert_eq!(client.on_list(CallId(1), 8, false), ListDecision::Apply);
     assert_eq!(client.on_list(CallId(2), 7, true), ListDecision::Discard { is_current: true });
     assert_eq!(client.take_commands(), [abort(2)]);
-    assert_eq!(client.held_version(), 8);
+    assert_eq!(client.current_version(), 8);
     assert!(client.on_failure(CallId(2)), "it stays the current fetch until it is replaced");
 }
 
@@ -76,9 +76,9 @@
 fn ordered_client_restarted_count_is_applied_from_a_snapshot_and_refetched_after_a_delta() {
     let mut client = watching_client();
     assert_eq!(client.on_list(CallId(1), 3, true), ListDecision::Apply);
-    assert_eq!(client.held_version(), 3);
+    assert_eq!(client.current_version(), 3);
     assert_eq!(client.on_list(CallId(1), 2, false), ListDecision::Discard { is_current: true });
-    assert_eq!(client.held_version(), 0);
+    assert_eq!(client.current_version(), 0);
     client.set_watch(true);
     assert_eq!(client.take_commands(), [abort(1), abort(1), watch(2, 1, 0)]);
 }
