--- a/crates/gateway/src/discovery/ordered_client.rs
+++ b/crates/gateway/src/discovery/ordered_client.rs
@@ -55,6 +55,7 @@
     }
 
     /// The version of the current list; 0 if the next watch is to request all endpoints.
+    #[must_use]
     pub fn current_version(&self) -> u64 {
         self.current_version
     }
@@ -110,6 +111,7 @@
     }
 
     /// A call has failed, or a watch has ended. True if the decisions have to be notified.
+    #[must_use]
     pub fn on_failure(&self, call: CallId) -> bool {
         self.is_current(call)
     }
@@ -169,6 +171,7 @@
     }
 
     /// True for the watch and the fetch that were started last.
+    #[must_use]
     pub fn is_current(&self, call: CallId) -> bool {
         [self.watch, self.fetch].into_iter().flatten().any(|active| active.id == call)
     }
--- a/crates/gateway/src/discovery/snapshot_client.rs
+++ b/crates/gateway/src/discovery/snapshot_client.rs
@@ -70,6 +70,7 @@
     }
 
     /// A call has failed, or a watch has ended. True if the owner has to be notified.
+    #[must_use]
     pub fn on_failure(&self, call: CallId) -> bool {
         self.is_current(call)
     }
--- a/crates/gateway/src/gateway/event_loop.rs
+++ b/crates/gateway/src/gateway/event_loop.rs
@@ -128,7 +128,7 @@
     fn perform(&mut self, action: Action) {
         match action {
             Action::SendAttempt { id, endpoint, timeout, write_within } => {
-                self.send_attempt(id, endpoint, timeout, write_within);
+                self.send_attempt(id, &endpoint, timeout, write_within);
             }
             Action::Reject { id, retry_after, reason } => self.reject(id, retry_after, reason),
             Action::Fail { id, reason } => self.fail(id, reason),
@@ -138,7 +138,7 @@
                 self.next_events.append(&mut events);
             }
             Action::SetTimer { after, token } => self.set_policy_timer(after, token),
-            Action::HealthCheck { endpoint } => self.check_health(endpoint),
+            Action::HealthCheck { endpoint } => self.check_health(&endpoint),
             Action::CloseIdleConnections { endpoint } => self.pool.close_idle(&endpoint),
             Action::WatchEndpoints { enabled } => {
                 self.discovery.set_watch(enabled);
--- a/crates/gateway/src/gateway/upstream_calls.rs
+++ b/crates/gateway/src/gateway/upstream_calls.rs
@@ -14,7 +14,7 @@
 impl Gateway {
     /// Starts an attempt. One that cannot be sent ends with `NotSent`. `timeout`, `write_within`: ms from now.
     pub(super) fn send_attempt(
-        &mut self, id: RequestId, endpoint: String, timeout: Option<Millis>, write_within: Option<Millis>,
+        &mut self, id: RequestId, endpoint: &str, timeout: Option<Millis>, write_within: Option<Millis>,
     ) {
         let now = self.clock.now();
         let write_by = write_within.map(|within| now + within);
@@ -25,7 +25,7 @@
         COUNTERS.attempts_total.increment();
         let deadline = attempt_deadline(now, timeout, request.deadline);
         let call = UpstreamCall::Attempt { id, attempt: request.attempts.len() as u32 };
-        request.attempts.push(Attempt { endpoint: endpoint.clone(), started_at: now, has_ended: false });
+        request.attempts.push(Attempt { endpoint: endpoint.to_string(), started_at: now, has_ended: false });
         let is_wanted = request.reply.is_some() && deadline > now;
         let queued = QueuedCall {
             call,
@@ -33,7 +33,7 @@
             deadline,
             write_by: write_by.map(|at| self.clock.instant(at)),
         };
-        if !is_wanted || !self.pool.send(&endpoint, queued, now) {
+        if !is_wanted || !self.pool.send(endpoint, queued, now) {
             self.return_unsent(vec![call]);
             return;
         }
@@ -44,15 +44,15 @@
     }
 
     /// Starts a health check. One that cannot be sent ends with `NotSent`.
-    pub(super) fn check_health(&mut self, endpoint: String) {
+    pub(super) fn check_health(&mut self, endpoint: &str) {
         let now = self.clock.now();
         COUNTERS.health_checks_total.increment();
         let deadline = now + self.connections.connect_timeout;
-        let call = UpstreamCall::HealthCheck(self.health_checks.start(endpoint.clone(), now));
+        let call = UpstreamCall::HealthCheck(self.health_checks.start(endpoint.to_string(), now));
         let is_permitted =
             invariant!(self.connections.health_checks, "health checks are sent only where permitted");
         let queued = QueuedCall { call, statement: None, deadline, write_by: None };
-        if is_permitted && self.pool.send(&endpoint, queued, now) {
+        if is_permitted && self.pool.send(endpoint, queued, now) {
             self.timers.set(deadline, Timer::CallTimeout(call));
         } else {
             self.return_unsent(vec![call]);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,13 +1,23 @@
-//! The gateway: clients, endpoints, discovery and the platform on sockets, round the decisions of
+//! The gateway: connects clients, endpoints, the discovery service and the platform to the decisions of
 //! [`Policy`](latchhaven_policy::Policy).
 //!
-//! - [`serve`]: starts and ends it; [`config`] is what it reads.
+//! - [`serve`]: starts the gateway and shuts it down; [`config`] is its configuration.
 //! - [`gateway`]: the event loop and its state.
 //! - [`net`]: the drivers of sockets.
 //! - [`proto`], [`discovery`], [`arrivals`]: state machines without I/O.
+//! - [`limits`]: time limits and bounds, and the rules that follow from them.
+//! - [`readiness`]: when health checks of the load balancer are answered.
 //! - [`clock`]: the clock of all of these.
 //! - [`counters`]: counters and invariants.
 
+#![warn(clippy::pedantic)]
+#![allow(clippy::cast_precision_loss, reason = "times in microseconds and counts stay far below 2^53")]
+#![allow(clippy::cast_possible_truncation, reason = "values are bounded by limits or rounded on purpose")]
+#![allow(clippy::cast_sign_loss, reason = "times and sizes are not negative")]
+#![allow(clippy::duration_suboptimal_units, reason = "hours and days need a newer Rust than 1.90")]
+#![allow(clippy::struct_excessive_bools, reason = "the inputs of a rule are independent conditions")]
+#![allow(clippy::float_cmp, reason = "a repeated report has exactly equal values")]
+
 pub mod arrivals;
 pub mod clock;
 pub mod config;
--- a/crates/gateway/src/limits/clients.rs
+++ b/crates/gateway/src/limits/clients.rs
@@ -106,7 +106,7 @@
 /// The connection to evict, in this order: one that is closing, one that has never sent a request, one that is idle;
 /// of each kind the one that has been so for longest. None: every connection is in use.
 pub fn choose_eviction(
-    candidates: impl Iterator<Item = EvictionCandidate> + Clone, now: Instant,
+    candidates: &(impl Iterator<Item = EvictionCandidate> + Clone), now: Instant,
 ) -> Option<EvictionCandidate> {
     let longest_in = |state: SessionState, min_duration: Duration| {
         let is_eligible = |candidate: &EvictionCandidate| {
--- a/crates/gateway/src/limits/discovery.rs
+++ b/crates/gateway/src/limits/discovery.rs
@@ -7,9 +7,9 @@
 /// A watch without a keepalive or update for this long has failed. Keepalives are due every [`KEEPALIVE_INTERVAL`].
 pub const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(3500);
 /// Longest interval at which the discovery service sends keepalives.
-pub const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(2000);
+pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 /// Longest time of a fetch, and until a watch is answered. The discovery service itself times out after 2 s.
-pub const CALL_TIMEOUT: Duration = Duration::from_millis(3000);
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How long in ms the service has been silent when a watch ends; 0 where no keepalive was missed. `silence`: the time
 /// since the last keepalive or update. `is_answered`: there has been one.
--- a/crates/gateway/src/limits/mod.rs
+++ b/crates/gateway/src/limits/mod.rs
@@ -24,7 +24,7 @@
 /// Votes that wait to be cast; the decisions cast a vote only after the result of the one before it.
 pub const MAX_PENDING_VOTES: usize = 64;
 /// Longest time to open a connection to the discovery service or the platform.
-pub const SERVICE_CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+pub const SERVICE_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Most bytes of one read from a socket. Bounds how long one connection occupies the thread.
 pub const MAX_READ: usize = 16 * 1024;
 /// Most buffers of one write to a socket.
--- a/crates/gateway/src/limits/platform.rs
+++ b/crates/gateway/src/limits/platform.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// A feed without a line for this long has failed, also while it is opened. The platform sends one every second.
-pub const FEED_SILENCE_TIMEOUT: Duration = Duration::from_millis(3000);
+pub const FEED_SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 /// When a lost feed is opened again; doubled with each feed in a row that delivered no line.
 pub const FEED_BACKOFF: ExponentialBackoff = ExponentialBackoff::new(100.0, 1600.0, Jitter::Half);
 /// A connection for votes that idled for longer is not reused: the platform closes some before 10 s.
--- a/crates/gateway/src/limits/shutdown.rs
+++ b/crates/gateway/src/limits/shutdown.rs
@@ -17,7 +17,7 @@
 /// A request that arrives later than this is rejected immediately: SIGKILL might leave it without an answer.
 pub const REQUEST_WINDOW: Duration = Duration::from_millis(600);
 /// The longest class timeout that extends the time before SIGKILL.
-pub const MAX_COUNTED_TIMEOUT: Duration = Duration::from_millis(3000);
+pub const MAX_COUNTED_TIMEOUT: Duration = Duration::from_secs(3);
 /// Part of the 700 ms in which pending requests may still complete.
 pub const DRAIN_MARGIN: Duration = Duration::from_millis(450);
 /// After the drain time: how long the requests that were queued behind abandoned ones may take to be answered.
--- a/crates/gateway/src/limits/upstream.rs
+++ b/crates/gateway/src/limits/upstream.rs
@@ -6,7 +6,7 @@
 
 /// Longest time from an answer until the endpoint reports that it is ready for the next query.
 pub const READY_TIMEOUT: Duration = Duration::from_millis(500);
-/// An answer above this many bytes needs a permit, which it holds until its client has received it.
+/// An answer above this many bytes needs a permit, which is released when the answer was written to the client.
 pub const LARGE_ANSWER: usize = 64 * 1024;
 /// Most answers above [`LARGE_ANSWER`] that are buffered at a time. Bounds memory.
 pub const MAX_LARGE_ANSWERS: usize = 12;
--- a/crates/gateway/src/net/clients/accept.rs
+++ b/crates/gateway/src/net/clients/accept.rs
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Accepts the connections that wait in the kernel's queue, then closes the listener. The kernel is asked directly:
-    /// the runtime may not have noticed the latest ones.
+    /// Accepts the connections that wait in the kernel's queue, then closes the listener. Calls the
+    /// kernel directly: the runtime may not have noticed the latest ones.
     ///
     /// # Errors
     /// A connection cannot be registered with the runtime, or too many accepts failed.
@@ -111,7 +111,7 @@
             state: session.state.get(),
             since: session.since.get(),
         });
-        let Some(evicted) = choose_eviction(candidates, Instant::now()) else { return false };
+        let Some(evicted) = choose_eviction(&candidates, Instant::now()) else { return false };
         // One that is closing has completed its requests and does not count as evicted.
         if evicted.state != SessionState::Closing {
             COUNTERS.clients_evicted_total.increment();
--- a/crates/gateway/src/net/clients/closing.rs
+++ b/crates/gateway/src/net/clients/closing.rs
@@ -23,7 +23,7 @@
     Refused,
 }
 
-/// Keeps a connection open until the client has read the last message. Closing a socket with unread input resets the
+/// Delays the close of a connection until the client has read the last message. Closing a socket with unread input resets the
 /// connection, and the client would lose what it has not read yet.
 pub(super) async fn linger(stream: &TcpStream, session: &ClientSession, reason: CloseReason) {
     if reason == CloseReason::Quiet || SockRef::from(stream).shutdown(Shutdown::Write).is_err() {
--- a/crates/gateway/src/net/clients/mod.rs
+++ b/crates/gateway/src/net/clients/mod.rs
@@ -71,6 +71,7 @@
 
 impl Clients {
     /// Clients without connections.
+    #[must_use]
     pub fn new(config: ClientsConfig) -> Rc<Self> {
         let ClientsConfig { max_sessions, classes, clock, readiness, events } = config;
         let shutdown = Shutdown::new(&classes);
--- a/crates/gateway/src/net/clients/requests.rs
+++ b/crates/gateway/src/net/clients/requests.rs
@@ -186,5 +186,5 @@
 fn rejection(retry_after: Option<Millis>) -> Bytes {
     let detail = retry_after.map(|after| format!("{}", after.ceil()));
     let code = pg::sqlstate::TOO_MANY_CONNECTIONS;
-    pg::encode::error(false, code, "declined: trying again is harmless", detail)
+    pg::encode::error(false, code, "declined: trying again is harmless", detail.as_deref())
 }
--- a/crates/gateway/src/net/mod.rs
+++ b/crates/gateway/src/net/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! - [`clients`]: clients of the gateway.
 //! - [`upstream`]: connections to endpoints.
-//! - [`list`], [`discovery_calls`], [`discovery_tasks`]: the discovery service.
+//! - [`list`], `discovery_calls`, [`discovery_tasks`]: the discovery service.
 //! - [`platform`]: the feed of rollout states, and votes.
 //! - [`io`]: reads and writes on sockets.
 
@@ -108,6 +108,7 @@
 }
 
 /// The kind of an update that delivers a snapshot or a delta.
+#[must_use]
 pub fn update_kind(is_snapshot: bool) -> UpdateKind {
     if is_snapshot { UpdateKind::Snapshot } else { UpdateKind::Delta }
 }
--- a/crates/gateway/src/net/upstream/connection_task.rs
+++ b/crates/gateway/src/net/upstream/connection_task.rs
@@ -73,13 +73,12 @@
             let message = self.channel.next_message();
             match message.map_err(|error| invalid_data(&error.to_string()))? {
                 Some(BackendMessage::Ready) => return Ok(()),
-                Some(BackendMessage::Parameter { .. }) => {}
                 Some(BackendMessage::Error(code)) => return Err(invalid_data(&code)),
                 Some(BackendMessage::Row(_)) => return Err(invalid_data("a row before any query")),
                 None if read_some(stream, &mut self.channel.buffer).await? == 0 => {
                     return Err(io::ErrorKind::UnexpectedEof.into());
                 }
-                None => {}
+                Some(BackendMessage::Parameter { .. }) | None => {}
             }
         }
     }
--- a/crates/gateway/src/net/upstream/pool.rs
+++ b/crates/gateway/src/net/upstream/pool.rs
@@ -95,6 +95,7 @@
 
 impl UpstreamPool {
     /// A pool of at most `max_open` connections, without endpoints.
+    #[must_use]
     pub fn new(max_open: usize, config: UpstreamConnectionConfig, events: mpsc::Sender<DriverEvent>) -> Self {
         UpstreamPool {
             endpoints: BTreeMap::new(),
@@ -143,6 +144,7 @@
     }
 
     /// The endpoints of the list.
+    #[must_use]
     pub fn endpoints(&self) -> Vec<String> {
         self.endpoints.keys().cloned().collect()
     }
@@ -159,7 +161,7 @@
             return false;
         }
         if let Some(connection) = self.take_idle(endpoint) {
-            self.start_call(connection, queued, now);
+            self.start_call(connection, &queued, now);
             return true;
         }
         if self.open >= self.max_open && !self.close_longest_idle() {
@@ -175,13 +177,12 @@
             return connection.close();
         }
         endpoint.connecting -= usize::from(is_first);
-        match endpoint.queue.pop_front() {
-            Some(queued) => self.start_call(connection, queued, now),
-            None => {
-                connection.idle_since.set(Instant::now());
-                endpoint.idle.push(connection);
-            }
+        if let Some(queued) = endpoint.queue.pop_front() {
+            self.start_call(connection, &queued, now);
+            return;
         }
+        connection.idle_since.set(Instant::now());
+        endpoint.idle.push(connection);
     }
 
     /// A connection could not be opened. Returns the call that cannot be sent because of this.
@@ -299,7 +300,7 @@
         true
     }
 
-    fn start_call(&mut self, connection: Rc<UpstreamConnection>, queued: QueuedCall, now: Millis) {
+    fn start_call(&mut self, connection: Rc<UpstreamConnection>, queued: &QueuedCall, now: Millis) {
         let previous = connection.call.replace(Some(queued.call));
         invariant!(previous.is_none(), "one call at a time on a connection");
         connection.is_written.set(false);
--- a/crates/gateway/src/proto/http.rs
+++ b/crates/gateway/src/proto/http.rs
@@ -1,23 +1,15 @@
-//! HTTP/1.1 as a client reads it: responses with a length, chunked, or to the end of the connection.
+//! The client side of HTTP/1.1: responses with a length, chunked, or up to the end of the connection.
 
+use crate::limits::messages::{MAX_CHUNK_LINE, MAX_CHUNK_SIZE_DIGITS, MAX_HTTP_BODY, MAX_HTTP_HEAD};
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The longest head of a response, and the longest trailer line.
-const MAX_HEAD: usize = 16 * 1024;
-/// The longest line about a chunk.
-const MAX_CHUNK_LINE: usize = 256;
-/// Hexadecimal digits of a chunk's size at most.
-const MAX_CHUNK_SIZE_DIGITS: usize = 8;
-/// The longest body that is taken whole, and the longest line of a stream: some thousand endpoints.
-const MAX_BODY: usize = 1024 * 1024;
-
-/// Why a response cannot be read; nothing behind it can be.
+/// Why a stream cannot be parsed; nothing after this can be parsed either.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ParseError {
-    /// Something exceeds its limit.
+    /// A part exceeds its limit.
     #[error("a head or line is too long")]
     TooLong,
-    /// It is not as HTTP or JSON has it.
+    /// A part is not valid HTTP or JSON.
     #[error("malformed: {0}")]
     Malformed(&'static str),
 }
@@ -42,24 +34,24 @@
 enum ParserState {
     #[default]
     Head,
-    /// So many bytes of the body to come.
+    /// The number of bytes of the body that are not received yet.
     Counted(usize),
     ChunkSize,
-    /// So many bytes of the chunk to come.
+    /// The number of bytes of the chunk that are not received yet.
     Chunk(usize),
     ChunkEnd,
     Trailer,
     UntilClose,
 }
 
-/// Reads responses, one after another.
+/// Parses responses, one after another.
 #[derive(Default)]
 pub struct ResponseReader {
     state: ParserState,
 }
 
 impl ResponseReader {
-    /// The next part, if enough has come.
+    /// The next part, if it was received.
     ///
     /// # Errors
     /// The response is malformed or exceeds a limit.
@@ -97,7 +89,7 @@
                     self.state = ParserState::ChunkSize;
                 }
                 ParserState::Trailer => {
-                    let Some(line) = split_line(buffer, MAX_HEAD)? else { return Ok(None) };
+                    let Some(line) = split_line(buffer, MAX_HTTP_HEAD)? else { return Ok(None) };
                     if line.is_empty() {
                         self.state = ParserState::Head;
                         return Ok(Some(ResponsePart::End));
@@ -107,26 +99,27 @@
         }
     }
 
-    /// The end of the connection ends the response properly.
+    /// The response is complete if the connection closes now.
+    #[must_use]
     pub fn is_complete_at_close(&self) -> bool {
         self.state == ParserState::UntilClose
     }
 
     fn next_head(&mut self, buffer: &mut BytesMut) -> Result<Option<ResponsePart>, ParseError> {
-        let window = &buffer[..buffer.len().min(MAX_HEAD)];
+        let window = &buffer[..buffer.len().min(MAX_HTTP_HEAD)];
         let Some(end) = window.windows(4).position(|bytes| bytes == b"\r\n\r\n") else {
-            return if buffer.len() >= MAX_HEAD { Err(ParseError::TooLong) } else { Ok(None) };
+            return if buffer.len() >= MAX_HTTP_HEAD { Err(ParseError::TooLong) } else { Ok(None) };
         };
         let head = buffer.split_to(end + 4);
         let text = std::str::from_utf8(&head[..end]);
-        let head = Head::parse(text.map_err(|_| ParseError::Malformed("a head is no text"))?)?;
+        let head = Head::parse(text.map_err(|_| ParseError::Malformed("a head is not UTF-8"))?)?;
         self.state = head.body_state();
         let is_last = head.closes_connection || self.state == ParserState::UntilClose;
         Ok(Some(ResponsePart::Head { status: head.status, is_last }))
     }
 }
 
-/// What the head of a response says of its body.
+/// The parts of a head that determine the body.
 struct Head {
     status: u16,
     content_length: Option<usize>,
@@ -176,7 +169,7 @@
 fn parse_status(line: &str) -> Result<u16, ParseError> {
     let mut words = line.splitn(3, ' ');
     if !words.next().is_some_and(|version| version.starts_with("HTTP/1.")) {
-        return Err(ParseError::Malformed("no HTTP/1 answer"));
+        return Err(ParseError::Malformed("not an HTTP/1 response"));
     }
     let digits = words.next().filter(|digits| digits.len() == 3);
     digits.and_then(|digits| digits.parse().ok()).ok_or(ParseError::Malformed("the status"))
@@ -200,7 +193,7 @@
     if bytes.is_empty() { None } else { Some(ResponsePart::Body(bytes)) }
 }
 
-/// Splits one line off the front, without its end.
+/// Splits off the first line, without its end.
 fn split_line(buffer: &mut BytesMut, max_length: usize) -> Result<Option<Bytes>, ParseError> {
     let Some(end) = buffer[..buffer.len().min(max_length)].iter().position(|byte| *byte == b'\n') else {
         return if buffer.len() >= max_length { Err(ParseError::TooLong) } else { Ok(None) };
@@ -210,31 +203,31 @@
     Ok(Some(line))
 }
 
-/// Collects the bytes of a body, up to a bound.
+/// Collects a body, up to a bound.
 #[derive(Default)]
 pub struct BodyBuffer {
     bytes: BytesMut,
 }
 
 impl BodyBuffer {
-    /// Adds what has come.
+    /// Adds received bytes.
     ///
     /// # Errors
     /// The body exceeds its bound.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), ParseError> {
-        if self.bytes.len() + bytes.len() > MAX_BODY {
+        if self.bytes.len() + bytes.len() > MAX_HTTP_BODY {
             return Err(ParseError::TooLong);
         }
         self.bytes.extend_from_slice(bytes);
         Ok(())
     }
 
-    /// The next whole line of a stream.
+    /// The next complete line of a stream.
     pub fn next_line(&mut self) -> Option<Bytes> {
         split_line(&mut self.bytes, usize::MAX).ok().flatten()
     }
 
-    /// All of it.
+    /// Removes and returns all bytes.
     pub fn take(&mut self) -> Bytes {
         let all = self.bytes.copy_to_bytes(self.bytes.len());
         self.bytes = BytesMut::new();
@@ -243,11 +236,13 @@
 }
 
 /// A request without a body.
+#[must_use]
 pub fn get(host: &str, path: &str) -> Bytes {
     format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n").into()
 }
 
-/// A request with a body in JSON.
+/// A request with a JSON body.
+#[must_use]
 pub fn post(host: &str, path: &str, body: &str) -> Bytes {
     let length = body.len();
     let head = format!("POST {path} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\n");
--- a/crates/gateway/src/proto/json.rs
+++ b/crates/gateway/src/proto/json.rs
@@ -1,65 +1,63 @@
-//! Splits a stream into JSON objects, however they are spread over lines, in one pass over its bytes.
+//! Splits a stream into JSON objects in one pass over its bytes; objects may span lines.
 
+use crate::limits::messages::{MAX_JSON_DEPTH, MAX_JSON_OBJECT};
 use crate::proto::http::ParseError;
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The longest object of a stream: some thousand endpoints.
-const MAX_OBJECT: usize = 1024 * 1024;
-/// Objects and arrays within each other at most: what is read here needs three.
-const MAX_DEPTH: usize = 16;
-/// The codes of an opening bracket and its closing one lie so far apart, for both kinds of brackets.
+/// Distance of the character codes of an opening and its closing bracket, for both kinds.
 const BRACKET_DISTANCE: u8 = b'}' - b'{';
 
-/// What a stream holds.
+/// A part of a stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JsonFrame {
-    /// An object, whole; whether it makes sense is for others to say.
+    /// A complete object; its content is not validated.
     Object(Bytes),
     /// The end of a line outside of any object.
     LineEnd,
 }
 
-/// Reads the frames of a stream.
+/// Splits a stream into frames.
 #[derive(Default)]
 pub struct JsonFramer {
     buffer: BytesMut,
-    /// The bytes before this were scanned.
+    /// The position up to which the buffer was scanned.
     position: usize,
-    /// The opening brackets that have no closing one yet.
+    /// The opening brackets that are not closed yet.
     open_brackets: Vec<u8>,
-    /// The last byte that was neither blank nor within a text.
+    /// The last byte outside of strings that was not blank.
     last_token: u8,
-    is_in_text: bool,
+    is_in_string: bool,
     is_escaped: bool,
 }
 
 impl JsonFramer {
-    /// Adds what has come.
+    /// Adds received bytes.
     ///
     /// # Errors
-    /// An object exceeds its bound.
+    /// The buffered bytes exceed [`MAX_JSON_OBJECT`].
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), ParseError> {
-        if self.buffer.len() + bytes.len() > MAX_OBJECT {
+        if self.buffer.len() + bytes.len() > MAX_JSON_OBJECT {
             return Err(ParseError::TooLong);
         }
         self.buffer.extend_from_slice(bytes);
         Ok(())
     }
 
-    /// An object has begun whose end has not come.
+    /// The last object is incomplete.
+    #[must_use]
     pub fn is_within_object(&self) -> bool {
         !self.open_brackets.is_empty()
     }
 
-    /// The next frame, if its last byte has come. An object that was cut off is noticed where the next one begins.
+    /// The next frame, if it is complete. A truncated object is detected where the next one begins.
     ///
     /// # Errors
-    /// The stream holds something else than objects, or exceeds a bound.
+    /// The stream contains anything but objects, or exceeds a bound.
     pub fn next_frame(&mut self) -> Result<Option<JsonFrame>, ParseError> {
         while let Some(byte) = self.buffer.get(self.position).copied() {
             self.position += 1;
-            let frame = if self.is_in_text {
-                self.scan_text(byte)?;
+            let frame = if self.is_in_string {
+                self.scan_string(byte)?;
                 None
             } else if self.open_brackets.is_empty() {
                 self.scan_between(byte)?
@@ -73,18 +71,18 @@
         Ok(None)
     }
 
-    fn scan_text(&mut self, byte: u8) -> Result<(), ParseError> {
+    fn scan_string(&mut self, byte: u8) -> Result<(), ParseError> {
         match byte {
             _ if self.is_escaped => self.is_escaped = false,
             b'\\' => self.is_escaped = true,
-            b'"' => self.is_in_text = false,
-            b'\n' => return Err(ParseError::Malformed("a line ends within a text")),
+            b'"' => self.is_in_string = false,
+            b'\n' => return Err(ParseError::Malformed("a line ends within a string")),
             _ => {}
         }
         Ok(())
     }
 
-    /// A byte between objects: what only separates them is not kept.
+    /// A byte between objects: blanks are dropped.
     fn scan_between(&mut self, byte: u8) -> Result<Option<JsonFrame>, ParseError> {
         match byte {
             b' ' | b'\t' | b'\r' | b'\n' => {
@@ -101,7 +99,7 @@
         }
     }
 
-    /// A byte within an object, outside of texts.
+    /// A byte within an object, outside of strings.
     fn scan_within(&mut self, byte: u8) -> Result<Option<JsonFrame>, ParseError> {
         match byte {
             b' ' | b'\t' | b'\r' | b'\n' => return Ok(None),
@@ -114,7 +112,7 @@
                     return Ok(Some(self.take_object()));
                 }
             }
-            b'"' => self.is_in_text = true,
+            b'"' => self.is_in_string = true,
             _ => {}
         }
         self.last_token = byte;
@@ -128,7 +126,7 @@
         if !is_after_key && !is_array_entry {
             return Err(ParseError::Malformed("an object begins within another"));
         }
-        if self.open_brackets.len() >= MAX_DEPTH {
+        if self.open_brackets.len() >= MAX_JSON_DEPTH {
             return Err(ParseError::TooLong);
         }
         self.open_brackets.push(bracket);
--- a/crates/gateway/src/proto/mod.rs
+++ b/crates/gateway/src/proto/mod.rs
@@ -1,4 +1,5 @@
-//! Protocols as state machines that are fed bytes; they know no socket and no clock.
+//! Protocols as state machines that are fed bytes, without sockets or clocks. Sizes are bounded by
+//! [`limits::messages`](crate::limits::messages).
 
 pub mod http;
 pub mod json;
--- a/crates/gateway/src/proto/pg/backend.rs
+++ b/crates/gateway/src/proto/pg/backend.rs
@@ -1,29 +1,26 @@
-//! What endpoints write.
+//! Messages of endpoints.
 
-use super::ParseError;
+use super::error::ParseError;
 use super::framing::{length_field, split_message};
+use crate::limits::messages::{MAX_ROW, MAX_SMALL_MESSAGE};
 use bytes::{Bytes, BytesMut};
 use std::ops::RangeInclusive;
 
-/// The longest row: values of 400,000 bytes were met, and what is said to be far longer is noise.
-const MAX_ROW: usize = 512 * 1024;
-/// The longest message that is no row.
-const MAX_SMALL: usize = 8192;
 /// Bytes that describe a column, after its name.
 const COLUMN_DESCRIPTION: usize = 18;
 /// Bytes of a row of one column before its value, without the type byte: length, number of columns, length of the value.
 const ROW_HEADER: u32 = 10;
 
-/// What an endpoint says.
+/// A message of an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BackendMessage {
-    /// ReadyForQuery.
+    /// `ReadyForQuery`.
     Ready,
-    /// One row of one column, whole: RowDescription, DataRow and CommandComplete as they came.
+    /// One row of one column: `RowDescription`, `DataRow` and `CommandComplete` as received.
     Row([Bytes; 3]),
-    /// An ErrorResponse with this code.
+    /// An `ErrorResponse` with this code.
     Error(String),
-    /// A ParameterStatus.
+    /// A `ParameterStatus`.
     Parameter {
         /// Its name.
         name: String,
@@ -32,8 +29,8 @@
     },
 }
 
-/// Reads what an endpoint writes, strictly: whatever is not as the protocol has it is no answer, and nothing behind it
-/// can be read. Lengths are checked as soon as they are there, so that no rest is waited for that may never come.
+/// Parses the input from an endpoint, strictly: a message that violates the protocol is an error. Lengths are checked as
+/// soon as they are received, so that the rest of an invalid message is never waited for.
 #[derive(Default)]
 pub struct Backend {
     is_started: bool,
@@ -42,7 +39,7 @@
 }
 
 impl Backend {
-    /// The next message, if its last byte has come.
+    /// The next message, if it is complete.
     ///
     /// # Errors
     /// The stream is out of step.
@@ -56,7 +53,7 @@
         }
     }
 
-    /// Checks as much of a message's head as has come.
+    /// Checks the part of a message's head that was received.
     fn check_head(&self, buffer: &[u8]) -> Result<(), ParseError> {
         let Some(kind) = buffer.first().copied() else { return Ok(()) };
         let lengths = self.lengths_of(kind).ok_or(ParseError::Type(kind))?;
@@ -70,13 +67,13 @@
         Ok(())
     }
 
-    /// The lengths that a message of this type may have; none: it may not come.
+    /// The valid lengths of a message of this type. None: the type is not valid now.
     fn lengths_of(&self, kind: u8) -> Option<RangeInclusive<usize>> {
         match kind {
-            b'R' | b'K' if !self.is_started => Some(8..=MAX_SMALL),
-            b'T' => Some(4 + 2 + 1 + COLUMN_DESCRIPTION..=MAX_SMALL),
+            b'R' | b'K' if !self.is_started => Some(8..=MAX_SMALL_MESSAGE),
+            b'T' => Some(4 + 2 + 1 + COLUMN_DESCRIPTION..=MAX_SMALL_MESSAGE),
             b'D' => Some(ROW_HEADER as usize..=MAX_ROW),
-            b'C' | b'E' | b'N' | b'S' => Some(5..=MAX_SMALL),
+            b'C' | b'E' | b'N' | b'S' => Some(5..=MAX_SMALL_MESSAGE),
             b'Z' => Some(5..=5),
             _ => None,
         }
@@ -86,7 +83,7 @@
         &mut self, kind: u8, body: &[u8], raw: &Bytes,
     ) -> Result<Option<BackendMessage>, ParseError> {
         match kind {
-            b'R' if *body != [0; 4] => Err(ParseError::Malformed("a password is asked for")),
+            b'R' if *body != [0; 4] => Err(ParseError::Malformed("a password is required")),
             b'T' => self.on_description(body, raw).map(|()| None),
             b'D' => self.on_row(raw).map(|()| None),
             b'C' => self.on_complete(body, raw).map(Some),
@@ -116,16 +113,16 @@
             (Some(description), Some(row)) if is_single_row_tag(body) => {
                 Ok(BackendMessage::Row([description, row, raw.clone()]))
             }
-            _ => Err(ParseError::Malformed("complete without a row, or not as it should read")),
+            _ => Err(ParseError::Malformed("complete without a row, or with an invalid tag")),
         }
     }
 
     fn on_error(&self, body: &[u8]) -> Result<BackendMessage, ParseError> {
-        // What has begun a row was executed: no code says otherwise.
+        // The query was executed if a row has begun, whatever the code states.
         if self.description.is_some() {
             return Err(ParseError::Malformed("an error within an answer"));
         }
-        let code = error_code(body).ok_or(ParseError::Malformed("an error that cannot be read"))?;
+        let code = error_code(body).ok_or(ParseError::Malformed("an invalid error"))?;
         Ok(BackendMessage::Error(code))
     }
 
@@ -134,14 +131,14 @@
             return Err(ParseError::Malformed("ready within an answer"));
         }
         if *body != *b"I" {
-            return Err(ParseError::Malformed("not ready for a query of its own"));
+            return Err(ParseError::Malformed("ready within a transaction"));
         }
         self.is_started = true;
         Ok(BackendMessage::Ready)
     }
 }
 
-/// The head of a row has one column, whose length fits the message's.
+/// The row has one column, whose length matches that of the message.
 fn is_single_column_row(head: &[u8], length: u32) -> bool {
     let Some((columns, value_length)) = head.split_first_chunk::<2>() else { return false };
     let Some(value_length) = value_length.first_chunk::<4>() else { return false };
@@ -149,7 +146,7 @@
     *columns == [0, 1] && value_length >= 0 && value_length + i64::from(ROW_HEADER) == i64::from(length)
 }
 
-/// One column is described, given in binary.
+/// The description has one column, in binary format.
 fn is_single_column_description(body: &[u8]) -> bool {
     let Some(column) = body.strip_prefix(&[0, 1]) else { return false };
     let Some(name_length) = column.iter().position(|byte| *byte == 0) else { return false };
@@ -161,12 +158,12 @@
         && description.ends_with(&[0, 1])
 }
 
-/// One row was read or written.
+/// The tag states that one row was read or written.
 fn is_single_row_tag(body: &[u8]) -> bool {
     matches!(body, b"SELECT 1\0" | b"INSERT 0 1\0")
 }
 
-/// A ParameterStatus; none where it is no text.
+/// A `ParameterStatus`. None: it is not UTF-8.
 fn parameter(body: &[u8]) -> Option<BackendMessage> {
     let mut texts = body.split(|byte| *byte == 0);
     let name = std::str::from_utf8(texts.next()?).ok()?;
@@ -174,13 +171,13 @@
     Some(BackendMessage::Parameter { name: name.to_string(), value: value.to_string() })
 }
 
-/// A field of an ErrorResponse.
+/// A field of an `ErrorResponse`.
 struct ErrorField<'a> {
     kind: u8,
     text: &'a str,
 }
 
-/// The code of an ErrorResponse that can be read whole.
+/// The code of a valid `ErrorResponse`.
 fn error_code(body: &[u8]) -> Option<String> {
     let fields = body.strip_suffix(&[0, 0])?.split(|byte| *byte == 0);
     let fields: Vec<ErrorField> = fields.map(error_field).collect::<Option<_>>()?;
--- a/crates/gateway/src/proto/pg/encode.rs
+++ b/crates/gateway/src/proto/pg/encode.rs
@@ -1,25 +1,25 @@
-//! Messages that are written to endpoints and clients.
+//! Messages to endpoints and clients.
 
 use super::statement::Statement;
 use bytes::{BufMut, Bytes, BytesMut};
 use latchhaven_policy::Millis;
 
-/// ReadyForQuery, outside a transaction.
+/// `ReadyForQuery`, outside a transaction.
 pub const READY: &[u8] = b"Z\0\0\0\x05I";
-/// EmptyQueryResponse.
+/// `EmptyQueryResponse`.
 pub const EMPTY_QUERY: &[u8] = b"I\0\0\0\x04";
-/// The answer to a request for encryption: none.
+/// The answer to a request for encryption: not supported.
 pub const NO_ENCRYPTION: &[u8] = b"N";
 
-/// AuthenticationOk.
+/// `AuthenticationOk`.
 const AUTHENTICATION_OK: &[u8] = b"R\0\0\0\x08\0\0\0\0";
-/// BackendKeyData without a key: requests to cancel are not served.
+/// `BackendKeyData` without a key: cancel requests are not supported.
 const BACKEND_KEY: &[u8] = b"K\0\0\0\x0c\0\0\0\0\0\0\0\0";
 /// Version 3.0 of the protocol.
 const PROTOCOL_VERSION: u32 = 3 << 16;
-/// User and database that endpoints are asked for.
+/// User and database of connections to endpoints.
 const STARTUP_PARAMETERS: &[u8] = b"user\0app\0database\0shop\0\0";
-/// Parameters that clients are told of.
+/// Parameters that are reported to clients.
 const SERVER_PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "16.0"),
     ("server_encoding", "UTF8"),
@@ -29,8 +29,9 @@
     ("standard_conforming_strings", "on"),
 ];
 
-/// A query as it goes on to an endpoint: its timeout says how long this gateway waits, in whole ms and at least 1.
-/// Four buffers for one write.
+/// A query as it is forwarded to an endpoint, in four buffers. Its timeout is replaced by `timeout` ms, rounded down, and
+/// at least 1.
+#[must_use]
 pub fn forwarded_query(statement: &Statement, timeout: Millis) -> [Bytes; 4] {
     let digits = format!("{}", timeout.max(1.0).floor());
     let text = &statement.text;
@@ -46,6 +47,7 @@
 }
 
 /// A simple query.
+#[must_use]
 pub fn query(text: &str) -> Bytes {
     let mut message = BytesMut::with_capacity(text.len() + 6);
     message.put_u8(b'Q');
@@ -56,6 +58,7 @@
 }
 
 /// The startup message to an endpoint.
+#[must_use]
 pub fn startup() -> Bytes {
     let length = STARTUP_PARAMETERS.len() + 8;
     let mut message = BytesMut::with_capacity(length);
@@ -65,7 +68,8 @@
     message.freeze()
 }
 
-/// What a client gets after its startup message.
+/// The messages after the startup message of a client.
+#[must_use]
 pub fn greeting() -> Bytes {
     let mut messages = BytesMut::new();
     messages.put_slice(AUTHENTICATION_OK);
@@ -82,11 +86,12 @@
     messages.freeze()
 }
 
-/// An ErrorResponse.
-pub fn error(is_fatal: bool, code: &str, text: &str, detail: Option<String>) -> Bytes {
+/// An `ErrorResponse` with a SQLSTATE code.
+#[must_use]
+pub fn error(is_fatal: bool, code: &str, text: &str, detail: Option<&str>) -> Bytes {
     let severity = if is_fatal { "FATAL" } else { "ERROR" };
     let mut fields = vec![(b'S', severity), (b'V', severity), (b'C', code), (b'M', text)];
-    fields.extend(detail.as_deref().map(|detail| (b'D', detail)));
+    fields.extend(detail.map(|detail| (b'D', detail)));
     let length = 5 + fields.iter().map(|(_, value)| value.len() + 2).sum::<usize>();
     let mut message = BytesMut::with_capacity(length + 1);
     message.put_u8(b'E');
--- a/crates/gateway/src/proto/pg/framing.rs
+++ b/crates/gateway/src/proto/pg/framing.rs
@@ -1,6 +1,6 @@
 //! Single typed messages: a type byte, a length that counts itself, and a body.
 
-use super::ParseError;
+use super::error::ParseError;
 use bytes::{Bytes, BytesMut};
 
 /// Bytes of the length field, which counts itself.
@@ -10,22 +10,23 @@
 pub(super) struct Message {
     pub(super) kind: u8,
     pub(super) body: Bytes,
-    /// The whole message as it came.
+    /// The complete message as received.
     pub(super) raw: Bytes,
 }
 
-/// The length field of the message at the front, if it has come.
+/// The length field of the first message, if it was received.
 pub(super) fn length_field(buffer: &[u8]) -> Option<u32> {
     let field = buffer.get(1..)?.first_chunk::<LENGTH_FIELD>()?;
     Some(u32::from_be_bytes(*field))
 }
 
-/// The length of the message whose head has come, all of it; 0 before that.
+/// The length in bytes of the first message, including its type; 0 if its length field was not received yet.
+#[must_use]
 pub fn message_length(buffer: &[u8]) -> usize {
     length_field(buffer).map_or(0, |length| 1 + length as usize)
 }
 
-/// Splits one message off the front, if it has come.
+/// Splits off the first message, if it is complete. `max_length`: the highest valid value of its length field.
 pub(super) fn split_message(buffer: &mut BytesMut, max_length: usize) -> Result<Option<Message>, ParseError> {
     let Some(length) = length_field(buffer) else { return Ok(None) };
     let length = length as usize;
--- a/crates/gateway/src/proto/pg/frontend.rs
+++ b/crates/gateway/src/proto/pg/frontend.rs
@@ -1,31 +1,30 @@
-//! What clients write.
+//! Messages of clients.
 
-use super::ParseError;
+use super::error::ParseError;
 use super::framing::split_message;
+use crate::limits::messages::MAX_CLIENT_MESSAGE;
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The longest message: 64 KiB of value in hex, and the statement round it.
-const MAX_MESSAGE: usize = 2 * 65536 + 8192;
-/// PostgreSQL's own limits of a startup packet.
+/// Postgres' limits of a startup packet.
 const STARTUP_LENGTHS: std::ops::RangeInclusive<usize> = 8..=10_000;
 /// The types of message that a client may send.
 const MESSAGE_TYPES: &[u8] = b"QXSPBDECFHdcfp";
 
-/// Codes that stand in place of a version: SSLRequest, GSSENCRequest and CancelRequest.
+/// Codes in place of a version: `SSLRequest`, `GSSENCRequest` and `CancelRequest`.
 const SSL_REQUEST: u32 = 80_877_103;
 const GSS_REQUEST: u32 = 80_877_104;
 const CANCEL_REQUEST: u32 = 80_877_102;
-/// The version of the protocol that is spoken; its minor version does not matter.
+/// The supported major version of the protocol; any minor version is accepted.
 const MAJOR_VERSION: u32 = 3;
 
-/// What a client asks for.
+/// A message of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FrontendMessage {
-    /// SSLRequest or GSSENCRequest.
+    /// `SSLRequest` or `GSSENCRequest`.
     EncryptionRequest,
-    /// CancelRequest.
+    /// `CancelRequest`.
     Cancel,
-    /// StartupMessage.
+    /// `StartupMessage`.
     Startup,
     /// A simple query, without its terminator.
     Query(Bytes),
@@ -37,16 +36,16 @@
     Terminate,
 }
 
-/// Reads what a client writes.
+/// Parses the input of a client.
 #[derive(Default)]
 pub struct Frontend {
     is_started: bool,
-    /// Messages of the extended protocol are skipped until a Sync.
+    /// Messages of the extended protocol are skipped until the next Sync.
     is_skipping: bool,
 }
 
 impl Frontend {
-    /// The next message that asks for something, if its last byte has come.
+    /// The next message that needs an answer, if it is complete.
     ///
     /// # Errors
     /// The stream is out of step.
@@ -55,12 +54,12 @@
             return self.next_startup(buffer);
         }
         loop {
-            // An unknown type says at once that the stream is out of step: its length is not waited for.
+            // Checked before the length is received: an unknown type proves that the stream is out of step.
             let Some(kind) = buffer.first().copied() else { return Ok(None) };
             if !MESSAGE_TYPES.contains(&kind) {
                 return Err(ParseError::Type(kind));
             }
-            let Some(message) = split_message(buffer, MAX_MESSAGE)? else { return Ok(None) };
+            let Some(message) = split_message(buffer, MAX_CLIENT_MESSAGE)? else { return Ok(None) };
             if let Some(message) = self.on_message(message.kind, message.body)? {
                 return Ok(Some(message));
             }
@@ -76,7 +75,7 @@
             }
             _ if self.is_skipping => Ok(None),
             b'Q' => query_text(body).map(|text| Some(FrontendMessage::Query(text))),
-            // Passwords, copied data and calls of functions ask for nothing here.
+            // Passwords, copied data and function calls need no answer.
             b'p' | b'd' | b'c' | b'f' => Ok(None),
             _ => {
                 self.is_skipping = true;
--- a/crates/gateway/src/proto/pg/statement.rs
+++ b/crates/gateway/src/proto/pg/statement.rs
@@ -1,29 +1,23 @@
-//! Statements that are routed: one SELECT and one INSERT, with a comment that names the request, its class and its
-//! timeout. Only what stands in exactly this form goes on to endpoints.
+//! Statements that are routed: one SELECT and one INSERT, with a comment that contains the request's id, class and
+//! timeout. Only statements of exactly this form are forwarded.
 
+use crate::clock::millis;
+use crate::limits::messages::{MAX_REQUEST_TIMEOUT, MAX_VALUE, MAX_WORD, MIN_REQUEST_TIMEOUT};
 use bytes::Bytes;
 use latchhaven_policy::Millis;
 use std::ops::Range;
 
-/// The statements, but for the item and the value.
+/// The statements without the item and the value.
 const SELECT_PREFIX: &str = "SELECT doc FROM items WHERE id = '";
 const INSERT_PREFIX: &str = "INSERT INTO items (id, doc) VALUES ('";
 const INSERT_SUFFIX: &str = "') RETURNING doc";
-/// What stands between the statement and the inside of its comment, and behind it.
+/// The delimiters of the comment.
 const COMMENT_START: &str = " /* ";
 const COMMENT_END: &str = " */";
-/// Bytes of a name, key, id or item at most.
-const MAX_WORD: usize = 128;
-/// Bytes of a value at most.
-const MAX_VALUE: usize = 65536;
-/// The longest timeout in ms that a client may name: an hour is no request any more.
-const MAX_TIMEOUT: Millis = 3_600_000.0;
-/// The shortest timeout in ms that a client may name.
-const MIN_TIMEOUT: Millis = 1.0;
 /// Microseconds in a ms.
 const MICROS_PER_MS: f64 = 1000.0;
 
-/// What is wrong with a statement; the client is told so.
+/// Why a statement is rejected; the text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StatementError {
     /// The text is not UTF-8.
@@ -32,16 +26,16 @@
     /// There is no comment.
     #[error("statement: no comment with id, c and d")]
     NoComment,
-    /// The comment has no end, or something stands behind it.
-    #[error("statement: its comment has no end, or something behind it")]
+    /// The comment has no end, or there is text after it.
+    #[error("statement: its comment has no end, or there is text after it")]
     UnterminatedComment,
     /// It is neither the SELECT nor the INSERT.
     #[error("statement: only the known SELECT and INSERT")]
     UnknownStatement,
-    /// The quote round the item has no end.
+    /// The quote of the item has no end.
     #[error("statement: the item has no end")]
     UnterminatedItem,
-    /// The item holds characters that it may not, or too many.
+    /// The item has invalid characters or an invalid length.
     #[error("statement: the item is no word")]
     InvalidItem,
     /// There is not one value in hex, or it is too long.
@@ -53,10 +47,10 @@
     /// A name in the comment is not known.
     #[error("comment: an unknown name")]
     UnknownName,
-    /// A name in the comment stands twice.
-    #[error("comment: a name stands twice")]
+    /// A name in the comment is used twice.
+    #[error("comment: duplicate name")]
     DuplicateName,
-    /// A value in the comment holds characters that it may not, or too many.
+    /// A value in the comment has invalid characters or an invalid length.
     #[error("comment: a value is no word")]
     InvalidWord,
     /// The request has no id.
@@ -68,37 +62,37 @@
     /// The request has no timeout.
     #[error("comment: d is missing")]
     MissingTimeout,
-    /// The timeout is no whole number of ms, or out of bounds.
+    /// The timeout is not an integer number of ms, or out of range.
     #[error("comment: d is no sensible number of milliseconds")]
     InvalidTimeout,
     /// The retry flag is neither 0 nor 1.
     #[error("comment: r is neither 0 nor 1")]
     InvalidRetryFlag,
-    /// The expected work is no number, or out of bounds.
+    /// The expected work is not a number, or out of range.
     #[error("comment: h is no sensible number")]
     InvalidExpectedWork,
 }
 
-/// A request's statement and what its comment says.
+/// A statement and the parameters in its comment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Statement {
     /// The statement as the client wrote it.
     pub text: Bytes,
-    /// Where the digits of the timeout (`d`) stand.
+    /// The position of the timeout's digits (`d`) in the text.
     pub timeout_digits: Range<usize>,
-    /// New with every request (`id`); no two that are open have the same.
+    /// The id that the client chose (`id`); unique among pending requests.
     pub id: Bytes,
     /// The name of the request's class (`c`).
     pub class: String,
     /// The tenant (`t`).
     pub tenant: Option<String>,
-    /// The item that it is about.
+    /// The item that it reads or writes.
     pub item: Option<String>,
-    /// An idempotency key is given (`k`).
+    /// It has an idempotency key (`k`).
     pub has_idempotency_key: bool,
-    /// ms that the client waits (`d`).
+    /// The timeout in ms (`d`).
     pub timeout: Millis,
-    /// The expected work in ms; `h` gives it in microseconds.
+    /// The expected work in ms (`h`, there in microseconds).
     pub expected_work: Option<Millis>,
     /// It is a retry of an earlier request (`r`).
     pub is_retry: bool,
@@ -107,10 +101,10 @@
 }
 
 impl Statement {
-    /// Reads a statement.
+    /// Parses a statement.
     ///
     /// # Errors
-    /// What is not in the one form that goes on to endpoints.
+    /// The text does not have the form of a routed statement.
     pub fn parse(text: Bytes) -> Result<Statement, StatementError> {
         let line = std::str::from_utf8(&text).map_err(|_| StatementError::NotUtf8)?;
         let (sql, comment) = line.split_once(COMMENT_START).ok_or(StatementError::NoComment)?;
@@ -171,7 +165,7 @@
     }
 }
 
-/// What follows the item of an INSERT is one value in hex.
+/// The rest of an INSERT after its item is one value in hex.
 fn is_insert_value(rest: &str) -> bool {
     let value = rest.strip_prefix(", '\\x").and_then(|rest| rest.strip_suffix(INSERT_SUFFIX));
     value.is_some_and(|value| {
@@ -181,7 +175,7 @@
     })
 }
 
-/// A value within the comment, and where it stands in the statement.
+/// A value in the comment, and its position in the statement.
 #[derive(Clone, Copy)]
 struct CommentField<'a> {
     value: &'a str,
@@ -194,7 +188,7 @@
     }
 }
 
-/// What a comment holds.
+/// The fields of a comment.
 #[derive(Default)]
 struct CommentFields<'a> {
     id: Option<CommentField<'a>>,
@@ -207,7 +201,7 @@
 }
 
 impl<'a> CommentFields<'a> {
-    /// Reads the inside of a comment that stands at `offset` in its statement.
+    /// Parses the inside of a comment, which is at `offset` in its statement.
     fn parse(comment: &'a str, offset: usize) -> Result<Self, StatementError> {
         let mut fields = CommentFields::default();
         let mut part_at = offset;
@@ -240,15 +234,15 @@
     }
 }
 
-/// A whole number of ms.
+/// An integer number of ms.
 fn parse_timeout(digits: &str) -> Option<Millis> {
-    let timeout = parse_number(digits, MAX_TIMEOUT)?;
-    (timeout >= MIN_TIMEOUT && !digits.contains('.')).then_some(timeout)
+    let timeout = parse_number(digits, millis(MAX_REQUEST_TIMEOUT))?;
+    (timeout >= millis(MIN_REQUEST_TIMEOUT) && !digits.contains('.')).then_some(timeout)
 }
 
 /// Microseconds, as ms.
 fn parse_work(micros: &str) -> Option<Millis> {
-    parse_number(micros, MICROS_PER_MS * MAX_TIMEOUT).map(|micros| micros / MICROS_PER_MS)
+    parse_number(micros, MICROS_PER_MS * millis(MAX_REQUEST_TIMEOUT)).map(|micros| micros / MICROS_PER_MS)
 }
 
 /// A number from 0 to `max` without sign or exponent.
@@ -258,7 +252,7 @@
     (is_plain && (0.0..=max).contains(&number)).then_some(number)
 }
 
-/// Names, keys, ids and items: nothing that could end a quote or a comment.
+/// A valid name, key, id or item: it cannot end a quote or a comment.
 fn is_word(text: &str) -> bool {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"_-.:".contains(&byte);
     (1..=MAX_WORD).contains(&text.len()) && text.bytes().all(is_plain)
--- a/crates/gateway/tests/discovery_calls.rs
+++ b/crates/gateway/tests/discovery_calls.rs
@@ -1,4 +1,4 @@
-//! The clients of the discovery service: which calls they start and abort, and what becomes of answers.
+//! The clients of the discovery service: which calls they start and abort, and which lists they apply.
 
 use latchhaven_gateway::discovery::calls::{CallId, DiscoveryCommand};
 use latchhaven_gateway::discovery::ordered_client::{EndpointListClient, ListDecision};
@@ -25,7 +25,7 @@
     false
 }
 
-/// The gateway's client that holds version 5 and watches at port 1 with call 1.
+/// A gateway's client with a list of version 5, which watches at port 1 with call 1.
 fn watching_client() -> EndpointListClient {
     let mut client = EndpointListClient::new(address(1));
     client.restore(5);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn ordered_client_moved_twice_does_not_keep_a_previous_watch_that_has_finished() {
+fn ordered_client_moved_twice_drops_a_previous_watch_that_has_finished() {
     let mut client = watching_client();
     client.on_list(CallId(1), 6, false);
     client.on_address_changed(address(2), none_finished);
@@ -176,8 +176,8 @@
 fn snapshot_client_passes_on_every_list_of_a_current_call_in_any_order() {
     let mut client = SnapshotFirstClient::new(address(1));
     client.fetch();
-    assert!(client.on_list(CallId(1), 7, false), "a delta before any snapshot is its owner's to judge");
-    assert_eq!(client.take_commands(), [fetch(1, 1)], "it holds no version yet");
+    assert!(client.on_list(CallId(1), 7, false), "the owner decides about a delta before any snapshot");
+    assert_eq!(client.take_commands(), [fetch(1, 1)], "no watch before the first snapshot");
     assert!(client.on_list(CallId(1), 9, true));
     assert_eq!(client.take_commands(), [watch(2, 1, 9)]);
     assert!(client.on_list(CallId(2), 3, false));
--- a/crates/gateway/tests/list_version.rs
+++ b/crates/gateway/tests/list_version.rs
@@ -9,11 +9,11 @@
 #[case::snapshot_overtaken_by_another_call(43, 41, true, true, VersionOrder::Stale)]
 #[case::delta_overtaken_by_another_call(43, 42, false, true, VersionOrder::Stale)]
 #[case::snapshot_of_a_restarted_count(41, 3, true, false, VersionOrder::Newer)]
-#[case::delta_to_a_list_never_held(41, 3, false, false, VersionOrder::Gap)]
+#[case::delta_to_a_list_never_received(41, 3, false, false, VersionOrder::Gap)]
 fn compare_versions_of_two_lists_finds_the_newer_one(
-    #[case] held: u64, #[case] version: u64, #[case] is_snapshot: bool, #[case] is_overtaken: bool,
+    #[case] current: u64, #[case] version: u64, #[case] is_snapshot: bool, #[case] is_overtaken: bool,
     #[case] expected: VersionOrder,
 ) {
     let received = ReceivedVersion { version, is_snapshot, is_overtaken };
-    assert_eq!(compare_versions(held, received), expected);
+    assert_eq!(compare_versions(current, received), expected);
 }
--- a/crates/gateway/tests/parsers/http.rs
+++ b/crates/gateway/tests/parsers/http.rs
@@ -5,13 +5,13 @@
 use latchhaven_gateway::proto::http::{self, BodyBuffer, ResponsePart, ResponseReader};
 use rstest::rstest;
 
-/// Pieces of one body are one body, however they were cut.
+/// Joins adjacent parts of a body.
 fn joined(parts: Vec<ResponsePart>) -> Vec<ResponsePart> {
     let mut all: Vec<ResponsePart> = Vec::new();
     for part in parts {
         match (all.last_mut(), part) {
-            (Some(ResponsePart::Body(had)), ResponsePart::Body(more)) => {
-                *had = [&had[..], &more[..]].concat().into()
+            (Some(ResponsePart::Body(body)), ResponsePart::Body(more)) => {
+                *body = [&body[..], &more[..]].concat().into();
             }
             (_, part) => all.push(part),
         }
@@ -20,19 +20,17 @@
 }
 
 #[test]
-fn response_reads_the_same_however_bytes_are_split() {
+fn response_is_independent_of_input_splits() {
     let counted = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello";
     let chunked =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n5;x=y\r\nhello\r\n1\r\n!\r\n0\r\nA: b\r\n\r\n";
     let empty = "HTTP/1.1 503 No\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
     let stream = [counted, chunked, empty].concat();
-    let next = |reader: &mut ResponseReader, buf: &mut BytesMut| reader.next(buf).unwrap();
-    let got = at_every_split(stream.as_bytes(), ResponseReader::default, next, joined);
-    let (head, body) = (
-        |status, is_last| ResponsePart::Head { status, is_last },
-        |text: &'static str| ResponsePart::Body(text.into()),
-    );
-    let wanted = [
+    let next = |reader: &mut ResponseReader, buffer: &mut BytesMut| reader.next(buffer).unwrap();
+    let parsed = at_every_split(stream.as_bytes(), ResponseReader::default, next, joined);
+    let head = |status, is_last| ResponsePart::Head { status, is_last };
+    let body = |text: &'static str| ResponsePart::Body(text.into());
+    let expected = [
         head(200, false),
         body("hello"),
         ResponsePart::End,
@@ -42,7 +40,7 @@
         head(503, true),
         ResponsePart::End,
     ];
-    assert_eq!(got, wanted);
+    assert_eq!(parsed, expected);
 }
 
 #[rstest]
@@ -57,10 +55,11 @@
 #[case::endless_size(format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", "0".repeat(300)))]
 #[case::no_end_of_chunk("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\naXX\r\n".to_string())]
 fn response_malformed_returns_an_error(#[case] bytes: String) {
-    let (mut reader, mut buf) = (ResponseReader::default(), BytesMut::from(bytes.as_bytes()));
-    let mut part = reader.next(&mut buf);
+    let mut reader = ResponseReader::default();
+    let mut buffer = BytesMut::from(bytes.as_bytes());
+    let mut part = reader.next(&mut buffer);
     while matches!(part, Ok(Some(_))) {
-        part = reader.next(&mut buf);
+        part = reader.next(&mut buffer);
     }
     assert!(part.is_err());
 }
--- a/crates/gateway/tests/parsers/json.rs
+++ b/crates/gateway/tests/parsers/json.rs
@@ -7,16 +7,16 @@
 use rstest::rstest;
 
 #[test]
-fn json_objects_read_the_same_however_spread_and_split() {
+fn json_objects_are_independent_of_lines_and_input_splits() {
     let text = "\r\n  {\"a\":[{\"b\":\"}{\\\"\\\\\"},\r\n\t{\"c\":{}}\n]}  {\"d\":1}\n";
-    let next = |framer: &mut JsonFramer, buf: &mut BytesMut| {
-        framer.push(&buf.split()).unwrap();
+    let next = |framer: &mut JsonFramer, buffer: &mut BytesMut| {
+        framer.push(&buffer.split()).unwrap();
         framer.next_frame().unwrap()
     };
-    let got = at_every_split(text.as_bytes(), JsonFramer::default, next, |got| got);
+    let frames = at_every_split(text.as_bytes(), JsonFramer::default, next, |frames| frames);
     let object = |text: &'static str| JsonFrame::Object(Bytes::from_static(text.as_bytes()));
     let first = object("{\"a\":[{\"b\":\"}{\\\"\\\\\"},\r\n\t{\"c\":{}}\n]}");
-    assert_eq!(got, [JsonFrame::LineEnd, first, object("{\"d\":1}"), JsonFrame::LineEnd]);
+    assert_eq!(frames, [JsonFrame::LineEnd, first, object("{\"d\":1}"), JsonFrame::LineEnd]);
 }
 
 #[rstest]
@@ -24,7 +24,7 @@
 #[case::an_array("[]")]
 #[case::cut_off_before_the_next("{\"seq\":7,\n{\"seq\":8}")]
 #[case::cut_off_within_an_entry("{\"hosts\":[{\"host\":\"a\",{\"seq\":8}")]
-#[case::cut_off_within_a_text("{\"seq\":\"7\n")]
+#[case::cut_off_within_a_string("{\"seq\":\"7\n")]
 #[case::another_bracket("{\"a\":[}")]
 #[case::too_deep("{\"a\":[[[[[[[[[[[[[[[[[[[[")]
 fn json_stream_out_of_step_returns_an_error(#[case] text: &str) {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn json_separators_are_not_kept_and_an_endless_object_is_refused() {
+fn json_separators_are_dropped_and_an_endless_object_is_rejected() {
     let mut framer = JsonFramer::default();
     for _ in 0..40 {
         framer.push(&[b' '; 100_000]).unwrap();
--- a/crates/gateway/tests/parsers/main.rs
+++ b/crates/gateway/tests/parsers/main.rs
@@ -1,4 +1,4 @@
-//! Parsers at every split point, with malformed, oversized and truncated input.
+//! Parsers with input split at every position, and with malformed, oversized and truncated input.
 
 mod arrivals;
 mod http;
--- a/crates/gateway/tests/parsers/postgres.rs
+++ b/crates/gateway/tests/parsers/postgres.rs
@@ -1,4 +1,4 @@
-//! PostgreSQL's protocol, with malformed, oversized and truncated messages.
+//! The Postgres protocol, with malformed, oversized and truncated messages.
 
 use crate::support::{at_every_split, message, startup};
 use bytes::{Bytes, BytesMut};
@@ -7,7 +7,7 @@
 use rstest::rstest;
 
 #[test]
-fn frontend_reads_the_same_however_bytes_are_split() {
+fn frontend_is_independent_of_input_splits() {
     let ssl = [0, 0, 0, 8, 4, 210, 22, 47];
     let stream = [
         &ssl[..],
@@ -20,10 +20,10 @@
         &message(b'X', b""),
     ]
     .concat();
-    let next = |frontend: &mut Frontend, buf: &mut BytesMut| frontend.next(buf).unwrap();
-    let got = at_every_split(&stream, Frontend::default, next, |got| got);
+    let next = |frontend: &mut Frontend, buffer: &mut BytesMut| frontend.next(buffer).unwrap();
+    let messages = at_every_split(&stream, Frontend::default, next, |messages| messages);
     let query = |text: &'static str| FrontendMessage::Query(Bytes::from_static(text.as_bytes()));
-    let wanted = [
+    let expected = [
         FrontendMessage::EncryptionRequest,
         FrontendMessage::Startup,
         query("SELECT 1"),
@@ -32,11 +32,11 @@
         query(""),
         FrontendMessage::Terminate,
     ];
-    assert_eq!(got, wanted);
+    assert_eq!(messages, expected);
 }
 
 #[test]
-fn backend_reads_the_same_however_bytes_are_split() {
+fn backend_is_independent_of_input_splits() {
     let described = message(b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
     let (row, complete) = (message(b'D', b"\0\x01\0\0\0\x02\x9f\x03"), message(b'C', b"SELECT 1\0"));
     let failed = message(b'E', b"SERROR\0C53300\0Mfull\0\0");
@@ -54,13 +54,13 @@
         pg::encode::READY,
     ]
     .concat();
-    let next = |backend: &mut Backend, buf: &mut BytesMut| backend.next(buf).unwrap();
-    let got = at_every_split(&stream, Backend::default, next, |got| got);
+    let next = |backend: &mut Backend, buffer: &mut BytesMut| backend.next(buffer).unwrap();
+    let messages = at_every_split(&stream, Backend::default, next, |messages| messages);
     let value = [described, row, complete].map(Bytes::from);
     let load = BackendMessage::Parameter { name: "load".to_string(), value: "inflight=7".to_string() };
     let failed = BackendMessage::Error("53300".to_string());
     assert_eq!(
-        got,
+        messages,
         [
             BackendMessage::Ready,
             load,
@@ -72,10 +72,10 @@
     );
     let report = LoadReport::from_iter([("inflight".into(), 7.0), ("util".into(), 0.61)]);
     assert_eq!(pg::parse_load_report("inflight=7,util=0.61"), report);
-    for spoilt in
+    for malformed in
         ["inflight=7,util=x", "util=inf", "inflight=-3", "inflight=1e300", "inflight=7,", "=7", "\u{1}", ""]
     {
-        assert_eq!(pg::parse_load_report(spoilt), LoadReport::default(), "{spoilt}");
+        assert_eq!(pg::parse_load_report(malformed), LoadReport::default(), "{malformed}");
     }
 }
 
@@ -86,15 +86,16 @@
 #[case::http([&startup()[..], b"GET / HTTP/1.1\r\n"].concat(), ParseError::Type(b'G'))]
 #[case::oversized([&startup()[..], b"Q\0\x04\0\0"].concat(), ParseError::Length(262_144))]
 #[case::below_itself([&startup()[..], b"Q\0\0\0\x03"].concat(), ParseError::Length(3))]
-fn frontend_out_of_step_returns_the_error(#[case] bytes: Vec<u8>, #[case] why: ParseError) {
-    let (mut frontend, mut buf) = (Frontend::default(), BytesMut::from(&bytes[..]));
-    let broken = loop {
-        match frontend.next(&mut buf) {
-            Ok(asked) => assert!(asked.is_some(), "more is waited for"),
-            Err(broken) => break broken,
+fn frontend_out_of_step_returns_the_error(#[case] bytes: Vec<u8>, #[case] expected: ParseError) {
+    let mut frontend = Frontend::default();
+    let mut buffer = BytesMut::from(&bytes[..]);
+    let error = loop {
+        match frontend.next(&mut buffer) {
+            Ok(message) => assert!(message.is_some(), "the parser waits for more input"),
+            Err(error) => break error,
         }
     };
-    assert_eq!(broken, why);
+    assert_eq!(error, expected);
 }
 
 const DESCRIBED: &[u8] = b"T\0\0\0\x1c\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
@@ -123,10 +124,11 @@
 #[case::endless(b"D\x7f\xff\xff\xff")]
 #[case::unknown(b"\0\0\0\0\0")]
 fn backend_out_of_step_returns_an_error(#[case] bytes: &[u8]) {
-    let (mut backend, mut buf) = (Backend::default(), BytesMut::from(bytes));
-    let mut result = backend.next(&mut buf);
+    let mut backend = Backend::default();
+    let mut buffer = BytesMut::from(bytes);
+    let mut result = backend.next(&mut buffer);
     while matches!(result, Ok(Some(_))) {
-        result = backend.next(&mut buf);
+        result = backend.next(&mut buffer);
     }
     assert!(result.is_err());
 }
--- a/crates/gateway/tests/parsers/robustness.rs
+++ b/crates/gateway/tests/parsers/robustness.rs
@@ -1,4 +1,4 @@
-//! Whatever a peer writes, no parser panics.
+//! No parser panics, whatever its input.
 
 use crate::support::{message, startup};
 use bytes::{Bytes, BytesMut};
@@ -6,8 +6,8 @@
 use latchhaven_gateway::proto::pg::{Backend, Frontend, Statement};
 
 #[test]
-fn arbitrary_bytes_panic_no_parser() {
-    // A fixed stream of bytes that a simple generator makes: the same at each run.
+fn no_parser_panics_on_arbitrary_bytes() {
+    // A linear congruential generator: the same bytes at each run.
     let mut state = 0x2545_f491_4f6c_dd1d_u64;
     let mut byte = move || {
         state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
--- a/crates/gateway/tests/parsers/statements.rs
+++ b/crates/gateway/tests/parsers/statements.rs
@@ -15,19 +15,25 @@
     true
 )]
 #[case::in_another_order("SELECT doc FROM items WHERE id = '7f3a' /* c=basket,d=480,t=acme,id=1 */", false)]
-fn statement_holds_what_its_comment_says(#[case] text: &'static str, #[case] write: bool) {
-    let read = Statement::parse(Bytes::from_static(text.as_bytes())).unwrap();
-    assert_eq!((read.class.as_str(), read.timeout, read.item.as_deref()), ("basket", 480.0, Some("7f3a")));
-    assert_eq!(&text[read.timeout_digits.clone()], "480");
-    assert_eq!((read.is_write, read.is_retry, read.expected_work), (write, write, write.then_some(2.5)));
-    assert_eq!(read.tenant.as_deref(), (!write).then_some("acme"));
-    let sent = pg::encode::forwarded_query(&read, 71.9).concat();
-    let wanted = text.replace("d=480", "d=71");
-    assert_eq!(sent, pg::encode::query(&wanted));
+fn statement_has_the_parameters_of_its_comment(#[case] text: &'static str, #[case] is_write: bool) {
+    let statement = Statement::parse(Bytes::from_static(text.as_bytes())).unwrap();
+    assert_eq!(
+        (statement.class.as_str(), statement.timeout, statement.item.as_deref()),
+        ("basket", 480.0, Some("7f3a"))
+    );
+    assert_eq!(&text[statement.timeout_digits.clone()], "480");
+    assert_eq!(
+        (statement.is_write, statement.is_retry, statement.expected_work),
+        (is_write, is_write, is_write.then_some(2.5))
+    );
+    assert_eq!(statement.tenant.as_deref(), (!is_write).then_some("acme"));
+    let sent = pg::encode::forwarded_query(&statement, 71.9).concat();
+    let expected = text.replace("d=480", "d=71");
+    assert_eq!(sent, pg::encode::query(&expected));
 }
 
 #[test]
-fn statement_cut_off_or_altered_is_refused() {
+fn statement_truncated_or_altered_is_rejected() {
     let statement = "SELECT doc FROM items WHERE id = '7f' /* id=1,c=a,d=9 */";
     for cut in 0..statement.len() {
         assert!(parse(&statement[..cut]).is_err(), "{}", &statement[..cut]);
@@ -38,7 +44,7 @@
 }
 
 #[test]
-fn statement_with_a_malformed_comment_is_refused() {
+fn statement_with_a_malformed_comment_is_rejected() {
     for comment in [
         "",
         "id=1,c=a",
@@ -67,7 +73,7 @@
 }
 
 #[test]
-fn insert_with_a_value_that_is_no_hex_or_too_long_is_refused() {
+fn insert_with_a_value_that_is_not_hex_or_too_long_is_rejected() {
     let insert = |value: &str| {
         parse(&format!(
             r"INSERT INTO items (id, doc) VALUES ('7f', '{value}') RETURNING doc /* id=1,c=a,d=9 */"
--- a/crates/gateway/tests/parsers/support.rs
+++ b/crates/gateway/tests/parsers/support.rs
@@ -1,10 +1,10 @@
-//! Bytes for parsers, split at every place.
+//! Input for parsers, split at every position.
 
 use bytes::BytesMut;
 use latchhaven_gateway::proto::pg;
 use std::fmt::Debug;
 
-/// Feeds bytes in two parts, cut at each place, and byte by byte: what is read is always the same.
+/// Parses bytes in one part, in two parts split at each position, and byte by byte. Checks that the results are equal.
 pub(crate) fn at_every_split<T: PartialEq + Debug, R>(
     bytes: &[u8], start: impl Fn() -> R, mut next: impl FnMut(&mut R, &mut BytesMut) -> Option<T>,
     join: impl Fn(Vec<T>) -> Vec<T>,
