--- a/crates/experiments/src/reconnect_storm.rs
+++ b/crates/experiments/src/reconnect_storm.rs
@@ -1,6 +1,7 @@
 //! Many clients lose a gateway at once, in simulated time: the client library beside three ways in which applications
 //! reconnect on their own. The same seed gives the same clients, calls and loss.
 //!
+//! - `sizes`: the command line.
 //! - `model`: gateways, clients and calls, and what is counted.
 //! - `simulation`: the events, calls and their outcomes.
 //! - `connections`: how clients connect and reconnect.
@@ -10,12 +11,13 @@
 mod gateway_work;
 mod model;
 mod simulation;
+mod sizes;
 
-use clap::Args;
 use latchhaven_policy::Millis;
-use model::{Counts, LOST_AT, ReconnectStyle};
+use model::{Counts, LOST_AT, MILLIS_PER_SECOND, ReconnectStyle};
 use serde_json::{Map, Value, json};
 use simulation::Simulation;
+pub(crate) use sizes::Sizes;
 use std::collections::BTreeMap;
 
 /// Seconds after the loss in which connection attempts are counted.
@@ -26,24 +28,6 @@
 const RECOVERY_RANGE: std::ops::RangeInclusive<Millis> = 3_000.0..=10_000.0;
 /// The library's peak of connection attempts is to be below that of immediate reconnects divided by this.
 const PEAK_DIVISOR: u64 = 5;
-/// Milliseconds in one second.
-const MILLIS_PER_SECOND: Millis = 1000.0;
-
-/// How many, for how long, and how busy.
-#[derive(Args, Clone, Debug)]
-pub(crate) struct Sizes {
-    #[arg(long, default_value_t = 10_000)]
-    clients: usize,
-    #[arg(long, default_value_t = 5)]
-    gateways: usize,
-    #[arg(long, default_value_t = 60)]
-    seconds: u64,
-    #[arg(long, default_value_t = 1)]
-    seed: u64,
-    /// Part of what all gateways can do that clients ask for while all are well.
-    #[arg(long, default_value_t = 0.7)]
-    load: f64,
-}
 
 /// The figures of one style that are compared with those of others.
 #[derive(Clone, Copy)]
--- a/crates/experiments/src/reconnect_storm/connections.rs
+++ b/crates/experiments/src/reconnect_storm/connections.rs
@@ -1,7 +1,8 @@
 //! How clients connect and reconnect.
 
-use super::MILLIS_PER_SECOND;
-use super::model::{MAX_PENDING_HANDSHAKES, NETWORK_LATENCY, ReconnectStyle, SentAttempt, Work};
+use super::model::{
+    MAX_PENDING_HANDSHAKES, MILLIS_PER_SECOND, NETWORK_LATENCY, ReconnectStyle, SentAttempt, Work,
+};
 use super::simulation::{Simulation, StormEvent};
 use latchhaven_client::pool::PoolAction;
 use latchhaven_policy::Millis;
--- a/crates/experiments/src/reconnect_storm/model.rs
+++ b/crates/experiments/src/reconnect_storm/model.rs
@@ -7,6 +7,8 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 
+/// Milliseconds in one second.
+pub(super) const MILLIS_PER_SECOND: Millis = 1000.0;
 /// When the first gateway is lost, in ms.
 pub(super) const LOST_AT: Millis = 10_000.0;
 /// When it is back, in ms.
--- a/crates/experiments/src/reconnect_storm/simulation.rs
+++ b/crates/experiments/src/reconnect_storm/simulation.rs
@@ -2,9 +2,9 @@
 
 use super::model::{
     BACK_AT, CALL_KINDS, CALL_TIMEOUT, CALLS_PER_SECOND, Client, Counts, Gateway, LATENCY_OBJECTIVE, LOST_AT,
-    MIN_REQUEST_TIME, PAYMENT_KIND, PendingCall, ReconnectStyle,
+    MILLIS_PER_SECOND, MIN_REQUEST_TIME, PAYMENT_KIND, PendingCall, ReconnectStyle,
 };
-use super::{MILLIS_PER_SECOND, Sizes};
+use super::sizes::Sizes;
 use crate::event_queue::EventQueue;
 use latchhaven_client::call::{AttemptOutcome, Call, CallOutcome, Idempotency, NextStep};
 use latchhaven_client::pool::{Pool, PoolLimits};
--- a/crates/experiments/src/rollout_simulation.rs
+++ b/crates/experiments/src/rollout_simulation.rs
@@ -2,55 +2,45 @@
 //! configurations, by gateways that decide on each request, and evenly over all hosts. There are no sockets; the
 //! policy, configurations, streams and caches are this project's own. The same seed gives the same day.
 //!
+//! State:
+//! - `sizes`: the command line.
 //! - `parameters`: sizes of hosts, times of the platform, and settings of the policy.
-//! - `model`: hosts, requests, the rollout, and what is counted.
-//! - `simulation`: the events of one day, and requests as they come.
+//! - `model`: hosts, requests, attempts, the rollout, and counts.
+//! - `outcomes`: outcomes that the platform has not reported yet.
+//! - `gateway`: one gateway with its policy.
+//! - `proxy_group`: the proxies and their control service.
+//! - `simulation`: one day, its events and its requests.
+//!
+//! Steps of a simulation:
 //! - `platform`: rollouts, their hosts, and the platform's reports.
 //! - `attempts`: attempts at hosts and their outcomes.
-//! - `proxies`: routing by proxies, and the control service.
+//! - `proxies`: routing by proxies.
 //! - `gateways`: routing by gateways.
-//! - `exposure`: the rule on the canary's share of all requests.
+//! - `exposure`: the limit on the canary's share of all requests.
 
 mod attempts;
 mod exposure;
+mod gateway;
 mod gateways;
 mod model;
+mod outcomes;
 mod parameters;
 mod platform;
 mod proxies;
+mod proxy_group;
 mod simulation;
+mod sizes;
 
-use clap::Args;
 use latchhaven_policy::Millis;
 use model::{Counts, RoutingMode};
+use parameters::MILLIS_PER_SECOND;
 use serde_json::{Map, Value, json};
 use simulation::{DayResult, Simulation};
+pub(crate) use sizes::Sizes;
 use std::collections::BTreeMap;
 
 /// Seeds of days with adjacent seeds are this far apart.
 const SEED_FACTOR: u64 = 1000;
-/// Milliseconds in one second.
-const MILLIS_PER_SECOND: Millis = 1000.0;
-
-/// How many days, and how large.
-#[derive(Args, Clone, Debug)]
-pub(crate) struct Sizes {
-    #[arg(long, default_value_t = 6)]
-    days: u64,
-    #[arg(long, default_value_t = 1)]
-    seed: u64,
-    /// Proxies, or gateways.
-    #[arg(long, default_value_t = 10)]
-    fronts: usize,
-    #[arg(long, default_value_t = 40)]
-    hosts: usize,
-    /// Length of a day in simulated seconds; two builds come.
-    #[arg(long, default_value_t = 90)]
-    seconds: u64,
-    /// Part of the warm capacity that clients ask for.
-    #[arg(long, default_value_t = 0.5)]
-    load: f64,
-}
 
 /// The figures of one mode that are compared with those of others.
 #[derive(Clone, Copy)]
--- a/crates/experiments/src/rollout_simulation/attempts.rs
+++ b/crates/experiments/src/rollout_simulation/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts at hosts and their outcomes.
 
-use super::model::{Attempt, DefectEffect, RoutingMode};
+use super::model::{Attempt, DefectEffect, EndedAttempt, RoutingMode};
 use super::parameters::{
     MAX_QUEUE_TIME, NETWORK_LATENCY, NON_IDEMPOTENT_CLASS, OUTCOME_SAMPLE_SHARE, REQUEST_TIMEOUT,
     endpoint_name,
@@ -20,22 +20,6 @@
     at: Millis,
 }
 
-/// An attempt that ended just now.
-pub(super) struct EndedAttempt {
-    pub(super) number: u32,
-    pub(super) host: usize,
-    pub(super) outcome: AttemptOutcome,
-    pub(super) elapsed: Millis,
-    /// The request's timeout has passed.
-    pub(super) is_late: bool,
-}
-
-impl EndedAttempt {
-    pub(super) fn is_success(&self) -> bool {
-        self.outcome == AttemptOutcome::Success && !self.is_late
-    }
-}
-
 /// The event by which a gateway's policy learns of the end of an attempt.
 pub(super) fn completion_event(
     id: RequestId, number: u32, host: usize, outcome: AttemptOutcome, is_final: bool, elapsed: Millis,
--- a/crates/experiments/src/rollout_simulation/gateways.rs
+++ b/crates/experiments/src/rollout_simulation/gateways.rs
@@ -1,29 +1,14 @@
 //! Routing by gateways, each with a policy of its own.
 
-use super::attempts::{EndedAttempt, completion_event};
-use super::model::Vote;
+use super::attempts::completion_event;
+use super::model::{EndedAttempt, Vote};
 use super::parameters::host_of_endpoint;
 use super::simulation::Simulation;
-use latchhaven_policy::{Action, AttemptOutcome, Event, Millis, Policy, RequestId};
+use latchhaven_policy::{Action, AttemptOutcome, Event, RequestId};
 
 /// The token of the policy's timer.
 const TIMER_TOKEN: &str = "look";
 
-/// One gateway.
-pub(super) struct Gateway {
-    policy: Policy,
-    /// Events that the policy has not handled yet.
-    pub(super) events: Vec<Event>,
-    /// When its timer fires, in ms.
-    timer_at: Millis,
-}
-
-impl Gateway {
-    pub(super) fn new(policy: Policy) -> Self {
-        Gateway { policy, events: Vec::new(), timer_at: 0.0 }
-    }
-}
-
 impl Simulation {
     /// Runs the gateways that have events or whose timer fires.
     pub(super) fn run_due_gateways(&mut self) {
--- a/crates/experiments/src/rollout_simulation/model.rs
+++ b/crates/experiments/src/rollout_simulation/model.rs
@@ -226,6 +226,22 @@
     pub(super) has_ended: bool,
 }
 
+/// An attempt that ended just now.
+pub(super) struct EndedAttempt {
+    pub(super) number: u32,
+    pub(super) host: usize,
+    pub(super) outcome: AttemptOutcome,
+    pub(super) elapsed: Millis,
+    /// The request's timeout has passed.
+    pub(super) is_late: bool,
+}
+
+impl EndedAttempt {
+    pub(super) fn is_success(&self) -> bool {
+        self.outcome == AttemptOutcome::Success && !self.is_late
+    }
+}
+
 /// What is counted over a day, or over several.
 #[derive(Default)]
 pub(super) struct Counts {
--- a/crates/experiments/src/rollout_simulation/parameters.rs
+++ b/crates/experiments/src/rollout_simulation/parameters.rs
@@ -92,7 +92,7 @@
 /// The key with which version labels are signed.
 const SIGNING_KEY: &[u8] = b"lab";
 /// Milliseconds in one second.
-const MILLIS_PER_SECOND: Millis = 1000.0;
+pub(super) const MILLIS_PER_SECOND: Millis = 1000.0;
 
 /// The settings of one of several gateways.
 pub(super) fn read_settings(replica: usize, replicas: usize) -> Settings {
--- a/crates/experiments/src/rollout_simulation/platform.rs
+++ b/crates/experiments/src/rollout_simulation/platform.rs
@@ -1,63 +1,21 @@
 //! The platform: rollouts, their hosts, and its reports.
 
 use super::model::{CapChange, RoutingMode, Vote};
+use super::outcomes::outcome_report;
 use super::parameters::{
-    CLASSES, OUTCOME_REPORT_AGE, OUTCOME_REPORT_INTERVAL, ROLLBACK_TIME, ROLLOUT_STARTS, SOAK_TIME,
-    STAGE_CAPS, STAGE_HOST_SHARES, UNANALYSED_STAGE_TIME, host_address,
+    OUTCOME_REPORT_INTERVAL, ROLLBACK_TIME, ROLLOUT_STARTS, SOAK_TIME, STAGE_CAPS, STAGE_HOST_SHARES,
+    UNANALYSED_STAGE_TIME, host_address,
 };
 use super::simulation::Simulation;
 use latchhaven_policy::{
-    AttemptOutcome, EndpointEntry, Event, Millis, OutcomeReport, RolloutPhase, RolloutState, UpdateKind,
-    Verdict, Version,
+    EndpointEntry, Event, Millis, RolloutPhase, RolloutState, UpdateKind, Verdict, Version,
 };
-use std::collections::BTreeMap;
 
 /// The versions before and of the first rollout.
 const FIRST_VERSION: Version = Version(1);
 const SECOND_VERSION: Version = Version(2);
 const THIRD_VERSION: Version = Version(3);
 
-/// Outcomes of attempts at one version in one class.
-#[derive(Clone, Copy, Default)]
-struct OutcomeCounts {
-    attempts: u64,
-    failures: u64,
-    /// Of attempts that did not fail, in ms.
-    total_latency: Millis,
-}
-
-/// Outcomes that the platform has not reported yet.
-#[derive(Default)]
-pub(super) struct UnreportedOutcomes {
-    counts: BTreeMap<(Version, usize), OutcomeCounts>,
-    reported_at: Millis,
-}
-
-impl UnreportedOutcomes {
-    pub(super) fn record(
-        &mut self, version: Version, class: usize, outcome: AttemptOutcome, elapsed: Millis,
-    ) {
-        let counts = self.counts.entry((version, class)).or_default();
-        counts.attempts += 1;
-        match outcome {
-            AttemptOutcome::Error => counts.failures += 1,
-            _ => counts.total_latency += elapsed,
-        }
-    }
-}
-
-fn outcome_report(version: Version, class: usize, counts: OutcomeCounts) -> OutcomeReport {
-    let successes = counts.attempts - counts.failures;
-    OutcomeReport {
-        version,
-        class: CLASSES[class].name.to_string(),
-        attempts: counts.attempts,
-        failures: counts.failures,
-        mean_latency: (successes > 0).then(|| counts.total_latency / successes as f64),
-        age: OUTCOME_REPORT_AGE,
-    }
-}
-
 impl Simulation {
     /// Reports the endpoint list to the control service and all gateways.
     pub(super) fn publish_endpoints(&mut self) {
--- a/crates/experiments/src/rollout_simulation/simulation.rs
+++ b/crates/experiments/src/rollout_simulation/simulation.rs
@@ -1,13 +1,13 @@
 //! The events of one day, and requests as they come.
 
-use super::Sizes;
-use super::gateways::Gateway;
+use super::gateway::Gateway;
 use super::model::{Attempt, Counts, Defect, Host, Request, Rollout, RoutingMode, Vote};
+use super::outcomes::UnreportedOutcomes;
 use super::parameters::{
     CLASS_MIX, CLASSES, MEAN_WORK, READ_CLASS, REQUEST_TIMEOUT, TICK, WORKERS, gateway_policies,
 };
-use super::platform::UnreportedOutcomes;
-use super::proxies::ProxyGroup;
+use super::proxy_group::ProxyGroup;
+use super::sizes::Sizes;
 use crate::event_queue::EventQueue;
 use latchhaven_policy::{Event, IncomingRequest, Millis, RequestId, RolloutPhase, Verdict, Version};
 use rand::{RngExt, SeedableRng};
--- /dev/null
+++ b/crates/experiments/src/rollout_simulation/sizes.rs
@@ -0,0 +1,23 @@
+//! The size of the experiment, from the command line.
+
+use clap::Args;
+
+/// How many days, and how large.
+#[derive(Args, Clone, Debug)]
+pub(crate) struct Sizes {
+    #[arg(long, default_value_t = 6)]
+    pub(super) days: u64,
+    #[arg(long, default_value_t = 1)]
+    pub(super) seed: u64,
+    /// Proxies, or gateways.
+    #[arg(long, default_value_t = 10)]
+    pub(super) fronts: usize,
+    #[arg(long, default_value_t = 40)]
+    pub(super) hosts: usize,
+    /// Length of a day in simulated seconds; two builds come.
+    #[arg(long, default_value_t = 90)]
+    pub(super) seconds: u64,
+    /// Part of the warm capacity that clients ask for.
+    #[arg(long, default_value_t = 0.5)]
+    pub(super) load: f64,
+}
--- a/crates/experiments/src/soak.rs
+++ b/crates/experiments/src/soak.rs
@@ -2,6 +2,7 @@
 //! vanish and return at their addresses, and clients that use their connections until the kill. What was seen is judged
 //! by the rules of `latchhaven_test_support::history`.
 //!
+//! - `sizes`: the command line.
 //! - `schedule`: pure: which faults, and when.
 //! - `directory`: the endpoint list, and the discovery service of each gateway.
 //! - `fleet`: the gateways' processes.
@@ -13,11 +14,12 @@
 mod fleet;
 mod runner;
 mod schedule;
+mod sizes;
 
-use clap::Args;
 use runner::Run;
 use schedule::Schedule;
 use serde_json::{Value, json};
+pub(crate) use sizes::Sizes;
 use std::time::Duration;
 
 /// Broken rules that are printed one by one.
@@ -25,26 +27,6 @@
 /// The grace of drains in the gateways' configuration.
 const DRAIN_GRACE: Duration = Duration::from_secs(1);
 
-/// How many, for how long, and which faults.
-#[derive(Args, Clone, Debug)]
-pub(crate) struct Sizes {
-    /// Draws the faults.
-    #[arg(long, default_value_t = 1)]
-    seed: u64,
-    #[arg(long, default_value_t = 30)]
-    seconds: u64,
-    #[arg(long, default_value_t = 4)]
-    gateways: usize,
-    #[arg(long, default_value_t = 6)]
-    servers: usize,
-    /// Clients of each gateway.
-    #[arg(long, default_value_t = 4)]
-    clients: usize,
-    /// Print the faults as they are played.
-    #[arg(long)]
-    verbose: bool,
-}
-
 /// Plays the faults of a seed; the figures, and whether all rules were kept.
 pub(crate) fn run(sizes: &Sizes) -> (Value, bool) {
     let schedule = Schedule::draw(sizes.seed, sizes.gateways, sizes.servers, sizes.seconds);
--- a/crates/experiments/src/soak/runner.rs
+++ b/crates/experiments/src/soak/runner.rs
@@ -1,10 +1,10 @@
 //! Plays a schedule: carries out each fault as its time comes, and what follows from it later.
 
-use super::Sizes;
 use super::clients::{ClientSetup, start_client, start_connection_flood};
 use super::directory::Directory;
 use super::fleet::{Fleet, SHUTDOWN_TIME};
 use super::schedule::{Fault, Schedule};
+use super::sizes::Sizes;
 use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
 use latchhaven_test_support::history::{ArrivalRecord, History, RequestEnd, RequestRecord};
 use std::sync::Arc;
--- a/crates/experiments/src/xds.rs
+++ b/crates/experiments/src/xds.rs
@@ -1,6 +1,7 @@
 //! Thousands of proxies on one control service, while versions roll out and hosts come and go: how long a decision
 //! takes until every proxy uses it, what it costs, and that nothing goes back, dangles or exceeds a cap meanwhile.
 //!
+//! - `sizes`: the command line.
 //! - `testbed`: the control service, the platform and the proxies.
 //! - `rollout_script`: what the platform does.
 //! - `faults`: what goes wrong, and when.
@@ -11,18 +12,19 @@
 mod faults;
 mod propagation;
 mod rollout_script;
+mod sizes;
 mod testbed;
 
-use clap::Args;
 use exposure::ExposureSamples;
 use faults::FaultTimes;
 use latchhaven_test_support::process::ResourceUsage;
 use propagation::{PropagationTimes, histogram_figures, recovery_time};
 use rollout_script::{Decision, Expectation, RolloutScript};
 use serde_json::{Map, Value, json};
+pub(crate) use sizes::Sizes;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use testbed::Testbed;
+use testbed::{Testbed, millis};
 
 /// Interval of the platform's decisions.
 const DECISION_INTERVAL: Duration = Duration::from_millis(500);
@@ -35,34 +37,6 @@
 /// Limit for all proxies to begin, and to converge at the end.
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How large, how long, and what goes wrong.
-#[derive(Args, Clone, Debug)]
-pub(crate) struct Sizes {
-    #[arg(long, default_value_t = 1000)]
-    proxies: usize,
-    #[arg(long, default_value_t = 500)]
-    hosts: usize,
-    #[arg(long, default_value_t = 30)]
-    seconds: u64,
-    #[arg(long, default_value_t = 1)]
-    seed: u64,
-    /// Share of the proxies on incremental streams.
-    #[arg(long, default_value_t = 0.5)]
-    incremental: f64,
-    /// SIGKILL for the control service after a third; it is back two seconds later.
-    #[arg(long)]
-    kill_control: bool,
-    /// All proxies lose their streams after a third.
-    #[arg(long)]
-    reconnect_all: bool,
-    /// This share of the proxies refuses routes from the first third on to the second.
-    #[arg(long, default_value_t = 0.0)]
-    nack: f64,
-    /// This share of the proxies is cut off from the first third on to the second.
-    #[arg(long, default_value_t = 0.0)]
-    partition: f64,
-}
-
 /// What was measured.
 struct Measurements {
     /// Ms until all proxies had begun, and whether they had in time.
@@ -176,8 +150,3 @@
         "servers": "simulated",
     })
 }
-
-/// A duration in whole ms.
-fn millis(duration: Duration) -> u64 {
-    duration.as_millis() as u64
-}
--- a/crates/experiments/src/xds/faults.rs
+++ b/crates/experiments/src/xds/faults.rs
@@ -1,7 +1,7 @@
 //! Faults: when they begin and end, and what they do.
 
-use super::Sizes;
 use super::rollout_script::CAP_GRACE;
+use super::sizes::Sizes;
 use super::testbed::Testbed;
 use latchhaven_test_support::fake_proxy::ProxyBehavior;
 use std::time::{Duration, Instant};
--- a/crates/experiments/src/xds/propagation.rs
+++ b/crates/experiments/src/xds/propagation.rs
@@ -1,9 +1,8 @@
 //! How long decisions took until proxies used them.
 
 use super::faults::FaultTimes;
-use super::millis;
 use super::rollout_script::Decision;
-use super::testbed::Testbed;
+use super::testbed::{Testbed, millis};
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
--- /dev/null
+++ b/crates/experiments/src/xds/sizes.rs
@@ -0,0 +1,31 @@
+//! The size of the experiment, from the command line.
+
+use clap::Args;
+
+/// How large, how long, and what goes wrong.
+#[derive(Args, Clone, Debug)]
+pub(crate) struct Sizes {
+    #[arg(long, default_value_t = 1000)]
+    pub(super) proxies: usize,
+    #[arg(long, default_value_t = 500)]
+    pub(super) hosts: usize,
+    #[arg(long, default_value_t = 30)]
+    pub(super) seconds: u64,
+    #[arg(long, default_value_t = 1)]
+    pub(super) seed: u64,
+    /// Share of the proxies on incremental streams.
+    #[arg(long, default_value_t = 0.5)]
+    pub(super) incremental: f64,
+    /// SIGKILL for the control service after a third; it is back two seconds later.
+    #[arg(long)]
+    pub(super) kill_control: bool,
+    /// All proxies lose their streams after a third.
+    #[arg(long)]
+    pub(super) reconnect_all: bool,
+    /// This share of the proxies refuses routes from the first third on to the second.
+    #[arg(long, default_value_t = 0.0)]
+    pub(super) nack: f64,
+    /// This share of the proxies is cut off from the first third on to the second.
+    #[arg(long, default_value_t = 0.0)]
+    pub(super) partition: f64,
+}
--- a/crates/experiments/src/xds/testbed.rs
+++ b/crates/experiments/src/xds/testbed.rs
@@ -1,8 +1,7 @@
 //! The control service, the platform and the proxies of one experiment.
 
-use super::Sizes;
-use super::millis;
 use super::rollout_script::{Expectation, initial_hosts};
+use super::sizes::Sizes;
 use latchhaven_proxy_config::version::RolloutVersion;
 use latchhaven_test_support::fake_load_reports::{ClusterOutcome, ReportedLoad};
 use latchhaven_test_support::fake_platform::{FakePlatform, control_config};
@@ -204,6 +203,11 @@
     }
 }
 
+/// A duration in ms, without fractions.
+pub(super) fn millis(duration: Duration) -> u64 {
+    duration.as_millis() as u64
+}
+
 /// Writes the control service's configuration.
 fn write_config(folder: &Path, platform: &FakePlatform) -> PathBuf {
     let key_path = folder.join("versions.key");
--- a/crates/test-support/src/resource_cache/decode.rs
+++ b/crates/test-support/src/resource_cache/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes resources into what the cache holds.
+//! The cached resources, decoded from their messages.
 
 use latchhaven_xds::load_stats::parse_address;
 use latchhaven_xds::pb::envoy::config::cluster::v3::Cluster;
@@ -19,7 +19,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Retries that a cluster allows where its circuit breaker does not say, as real proxies have it.
+/// Concurrent retries that a cluster allows without a limit in its circuit breaker, as in Envoy.
 const DEFAULT_MAX_RETRIES: u32 = 3;
 /// The weight of an endpoint that has none.
 const DEFAULT_WEIGHT: u32 = 1;
@@ -31,7 +31,7 @@
     pub addr: SocketAddr,
     /// Its weight in load balancing.
     pub weight: u32,
-    /// True where it may be sent requests.
+    /// True if requests may be sent to it.
     pub is_healthy: bool,
 }
 
@@ -55,7 +55,7 @@
     pub retry_on: String,
 }
 
-/// A resource of any type, with what the type has.
+/// A resource of any type; fields of other types are empty.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CachedResource {
     pub(super) version_label: String,
@@ -113,7 +113,7 @@
         Ok(assignment.cluster_name)
     }
 
-    /// A single endpoint does not hold its own name.
+    /// A single endpoint does not contain its own name.
     fn decode_endpoint(&mut self, bytes: &[u8]) -> Result<String, DecodeError> {
         let endpoint = LbEndpoint::decode(bytes)?;
         self.endpoints.extend(cached_endpoint(&endpoint));
@@ -123,7 +123,7 @@
     fn decode_listener(&mut self, bytes: &[u8]) -> Result<String, DecodeError> {
         let listener = Listener::decode(bytes)?;
         for filter in listener.filter_chains.into_iter().flat_map(|chain| chain.filters) {
-            self.references.extend(referenced_routes(filter)?);
+            self.references.extend(route_config_name(filter)?);
         }
         Ok(listener.name)
     }
@@ -152,8 +152,8 @@
     }
 }
 
-/// The route configuration that a filter of a listener takes from xDS.
-fn referenced_routes(filter: Filter) -> Result<Option<String>, DecodeError> {
+/// The name of the route configuration that a filter of a listener subscribes to.
+fn route_config_name(filter: Filter) -> Result<Option<String>, DecodeError> {
     let Some(filter::ConfigType::TypedConfig(any)) = filter.config_type else { return Ok(None) };
     let manager = HttpConnectionManager::decode(any.value.as_slice())?;
     match manager.route_specifier {
--- a/crates/test-support/src/resource_cache/lookup.rs
+++ b/crates/test-support/src/resource_cache/lookup.rs
@@ -1,6 +1,6 @@
-//! Where requests would be routed by what the cache holds.
+//! The routes and endpoints that a proxy with these resources uses for requests.
 
-use super::ResourceCache;
+use super::cache::ResourceCache;
 use super::decode::{CachedEndpoint, CachedRoute};
 use latchhaven_xds::resources::ResourceType;
 
@@ -9,7 +9,7 @@
 pub struct ClusterEndpoints {
     /// The endpoints, inline ones and those of collections.
     pub endpoints: Vec<CachedEndpoint>,
-    /// Attempts that failed in the cluster may be retried there.
+    /// Failed attempts may be retried in the cluster.
     pub allows_retries: bool,
 }
 
@@ -21,7 +21,7 @@
         route_with_key.or_else(|| routes.get(class))
     }
 
-    /// The endpoints of a cluster; none where it is not held.
+    /// The endpoints of a cluster; empty if it is not cached.
     pub fn cluster_endpoints(&self, cluster: &str) -> ClusterEndpoints {
         let clusters = self.resources(ResourceType::Cluster);
         let Some(cluster) = clusters.and_then(|clusters| clusters.get(cluster)) else {
@@ -30,7 +30,9 @@
         let mut endpoints = Vec::new();
         for name in &cluster.references {
             let assignments = self.resources(ResourceType::Endpoint);
-            let Some(assignment) = assignments.and_then(|held| held.get(name)) else { continue };
+            let Some(assignment) = assignments.and_then(|assignments| assignments.get(name)) else {
+                continue;
+            };
             endpoints.extend(assignment.endpoints.iter().cloned());
             for collection in &assignment.references {
                 self.add_collection(collection.trim_end_matches('*'), &mut endpoints);
@@ -41,8 +43,8 @@
 
     /// Adds the endpoints whose names have this prefix.
     fn add_collection(&self, prefix: &str, endpoints: &mut Vec<CachedEndpoint>) {
-        let Some(held) = self.resources(ResourceType::LbEndpoint) else { return };
-        let from_prefix = held.range(prefix.to_string()..);
+        let Some(endpoints_by_name) = self.resources(ResourceType::LbEndpoint) else { return };
+        let from_prefix = endpoints_by_name.range(prefix.to_string()..);
         let collection = from_prefix.take_while(|(name, _)| name.starts_with(prefix));
         endpoints.extend(collection.flat_map(|(_, resource)| resource.endpoints.iter().cloned()));
     }
@@ -50,7 +52,8 @@
     /// How many endpoints are inline in the endpoint resource of this name.
     pub fn inline_endpoint_count(&self, endpoints_name: &str) -> usize {
         let assignments = self.resources(ResourceType::Endpoint);
-        assignments.and_then(|held| held.get(endpoints_name)).map_or(0, |held| held.endpoints.len())
+        let assignment = assignments.and_then(|assignments| assignments.get(endpoints_name));
+        assignment.map_or(0, |assignment| assignment.endpoints.len())
     }
 
     /// The share of a class's requests, in parts per million, that is routed to a version.
