--- a/crates/listener/src/lib.rs
+++ b/crates/listener/src/lib.rs
@@ -1,7 +1,7 @@
 //! Accepts connections while single accepts fail.
 //!
 //! Problem: accept reports errors of the connection in front of the queue, which the next call does not meet, and errors
-//! of the process, such as a lack of descriptors, which it meets again at once. Method: the first kind is retried
+//! of the process, such as a lack of descriptors, which the next call meets as well. Method: the first kind is retried
 //! immediately, the second after an interval. No error ends the listener.
 
 #![warn(clippy::pedantic)]
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// What an accept error concerns.
+/// The scope of an accept error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorScope {
     /// The connection that was to be accepted, or a single call: the next accept may succeed immediately.
@@ -31,7 +31,7 @@
 }
 
 /// Calls `accept` until it succeeds. `on_error` is called with each error; after one of the process the next call is
-/// made `retry_interval` later. Nothing is lost where the future is dropped, provided that this holds for `accept`.
+/// made `retry_interval` later. Cancel safe if `accept` is.
 pub async fn accept_with_retry<T>(
     mut accept: impl AsyncFnMut() -> io::Result<T>, retry_interval: Duration,
     mut on_error: impl FnMut(&io::Error, ErrorScope),
