--- a/crates/control-plane/src/driver/upstreams.rs
+++ b/crates/control-plane/src/driver/upstreams.rs
@@ -5,6 +5,7 @@
 use latchhaven_gateway::net::DriverEvent;
 use latchhaven_gateway::net::list::List;
 use latchhaven_gateway::net::platform::Vote;
+use latchhaven_gateway::policy_log;
 use latchhaven_policy::{Action, Event, Millis, UpdateFailure, VoteOutcome};
 use tokio::time::Instant;
 
@@ -42,7 +43,7 @@
                     self.control_plane.on_vote_completed(VoteOutcome::NotCounted, now);
                 }
             }
-            Action::Log(line) => tracing::info!("{line}"),
+            Action::Log(event) => policy_log::log_event(&event),
             // Those of a gateway that carries requests itself.
             _ => {}
         }
--- a/crates/gateway/src/gateway/event_loop.rs
+++ b/crates/gateway/src/gateway/event_loop.rs
@@ -8,6 +8,7 @@
 use crate::net::platform::{OutcomeCounts, Vote};
 use crate::net::upstream::{CallResult, UpstreamCall};
 use crate::net::{DriverEvent, MAX_PENDING_EVENTS};
+use crate::policy_log;
 use latchhaven_policy::{Action, AttemptOutcome, Event, Millis, Verdict, Version, VoteOutcome};
 use tokio::select;
 use tokio::sync::mpsc;
@@ -148,7 +149,7 @@
                 self.run_discovery_commands();
             }
             Action::CastVote { version, stage, verdict } => self.cast_vote(version, stage, verdict),
-            Action::Log(line) => tracing::info!("{line}"),
+            Action::Log(event) => policy_log::log_event(&event),
             // There is no protocol between gateways yet.
             Action::SendPeerMessage { .. } => {}
         }
--- a/crates/gateway/src/gateway/requests.rs
+++ b/crates/gateway/src/gateway/requests.rs
@@ -6,6 +6,7 @@
 use crate::invariant;
 use crate::net::Answer;
 use crate::net::upstream::UpstreamCall;
+use crate::policy_log;
 use crate::proto::pg::Statement;
 use latchhaven_policy::{Event, IncomingRequest, Millis, RequestId, UnservedReason};
 use std::rc::Rc;
@@ -47,8 +48,8 @@
 
     /// Answers a request: not executed, a retry is harmless.
     pub(super) fn reject(&mut self, id: RequestId, retry_after: Option<Millis>, reason: UnservedReason) {
-        record_unserved(id, reason);
-        if reason == UnservedReason::ListExpired {
+        record_unserved(id, &reason);
+        if matches!(reason, UnservedReason::ListExpired { .. }) {
             self.list_confirmation.log_expired();
         }
         self.answer(id, Answer::Rejected { retry_after }, &COUNTERS.requests_rejected_total);
@@ -56,7 +57,7 @@
 
     /// Answers a request: failed, its effect is unknown.
     pub(super) fn fail(&mut self, id: RequestId, reason: UnservedReason) {
-        record_unserved(id, reason);
+        record_unserved(id, &reason);
         self.answer(id, Answer::Failed, &COUNTERS.requests_failed_total);
     }
 
@@ -81,14 +82,14 @@
 }
 
 /// Counts and logs why a request gets no result.
-fn record_unserved(id: RequestId, reason: UnservedReason) {
-    tracing::debug!(id = id.0, ?reason, "request: no result");
+fn record_unserved(id: RequestId, reason: &UnservedReason) {
+    policy_log::log_unserved(id, reason);
     let counter = match reason {
-        UnservedReason::Overload => &COUNTERS.unserved_overload_total,
-        UnservedReason::NoEndpoint => &COUNTERS.unserved_no_endpoint_total,
-        UnservedReason::ListExpired => &COUNTERS.unserved_list_expired_total,
-        UnservedReason::AttemptsFailed => &COUNTERS.unserved_attempts_failed_total,
-        UnservedReason::Overdue => &COUNTERS.unserved_overdue_total,
+        UnservedReason::Overload { .. } => &COUNTERS.unserved_overload_total,
+        UnservedReason::NoEndpoint { .. } => &COUNTERS.unserved_no_endpoint_total,
+        UnservedReason::ListExpired { .. } => &COUNTERS.unserved_list_expired_total,
+        UnservedReason::AttemptsFailed { .. } => &COUNTERS.unserved_attempts_failed_total,
+        UnservedReason::Overdue { .. } => &COUNTERS.unserved_overdue_total,
         UnservedReason::Abandoned => &COUNTERS.unserved_abandoned_total,
         UnservedReason::UnknownClass => &COUNTERS.unserved_unknown_class_total,
     };
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -6,6 +6,7 @@
 //! - [`net`]: the drivers of sockets.
 //! - [`proto`], [`discovery`], [`arrivals`]: state machines without I/O.
 //! - [`clock`]: the clock of all of these.
+//! - [`policy_log`]: log lines of the decisions.
 //! - [`counters`]: counters and invariants.
 
 pub mod arrivals;
@@ -15,6 +16,7 @@
 pub mod discovery;
 pub mod gateway;
 pub mod net;
+pub mod policy_log;
 pub mod proto;
 pub mod readiness;
 pub mod serve;
--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -1,29 +1,71 @@
-//! What the policy asks its adapter to do.
+//! What a policy requires its adapter to do, and why requests get no result.
 
-use crate::request::RequestId;
+use crate::log_event::LogEvent;
+use crate::request::{AttemptOutcome, RequestId};
 use crate::rollout::{Verdict, Version};
 use crate::time::Millis;
 
-/// Why a request gets a final answer without a result.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a request gets a final answer without a result, with the inputs of the rule that decided.
+#[derive(Clone, Copy, Debug, PartialEq)]
 pub enum UnservedReason {
-    /// Too few requests are served well: a share is rejected at once.
-    Overload,
-    /// No endpoint could take it in time.
-    NoEndpoint,
+    /// Load shedding: too few requests are served well.
+    Overload {
+        /// The probability with which the request was rejected; above 1 it was certain.
+        shed_probability: f64,
+    },
+    /// No endpoint was available to it in time.
+    NoEndpoint {
+        /// Endpoints that the list shows as ready.
+        ready_endpoints: usize,
+        /// ms that an answer was expected to take.
+        expected_latency: Millis,
+        /// ms left of the latency objective; below 0 after it.
+        objective_left: Millis,
+    },
     /// The endpoint list has not been confirmed for too long, and no endpoint has proven itself since.
-    ListExpired,
-    /// Its attempts failed, and another one is not allowed or would be late.
-    AttemptsFailed,
-    /// Its time is up.
-    Overdue,
-    /// The adapter asked for the answer.
+    ListExpired {
+        /// ms since the list's lease expired.
+        expired_for: Millis,
+    },
+    /// Its attempts failed, and another one is not permitted or would be late.
+    AttemptsFailed {
+        /// Attempts sent.
+        attempts: usize,
+        /// How the last attempt to end did so.
+        last_outcome: AttemptOutcome,
+        /// ms left of the latency objective; below 0 after it.
+        objective_left: Millis,
+    },
+    /// Its deadline has passed.
+    Overdue {
+        /// Attempts sent.
+        attempts: usize,
+        /// ms since the deadline.
+        overdue_for: Millis,
+    },
+    /// The adapter requested the answer, as in a graceful shutdown.
     Abandoned,
-    /// Its class is not known.
+    /// The settings have no class of that name.
     UnknownClass,
 }
 
-/// Something to be done.
+impl UnservedReason {
+    /// The reason's name in logs, without its inputs.
+    #[must_use]
+    pub fn name(&self) -> &'static str {
+        match self {
+            UnservedReason::Overload { .. } => "Overload",
+            UnservedReason::NoEndpoint { .. } => "NoEndpoint",
+            UnservedReason::ListExpired { .. } => "ListExpired",
+            UnservedReason::AttemptsFailed { .. } => "AttemptsFailed",
+            UnservedReason::Overdue { .. } => "Overdue",
+            UnservedReason::Abandoned => "Abandoned",
+            UnservedReason::UnknownClass => "UnknownClass",
+        }
+    }
+}
+
+/// One thing to do; an adapter performs actions in the order returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the request to an endpoint.
@@ -32,29 +74,29 @@
         id: RequestId,
         /// The endpoint.
         endpoint: String,
-        /// How long to wait for the answer; none: for as long as the client does.
+        /// ms to wait for the answer; none: for as long as the client does.
         timeout: Option<Millis>,
-        /// An attempt that is not written whole by then is not sent at all: the endpoint would no longer recognise it as
-        /// a repeat.
+        /// ms within which the attempt must be written completely, else it is not sent: after that the endpoint may be
+        /// draining, or no longer recognise the idempotency key.
         write_within: Option<Millis>,
     },
-    /// Final answer: not executed, a retry is harmless.
+    /// Final answer: a retry is harmless.
     Reject {
         /// The request.
         id: RequestId,
-        /// How long the client should wait before it retries.
+        /// Retry-After in ms, where clients honour one.
         retry_after: Option<Millis>,
         /// Why, for logs and counters.
         reason: UnservedReason,
     },
-    /// Final answer: failed, with no promise as to its effect.
+    /// Final answer: failed; it may have taken effect.
     Fail {
         /// The request.
         id: RequestId,
         /// Why, for logs and counters.
         reason: UnservedReason,
     },
-    /// Stop waiting for one attempt.
+    /// Cancel one attempt.
     CancelAttempt {
         /// The request.
         id: RequestId,
@@ -63,9 +105,9 @@
     },
     /// Set a timer.
     SetTimer {
-        /// Time until it fires.
+        /// ms until it fires.
         after: Millis,
-        /// What the event is to carry.
+        /// What [`Event::TimerFired`](crate::Event::TimerFired) is to carry.
         token: String,
     },
     /// Check an endpoint's health.
@@ -80,27 +122,27 @@
     },
     /// Send a message to another gateway.
     SendPeerMessage {
-        /// The receiver's index; none: all of them.
+        /// The receiver's index; none: all gateways.
         to: Option<u32>,
         /// The content.
         data: Vec<u8>,
     },
-    /// Watch the endpoint list from now on, or stop watching it.
+    /// Open a watch on the endpoint list, or end it.
     WatchEndpoints {
-        /// False: stop.
+        /// False: end it.
         enabled: bool,
     },
-    /// Fetch the whole endpoint list once.
+    /// Fetch the complete endpoint list once.
     FetchEndpoints,
     /// Vote on a version.
     CastVote {
         /// The version.
         version: Version,
-        /// The stage that it is in.
+        /// The stage of its rollout, from 0.
         stage: u32,
         /// The vote.
         verdict: Verdict,
     },
-    /// A line for the operators.
-    Log(String),
+    /// Print an event for the operators.
+    Log(LogEvent),
 }
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -4,8 +4,8 @@
 //! share of requests that were served well decides which share of its new requests is rejected on arrival; those
 //! admitted are sent newest first, and one that can no longer be on time is answered instead of sent.
 //!
-//! [`Policy`](crate::Policy) calls these rules when a request arrives ([`shed_probability`], [`is_shed`],
-//! [`remaining_objective`]), after each batch of events ([`queue_rank`], [`is_too_late`]) and for each final answer
+//! [`Policy`](crate::Policy) calls these rules when a request arrives ([`shed_probability`],
+//! [`rejection_probability`], [`remaining_objective`]), after each batch of events ([`queue_rank`], [`is_too_late`]) and for each final answer
 //! ([`unserved_answer`], [`service_quality`]). All inputs are parameters.
 
 use crate::action::{Action, UnservedReason};
@@ -38,10 +38,10 @@
     1.0 - served_well / MIN_SERVED_WELL
 }
 
-/// Whether a request is rejected on arrival; `draw`: uniform between 0 and 1.
-pub(crate) fn is_shed(draw: f64, shed_probability: f64, is_retry: bool) -> bool {
+/// The probability of rejecting one request: higher for a retry than the tenant's `shed_probability`.
+pub(crate) fn rejection_probability(shed_probability: f64, is_retry: bool) -> f64 {
     let factor = if is_retry { RETRY_SHED_FACTOR } else { 1.0 };
-    draw < factor * shed_probability
+    factor * shed_probability
 }
 
 /// ms left for an answer within the latency objective; a retry continues the objective of its first attempt.
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -263,7 +263,7 @@
     /// Ejects an endpoint, if it is not ejected already.
     pub(crate) fn eject(&mut self, index: EndpointIndex, reason: EjectionReason, now: Millis) {
         let event = self.registry.eject(index, reason, &outlier::EJECTION_BACKOFF, now);
-        self.actions.extend(event.map(|event| Action::Log(event.to_string())));
+        self.actions.extend(event.map(Action::Log));
     }
 
     /// Sends an attempt, if the gate admits it.
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -62,7 +62,7 @@
         }
         let unresponsive = self.unresponsive_attempts(now);
         let overdue = self.requests.overdue(now);
-        overdue.into_iter().for_each(|id| self.answer_unserved(id, UnservedReason::Overdue, now));
+        overdue.into_iter().for_each(|id| self.answer_overdue(id, now));
         unresponsive.into_iter().for_each(|(id, attempt)| self.hedge_or_retry(id, attempt, now));
         if let Some(rollout) = self.exposure.rollout
             && now - self.analysis.analysed_at >= ANALYSIS_INTERVAL - TIMER_ROUNDING
@@ -88,10 +88,10 @@
         let objective = admission::remaining_objective(&incoming, &self.classes[class], longest_timeout);
         let draw = self.rng.random::<f64>();
         let shed_probability = self.shed_probability(&incoming.tenant, now);
-        let is_shed = admission::is_shed(draw, shed_probability, incoming.is_retry);
+        let shed_probability = admission::rejection_probability(shed_probability, incoming.is_retry);
         self.requests.requests.insert(id, Request::new(incoming, class, objective, now));
-        if is_shed {
-            self.answer_unserved(id, UnservedReason::Overload, now);
+        if draw < shed_probability {
+            self.answer_unserved(id, UnservedReason::Overload { shed_probability }, now);
         } else {
             self.requests.queue.push(id);
         }
@@ -149,12 +149,24 @@
             return;
         }
         if !admission::is_within_objective(request, now) || !self.can_retry(id) {
-            self.answer_unserved(id, UnservedReason::AttemptsFailed, now);
+            let attempts = request.attempts.len();
+            let objective_left = request.objective_deadline - now;
+            let last_outcome = completed.outcome;
+            let reason = UnservedReason::AttemptsFailed { attempts, last_outcome, objective_left };
+            self.answer_unserved(id, reason, now);
         } else if !self.requests.queue.contains(&id) {
             self.requests.queue.push(id);
         }
     }
 
+    /// Answers an open request whose deadline has passed.
+    fn answer_overdue(&mut self, id: RequestId, now: Millis) {
+        let request = &self.requests.requests[&id];
+        let overdue_for = now - request.deadline;
+        let reason = UnservedReason::Overdue { attempts: request.attempts.len(), overdue_for };
+        self.answer_unserved(id, reason, now);
+    }
+
     /// Open requests with an attempt at an unresponsive endpoint, and its number.
     fn unresponsive_attempts(&self, now: Millis) -> Vec<(RequestId, usize)> {
         let endpoints = &self.registry.endpoints;
@@ -190,24 +202,26 @@
         }
         self.registry.refill_slow_start_tokens(now);
         if self.registry.is_list_expired(now) {
+            let reason = UnservedReason::ListExpired { expired_for: now - self.registry.lease.expires_at() };
             let queued = std::mem::take(&mut self.requests.queue);
-            return queued
-                .into_iter()
-                .for_each(|id| self.answer_unserved(id, UnservedReason::ListExpired, now));
+            return queued.into_iter().for_each(|id| self.answer_unserved(id, reason, now));
         }
         let sides = [self.partition(true), self.partition(false)];
+        let ready_endpoints = sides[1].canary.len() + sides[1].baseline.len();
         let classes = &self.classes;
         for id in self.requests.take_queue(|request| admission::queue_rank(request, classes)) {
             let request = &self.requests.requests[&id];
             let typical_latency = self.requests.typical_latency[request.class];
             let expected_latency = admission::expected_latency(request, typical_latency);
+            let objective_left = request.objective_deadline - now;
             let is_too_late = admission::is_too_late(request, expected_latency, now);
             let is_in_time = admission::is_within_objective(request, now);
             if is_in_time && sides.iter().any(|sides| self.route(id, sides, now)) {
                 continue;
             }
             if is_too_late {
-                self.answer_unserved(id, UnservedReason::NoEndpoint, now);
+                let reason = UnservedReason::NoEndpoint { ready_endpoints, expected_latency, objective_left };
+                self.answer_unserved(id, reason, now);
             } else {
                 self.requests.queue.push(id);
             }
--- a/crates/policy/src/state/canary.rs
+++ b/crates/policy/src/state/canary.rs
@@ -2,6 +2,7 @@
 
 use crate::action::Action;
 use crate::config::VotingConfig;
+use crate::log_event::{LogEvent, RejectionReason};
 use crate::rollout::{RolloutPhase, RolloutState, Verdict, Version};
 use crate::state::endpoint::{EndpointIndex, MetricMoments};
 use crate::state::evidence::{BySide, ClassEvidence, CommonFailures, OutcomeCounts, WeightedEvidence};
@@ -27,7 +28,7 @@
     /// The chance of being wrong that the test may take.
     pub error_rate: f64,
     /// What was tested, for the log.
-    pub reason: &'static str,
+    pub reason: RejectionReason,
 }
 
 impl Suspicion {
@@ -139,7 +140,7 @@
     /// It counts, for all that is known.
     pub vote_is_active: bool,
     /// Why the version was rejected, until the vote on it is cast.
-    pub rejection_log: Option<String>,
+    pub rejection_log: Option<LogEvent>,
 }
 
 impl AnalysisView {
@@ -252,15 +253,18 @@
     }
 
     /// Rejects the newest version for good; the reason is logged with the vote on it.
-    pub fn reject(&mut self, rollout: &RolloutState, reason: &str) {
+    pub fn reject(&mut self, rollout: &RolloutState, reason: RejectionReason) {
         let RolloutState { version, stage, .. } = *rollout;
-        let probability = self.probability_worse;
         let WeightedEvidence { failures, expected_failures, .. } = self.evidence;
         self.rejected_version = Some(version);
-        self.rejection_log = Some(format!(
-            "canary rejected version={version} stage={stage} reason={reason:?} probability={probability:.3} \
-             failures={failures:.0} expected={expected_failures:.0}"
-        ));
+        self.rejection_log = Some(LogEvent::CanaryRejected {
+            version,
+            stage,
+            reason,
+            probability: self.probability_worse,
+            failures,
+            expected_failures,
+        });
     }
 
     /// Whether a vote is to be cast now: it is new, or its lease is half over, or it did not count.
@@ -288,10 +292,8 @@
         let mut actions = vec![Action::CastVote { version, stage, verdict }];
         actions.extend(self.rejection_log.take().map(Action::Log));
         if is_new && verdict != Verdict::Abstain {
-            let probability = self.probability_worse;
-            actions.push(Action::Log(format!(
-                "vote cast verdict={verdict:?} version={version} stage={stage} probability_worse={probability:.3}"
-            )));
+            let probability_worse = self.probability_worse;
+            actions.push(Action::Log(LogEvent::VoteCast { verdict, version, stage, probability_worse }));
         }
         actions
     }
--- a/crates/policy/src/verdict.rs
+++ b/crates/policy/src/verdict.rs
@@ -3,6 +3,7 @@
 use crate::action::Action;
 use crate::canary::{FAILURE_MARGIN, MAX_LOAD_RATIO, MIN_OUTCOMES, SPEED_MARGIN};
 use crate::config::{GatewayIdentity, VoteMode, VotingConfig};
+use crate::log_event::RejectionReason;
 use crate::rollout::{RolloutPhase, RolloutState, Verdict};
 use crate::state::canary::{AnalysisView, CanaryAnalysis, CanaryContext, CastVote, Suspicion};
 use crate::state::endpoint::Metric;
@@ -88,20 +89,21 @@
         // δ is shared among looks, and among gateways but for reports, which are the same for all.
         let error_rate = self.own_error_rate / LOOKS;
         let own = |probability_worse, reason| Suspicion { probability_worse, error_rate, reason };
-        let mut suspicions = vec![own(0.5, "nothing")];
+        let mut suspicions = vec![own(0.5, RejectionReason::Prior)];
         // Some faulty machines are no bad version: own errors tell nothing where reports see no more than usual.
         let is_vouched_for =
             context.is_reported && self.evidence.failures < FAILURE_MARGIN * self.evidence.expected_failures;
         if context.is_canary && !is_vouched_for {
-            suspicions.push(own(self.own_failures(endpoints, view), "own errors and wrong answers"));
+            suspicions.push(own(self.own_failures(endpoints, view), RejectionReason::OwnFailures));
         }
         let slowdown = self.slowdown_of_all(rng, endpoints, view, context);
-        suspicions.extend(slowdown.map(|probability| own(probability, "fleet slowdown")));
+        suspicions.extend(slowdown.map(|probability| own(probability, RejectionReason::AllEndpointsSlower)));
         if context.is_canary && !context.is_alone {
-            suspicions.push(own(compare(rng, endpoints, view, Metric::Success, 0.0), "success rate"));
+            suspicions
+                .push(own(compare(rng, endpoints, view, Metric::Success, 0.0), RejectionReason::SuccessRate));
             let latency = compare(rng, endpoints, view, Metric::Latency, SPEED_MARGIN);
             // A lone machine may well be slow by itself: only a second one can tell.
-            suspicions.extend((view.canary.len() > 1).then(|| own(latency, "latency")));
+            suspicions.extend((view.canary.len() > 1).then(|| own(latency, RejectionReason::Latency)));
         }
         if context.is_canary || self.promotion.is_some() {
             suspicions.extend(self.reported_suspicions(rng));
@@ -160,10 +162,10 @@
         let expected = FAILURE_MARGIN * (self.wrong_answers.baseline + 1.0) * answers / baseline_answers;
         let wrong = rare(expected, self.wrong_answers.canary);
         [
-            test(failures, "reported failures"),
-            test(common, "common failures"),
-            test(speed, "reported latency"),
-            test(wrong, "wrong answers"),
+            test(failures, RejectionReason::ReportedFailures),
+            test(common, RejectionReason::CommonFailures),
+            test(speed, RejectionReason::ReportedLatency),
+            test(wrong, RejectionReason::WrongAnswers),
         ]
     }
 
--- a/crates/policy/tests/policy/outliers.rs
+++ b/crates/policy/tests/policy/outliers.rs
@@ -1,7 +1,7 @@
 //! Ejection and connections.
 
 use crate::support::{SentAttempt, TestConfig, TestGateway, succeed};
-use latchhaven_policy::{Action, AttemptOutcome, Millis};
+use latchhaven_policy::{Action, AttemptOutcome, LogEvent, Millis};
 use rstest::rstest;
 
 #[rstest]
@@ -27,8 +27,7 @@
     let behavior = move |sent: &SentAttempt| if loses(sent) { (how, 5.0) } else { succeed(sent) };
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, behavior);
     gateway.serve_for(3000.0, 5);
-    let is_logged =
-        |action: &Action| matches!(action, Action::Log(line) if line.contains("endpoint ejected"));
+    let is_logged = |action: &Action| matches!(action, Action::Log(LogEvent::EndpointEjected { .. }));
     assert_eq!(gateway.actions.iter().any(|(_, action)| is_logged(action)), aside);
     assert!(gateway.succeeded.len() > 50);
 }
--- a/crates/simulator-protocol/src/actions.rs
+++ b/crates/simulator-protocol/src/actions.rs
@@ -37,7 +37,7 @@
         Action::CastVote { version, stage, verdict } => {
             writeln!(out, "BALLOT rel={version} wave={stage} how={}", verdict_code(*verdict))
         }
-        Action::Log(line) => writeln!(out, "EMIT what={line}"),
+        Action::Log(event) => writeln!(out, "EMIT what={event}"),
     }
 }
 
--- a/crates/simulator-protocol/tests/lines.rs
+++ b/crates/simulator-protocol/tests/lines.rs
@@ -58,9 +58,9 @@
 
 #[rstest]
 #[case(Action::SendAttempt { id: RequestId(7), endpoint: "a:1".into(), timeout: Some(80.0), write_within: None }, "PASS_ON handle=7 instance=a:1 max-wait-s=0.08")]
-#[case(Action::Reject { id: RequestId(7), retry_after: Some(500.0), reason: UnservedReason::Overload }, "DENY handle=7 retry-after-s=0.5")]
-#[case(Action::Reject { id: RequestId(7), retry_after: None, reason: UnservedReason::Overload }, "DENY handle=7")]
-#[case(Action::Fail { id: RequestId(7), reason: UnservedReason::Overload }, "FAIL handle=7")]
+#[case(Action::Reject { id: RequestId(7), retry_after: Some(500.0), reason: UnservedReason::Overload { shed_probability: 0.5 } }, "DENY handle=7 retry-after-s=0.5")]
+#[case(Action::Reject { id: RequestId(7), retry_after: None, reason: UnservedReason::Overload { shed_probability: 0.5 } }, "DENY handle=7")]
+#[case(Action::Fail { id: RequestId(7), reason: UnservedReason::Overload { shed_probability: 0.5 } }, "FAIL handle=7")]
 #[case(Action::CancelAttempt { id: RequestId(7), attempt: 2 }, "ABANDON handle=7 go=2")]
 #[case(Action::SetTimer { after: 10.0, token: "t".into() }, "WAKE_ME delay-s=0.01 handle=t")]
 #[case(Action::HealthCheck { endpoint: "a:1".into() }, "SOUND_OUT instance=a:1")]
@@ -70,7 +70,9 @@
 #[case(Action::WatchEndpoints { enabled: true }, "SUBSCRIBE active=1")]
 #[case(Action::FetchEndpoints, "PULL")]
 #[case(Action::CastVote { version: Version(4), stage: 1, verdict: Verdict::RollBack }, "BALLOT rel=4 wave=1 how=3")]
-#[case(Action::Log("two known".into()), "EMIT what=two known")]
+#[case(Action::Log(LogEvent::CanaryRejected { version: Version(4), stage: 1, reason: RejectionReason::SuccessRate, probability: 0.9904, failures: 7.6, expected_failures: 2.0 }), "EMIT what=canary rejected version=4 stage=1 reason=\"success rate\" probability=0.990 failures=8 expected=2")]
+#[case(Action::Log(LogEvent::VoteCast { verdict: Verdict::RollBack, version: Version(4), stage: 1, probability_worse: 1.0 }), "EMIT what=vote cast verdict=RollBack version=4 stage=1 probability_worse=1.000")]
+#[case(Action::Log(LogEvent::EndpointEjected { endpoint: "a:1".into(), incarnation: 2, reason: EjectionReason::ConnectFailures, ejected_for: 500.0, error_rate: 0.1, consecutive_timeouts: 2 }), "EMIT what=endpoint ejected endpoint=a:1 reason=\"connect failures\"")]
 fn action_is_written_as_line(#[case] action: Action, #[case] line: &str) {
     let mut out = Vec::new();
     write_action(&action, &mut out).expect("written");
