--- a/crates/gateway/src/gateway/event_loop.rs
+++ b/crates/gateway/src/gateway/event_loop.rs
@@ -9,6 +9,7 @@
 use crate::net::DriverEvent;
 use crate::net::platform::{OutcomeCounts, Vote};
 use crate::net::upstream::{CallResult, UpstreamCall};
+use crate::policy_log;
 use latchhaven_policy::{Action, AttemptOutcome, Event, Millis, Verdict, Version, VoteOutcome};
 use tokio::select;
 use tokio::sync::mpsc;
@@ -149,7 +150,7 @@
                 self.run_discovery_commands();
             }
             Action::CastVote { version, stage, verdict } => self.cast_vote(version, stage, verdict),
-            Action::Log(line) => tracing::info!("{line}"),
+            Action::Log(event) => policy_log::log_event(&event),
             // Gateways have no protocol between them.
             Action::SendPeerMessage { .. } => {}
         }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -8,6 +8,7 @@
 //! - [`limits`]: time limits and bounds, and the rules that follow from them.
 //! - [`readiness`]: when health checks of the load balancer are answered.
 //! - [`clock`]: the clock of all of these.
+//! - [`policy_log`]: log lines of the decisions.
 //! - [`counters`]: counters and invariants.
 
 #![warn(clippy::pedantic)]
@@ -26,6 +27,7 @@
 pub mod gateway;
 pub mod limits;
 pub mod net;
+pub mod policy_log;
 pub mod proto;
 pub mod readiness;
 pub mod serve;
