--- a/crates/cli/tests/control.rs
+++ b/crates/cli/tests/control.rs
@@ -1,7 +1,6 @@
 //! The control service as a process on loopback: malformed input, disallowed peers, restarts, and `check`.
 
-// A test fails where it unwraps.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, reason = "a test fails where it unwraps")]
 
 use bytes::Bytes;
 use latchhaven_test_support::fake_load_reports::send_load_reports;
@@ -35,7 +34,7 @@
 const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 const ADS: &str = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources";
 
-/// A control service with a platform of three endpoints; its folder is removed with it.
+/// A control service with a platform of three endpoints. Its folder is removed when it is dropped.
 struct ControlPlaneFixture {
     platform: FakePlatform,
     control: Process,
@@ -71,7 +70,7 @@
         ControlPlaneFixture::start(name, |_| String::new(), |text| text)
     }
 
-    /// A well-behaved proxy, which must be served whatever others do.
+    /// A well-behaved proxy, which has to be served whatever others do.
     fn proxy(&self, number: usize) -> (FakeProxy, watch::Sender<ProxyBehavior>) {
         let behavior = ProxyBehavior { service: Some(self.control.addr), ..ProxyBehavior::default() };
         let (behavior, behavior_receiver) = watch::channel(behavior);
@@ -80,24 +79,24 @@
         (proxy, behavior)
     }
 
-    /// Checks that the proxy receives a change that is made now: of the two states one is new to it. Its cache is
-    /// compared, not versions, as a proxy that reconnects with current resources is sent nothing.
+    /// Checks that the proxy receives a change that is made now; one of the two states is new to it. Compares its cache
+    /// and not versions: a proxy that reconnects with current resources receives no response.
     fn assert_served(&self, proxy: &FakeProxy) {
         let addr = SocketAddr::from(([127, 0, 0, 9], 5000));
         for health in ["draining", "up"] {
             self.platform.update_hosts(&[host("s0", addr, health, 1)]);
             wait_until("the proxy receives a change", || {
-                let held = |cache: &ResourceCache| {
+                let endpoint = |cache: &ResourceCache| {
                     cache.cluster_endpoints("b1/pay").endpoints.into_iter().find(|host| host.addr == addr)
                 };
                 cache_matches(proxy, |cache| {
-                    held(cache).is_some_and(|host| host.is_healthy == (health == "up"))
+                    endpoint(cache).is_some_and(|host| host.is_healthy == (health == "up"))
                 })
             });
         }
     }
 
-    /// Sends these requests on one stream; the status that ends it, or `None` where it stays open for 3 s.
+    /// Sends requests on one stream. Returns the status that ends it. None: it stays open for 3 s.
     fn stream_status(&self, path: &'static str, requests: Vec<Bytes>) -> Option<Status> {
         let addr = self.control.addr;
         self.runtime.block_on(async move {
@@ -150,7 +149,7 @@
     Bytes::from(request.encode_to_vec())
 }
 
-/// Requests on one stream, and the status that must end it.
+/// Requests on one stream, and the status that has to end it.
 struct MalformedRequests {
     description: &'static str,
     path: &'static str,
@@ -233,16 +232,16 @@
         ..ClusterStats::default()
     };
     let second = Some(ProtoDuration { seconds: 1, nanos: 0 });
-    let twice = vec![stats("b1/look", second), stats("b1/look", second)];
+    let duplicate = vec![stats("b1/look", second), stats("b1/look", second)];
     let cases = [
         (vec![stats("b1/look", None)], "load_report_interval"),
         (vec![stats("b1/look", Some(ProtoDuration { seconds: -1, nanos: 0 }))], "load_report_interval"),
         (vec![stats("b1/unknown", second)], "cluster_name"),
         (vec![stats("other", second)], "cluster_name"),
-        (twice, "twice"),
+        (duplicate, "twice"),
     ];
     for (cluster_stats, expected_text) in cases {
-        let node = Some(Node { id: "liar".to_string(), ..Node::default() });
+        let node = Some(Node { id: "invalid-reporter".to_string(), ..Node::default() });
         let first = LoadStatsRequest { node: node.clone(), cluster_stats: Vec::new() };
         let (report_sender, report_receiver) = mpsc::channel(2);
         let status = fixture.runtime.block_on(async {
@@ -279,7 +278,7 @@
 }
 
 #[test]
-fn connection_from_a_disallowed_network_is_refused() {
+fn connection_from_a_disallowed_network_is_rejected() {
     let fixture = ControlPlaneFixture::start(
         "networks",
         |_| String::new(),
@@ -311,7 +310,7 @@
 #[test]
 fn proxies_keep_their_resources_while_the_service_restarts() {
     let extra_config = |folder: &str| format!("\"state\": \"{folder}/state.redb\",");
-    let mut fixture = ControlPlaneFixture::start("death", extra_config, |text| text);
+    let mut fixture = ControlPlaneFixture::start("restart", extra_config, |text| text);
     let (proxies, behaviors): (Vec<FakeProxy>, Vec<_>) = (0..4).map(|n| fixture.proxy(n)).unzip();
     proxies.iter().for_each(|proxy| fixture.assert_served(proxy));
     let has_all_resources = |proxy: &FakeProxy| {
--- a/crates/cli/tests/gateway/attempts.rs
+++ b/crates/cli/tests/gateway/attempts.rs
@@ -1,6 +1,8 @@
 //! Attempts: what each outcome means for the response, for retries and for the counters.
 
-use crate::support::{assert_others_are_served, wait_until_served};
+use crate::support::{
+    assert_others_are_served, assert_served, wait_until_connecting, wait_until_received, wait_until_served,
+};
 use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
 use latchhaven_test_support::gateway::{Gateway, use_long_timeouts};
 use latchhaven_test_support::postgres::{Client, SqlState, insert, outcome, query, select};
@@ -12,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 #[rstest]
-#[case::settled(ServerBehavior::Succeed, "attempts_succeeded_total", Ok("a1"))]
+#[case::success(ServerBehavior::Succeed, "attempts_succeeded_total", Ok("a1"))]
 #[case::among_notices(ServerBehavior::SucceedAmongNotices, "attempts_succeeded_total", Ok("a1"))]
 #[case::error_response(ServerBehavior::Fail("XX000"), "attempts_failed_total", Err("XX000"))]
 #[case::queue_full(ServerBehavior::Fail("53300"), "attempts_rejected_total", Err("53300"))]
@@ -76,7 +78,7 @@
     let first = if silent.queries().is_empty() { &other } else { &silent };
     wait_until("the first connection is ended", || first.seen.lock().unwrap().ended.contains(&0));
     assert_eq!(outcome(&client.read_response()), Err(SqlState::from("53300")));
-    // Cancelled attempts are over: their connections are closed.
+    // The connections of cancelled attempts are closed.
     wait_until("all are ended", || {
         [&silent, &other].iter().all(|server| {
             let seen = server.seen.lock().unwrap();
@@ -101,11 +103,11 @@
     assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
     thread::sleep(Duration::from_millis(300));
     // A late row would be returned as the response to this query.
-    assert_eq!(outcome(&client.query(&select("a2", "look", 1900))), Ok("a2".to_string()));
+    assert_served(&mut client, "a2", 1900);
 }
 
 #[rstest]
-#[case::at_once(0)]
+#[case::immediately(0)]
 #[case::a_moment_later(30)]
 fn duplicate_response_is_not_used_for_the_next_request(#[case] pause: u64) {
     let server = FakeServer::start(ServerBehavior::RespondTwice(pause));
@@ -124,16 +126,16 @@
     let gateway = Gateway::start_with(&[&server], use_long_timeouts);
     let mut clients: Vec<Client> = (0..16).map(|_| gateway.client()).collect();
     for round in 0..2 {
-        let asks = |(n, client): (usize, &mut Client)| {
+        let send = |(n, client): (usize, &mut Client)| {
             client.send(&query(&select(&format!("a{round}x{n}"), "look", 15_000)));
         };
-        clients.iter_mut().enumerate().for_each(asks);
+        clients.iter_mut().enumerate().for_each(send);
         for client in &mut clients {
             assert_eq!(outcome(&client.read_response()).unwrap().len(), 400_000);
         }
     }
     assert_eq!((gateway.counter("malformed_responses_total"), gateway.counter("attempts_total")), (0, 32));
-    // A larger length than allowed is an error at once.
+    // A length above the limit is an error before its data is received.
     server.set_behavior(ServerBehavior::LargeValue(600_000));
     assert_eq!(outcome(&clients[0].query(&insert("b", "pay", 15_000))), Err(SqlState::from("XX000")));
 }
@@ -156,7 +158,7 @@
     let gateway = Gateway::start(&[&server]);
     let mut client = gateway.client();
     client.send(&query(&insert("a1", "pay", 60_000)));
-    wait_until("the query has arrived", || server.queries().len() == 1);
+    wait_until_received(&server, 1);
     drop(client);
     wait_until("the attempt is cancelled", || server.seen.lock().unwrap().ended == [0]);
     assert_eq!(
@@ -166,8 +168,8 @@
 }
 
 #[rstest]
-#[case::recalls_are_allowed(true)]
-#[case::recalls_are_not(false)]
+#[case::cancelling_is_permitted(true)]
+#[case::cancelling_is_not_permitted(false)]
 fn request_of_a_disconnected_client_is_not_sent_once_connected(#[case] cancelling: bool) {
     let stuck = FakeServer::start(ServerBehavior::NeverHandshake);
     let gateway = Gateway::start_with(&[&stuck], |config| {
@@ -176,12 +178,12 @@
     });
     let mut client = gateway.client();
     client.send(&query(&insert("a1", "pay", 60_000)));
-    wait_until("a connection is waited for", || stuck.seen.lock().unwrap().connections == 1);
+    wait_until_connecting(&stuck);
     drop(client);
     wait_until("the disconnect is counted", || gateway.counter("clients_disconnected_total") == 1);
     wait_until("its attempt is cancelled", || gateway.counter("attempts_not_sent_total") == 1);
     stuck.set_behavior(ServerBehavior::Succeed);
-    // The connection that it waited for serves other requests.
+    // The connection then serves other requests.
     wait_until_served(&gateway);
     assert!(stuck.queries().iter().all(|query| query.text.contains("id=b")));
     assert_eq!(gateway.counter("invariant_violations_total"), 0);
@@ -196,12 +198,12 @@
     });
     let mut client = gateway.client();
     client.send(&query(&insert("a1", "book", 20_000)));
-    wait_until("the attempt is sent", || server.queries().len() == 1);
+    wait_until_received(&server, 1);
     let since = Instant::now();
     wait_until("its retry waits for a connection", || server.seen.lock().unwrap().connections >= 2);
     wait_until("the window is over", || since.elapsed() > Duration::from_millis(700));
     server.set_behavior(ServerBehavior::Succeed);
-    // Whatever its own response is: it was not sent again, while other requests are.
+    // Its error does not matter: it is not sent again, and other requests are.
     let answer = outcome(&client.read_response());
     assert!(answer.is_err(), "{answer:?}");
     wait_until_served(&gateway);
@@ -215,7 +217,7 @@
     let gateway = Gateway::start_with(&[&server], use_long_timeouts);
     let mut stuck = gateway.client();
     stuck.send(&query(&select("a1", "look", 60_000)));
-    wait_until("the query has arrived", || server.queries().len() == 1);
+    wait_until_received(&server, 1);
     server.set_behavior(ServerBehavior::Succeed);
     assert_others_are_served(&gateway);
 }
--- a/crates/cli/tests/gateway/client_limits.rs
+++ b/crates/cli/tests/gateway/client_limits.rs
@@ -1,6 +1,8 @@
-//! Limits on clients: timeouts, descriptors, floods, and state that must be freed.
+//! Limits of clients: timeouts, descriptors, floods, and state that is freed.
 
-use crate::support::{assert_others_are_served, contains, pause, read_to_end};
+use crate::support::{
+    assert_others_are_served, assert_served, contains, pause, read_to_end, wait_until_received,
+};
 use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
 use latchhaven_test_support::gateway::{Gateway, use_long_timeouts};
 use latchhaven_test_support::platform_messages::{endpoint_list, host};
@@ -13,13 +15,13 @@
 use std::thread;
 use std::time::Duration;
 
-/// A gateway all of whose descriptors for clients are used, and the clients, each with an open request.
+/// A gateway whose client descriptors are all in use, and the clients, each with a pending request.
 fn gateway_without_free_descriptors(server: &FakeServer) -> (Gateway, Vec<Client>) {
     let gateway = Gateway::start_with(&[server], |config| {
         use_long_timeouts(config);
         config["limits"]["sockets"] = json!(64);
     });
-    // Of the 16 descriptors that are left 8 are for clients.
+    // 16 descriptors are not reserved; 8 of them are for clients.
     let mut clients: Vec<Client> = (0..8).map(|_| gateway.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         client.send(&query(&select(&format!("a{number}"), "look", 15_000)));
@@ -35,9 +37,9 @@
     let mut not_reading = gateway.client();
     not_reading.0.set_write_timeout(Some(Duration::from_millis(200))).unwrap();
     let many = query(&select("a1", "look", 900)).repeat(2000);
-    // Its responses fill the socket buffers; then nothing more of it is read.
+    // Its responses fill the socket buffers; then the gateway stops reading its queries.
     while not_reading.0.write_all(&many).is_ok() && not_reading.0.peek(&mut [0]).is_err() {}
-    assert_eq!(outcome(&gateway.client().query(&select("b1", "look", 1900))), Ok("b1".to_string()));
+    assert_served(&mut gateway.client(), "b1", 1900);
 }
 
 #[test]
@@ -56,15 +58,15 @@
 }
 
 #[rstest]
-#[case::says_nothing(b"", b"")]
+#[case::no_startup(b"", b"")]
 #[case::half_a_startup(b"\0\0\0", b"")]
-#[case::asks_nothing(b"", b"Q\0\0\0\x05\0")]
+#[case::empty_query_only(b"", b"Q\0\0\0\x05\0")]
 #[case::half_a_query(b"", b"Q\0\0\0\x40SELECT")]
 fn connection_without_a_complete_query_times_out(#[case] before: &[u8], #[case] after: &[u8]) {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start(&[&server]);
     let mut usual = gateway.client();
-    assert_eq!(outcome(&usual.query(&select("a1", "look", 900))), Ok("a1".to_string()));
+    assert_served(&mut usual, "a1", 900);
     let mut silent = if after.is_empty() { Client::connect(gateway.addr) } else { gateway.client() };
     silent.send(&[before, after].concat());
     let mut all = Vec::new();
@@ -72,7 +74,7 @@
     assert!(all.windows(5).any(|code| code == b"08P01"), "{all:?}");
     // An idle client is disconnected without an error; others are served.
     assert_eq!(usual.0.read(&mut [0]).unwrap(), 0);
-    assert_eq!(outcome(&gateway.client().query(&select("a2", "look", 900))), Ok("a2".to_string()));
+    assert_served(&mut gateway.client(), "a2", 900);
     assert_eq!(gateway.counter("clients_timed_out_total"), 1);
 }
 
@@ -119,7 +121,7 @@
         !rejected
     });
     wait_until("the others are evicted", || gateway.counter("clients_evicted_total") > 100);
-    assert_eq!(outcome(&usual.query(&select("a2", "look", 900))), Ok("a2".to_string()));
+    assert_served(&mut usual, "a2", 900);
 }
 
 #[test]
@@ -130,7 +132,7 @@
     client.query(&select("a1", "look", 900));
     server.set_behavior(ServerBehavior::SucceedAfter(400));
     client.send(&query(&select("a2", "look", 1900)));
-    wait_until("the query has arrived", || server.queries().len() == 2);
+    wait_until_received(&server, 2);
     let limit = |files: &str| {
         let pid = gateway.pid().to_string();
         let done = std::process::Command::new("prlimit")
@@ -154,7 +156,7 @@
     let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start_watching(&[&server], |_| ());
     for n in 0..300 {
-        let id = format!("life{n}");
+        let id = format!("added{n}");
         gateway.discovery.send_line(&endpoint_list(
             6 + 2 * n,
             false,
@@ -184,7 +186,7 @@
     pause(&gateway);
     more.send(&[startup(), vec![b'Q'; 100_000]].concat());
     gateway.signal("CONT");
-    assert!(contains(&read_to_end(&mut more).expect("an end, and no reset"), "53300"));
+    assert!(contains(&read_to_end(&mut more).expect("closed without a reset"), "53300"));
 }
 
 #[test]
@@ -197,7 +199,7 @@
         others.push(Client::connect(gateway.addr));
         gateway.counter("clients_evicted_total") > 0
     });
-    assert!(contains(&read_to_end(&mut quiet).expect("an end, and no reset"), "53300"));
+    assert!(contains(&read_to_end(&mut quiet).expect("closed without a reset"), "53300"));
 }
 
 #[rstest]
@@ -206,7 +208,7 @@
 fn flooding_client_delays_no_other(#[case] command: Vec<u8>) {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start_with(&[&server], use_long_timeouts);
-    // Many commands are always ready to be read, and all responses are read.
+    // The gateway always has commands to read, and all responses are read.
     let flood = gateway.client();
     let (mut sends, mut reads) = (flood.0.try_clone().unwrap(), flood.0.try_clone().unwrap());
     let many = command.repeat(100_000);
--- a/crates/cli/tests/gateway/client_sessions.rs
+++ b/crates/cli/tests/gateway/client_sessions.rs
@@ -1,6 +1,9 @@
 //! Client sessions: startup, pipelining, malformed input, deadlines and disconnects.
 
-use crate::support::{contains, pause, read_to_end, wait_until_served};
+use crate::support::{
+    assert_served, contains, pause, read_to_end, wait_until_connecting, wait_until_received,
+    wait_until_served,
+};
 use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
 use latchhaven_test_support::gateway::{Gateway, use_long_timeouts};
 use latchhaven_test_support::postgres::{
@@ -14,7 +17,7 @@
 use std::thread;
 
 #[rstest]
-#[case::whole(1)]
+#[case::in_one_write(1)]
 #[case::byte_by_byte(usize::MAX)]
 fn startup_and_pipelined_queries_are_answered_in_order(#[case] parts: usize) {
     let server = FakeServer::start(ServerBehavior::Succeed);
@@ -43,7 +46,7 @@
 #[case::no_time("SELECT doc FROM items WHERE id = 'a' /* id=a,c=look */", "42601")]
 #[case::bad_time("SELECT doc FROM items WHERE id = 'a' /* id=a,c=look,d=-5 */", "42601")]
 #[case::other_statement("DROP TABLE items /* id=a,c=look,d=50 */", "42601")]
-#[case::unknown_product("SELECT doc FROM items WHERE id = 'a' /* id=a,c=none,d=500 */", "42601")]
+#[case::unknown_class("SELECT doc FROM items WHERE id = 'a' /* id=a,c=none,d=500 */", "42601")]
 #[case::no_key("SELECT doc FROM items WHERE id = 'a' /* id=a,c=book,d=500 */", "42601")]
 #[case::two_statements(
     "SELECT doc FROM items WHERE id = 'a'; DROP TABLE items /* id=a,c=look,d=50 */",
@@ -56,7 +59,7 @@
     let answer = client.query(text);
     assert_eq!(outcome(&answer), Err(SqlState::from(code)));
     assert_eq!(answer.last(), Some(&TypedMessage { kind: b'Z', body: b"I".to_vec() }));
-    assert_eq!(outcome(&client.query(&select("a2", "look", 900))), Ok("a2".to_string()));
+    assert_served(&mut client, "a2", 900);
     assert_eq!(server.queries().len(), 1);
 }
 
@@ -68,15 +71,15 @@
 fn malformed_message_closes_only_its_own_connection(#[case] bytes: Vec<u8>) {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start(&[&server]);
-    let (mut broken, mut sound) = (gateway.client(), gateway.client());
-    let answer = broken.query("");
+    let (mut malformed, mut other) = (gateway.client(), gateway.client());
+    let answer = malformed.query("");
     assert_eq!(answer[0].kind, b'I');
-    broken.send(&bytes);
-    let answer = broken.read_response();
+    malformed.send(&bytes);
+    let answer = malformed.read_response();
     assert_eq!(outcome(&answer), Err(SqlState::from("08P01")));
     assert!(answer[0].body.starts_with(b"SFATAL\0"));
-    assert_eq!(broken.0.read(&mut [0]).unwrap(), 0);
-    assert_eq!(outcome(&sound.query(&select("a2", "look", 900))), Ok("a2".to_string()));
+    assert_eq!(malformed.0.read(&mut [0]).unwrap(), 0);
+    assert_served(&mut other, "a2", 900);
 }
 
 #[test]
@@ -104,11 +107,11 @@
     let gateway = Gateway::start(&[&server]);
     let (mut one, mut other) = (gateway.client(), gateway.client());
     one.send(&query(&insert("a1", "pay", 1900)));
-    wait_until("the query has arrived", || server.queries().len() == 1);
+    wait_until_received(&server, 1);
     assert_eq!(outcome(&other.query(&insert("a1", "pay", 1900))), Err(SqlState::from("42710")));
     assert_eq!(outcome(&one.read_response()), Ok("a1".to_string()));
     assert_eq!(server.queries().len(), 1);
-    // An id is free again once its request has ended.
+    // The id can be reused after its request has ended.
     assert_eq!(outcome(&other.query(&insert("a1", "pay", 1900))), Ok("a1".to_string()));
 }
 
@@ -136,20 +139,19 @@
 }
 
 #[rstest]
-#[case::a_broken_stream(b"!".to_vec(), "08P01")]
-#[case::fault_after_fault(query("SELECT 1").repeat(8), "FATAL")]
+#[case::protocol_violation(b"!".to_vec(), "08P01")]
+#[case::repeated_errors(query("SELECT 1").repeat(8), "FATAL")]
 fn error_is_delivered_despite_unread_bytes(#[case] bad: Vec<u8>, #[case] expected: &str) {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start(&[&server]);
     let mut client = gateway.client();
-    // More is buffered than one read takes: closed with unread bytes, the connection would be
-    // reset.
+    // More is buffered than one read returns: closed with unread bytes, the connection would be reset.
     pause(&gateway);
     client.send(&[bad, vec![b'Q'; 100_000]].concat());
     gateway.signal("CONT");
-    let all = read_to_end(&mut client).expect("an end, and no reset");
+    let all = read_to_end(&mut client).expect("closed without a reset");
     assert!(contains(&all, expected), "{}", String::from_utf8_lossy(&all));
-    assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 1900))), Ok("a1".to_string()));
+    assert_served(&mut gateway.client(), "a1", 1900);
 }
 
 #[test]
@@ -175,7 +177,7 @@
     let server = FakeServer::start(ServerBehavior::SucceedAfter(600));
     let gateway = Gateway::start_with(&[&server], use_long_timeouts);
     let mut client = gateway.client();
-    // More is buffered than is read behind an open request; the last one is read once the first is answered.
+    // More than the read-ahead limit: the last one is read after the first is answered.
     let many: Vec<Vec<u8>> = (2..200).map(|n| query(&select(&format!("a{n}"), "look", 500))).collect();
     let last = query(&select("b1", "look", 20_000));
     client.send(&[query(&select("a1", "look", 20_000)), many.concat(), last].concat());
@@ -194,10 +196,10 @@
     let stuck = FakeServer::start(ServerBehavior::NeverHandshake);
     let gateway = Gateway::start_with(&[&stuck], use_long_timeouts);
     let mut client = gateway.client();
-    // Several queries, more than is read while one is open; then the end of the stream.
+    // Several queries, more than the read-ahead limit; then the end of the stream.
     let texts: Vec<Vec<u8>> = (0..1000).map(|n| query(&select(&format!("a{n}"), "look", 60_000))).collect();
     client.send(&texts.concat());
-    wait_until("a connection is waited for", || stuck.seen.lock().unwrap().connections == 1);
+    wait_until_connecting(&stuck);
     drop(client);
     wait_until("the disconnect is counted", || gateway.counter("clients_disconnected_total") == 1);
     assert_eq!((gateway.counter("requests_total"), gateway.counter("open_requests")), (1, 0));
@@ -213,7 +215,7 @@
     let gateway = Gateway::start_with(&[&stuck], use_long_timeouts);
     let mut client = gateway.client();
     client.send(&query(&select("a1", "look", 60_000)));
-    wait_until("a connection is waited for", || stuck.seen.lock().unwrap().connections == 1);
+    wait_until_connecting(&stuck);
     client.send(&vec![b'Q'; 100_000]);
     client.0.shutdown(Shutdown::Write).unwrap();
     wait_until("the disconnect is counted", || gateway.counter("clients_disconnected_total") == 1);
--- a/crates/cli/tests/gateway/configuration.rs
+++ b/crates/cli/tests/gateway/configuration.rs
@@ -1,5 +1,6 @@
 //! Configuration: the start, reloads on SIGHUP, the periodic counters and the log.
 
+use crate::support::{assert_served, wait_until_received};
 use latchhaven_test_support::fake_http::{FakeHttpService, HttpReply, STREAM_HEAD, chunk};
 use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
 use latchhaven_test_support::gateway::{Gateway, gateway_config, spawn_gateway};
@@ -13,7 +14,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// Starts a gateway that must exit with 1 and one log line that names the cause.
+/// Checks that a gateway exits with 1 and one log line that contains `named`.
 fn assert_start_fails(config: &str, named: &str) {
     let process = spawn_gateway(config);
     let (mut child, log) = (process.child, process.log);
@@ -29,14 +30,14 @@
     let mut gateway = Gateway::start(&[&server]);
     wait_until("the feed is open", || gateway.platform.count_calls("GET /v1/feed") == 1);
     gateway.log_paused.store(true, SeqCst);
-    // More than the pipe holds.
+    // More than the capacity of the pipe.
     for _ in 0..300 {
         gateway.signal("USR1");
         thread::sleep(Duration::from_millis(1));
     }
     let mut client = gateway.client();
     for n in 0..20 {
-        assert_eq!(outcome(&client.query(&select(&format!("a{n}"), "look", 900))), Ok(format!("a{n}")));
+        assert_served(&mut client, &format!("a{n}"), 900);
     }
     gateway.signal("TERM");
     assert_eq!(gateway.wait_for_exit(), Some(0));
@@ -92,7 +93,7 @@
     let log = read_log(&mut counted).log;
     let lines =
         || log.lock().unwrap().iter().filter(|line| line.contains("counters: requests_total=0")).count();
-    wait_until("they are logged again and again", || lines() >= 2);
+    wait_until("they are logged repeatedly", || lines() >= 2);
     counted.kill().unwrap();
     assert_eq!(start("0").wait().unwrap().code(), Some(2));
 }
@@ -105,18 +106,18 @@
         config["colour"] = json!("green");
         config["settings"]["domain"]["mood"] = json!([1]);
     });
-    assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 900))), Ok("a1".to_string()));
+    assert_served(&mut gateway.client(), "a1", 900);
 }
 
 #[test]
 fn reload_moves_only_discovery_feed_and_votes() {
-    let (earlier, trial) =
+    let (baseline, canary) =
         (FakeServer::start(ServerBehavior::SucceedAfter(300)), FakeServer::start(ServerBehavior::Succeed));
-    let gateway = Gateway::start_watching(&[&earlier], |_| ());
+    let gateway = Gateway::start_watching(&[&baseline], |_| ());
     wait_until("the feed is open", || gateway.platform.count_calls("GET /v1/feed") == 1);
     let mut client = gateway.client();
     client.send(&query(&select("a1", "look", 1900)));
-    wait_until("the query has arrived", || earlier.queries().len() == 1);
+    wait_until_received(&baseline, 1);
     let new_list = FakeHttpService::start(|_| HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", chunk("\n"))));
     let new = start_feed(&rollout_state(1, 0, "COMPLETE", 1.0), |_| HttpReply::Nothing);
     let mut config = gateway.config.clone();
@@ -132,13 +133,13 @@
     wait_until("the earlier watch is closed", || gateway.discovery.all_streams_closed());
     wait_until("the earlier feed is closed", || gateway.platform.all_streams_closed());
     (0..3).for_each(|_| gateway.signal("HUP"));
-    wait_until("the file is read again", || gateway.count_logged("configuration reloaded") >= 2);
-    new_list.send_line(&endpoint_list(9, false, &[host("s1", trial.addr, "up", 2)]));
+    wait_until("the file is reloaded", || gateway.count_logged("configuration reloaded") >= 2);
+    new_list.send_line(&endpoint_list(9, false, &[host("s1", canary.addr, "up", 2)]));
     new.send_line(&json!({"type": "ROLLOUT", "object": rollout_state(2, 0, "IN_PROGRESS", 0.5)}));
     wait_until("votes go to the new address", || new.count_calls("POST /v1/ballots") > 0);
     assert_eq!((new_list.count_calls("watch"), new.count_calls("GET /v1/feed")), (1, 1));
     assert_eq!((gateway.discovery.count_calls("watch"), gateway.platform.count_calls("")), (1, 1));
-    assert_eq!((earlier.seen.lock().unwrap().connections, gateway.counter("feed_lost_total")), (1, 0));
+    assert_eq!((baseline.seen.lock().unwrap().connections, gateway.counter("feed_lost_total")), (1, 0));
 }
 
 #[rstest]
@@ -151,13 +152,13 @@
     wait_until("the reason is logged", || {
         gateway.logged("configuration not reloaded") && gateway.logged(named)
     });
-    assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 900))), Ok("a1".to_string()));
+    assert_served(&mut gateway.client(), "a1", 900);
     assert_eq!((gateway.discovery.count_calls("watch"), gateway.platform.count_calls("feed")), (1, 1));
     // During shutdown, another signal changes nothing either.
     server.set_behavior(ServerBehavior::SucceedAfter(400));
     let mut busy = gateway.client();
     busy.send(&query(&select("a2", "look", 1900)));
-    wait_until("the query has arrived", || server.queries().len() == 2);
+    wait_until_received(&server, 2);
     gateway.signal("TERM");
     gateway.signal("HUP");
     assert_eq!(outcome(&busy.read_response()), Ok("a2".to_string()));
--- a/crates/cli/tests/gateway/discovery.rs
+++ b/crates/cli/tests/gateway/discovery.rs
@@ -1,11 +1,11 @@
 //! Service discovery: watches, retries, list versions and address changes.
 
-use crate::support::assert_others_are_served;
+use crate::support::{assert_others_are_served, assert_served};
 use latchhaven_test_support::fake_http::{FakeHttpService, HttpReply, STREAM_HEAD, chunk, response};
 use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
 use latchhaven_test_support::gateway::{Gateway, use_long_timeouts};
 use latchhaven_test_support::platform_messages::{endpoint_list, host};
-use latchhaven_test_support::postgres::{Client, outcome, query, select};
+use latchhaven_test_support::postgres::{Client, query, select};
 use latchhaven_test_support::wait::wait_until;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// An endpoint list with a health that no endpoint can have.
+/// An endpoint list with an unknown health.
 const UNKNOWN_HEALTH: &str =
     "{\"seq\":7,\"whole\":true,\"hosts\":[{\"host\":\"a\",\"dial\":\"1.2.3.4:5\",\"health\":\"odd\"}]}\n";
 
@@ -33,7 +33,7 @@
     chunk(&format!("{value}\n"))
 }
 
-/// Reloads the configuration with discovery at another address.
+/// Reloads the configuration with another address of the discovery service.
 fn move_discovery(gateway: &Gateway, to: &FakeHttpService) {
     let mut config = gateway.config.clone();
     config["discovery"] = json!(to.addr.to_string());
@@ -46,14 +46,14 @@
     let gateway = Gateway::start_watching(&[&old], |_| ());
     let changes = [host("s0", old.addr, "draining", 1), host("s1", new.addr, "up", 1)];
     let line = endpoint_list(6, false, &changes).to_string() + "\n";
-    // Split anywhere, also within a chunk.
+    // A line may be split into chunks.
     let (one, two) = line.split_at(line.len() / 2);
     gateway.discovery.write(&chunk(one));
     gateway.discovery.write(&chunk(two));
     wait_until("the list is applied", || gateway.counter("endpoint_list_updates_total") == 2);
     let mut client = gateway.client();
     for n in 0..4 {
-        assert_eq!(outcome(&client.query(&select(&format!("a{n}"), "look", 1900))), Ok(format!("a{n}")));
+        assert_served(&mut client, &format!("a{n}"), 1900);
     }
     assert_eq!((old.queries().len(), new.queries().len()), (0, 4));
 }
@@ -67,7 +67,7 @@
     wait_until("the list is watched", || gateway.discovery.count_calls("watch") == 1);
     gateway.discovery.send_line(&endpoint_list(9, true, &[host("s0", new.addr, "up", 1)]));
     wait_until("the old connection is dropped", || old.seen.lock().unwrap().ended == [0]);
-    assert_eq!(outcome(&client.query(&select("a2", "look", 1900))), Ok("a2".to_string()));
+    assert_served(&mut client, "a2", 1900);
     assert_eq!((old.queries().len(), new.queries().len()), (1, 1));
 }
 
@@ -86,14 +86,14 @@
     wait_until("it is retried repeatedly", || {
         gateway.discovery.count_calls("watch") >= 3 && gateway.counter("discovery_failures_total") >= 2
     });
-    assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 900))), Ok("a1".to_string()));
+    assert_served(&mut gateway.client(), "a1", 900);
 }
 
 #[test]
 fn silent_watch_is_closed_and_retried() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start(&[&server]);
-    wait_until("silence is noticed", || {
+    wait_until("the silent watch is closed", || {
         gateway.logged("no keepalive in time") && gateway.discovery.count_calls("watch") >= 2
     });
 }
@@ -117,18 +117,16 @@
 }
 
 #[test]
-fn pending_watch_retry_moves_to_a_new_address_at_once() {
+fn pending_watch_retry_moves_to_a_new_address_immediately() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start_watching(&[&server], |_| ());
     gateway.discovery.set_reply(|_| HttpReply::Nothing);
     gateway.discovery.close_streams();
     wait_until("it is retried", || gateway.discovery.count_calls("watch") == 2);
     let new = FakeHttpService::start(|_| HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", chunk("\n"))));
-    let mut config = gateway.config.clone();
-    config["discovery"] = json!(new.addr.to_string());
-    gateway.reconfigure(&config.to_string());
+    move_discovery(&gateway, &new);
     wait_until("the new address is called", || new.count_calls("watch") == 1);
-    // The end of the earlier call is no failure of the new one.
+    // The end of the earlier call does not count as a failure.
     let failures = gateway.counter("discovery_failures_total");
     gateway.discovery.close_streams();
     thread::sleep(Duration::from_millis(300));
@@ -161,13 +159,10 @@
     release.send(()).unwrap();
     wait_until("the older list is rejected", || gateway.logged("list not newer"));
     for n in 0..4 {
-        assert_eq!(
-            outcome(&gateway.client().query(&select(&format!("a{n}"), "look", 1900))),
-            Ok(format!("a{n}"))
-        );
+        assert_served(&mut gateway.client(), &format!("a{n}"), 1900);
     }
     assert_eq!((old.queries().len(), new.queries().len()), (0, 4));
-    // The list is requested again, from the version held.
+    // The list is requested again, from the current version.
     drop(release);
     wait_until("it is requested again", || late.count_calls("after=7 ") > 0);
 }
@@ -182,7 +177,7 @@
         .set_reply(move |_| HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", line_chunk(&restarted))));
     gateway.discovery.close_streams();
     wait_until("the list is applied", || gateway.counter("endpoint_list_updates_total") == 2);
-    assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 1900))), Ok("a1".to_string()));
+    assert_served(&mut gateway.client(), "a1", 1900);
     assert_eq!((old.queries().len(), new.queries().len()), (0, 1));
     // Versions of changes continue from there.
     gateway.discovery.send_line(&endpoint_list(
@@ -191,7 +186,7 @@
         &[host("s1", new.addr, "draining", 1), host("s0", old.addr, "up", 1)],
     ));
     wait_until("the change is applied", || gateway.counter("endpoint_list_updates_total") == 3);
-    assert_eq!(outcome(&gateway.client().query(&select("a2", "look", 1900))), Ok("a2".to_string()));
+    assert_served(&mut gateway.client(), "a2", 1900);
     assert_eq!((old.queries().len(), new.queries().len()), (1, 1));
 }
 
@@ -206,7 +201,7 @@
     });
     gateway.discovery.close_streams();
     wait_until("the full list is applied", || gateway.counter("endpoint_list_updates_total") == 2);
-    assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 1900))), Ok("a1".to_string()));
+    assert_served(&mut gateway.client(), "a1", 1900);
     assert_eq!((old.queries().len(), new.queries().len()), (0, 1));
 }
 
@@ -215,14 +210,15 @@
     let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
     let gateway = Gateway::start_watching(&[&old], |_| ());
     wait_until("the first list is applied", || gateway.counter("endpoint_list_updates_total") == 1);
-    let mute: Vec<FakeHttpService> = (0..2).map(|_| FakeHttpService::start(|_| HttpReply::Nothing)).collect();
-    for service in &mute {
+    let silent: Vec<FakeHttpService> =
+        (0..2).map(|_| FakeHttpService::start(|_| HttpReply::Nothing)).collect();
+    for service in &silent {
         move_discovery(&gateway, service);
         wait_until("the new address is called", || service.count_calls("watch") == 1);
     }
     gateway.discovery.send_line(&endpoint_list(6, true, &[host("s1", new.addr, "up", 1)]));
     wait_until("the change is applied", || gateway.counter("endpoint_list_updates_total") == 2);
-    assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 1900))), Ok("a1".to_string()));
+    assert_served(&mut gateway.client(), "a1", 1900);
     assert_eq!((old.queries().len(), new.queries().len()), (0, 1));
 }
 
@@ -234,10 +230,10 @@
     let text = format!("\n{}\n", serde_json::to_string_pretty(&change).unwrap());
     text.lines().for_each(|line| gateway.discovery.write(&chunk(&format!("{line}\r\n"))));
     wait_until("the list is applied", || gateway.counter("endpoint_list_updates_total") == 2);
-    assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 1900))), Ok("a1".to_string()));
+    assert_served(&mut gateway.client(), "a1", 1900);
     assert_eq!((old.queries().len(), new.queries().len()), (0, 1));
     gateway.discovery.write(&chunk(&format!("{}\n{change}\n", &change.to_string()[..40])));
-    wait_until("it is asked for restarted", || gateway.discovery.count_calls("after=6 ") == 1);
+    wait_until("the watch is restarted", || gateway.discovery.count_calls("after=6 ") == 1);
 }
 
 #[test]
--- a/crates/cli/tests/gateway/main.rs
+++ b/crates/cli/tests/gateway/main.rs
@@ -1,8 +1,7 @@
-//! The gateway as a process on loopback, between fake servers, clients, discovery and platform. Each test brings about
-//! one order of events, by holding sockets or stopping the process with signals; no test depends on a short wait.
+//! The gateway as a process on loopback, with fake servers, clients, discovery service and platform. Each test enforces one
+//! order of events, by blocking sockets or by stopping the process with signals; no test depends on a short wait.
 
-// A test fails where it unwraps.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, reason = "a test fails where it unwraps")]
 
 mod attempts;
 mod client_limits;
--- a/crates/cli/tests/gateway/platform.rs
+++ b/crates/cli/tests/gateway/platform.rs
@@ -12,9 +12,9 @@
 
 #[test]
 fn vote_without_a_connection_is_not_counted() {
-    let (earlier, trial) =
+    let (baseline, canary) =
         (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
-    let gateway = Gateway::start_with(&[&earlier, &trial], |config| {
+    let gateway = Gateway::start_with(&[&baseline, &canary], |config| {
         let closed = TcpListener::bind("127.0.0.1:0").unwrap();
         config["known"]["hosts"][1]["release"] = json!(2);
         config["pipeline"]["news"] = rollout_state(2, 0, "IN_PROGRESS", 0.5);
@@ -32,11 +32,11 @@
     let sample = json!({"version": 1, "kind": "look", "requests": 57, "failures": 2, "avgMs": 18.5});
     let sample = json!({"type": "SAMPLE", "object": sample});
     gateway.platform.write(&chunk(&format!("{{}}\n{sample}\n{{nonsense\n{sample}\n")));
-    wait_until("it is open again", || gateway.platform.count_calls("GET /v1/feed") == 2);
+    wait_until("the feed is reopened", || gateway.platform.count_calls("GET /v1/feed") == 2);
     // Lines after the malformed one are not applied.
     assert_eq!(gateway.counter("outcome_reports_total"), 1);
     gateway.platform.close_streams();
-    wait_until("it is open again", || gateway.platform.count_calls("GET /v1/feed") == 3);
+    wait_until("the feed is reopened", || gateway.platform.count_calls("GET /v1/feed") == 3);
 }
 
 #[rstest]
@@ -45,17 +45,17 @@
 #[case::stale(HttpReply::KeepOpen(response(409, r#"{"error":"STALE"}"#)), "votes_not_counted_total")]
 #[case::failed(HttpReply::KeepOpen(response(500, r#"{"error":"FAILED"}"#)), "votes_not_counted_total")]
 #[case::syntax(HttpReply::KeepOpen(response(400, r#"{"error":"SYNTAX"}"#)), "votes_not_counted_total")]
-#[case::cut_off(HttpReply::Close("HTTP/1.1 200 OK\r\nContent-Le".to_string()), "votes_unknown_total")]
+#[case::truncated_head(HttpReply::Close("HTTP/1.1 200 OK\r\nContent-Le".to_string()), "votes_unknown_total")]
 #[case::unreadable(HttpReply::KeepOpen(response(200, "{}")), "votes_unknown_total")]
-#[case::noise_behind(HttpReply::KeepOpen(response(200, &(rollout_state(2, 1, "IN_PROGRESS", 1.0).to_string() + "x"))), "votes_unknown_total")]
-#[case::words_cut_off(HttpReply::KeepOpen(response(429, "{\"error\":\"BU")), "votes_unknown_total")]
-#[case::other_words(HttpReply::KeepOpen(response(409, "{\"error\":\"BUSY\"}")), "votes_unknown_total")]
+#[case::trailing_data(HttpReply::KeepOpen(response(200, &(rollout_state(2, 1, "IN_PROGRESS", 1.0).to_string() + "x"))), "votes_unknown_total")]
+#[case::truncated_body(HttpReply::KeepOpen(response(429, "{\"error\":\"BU")), "votes_unknown_total")]
+#[case::mismatched_error(HttpReply::KeepOpen(response(409, "{\"error\":\"BUSY\"}")), "votes_unknown_total")]
 #[case::silent(HttpReply::Nothing, "votes_unknown_total")]
 fn vote_reply_decides_the_vote_outcome(#[case] reply: HttpReply, #[case] counter: &str) {
-    let (earlier, trial) =
+    let (baseline, canary) =
         (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
     let platform = start_feed(&rollout_state(2, 0, "IN_PROGRESS", 0.5), move |_| reply.clone());
-    let gateway = Gateway::start_with_platform(&[&earlier, &trial], platform, |config| {
+    let gateway = Gateway::start_with_platform(&[&baseline, &canary], platform, |config| {
         config["known"]["hosts"][1]["release"] = json!(2);
         config["pipeline"]["news"] = rollout_state(2, 0, "IN_PROGRESS", 0.5);
     });
@@ -69,12 +69,12 @@
         .into_iter()
         .filter(|other| *other != counter);
     let others: Vec<(&str, u64)> = others.map(|other| (other, gateway.counter(other))).collect();
-    assert!(others.iter().all(|(_, figure)| *figure == 0), "{others:?}");
+    assert!(others.iter().all(|(_, count)| *count == 0), "{others:?}");
 }
 
 #[test]
 fn later_rollout_state_wins_over_a_delayed_vote_reply() {
-    let (earlier, trial) =
+    let (baseline, canary) =
         (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
     // The feed reports stage 1; the reply to a vote arrives after it but is older.
     let mut old = rollout_state(2, 0, "IN_PROGRESS", 0.5);
@@ -82,7 +82,7 @@
     let platform = start_feed(&rollout_state(2, 1, "IN_PROGRESS", 1.0), move |_| {
         HttpReply::KeepOpen(response(200, &old.to_string()))
     });
-    let gateway = Gateway::start_with_platform(&[&earlier, &trial], platform, |config| {
+    let gateway = Gateway::start_with_platform(&[&baseline, &canary], platform, |config| {
         config["known"]["hosts"][1]["release"] = json!(2);
         config["pipeline"]["news"] = rollout_state(2, 1, "IN_PROGRESS", 1.0);
         config["settings"]["domain"]["vote-ttl-s"] = json!(1.0);
--- a/crates/cli/tests/gateway/readiness.rs
+++ b/crates/cli/tests/gateway/readiness.rs
@@ -1,5 +1,6 @@
-//! When the probe of the load balancer in front, an empty query, is answered by a new process.
+//! When a new process answers health checks of the load balancer in front, which are empty queries.
 
+use crate::support::assert_served;
 use latchhaven_test_support::fake_http::{FakeHttpService, HttpReply, STREAM_HEAD, chunk};
 use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
 use latchhaven_test_support::gateway::Gateway;
@@ -10,13 +11,13 @@
 use std::sync::{Arc, mpsc};
 use std::thread;
 
-/// A gateway whose discovery answers no call.
+/// A gateway whose discovery service answers no call.
 fn start_without_list(server: &FakeServer) -> (Gateway, FakeHttpService) {
     let discovery = FakeHttpService::start(|_| HttpReply::Nothing);
     let gateway = Gateway::start_with(&[server], |config| {
         config["discovery"] = json!(discovery.addr.to_string());
     });
-    wait_until("the list is asked for", || discovery.received_calls() > 0);
+    wait_until("the list is requested", || discovery.received_calls() > 0);
     (gateway, discovery)
 }
 
@@ -24,7 +25,7 @@
     response.iter().map(|message| message.kind).collect()
 }
 
-/// A client that sends a probe, and reads its answer on a thread of its own.
+/// Sends a health check and reads its response on another thread. Returns whether it was received, and the response.
 fn probe(gateway: &Gateway) -> (Arc<AtomicBool>, mpsc::Receiver<QueryResponse>) {
     let mut client = gateway.client();
     client.send(&query(""));
@@ -44,9 +45,9 @@
     let server = FakeServer::start(ServerBehavior::Succeed);
     let (gateway, discovery) = start_without_list(&server);
     let (is_answered, response) = probe(&gateway);
-    assert_eq!(outcome(&gateway.client().query(&select("a1", "look", 900))), Ok("a1".to_string()));
-    assert!(!is_answered.load(SeqCst), "no list has come");
-    // Another service tells at once that nothing has changed.
+    assert_served(&mut gateway.client(), "a1", 900);
+    assert!(!is_answered.load(SeqCst), "answered without a confirmed list");
+    // Another discovery service immediately confirms the list.
     let ready = FakeHttpService::start(|_| HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", chunk("\n"))));
     let mut config = gateway.config.clone();
     config["discovery"] = json!(ready.addr.to_string());
@@ -72,5 +73,5 @@
     assert_eq!(client.read_response().last().unwrap().kind, b'Z');
     assert_eq!(kinds(&client.read_response()), b"IZ");
     assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
-    assert_eq!(discovery.received_calls(), 1, "the first call is still out");
+    assert_eq!(discovery.received_calls(), 1, "the first call is still pending");
 }
--- a/crates/cli/tests/gateway/shutdown.rs
+++ b/crates/cli/tests/gateway/shutdown.rs
@@ -1,6 +1,6 @@
-//! Shutdown and restart: who is still answered, and who is told to retry.
+//! Shutdown and restart: which requests are answered, and which are rejected.
 
-use crate::support::{contains, pause, read_to_end};
+use crate::support::{assert_served, contains, pause, read_to_end, wait_until_received};
 use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
 use latchhaven_test_support::gateway::{Gateway, spawn_gateway, use_long_timeouts};
 use latchhaven_test_support::postgres::{Client, SqlState, insert, outcome, query, select, startup};
@@ -16,14 +16,14 @@
     let server = FakeServer::start(ServerBehavior::SucceedAfter(300));
     let mut gateway = Gateway::start(&[&server]);
     let (mut busy, mut idle) = (gateway.client(), gateway.client());
-    assert_eq!(outcome(&idle.query(&select("a0", "look", 1900))), Ok("a0".to_string()));
+    assert_served(&mut idle, "a0", 1900);
     busy.send(&query(&select("a1", "look", 1900)));
-    wait_until("the query has arrived", || server.queries().len() == 2);
+    wait_until_received(&server, 2);
     gateway.signal("TERM");
     assert_eq!(idle.0.read(&mut [0]).unwrap(), 0);
-    // New connections are accepted for a while yet.
+    // New connections are still accepted.
     let mut late = gateway.client();
-    assert_eq!(outcome(&late.query(&select("b1", "look", 1900))), Ok("b1".to_string()));
+    assert_served(&mut late, "b1", 1900);
     assert_eq!(outcome(&busy.read_response()), Ok("a1".to_string()));
     assert_eq!(busy.0.read(&mut [0]).unwrap(), 0);
     assert_eq!(gateway.wait_for_exit(), Some(0));
@@ -40,20 +40,20 @@
     first.signal("KILL");
     first.wait_for_exit();
     let second = Gateway::start_with(&[&server], |config| config["listen"] = json!(addr.to_string()));
-    assert_eq!(outcome(&second.client().query(&select("a2", "look", 900))), Ok("a2".to_string()));
+    assert_served(&mut second.client(), "a2", 900);
 }
 
 #[test]
 fn new_connection_is_answered_during_shutdown() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let mut gateway = Gateway::start(&[&server]);
-    // It has finished its startup, and has sent no query before the signal.
+    // It has completed its startup, and sends no query before the signal.
     let mut new = gateway.client();
     gateway.signal("TERM");
     wait_until("shutdown has begun", || gateway.logged("shutdown started"));
     new.send(&query(&select("a1", "look", 1900)));
     assert_eq!(outcome(&new.read_response()), Ok("a1".to_string()));
-    assert_eq!(read_to_end(&mut new).expect("an end, and no reset"), b"");
+    assert_eq!(read_to_end(&mut new).expect("closed without a reset"), b"");
     assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
@@ -64,7 +64,7 @@
     let (mut greeted, mut silent) = (gateway.client(), Client::connect(gateway.addr));
     gateway.signal("TERM");
     for client in [&mut greeted, &mut silent] {
-        assert!(contains(&read_to_end(client).expect("an end, and no reset"), "53300"));
+        assert!(contains(&read_to_end(client).expect("closed without a reset"), "53300"));
     }
     drop((greeted, silent));
     assert_eq!(gateway.wait_for_exit(), Some(0));
@@ -79,8 +79,8 @@
     server.set_behavior(ServerBehavior::SucceedAfter(300));
     let texts: Vec<Vec<u8>> = (1..4).map(|n| query(&select(&format!("a{n}"), "look", 1900))).collect();
     let all = texts.concat();
-    let (max_connections, rest) = all.split_at(all.len() - 10);
-    client.send(max_connections);
+    let (first_part, rest) = all.split_at(all.len() - 10);
+    client.send(first_part);
     wait_until("the first attempt is sent", || server.queries().len() == 2);
     gateway.signal("TERM");
     wait_until("shutdown has begun", || gateway.logged("shutdown started"));
@@ -90,7 +90,7 @@
     }
     client.send(rest);
     assert_eq!(outcome(&client.read_response()), Ok("a3".to_string()));
-    assert_eq!(read_to_end(&mut client).expect("an end, and no reset"), b"");
+    assert_eq!(read_to_end(&mut client).expect("closed without a reset"), b"");
     drop(client);
     assert_eq!(gateway.wait_for_exit(), Some(0));
 }
@@ -134,7 +134,7 @@
     let mut gateway = Gateway::start(&[&server]);
     gateway.signal("TERM");
     wait_until("shutdown has begun", || gateway.logged("shutdown started"));
-    // The process is stopped until its time to accept is over: these are in the accept queue at the last accept.
+    // The process is paused until its accept time is over: these are in the accept queue at the final accept.
     pause(&gateway);
     let mut late: Vec<Client> = (0..3).map(|_| Client::connect(gateway.addr)).collect();
     for (n, client) in late.iter_mut().enumerate() {
@@ -142,7 +142,7 @@
     }
     thread::sleep(Duration::from_millis(600));
     gateway.signal("CONT");
-    // Read later than 0.6 s after the signal they are rejected; earlier they would be served.
+    // Requests that are read later than 0.6 s after the signal are rejected.
     for client in &mut late {
         client.read_response();
         assert_eq!(outcome(&client.read_response()), Err(SqlState::from("53300")));
@@ -157,17 +157,17 @@
     let mut gateway = Gateway::start_with(&[&server], use_long_timeouts);
     let (mut client, mut alone) = (gateway.client(), gateway.client());
     client.send(&query(&insert("a1", "pay", 60_000)));
-    wait_until("the attempt is sent", || server.queries().len() == 1);
+    wait_until_received(&server, 1);
     gateway.signal("TERM");
     wait_until("shutdown has begun", || gateway.logged("shutdown started"));
     let since = Instant::now();
-    wait_until("the time for new requests is over", || since.elapsed() > Duration::from_millis(650));
+    wait_until("the window for requests has ended", || since.elapsed() > Duration::from_millis(650));
     client.send(&query(&select("a2", "look", 60_000)));
     // The first may have been executed, and is abandoned so that the second gets its response; the second was
     // never sent.
     assert_eq!(outcome(&client.read_response()), Err(SqlState::from("XX000")));
     assert_eq!(outcome(&client.read_response()), Err(SqlState::from("53300")));
-    assert_eq!(read_to_end(&mut client).expect("an end, and no reset"), b"");
+    assert_eq!(read_to_end(&mut client).expect("closed without a reset"), b"");
     assert!(contains(&read_to_end(&mut alone).unwrap(), "53300"));
     assert_eq!((gateway.wait_for_exit(), server.queries().len()), (Some(0), 1));
 }
@@ -205,7 +205,7 @@
     let mut client = Client::connect(wait_for_address(&log));
     client.send(&startup());
     client.read_response();
-    assert_eq!(outcome(&client.query(&select("a1", "look", 1900))), Ok("a1".to_string()));
+    assert_served(&mut client, "a1", 1900);
     second.kill().unwrap();
     second.wait().unwrap();
 }
--- a/crates/cli/tests/gateway/stale_list.rs
+++ b/crates/cli/tests/gateway/stale_list.rs
@@ -1,4 +1,4 @@
-//! What is sent by an endpoint list that the discovery service no longer confirms.
+//! Requests with an endpoint list that the discovery service no longer confirms.
 
 use latchhaven_test_support::fake_http::{FakeHttpService, HttpReply, response};
 use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
@@ -8,11 +8,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What discovery has to tell counts as told this long after it could be reached, arrived or not.
+/// The discovery service assumes that a gateway has applied an update after this time, even if it cannot be reached.
 const MAX_UPDATE_DELAY: Duration = Duration::from_secs(6);
-/// The grace of drains in the configuration of the tests.
+/// How long a drained endpoint may still be used, in the configuration of the tests.
 const DRAIN_GRACE: Duration = Duration::from_secs(1);
-/// A discovery service that has too many callers.
+/// The status of an overloaded discovery service.
 const OVERLOADED: u16 = 503;
 /// Time between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
@@ -27,29 +27,29 @@
     thread::sleep(at.saturating_duration_since(Instant::now()));
 }
 
-fn ask(client: &mut Client, id: &str) -> Result<String, SqlState> {
+fn send_request(client: &mut Client, id: &str) -> Result<String, SqlState> {
     outcome(&client.query(&select(id, "look", 900)))
 }
 
-/// A gateway that has served a request of its client, and from now on gets 503 from discovery.
+/// A gateway that has served a request of its client, and whose discovery service fails from now on.
 fn lose_discovery(server: &FakeServer) -> (Gateway, Client, Instant) {
     let gateway = Gateway::start_watching(&[server], |_| ());
     let mut client = gateway.client();
-    assert_eq!(ask(&mut client, "a0"), Ok("a0".to_string()));
+    assert_eq!(send_request(&mut client, "a0"), Ok("a0".to_string()));
     gateway.discovery.set_reply(|_| overloaded());
     gateway.discovery.close_streams();
     (gateway, client, Instant::now())
 }
 
 #[test]
-fn endpoint_restarted_since_the_last_list_gets_nothing_once_updates_count_as_told() {
+fn endpoint_restarted_since_the_last_list_is_not_used_after_the_update_delay() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let (gateway, _client, lost_at) = lose_discovery(&server);
-    // Another process comes up at the address, which discovery lists as gone: nobody can tell this gateway.
+    // Another process starts at the address. The gateway cannot be notified that the endpoint was removed.
     server.close_connections();
     sleep_until(lost_at + MAX_UPDATE_DELAY + DRAIN_GRACE);
     let before = server.queries().len();
-    assert_eq!(ask(&mut gateway.client(), "a1"), Err(SqlState::from(REJECTED)));
+    assert_eq!(send_request(&mut gateway.client(), "a1"), Err(SqlState::from(REJECTED)));
     assert_eq!(server.queries().len(), before);
 }
 
@@ -62,7 +62,7 @@
         config["discovery"] = json!(discovery.addr.to_string());
     });
     sleep_until(started_at + DRAIN_GRACE + Duration::from_secs(1));
-    assert_eq!(ask(&mut gateway.client(), "a1"), Err(SqlState::from(REJECTED)));
+    assert_eq!(send_request(&mut gateway.client(), "a1"), Err(SqlState::from(REJECTED)));
     assert!(server.queries().is_empty());
 }
 
@@ -71,17 +71,17 @@
     let server = FakeServer::start(ServerBehavior::Succeed);
     let (_gateway, mut client, lost_at) = lose_discovery(&server);
     while lost_at.elapsed() < MAX_UPDATE_DELAY + DRAIN_GRACE + DRAIN_GRACE {
-        assert_eq!(ask(&mut client, "a1"), Ok("a1".to_string()), "it answers as before the loss");
+        assert_eq!(send_request(&mut client, "a1"), Ok("a1".to_string()), "it answers as before the loss");
         thread::sleep(REQUEST_INTERVAL);
     }
-    // Another process at the address answers as well: that proves nothing.
+    // Another process at the address answers as well, but does not prove that the endpoint is still listed.
     server.close_connections();
     let replaced_at = Instant::now();
     while replaced_at.elapsed() < MAX_UPDATE_DELAY + DRAIN_GRACE {
-        let _ = ask(&mut client, "a2");
+        let _ = send_request(&mut client, "a2");
         thread::sleep(REQUEST_INTERVAL);
     }
     let before = server.queries().len();
-    assert_eq!(ask(&mut client, "a3"), Err(SqlState::from(REJECTED)));
+    assert_eq!(send_request(&mut client, "a3"), Err(SqlState::from(REJECTED)));
     assert_eq!(server.queries().len(), before);
 }
--- a/crates/cli/tests/gateway/support.rs
+++ b/crates/cli/tests/gateway/support.rs
@@ -1,25 +1,42 @@
-//! Steps and checks that several subjects share.
+//! Steps and checks that several test modules use.
 
+use latchhaven_test_support::fake_server::FakeServer;
 use latchhaven_test_support::gateway::Gateway;
 use latchhaven_test_support::postgres::{Client, outcome, select};
 use latchhaven_test_support::wait::wait_until;
 use std::io::Read;
 
-/// Everything until the connection ends; an error where it is reset.
+/// Reads until the connection closes; an error if it is reset.
 pub(crate) fn read_to_end(client: &mut Client) -> std::io::Result<Vec<u8>> {
     let mut all = Vec::new();
     client.0.read_to_end(&mut all).map(|_| all)
 }
 
-/// True where the bytes contain this text.
+/// True if the bytes contain this text.
 pub(crate) fn contains(all: &[u8], part: &str) -> bool {
     all.windows(part.len()).any(|window| window == part.as_bytes())
 }
 
-/// Sends requests until one is served: after an unserved one some are rejected.
+/// Sends a request with this id and checks that the response has its own value. `timeout` in ms.
+#[track_caller]
+pub(crate) fn assert_served(client: &mut Client, id: &str, timeout: u32) {
+    assert_eq!(outcome(&client.query(&select(id, "look", timeout))), Ok(id.to_string()));
+}
+
+/// Waits until a server has received this number of queries.
+pub(crate) fn wait_until_received(server: &FakeServer, queries: usize) {
+    wait_until("the query is received", || server.queries().len() == queries);
+}
+
+/// Waits until a server has accepted its first connection.
+pub(crate) fn wait_until_connecting(server: &FakeServer) {
+    wait_until("the first connection is accepted", || server.seen.lock().unwrap().connections == 1);
+}
+
+/// Sends requests until one is served; the first ones may be rejected.
 pub(crate) fn wait_until_served(gateway: &Gateway) {
     let mut number = 0;
-    wait_until("one is served", || {
+    wait_until("a request is served", || {
         number += 1;
         outcome(&gateway.client().query(&select(&format!("b{number}"), "look", 15_000)))
             == Ok(format!("b{number}"))
@@ -33,11 +50,11 @@
     wait_until("the process is stopped", || std::fs::read_to_string(&stat).unwrap().contains(") T "));
 }
 
-/// Two clients send requests in turn during a flood; a late response would be an error.
+/// Checks that two clients are served, in turn, while another peer floods the gateway. A late response is an error.
 pub(crate) fn assert_others_are_served(gateway: &Gateway) {
-    let mut usual = [gateway.client(), gateway.client()];
+    let mut clients = [gateway.client(), gateway.client()];
     for number in 0..20 {
         let id = format!("u{number}");
-        assert_eq!(outcome(&usual[number % 2].query(&select(&id, "look", 1900))), Ok(id));
+        assert_served(&mut clients[number % 2], &id, 1900);
     }
 }
--- a/crates/cli/tests/gateway/upstream_pool.rs
+++ b/crates/cli/tests/gateway/upstream_pool.rs
@@ -1,8 +1,9 @@
-//! Connections to servers: reuse, eviction, cancellation, and requests that wait for one.
+//! Connections to endpoints: reuse, eviction, cancellation, and requests that wait for one.
 
+use crate::support::{assert_served, wait_until_connecting, wait_until_received};
 use bytes::Bytes;
 use latchhaven_gateway::net::list::read as read_list;
-use latchhaven_gateway::net::upstream::{CancelResult, QueuedCall, UpstreamCall, UpstreamPool};
+use latchhaven_gateway::net::upstream::{CallResult, CancelResult, QueuedCall, UpstreamCall, UpstreamPool};
 use latchhaven_gateway::net::{DriverEvent, write_all};
 use latchhaven_policy::{AttemptOutcome, EndpointEntry, LoadReporting, RequestId, UpstreamConnectionConfig};
 use latchhaven_test_support::fake_server::{FakeServer, ReceivedQuery, ServerBehavior};
@@ -25,7 +26,7 @@
 /// The call that a test sends after [`FIRST`].
 const SECOND: UpstreamCall = UpstreamCall::Attempt { id: RequestId(2), attempt: 0 };
 
-/// A healthy endpoint at this address, as an endpoint list names it.
+/// The list entry of a healthy endpoint at this address.
 fn endpoint_at(addr: SocketAddr) -> (EndpointEntry, SocketAddr) {
     read_list(endpoint_list(1, true, &[host("s0", addr, "up", 1)]).to_string().as_bytes())
         .unwrap()
@@ -33,12 +34,12 @@
         .remove(0)
 }
 
-/// A pool of four connections at most, and the events of its drivers.
+/// A pool of at most four connections, and the events of its drivers.
 fn new_pool(reports: LoadReporting) -> (UpstreamPool, mpsc::Receiver<DriverEvent>) {
     new_pool_with_limit(4, reports)
 }
 
-/// A pool of `max_connections` at most, and the events of its drivers.
+/// A pool of at most `max_connections`, and the events of its drivers.
 fn new_pool_with_limit(
     max_connections: usize, reports: LoadReporting,
 ) -> (UpstreamPool, mpsc::Receiver<DriverEvent>) {
@@ -66,19 +67,32 @@
     pool.update_endpoint(&entry, addr);
     assert!(pool.send("s0", queued(FIRST), 0.0));
     assert_eq!(pool.cancel("s0", FIRST), CancelResult::Unwritten);
+    on_next_connection_ready(&mut pool, &mut events).await;
+    (pool, events)
+}
+
+/// Passes the next event, which has to report a ready connection, to the pool.
+async fn on_next_connection_ready(pool: &mut UpstreamPool, events: &mut mpsc::Receiver<DriverEvent>) {
     let Some(DriverEvent::ConnectionReady { connection, is_first }) = events.recv().await else {
-        panic!("it never came up")
+        panic!("no connection is ready")
     };
     pool.on_connection_ready(connection, is_first, 0.0);
-    (pool, events)
 }
 
-/// A call without a statement, which is given up after 1 s.
+/// The result of a call, which has to be in the next event.
+async fn next_call_result(events: &mut mpsc::Receiver<DriverEvent>) -> CallResult {
+    let Some(DriverEvent::CallEnded { result, .. }) = events.recv().await else {
+        panic!("no call has ended")
+    };
+    result
+}
+
+/// A call without a statement and with a timeout of 1 s.
 fn queued(call: UpstreamCall) -> QueuedCall {
     QueuedCall { call, statement: None, deadline: 1000.0, write_by: None }
 }
 
-/// Has the pool follow its drivers until a call has ended; the call's outcome.
+/// Passes events to the pool until a call has ended. Returns its outcome.
 async fn run_until_call_ends(
     pool: &mut UpstreamPool, events: &mut mpsc::Receiver<DriverEvent>,
 ) -> AttemptOutcome {
@@ -104,7 +118,7 @@
 fn client_with_waiting_request(gateway: &Gateway, server: &FakeServer) -> Client {
     let mut client = gateway.client();
     client.send(&query(&insert("a1", "pay", 15_000)));
-    wait_until("a connection is waited for", || server.seen.lock().unwrap().connections == 1);
+    wait_until_connecting(server);
     client
 }
 
@@ -114,7 +128,7 @@
     let gateway = Gateway::start(&[&server]);
     let mut client = gateway.client();
     for n in 0..5 {
-        assert_eq!(outcome(&client.query(&select(&format!("a{n}"), "look", 900))), Ok(format!("a{n}")));
+        assert_served(&mut client, &format!("a{n}"), 900);
     }
     assert_eq!(server.seen.lock().unwrap().connections, 1);
     server.set_behavior(ServerBehavior::SucceedAfter(100));
@@ -123,8 +137,8 @@
         .iter_mut()
         .enumerate()
         .for_each(|(n, other)| other.send(&query(&select(&format!("b{n}"), "look", 900))));
-    let got: Vec<_> = others.iter_mut().map(|other| outcome(&other.read_response())).collect();
-    assert_eq!(got, [Ok("b0".to_string()), Ok("b1".to_string())]);
+    let outcomes: Vec<_> = others.iter_mut().map(|other| outcome(&other.read_response())).collect();
+    assert_eq!(outcomes, [Ok("b0".to_string()), Ok("b1".to_string())]);
     let (one, two) = (server.queries()[5].connection, server.queries()[6].connection);
     assert_ne!(one, two);
 }
@@ -135,12 +149,10 @@
         let server = FakeServer::start(ServerBehavior::Succeed);
         let (mut pool, mut events) = idle_pool(&server).await;
         assert!(pool.send("s0", queued(SECOND), 0.0));
-        // The driver has not run yet: for it, these bytes arrive between the choice of the connection and the write.
+        // The connection's task has not run yet: these bytes arrive after the pool chose the connection.
         server.seen.lock().unwrap().open[0].write_all(&row(b"not asked for")).unwrap();
         thread::sleep(Duration::from_millis(50));
-        let Some(DriverEvent::CallEnded { result, .. }) = events.recv().await else {
-            panic!("it never ended")
-        };
+        let result = next_call_result(&mut events).await;
         assert_eq!((result.outcome, result.value.is_none()), (AttemptOutcome::NotSent, true));
         assert!(server.queries().is_empty());
     });
@@ -152,7 +164,7 @@
         let server = FakeServer::start(ServerBehavior::Succeed);
         let (mut pool, mut events) = idle_pool(&server).await;
         server.close_connections();
-        wait_until("the end has come", || server.seen.lock().unwrap().ended.len() == 1);
+        wait_until("the connection is closed", || server.seen.lock().unwrap().ended.len() == 1);
         assert!(pool.send("s0", queued(SECOND), 0.0));
         assert_eq!(run_until_call_ends(&mut pool, &mut events).await, AttemptOutcome::Success);
     });
@@ -168,8 +180,7 @@
         let (mut entry, _) = endpoint_at(one.addr);
         entry.endpoint = "s1".to_string();
         pool.update_endpoint(&entry, other.addr);
-        // Before any driver runs, the idle connection is evicted for the first call, and none is left for
-        // the second.
+        // Before any task runs, the idle connection is evicted for the first call; the second finds none to evict.
         assert!(pool.send("s1", queued(FIRST), 0.0));
         assert!(!pool.send("s0", queued(SECOND), 0.0));
         assert_eq!(run_until_call_ends(&mut pool, &mut events).await, AttemptOutcome::Success);
@@ -179,11 +190,11 @@
 }
 
 #[rstest]
-#[case::in_answers(LoadReporting::InResponses, "SELECT 1", 2)]
-#[case::in_probes(LoadReporting::InHealthChecks, "SHOW load", 0)]
+#[case::in_responses(LoadReporting::InResponses, "SELECT 1", 2)]
+#[case::in_health_checks(LoadReporting::InHealthChecks, "SHOW load", 0)]
 #[case::silent(LoadReporting::Disabled, "SELECT 1", 0)]
 fn health_checks_and_load_reports_follow_the_settings(
-    #[case] reports: LoadReporting, #[case] asked: &'static str, #[case] figures: usize,
+    #[case] reports: LoadReporting, #[case] expected_query: &'static str, #[case] load_values: usize,
 ) {
     run_local(async move {
         let server = FakeServer::start(ServerBehavior::SucceedAmongNotices);
@@ -191,25 +202,20 @@
         let (entry, addr) = endpoint_at(server.addr);
         pool.update_endpoint(&entry, addr);
         assert!(pool.send("s0", queued(UpstreamCall::HealthCheck(1)), 0.0));
-        let Some(DriverEvent::ConnectionReady { connection, is_first }) = events.recv().await else {
-            panic!("it never came up")
-        };
-        pool.on_connection_ready(connection, is_first, 0.0);
-        let Some(DriverEvent::CallEnded { result, .. }) = events.recv().await else {
-            panic!("it never ended")
-        };
-        assert_eq!((result.outcome, result.load.0.len()), (AttemptOutcome::Success, figures));
-        assert_eq!(server.queries(), [ReceivedQuery { connection: 0, text: asked.to_string() }]);
+        on_next_connection_ready(&mut pool, &mut events).await;
+        let result = next_call_result(&mut events).await;
+        assert_eq!((result.outcome, result.load.0.len()), (AttemptOutcome::Success, load_values));
+        assert_eq!(server.queries(), [ReceivedQuery { connection: 0, text: expected_query.to_string() }]);
     });
 }
 
 #[test]
-fn write_that_breaks_before_its_last_byte_fails() {
+fn write_interrupted_before_its_last_byte_fails() {
     run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let stream = tokio::net::TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
         let (peer, _) = listener.accept().unwrap();
-        // More than the socket buffers hold for a peer that does not read, in chunks of which one is empty.
+        // More than the capacity of the socket buffers of a peer that does not read, in chunks of which one is empty.
         let parts = [Bytes::from(vec![b'x'; 32 << 20]), Bytes::new(), Bytes::from_static(b"end")];
         let ending = async {
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -246,7 +252,7 @@
         assert_eq!(pool.update_endpoint(&entry, new), [FIRST]);
         assert!(pool.send("s0", queued(SECOND), 0.0));
         let Some(DriverEvent::ConnectFailed { connection }) = events.recv().await else {
-            panic!("it is refused")
+            panic!("the connection is not refused")
         };
         assert_eq!(pool.on_connect_failed(&connection), Some(SECOND));
     });
@@ -305,10 +311,10 @@
     let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start_with(&[&server], use_long_timeouts);
     let (mut one, mut two) = (gateway.client(), gateway.client());
-    assert_eq!(outcome(&one.query(&select("a1", "look", 15_000))), Ok("a1".to_string()));
+    assert_served(&mut one, "a1", 15_000);
     server.set_behavior(ServerBehavior::SucceedAfter(150));
     one.send(&query(&insert("a2", "pay", 15_000)));
-    wait_until("the query has arrived", || server.queries().len() == 2);
+    wait_until_received(&server, 2);
     server.set_behavior(ServerBehavior::NeverHandshake);
     two.send(&query(&insert("a3", "pay", 15_000)));
     assert_eq!(outcome(&one.read_response()), Ok("a2".to_string()));
