--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -6,6 +6,8 @@
 
 /// ms in a second.
 pub const MS_PER_SECOND: Millis = 1000.0;
+/// Microseconds in a ms.
+pub const MICROS_PER_MS: f64 = 1000.0;
 
 /// The duration of so many ms.
 ///
--- a/crates/gateway/src/gateway/timers.rs
+++ b/crates/gateway/src/gateway/timers.rs
@@ -1,13 +1,11 @@
 //! Timers of the gateway, with a resolution of one microsecond.
 
+use crate::clock::MICROS_PER_MS;
 use crate::net::upstream::UpstreamCall;
 use latchhaven_policy::Millis;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Microseconds in a ms.
-const MICROS_PER_MS: f64 = 1000.0;
-
 /// What a timer triggers. Timers of the same microsecond fire in the order of these variants.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
--- a/crates/gateway/src/limits/mod.rs
+++ b/crates/gateway/src/limits/mod.rs
@@ -21,7 +21,7 @@
 
 /// Events that wait for the event loop; a driver with another event waits.
 pub const MAX_PENDING_EVENTS: usize = 4096;
-/// Votes that wait to be cast; the decisions cast a vote only after the result of the one before it.
+/// Votes that wait for the result of the one before them.
 pub const MAX_PENDING_VOTES: usize = 64;
 /// Longest time to open a connection to the discovery service or the platform.
 pub const SERVICE_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/gateway/src/limits/platform.rs
+++ b/crates/gateway/src/limits/platform.rs
@@ -1,5 +1,6 @@
 //! Limits of the platform's feed and of votes.
 
+use crate::clock::millis;
 use latchhaven_backoff::{ExponentialBackoff, Jitter};
 use latchhaven_policy::Millis;
 use std::time::Duration;
@@ -15,8 +16,9 @@
 /// Two reports of one rollout state may give start times that differ by this: ages are rounded to ms and delayed.
 pub const AGE_TOLERANCE: Duration = Duration::from_millis(20);
 
-/// Which of two states of one version's rollout is older. `began_at`, `known_began_at`: their start times in ms.
+/// A reported state of a rollout is older than the known state of the same version. `began_at`, `known_began_at`: the
+/// start times of both in ms.
 #[must_use]
 pub fn is_older_state(began_at: Millis, known_began_at: Millis) -> bool {
-    began_at < known_began_at - crate::clock::millis(AGE_TOLERANCE)
+    began_at < known_began_at - millis(AGE_TOLERANCE)
 }
--- a/crates/gateway/src/net/clients/accept.rs
+++ b/crates/gateway/src/net/clients/accept.rs
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Accepts the connections that wait in the kernel's queue, then closes the listener. Calls the
-    /// kernel directly: the runtime may not have noticed the latest ones.
+    /// Accepts the connections that wait in the kernel's queue, then closes the listener. Calls the kernel directly: the
+    /// runtime may not have noticed the latest ones.
     ///
     /// # Errors
     /// A connection cannot be registered with the runtime, or too many accepts failed.
--- a/crates/gateway/src/net/platform/feed.rs
+++ b/crates/gateway/src/net/platform/feed.rs
@@ -91,7 +91,8 @@
                     lines
                 }
                 Some(Err(error)) => {
-                    tracing::info!(reason = error.to_string(), "platform: feed not opened");
+                    let address = self.address.borrow().map(tracing::field::display);
+                    tracing::info!(reason = error.to_string(), address, "platform: feed not opened");
                     0
                 }
             };
@@ -148,8 +149,10 @@
 
 fn drop_lost(error: &FeedError, open: &mut Option<Feed>) {
     COUNTERS.feed_lost_total.increment();
-    let lines = open.take().map(|feed| feed.lines);
-    tracing::info!(reason = error.to_string(), lines, "platform: feed lost");
+    let lost = open.take();
+    let lines = lost.as_ref().map(|feed| feed.lines);
+    let address = lost.map(|feed| tracing::field::display(feed.address));
+    tracing::info!(reason = error.to_string(), lines, address, "platform: feed lost");
 }
 
 /// Delivers a feed until it is lost. Returns why.
@@ -162,6 +165,7 @@
 
 /// An open feed.
 struct Feed {
+    address: SocketAddr,
     stream: TcpStream,
     reader: ResponseReader,
     body: BodyBuffer,
@@ -197,7 +201,7 @@
             }
         }
         let last_line_at = Instant::now();
-        Ok(Feed { stream, reader, body: BodyBuffer::default(), buffer, lines: 0, last_line_at })
+        Ok(Feed { address, stream, reader, body: BodyBuffer::default(), buffer, lines: 0, last_line_at })
     }
 
     /// Delivers line by line. Can be dropped and called again without loss.
--- a/crates/gateway/src/net/platform/votes.rs
+++ b/crates/gateway/src/net/platform/votes.rs
@@ -213,7 +213,8 @@
     }
 }
 
-/// Reads the response to a vote. Only a known status with its own error states that the vote was not counted.
+/// Reads the response to a vote. Only a status together with the error that belongs to it proves that the vote was not
+/// counted; after any other response the result is unknown.
 fn vote_result(status: u16, body: &[u8]) -> Result<VoteResult, VoteError> {
     #[derive(Deserialize)]
     struct Rejection {
--- a/crates/gateway/src/net/upstream/pool.rs
+++ b/crates/gateway/src/net/upstream/pool.rs
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Applies an entry of the list. Returns queued calls that can no longer be sent.
+    /// Applies an entry of the list. Returns the queued calls of the previous incarnation, which have to be routed again.
     pub fn update_endpoint(&mut self, entry: &EndpointEntry, address: SocketAddr) -> Vec<UpstreamCall> {
         if entry.status == EndpointStatus::Removed {
             return self.remove_endpoint(&entry.endpoint);
@@ -130,7 +130,7 @@
         Vec::new()
     }
 
-    /// Removes an endpoint that is not listed any more. Returns its queued calls.
+    /// Removes an endpoint that is not listed any more. Returns its queued calls, which have to be routed again.
     pub fn remove_endpoint(&mut self, endpoint: &str) -> Vec<UpstreamCall> {
         let Some(mut endpoint) = self.endpoints.remove(endpoint) else { return Vec::new() };
         endpoint.close_idle();
@@ -149,7 +149,7 @@
         self.endpoints.keys().cloned().collect()
     }
 
-    /// Removes and returns all calls that wait for a connection.
+    /// Removes and returns all calls that wait for a connection; they have to be routed again.
     pub fn take_queued(&mut self) -> Vec<UpstreamCall> {
         self.endpoints.values_mut().flat_map(UpstreamEndpoint::take_queue).collect()
     }
--- a/crates/gateway/src/proto/pg/backend.rs
+++ b/crates/gateway/src/proto/pg/backend.rs
@@ -9,7 +9,7 @@
 /// Bytes that describe a column, after its name.
 const COLUMN_DESCRIPTION: usize = 18;
 /// Bytes of a row of one column before its value, without the type byte: length, number of columns, length of the value.
-const ROW_HEADER: u32 = 10;
+pub(super) const ROW_HEADER: u32 = 10;
 
 /// A message of an endpoint.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/gateway/src/proto/pg/load_report.rs
+++ b/crates/gateway/src/proto/pg/load_report.rs
@@ -1,16 +1,14 @@
 //! Load reports of endpoints as text.
 
+use super::backend::ROW_HEADER;
 use crate::limits::messages::MAX_LOAD_VALUE;
 use bytes::Bytes;
 use latchhaven_policy::LoadReport;
 
-/// Bytes of a row of one column before its value: type, length, number of columns, length of the value.
-const ROW_HEADER: usize = 11;
-
 /// The value of a row of one column as text. None: the row is too short, or its value is not UTF-8.
 #[must_use]
 pub fn row_text(row: &Bytes) -> Option<&str> {
-    std::str::from_utf8(row.get(ROW_HEADER..)?).ok()
+    std::str::from_utf8(row.get(1 + ROW_HEADER as usize..)?).ok()
 }
 
 /// Parses a load report: `inflight=7,util=0.61`. A report with any invalid part yields an empty one.
--- a/crates/gateway/src/proto/pg/statement.rs
+++ b/crates/gateway/src/proto/pg/statement.rs
@@ -1,7 +1,7 @@
 //! Statements that are routed: one SELECT and one INSERT, with a comment that contains the request's id, class and
 //! timeout. Only statements of exactly this form are forwarded.
 
-use crate::clock::millis;
+use crate::clock::{MICROS_PER_MS, millis};
 use crate::limits::messages::{MAX_REQUEST_TIMEOUT, MAX_VALUE, MAX_WORD, MIN_REQUEST_TIMEOUT};
 use bytes::Bytes;
 use latchhaven_policy::Millis;
@@ -14,8 +14,6 @@
 /// The delimiters of the comment.
 const COMMENT_START: &str = " /* ";
 const COMMENT_END: &str = " */";
-/// Microseconds in a ms.
-const MICROS_PER_MS: f64 = 1000.0;
 
 /// Why a statement is rejected; the text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/gateway/src/readiness.rs
+++ b/crates/gateway/src/readiness.rs
@@ -1,6 +1,5 @@
 //! Whether the gateway answers health checks of the load balancer in front. A new process has an endpoint list of
-//! unknown age: it answers once a watch has confirmed the list, or after
-//! [`MAX_READINESS_DELAY`].
+//! unknown age: it answers once a watch has confirmed the list, or after [`MAX_READINESS_DELAY`].
 
 use crate::limits::start::MAX_READINESS_DELAY;
 use tokio::sync::watch;
--- a/crates/gateway/tests/discovery_calls.rs
+++ b/crates/gateway/tests/discovery_calls.rs
@@ -1,5 +1,7 @@
 //! The clients of the discovery service: which calls they start and abort, and which lists they apply.
 
+#![warn(clippy::pedantic)]
+
 use latchhaven_gateway::discovery::calls::{CallId, DiscoveryCommand};
 use latchhaven_gateway::discovery::ordered_client::{EndpointListClient, ListDecision};
 use latchhaven_gateway::discovery::snapshot_client::SnapshotFirstClient;
--- a/crates/gateway/tests/list_version.rs
+++ b/crates/gateway/tests/list_version.rs
@@ -1,5 +1,7 @@
 //! The order of two endpoint lists.
 
+#![warn(clippy::pedantic)]
+
 use latchhaven_gateway::discovery::list_version::{ReceivedVersion, VersionOrder, compare_versions};
 use rstest::rstest;
 
--- a/crates/gateway/tests/parsers/http.rs
+++ b/crates/gateway/tests/parsers/http.rs
@@ -74,6 +74,6 @@
     );
     body.push(b"o\n").unwrap();
     assert_eq!(body.next_line(), Some("two".into()));
-    assert!((0..100).any(|_| body.push(&[b'x'; 65536]).is_err()));
+    assert!((0..100).any(|_| body.push(&vec![b'x'; 65536]).is_err()));
     assert_eq!(http::get("h", "/p"), "GET /p HTTP/1.1\r\nHost: h\r\nAccept: application/json\r\n\r\n");
 }
--- a/crates/gateway/tests/parsers/json.rs
+++ b/crates/gateway/tests/parsers/json.rs
@@ -37,12 +37,12 @@
 fn json_separators_are_dropped_and_an_endless_object_is_rejected() {
     let mut framer = JsonFramer::default();
     for _ in 0..40 {
-        framer.push(&[b' '; 100_000]).unwrap();
+        framer.push(&vec![b' '; 100_000]).unwrap();
         assert_eq!(framer.next_frame(), Ok(None));
     }
     framer.push(b"{\"a\":\"").unwrap();
     let endless = (0..20).try_for_each(|_| {
-        framer.push(&[b'x'; 100_000])?;
+        framer.push(&vec![b'x'; 100_000])?;
         framer.next_frame().map(|frame| assert_eq!(frame, None))
     });
     assert_eq!(endless, Err(http::ParseError::TooLong));
--- a/crates/gateway/tests/parsers/main.rs
+++ b/crates/gateway/tests/parsers/main.rs
@@ -1,5 +1,8 @@
 //! Parsers with input split at every position, and with malformed, oversized and truncated input.
 
+#![warn(clippy::pedantic)]
+#![allow(clippy::cast_precision_loss, clippy::cast_possible_truncation, reason = "the test data is small")]
+
 mod arrivals;
 mod http;
 mod json;
