--- a/crates/gateway/src/net/discovery_calls.rs
+++ b/crates/gateway/src/net/discovery_calls.rs
@@ -1,31 +1,33 @@
 //! Calls to the discovery service: a fetch returns the endpoint list once, a watch delivers it and its deltas.
 
+use super::DriverEvent;
+use super::http_connection::{HttpConnection, HttpError};
 use super::list::{self, List, ListError};
-use super::{DriverEvent, read_some, write_all};
 use crate::counters::COUNTERS;
 use crate::discovery::calls::CallId;
 use crate::limits::SERVICE_CONNECT_TIMEOUT;
 use crate::limits::discovery::{CALL_TIMEOUT, WATCH_SILENCE_TIMEOUT, missed_keepalive};
-use crate::proto::http::{self, BodyBuffer, ResponsePart, ResponseReader};
+use crate::proto::http::{BodyBuffer, ParseError, ResponsePart};
 use crate::proto::json::{JsonFrame, JsonFramer};
-use bytes::BytesMut;
 use latchhaven_policy::UpdateFailure;
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
-use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout, timeout_at};
 
 /// Why a call for the endpoint list failed. The texts are logged.
 #[derive(Debug, thiserror::Error)]
 enum ListCallError {
-    /// The connection could not be opened, or broke.
+    /// The connection could not be opened.
     #[error(transparent)]
-    Io(#[from] io::Error),
-    /// The response is not valid HTTP, or not a stream of JSON objects.
+    Connect(#[from] io::Error),
+    /// The connection broke, or the response is not valid HTTP.
     #[error(transparent)]
-    Response(#[from] http::ParseError),
+    Http(#[from] HttpError),
+    /// The body is not a stream of JSON objects, or exceeds a limit.
+    #[error(transparent)]
+    Body(#[from] ParseError),
     /// The list cannot be read.
     #[error(transparent)]
     List(#[from] ListError),
@@ -49,7 +51,10 @@
 impl ListCallError {
     /// Data arrived that cannot be read.
     fn is_unreadable(&self) -> bool {
-        matches!(self, ListCallError::Response(_) | ListCallError::List(_))
+        matches!(
+            self,
+            ListCallError::Http(HttpError::Response(_)) | ListCallError::Body(_) | ListCallError::List(_)
+        )
     }
 }
 
@@ -80,21 +85,19 @@
     let _ = events.send(DriverEvent::EndpointList { call, list }).await;
 }
 
-async fn connect(address: SocketAddr, path: &str) -> io::Result<TcpStream> {
+/// Opens a connection and sends a request for `path`.
+async fn start_call(address: SocketAddr, path: &str) -> io::Result<HttpConnection> {
     COUNTERS.discovery_calls_total.increment();
-    let stream = timeout(SERVICE_CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
-    stream.set_nodelay(true)?;
-    write_all(&stream, &[http::get(&address.to_string(), path)]).await?;
-    Ok(stream)
+    let connection = timeout(SERVICE_CONNECT_TIMEOUT, HttpConnection::open(address)).await??;
+    connection.get(path).await?;
+    Ok(connection)
 }
 
 /// An open watch.
 struct Watch {
     after: u64,
-    stream: TcpStream,
-    reader: ResponseReader,
+    connection: HttpConnection,
     framer: JsonFramer,
-    buffer: BytesMut,
     /// The head of the response was received.
     has_head: bool,
     /// A list or a keepalive was received.
@@ -106,13 +109,11 @@
 
 impl Watch {
     async fn open(address: SocketAddr, after: u64) -> Result<Self, ListCallError> {
-        let stream = connect(address, &format!("/v1/servers?watch=1&after={after}")).await?;
+        let connection = start_call(address, &format!("/v1/servers?watch=1&after={after}")).await?;
         Ok(Watch {
             after,
-            stream,
-            reader: ResponseReader::default(),
+            connection,
             framer: JsonFramer::default(),
-            buffer: BytesMut::new(),
             has_head: false,
             is_answered: false,
             last_received_at: Instant::now(),
@@ -135,7 +136,9 @@
         let is_truncated = self.has_head && (!self.is_answered || self.framer.is_within_object());
         UpdateFailure {
             silent_for: missed_keepalive(self.is_answered, self.last_received_at.elapsed()),
-            may_have_lost_update: is_truncated || error.is_unreadable() || !self.buffer.is_empty(),
+            may_have_lost_update: is_truncated
+                || error.is_unreadable()
+                || self.connection.has_unparsed_input(),
         }
     }
 
@@ -147,16 +150,14 @@
                     return Ok(Some(list));
                 }
             }
-            match self.reader.next(&mut self.buffer)? {
+            match self.next_part().await? {
                 Some(ResponsePart::Head { status: 200, .. }) => {
                     self.has_head = true;
                     self.silence_timeout = WATCH_SILENCE_TIMEOUT;
                 }
                 Some(ResponsePart::Head { status, .. }) => return Err(ListCallError::Status(status)),
-                Some(ResponsePart::End) => return Ok(None),
                 Some(ResponsePart::Body(bytes)) => self.framer.push(&bytes)?,
-                None if self.read().await? == 0 => return Ok(None),
-                None => {}
+                Some(ResponsePart::End) | None => return Ok(None),
             }
         }
     }
@@ -174,26 +175,23 @@
         Ok(Some(list))
     }
 
-    async fn read(&mut self) -> Result<usize, ListCallError> {
+    async fn next_part(&mut self) -> Result<Option<ResponsePart>, ListCallError> {
         let deadline = self.last_received_at + self.silence_timeout;
-        let read = timeout_at(deadline, read_some(&self.stream, &mut self.buffer)).await;
-        Ok(read.map_err(|_| ListCallError::Silent)??)
+        let part = timeout_at(deadline, self.connection.next_part()).await;
+        Ok(part.map_err(|_| ListCallError::Silent)??)
     }
 }
 
 async fn fetch_list(address: SocketAddr) -> Result<List, ListCallError> {
-    let stream = connect(address, "/v1/servers").await?;
-    let mut reader = ResponseReader::default();
+    let mut connection = start_call(address, "/v1/servers").await?;
     let mut body = BodyBuffer::default();
-    let mut buffer = BytesMut::new();
     loop {
-        match reader.next(&mut buffer)? {
+        match connection.next_part().await? {
             Some(ResponsePart::Head { status: 200, .. }) => {}
             Some(ResponsePart::Head { status, .. }) => return Err(ListCallError::Status(status)),
             Some(ResponsePart::Body(bytes)) => body.push(&bytes)?,
             Some(ResponsePart::End) => return Ok(list::read(&body.take())?),
-            None if read_some(&stream, &mut buffer).await? > 0 => {}
-            None if reader.is_complete_at_close() => return Ok(list::read(&body.take())?),
+            None if connection.is_complete_at_close() => return Ok(list::read(&body.take())?),
             None => return Err(ListCallError::Truncated),
         }
     }
--- /dev/null
+++ b/crates/gateway/src/net/http_connection.rs
@@ -0,0 +1,95 @@
+//! A connection to an HTTP service, for one response after another.
+
+use super::io::{is_unusable, read_some, write_all};
+use crate::proto::http::{self, ParseError, ResponsePart, ResponseReader};
+use bytes::{Bytes, BytesMut};
+use std::io;
+use std::net::SocketAddr;
+use tokio::net::TcpStream;
+
+/// Why a response cannot be read.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum HttpError {
+    /// The connection broke.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The response is malformed or exceeds a limit.
+    #[error(transparent)]
+    Response(#[from] ParseError),
+}
+
+/// An open connection.
+pub(super) struct HttpConnection {
+    address: SocketAddr,
+    stream: TcpStream,
+    reader: ResponseReader,
+    buffer: BytesMut,
+}
+
+impl HttpConnection {
+    /// Connects without a timeout of its own.
+    ///
+    /// # Errors
+    /// The connection cannot be opened.
+    pub(super) async fn open(address: SocketAddr) -> io::Result<Self> {
+        let stream = TcpStream::connect(address).await?;
+        stream.set_nodelay(true)?;
+        Ok(HttpConnection { address, stream, reader: ResponseReader::default(), buffer: BytesMut::new() })
+    }
+
+    /// The address of the service.
+    pub(super) fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// Writes a request without a body.
+    ///
+    /// # Errors
+    /// The connection broke before the last byte was written.
+    pub(super) async fn get(&self, path: &str) -> io::Result<()> {
+        self.write(http::get(&self.address.to_string(), path)).await
+    }
+
+    /// Writes a request with a JSON body.
+    ///
+    /// # Errors
+    /// The connection broke before the last byte was written.
+    pub(super) async fn post(&self, path: &str, body: &str) -> io::Result<()> {
+        self.write(http::post(&self.address.to_string(), path, body)).await
+    }
+
+    async fn write(&self, request: Bytes) -> io::Result<()> {
+        write_all(&self.stream, &[request]).await
+    }
+
+    /// The next part of the response. None: the service has closed the connection. Can be dropped and called again
+    /// without loss.
+    ///
+    /// # Errors
+    /// The connection broke, or the response is malformed.
+    pub(super) async fn next_part(&mut self) -> Result<Option<ResponsePart>, HttpError> {
+        loop {
+            if let Some(part) = self.reader.next(&mut self.buffer)? {
+                return Ok(Some(part));
+            }
+            if read_some(&self.stream, &mut self.buffer).await? == 0 {
+                return Ok(None);
+            }
+        }
+    }
+
+    /// The response is complete if the service closes the connection now.
+    pub(super) fn is_complete_at_close(&self) -> bool {
+        self.reader.is_complete_at_close()
+    }
+
+    /// Input was received that is not part of a complete part.
+    pub(super) fn has_unparsed_input(&self) -> bool {
+        !self.buffer.is_empty()
+    }
+
+    /// No request can be sent: the service has closed the connection, or sent unsolicited data.
+    pub(super) fn is_unusable(&self) -> bool {
+        is_unusable(&self.stream)
+    }
+}
--- a/crates/gateway/src/net/mod.rs
+++ b/crates/gateway/src/net/mod.rs
@@ -5,11 +5,13 @@
 //! - [`upstream`]: connections to endpoints.
 //! - [`list`], `discovery_calls`, [`discovery_tasks`]: the discovery service.
 //! - [`platform`]: the feed of rollout states, and votes.
+//! - `http_connection`: a connection to either of these services.
 //! - [`io`]: reads and writes on sockets.
 
 pub mod clients;
 mod discovery_calls;
 pub mod discovery_tasks;
+mod http_connection;
 pub mod io;
 pub mod list;
 pub mod platform;
--- a/crates/gateway/src/net/platform/feed.rs
+++ b/crates/gateway/src/net/platform/feed.rs
@@ -6,14 +6,14 @@
 use crate::counters::COUNTERS;
 use crate::limits::SERVICE_CONNECT_TIMEOUT;
 use crate::limits::platform::{FEED_BACKOFF, FEED_SILENCE_TIMEOUT};
-use crate::net::{DriverEvent, read_some, write_all};
-use crate::proto::http::{self, BodyBuffer, ResponsePart, ResponseReader};
-use bytes::{Bytes, BytesMut};
+use crate::net::DriverEvent;
+use crate::net::http_connection::{HttpConnection, HttpError};
+use crate::proto::http::{BodyBuffer, ParseError, ResponsePart};
+use bytes::Bytes;
 use rand_pcg::Pcg64Mcg;
 use std::io;
 use std::net::SocketAddr;
 use std::pin::pin;
-use tokio::net::TcpStream;
 use tokio::select;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, timeout, timeout_at};
@@ -21,12 +21,15 @@
 /// Why a feed could not be opened or was lost. The texts are logged.
 #[derive(Debug, thiserror::Error)]
 enum FeedError {
-    /// The connection could not be opened, or broke.
+    /// The connection could not be opened.
     #[error(transparent)]
-    Io(#[from] io::Error),
-    /// The response is not valid HTTP.
+    Connect(#[from] io::Error),
+    /// The connection broke, or the response is not valid HTTP.
     #[error(transparent)]
-    Response(#[from] http::ParseError),
+    Http(#[from] HttpError),
+    /// A line exceeds its limit.
+    #[error(transparent)]
+    Body(#[from] ParseError),
     /// A line cannot be read; lines after it may be out of step.
     #[error("a line cannot be read: {0}")]
     Line(MessageError),
@@ -151,7 +154,7 @@
     COUNTERS.feed_lost_total.increment();
     let lost = open.take();
     let lines = lost.as_ref().map(|feed| feed.lines);
-    let address = lost.map(|feed| tracing::field::display(feed.address));
+    let address = lost.map(|feed| tracing::field::display(feed.connection.address()));
     tracing::info!(reason = error.to_string(), lines, address, "platform: feed lost");
 }
 
@@ -165,11 +168,8 @@
 
 /// An open feed.
 struct Feed {
-    address: SocketAddr,
-    stream: TcpStream,
-    reader: ResponseReader,
+    connection: HttpConnection,
     body: BodyBuffer,
-    buffer: BytesMut,
     lines: u64,
     last_line_at: Instant,
 }
@@ -185,23 +185,16 @@
     }
 
     async fn request(address: SocketAddr) -> Result<Feed, FeedError> {
-        let connected = timeout(SERVICE_CONNECT_TIMEOUT, TcpStream::connect(address)).await;
-        let stream = connected.map_err(|_| FeedError::NoConnection)??;
-        stream.set_nodelay(true)?;
-        write_all(&stream, &[http::get(&address.to_string(), "/v1/feed")]).await?;
-        let mut reader = ResponseReader::default();
-        let mut buffer = BytesMut::new();
-        loop {
-            match reader.next(&mut buffer)? {
-                Some(ResponsePart::Head { status: 200, .. }) => break,
-                Some(ResponsePart::Head { status, .. }) => return Err(FeedError::Status(status)),
-                Some(_) => return Err(FeedError::NoHead),
-                None if read_some(&stream, &mut buffer).await? > 0 => {}
-                None => return Err(FeedError::ClosedBeforeHead),
-            }
+        let connected = timeout(SERVICE_CONNECT_TIMEOUT, HttpConnection::open(address)).await;
+        let mut connection = connected.map_err(|_| FeedError::NoConnection)??;
+        connection.get("/v1/feed").await?;
+        match connection.next_part().await? {
+            Some(ResponsePart::Head { status: 200, .. }) => {}
+            Some(ResponsePart::Head { status, .. }) => return Err(FeedError::Status(status)),
+            Some(_) => return Err(FeedError::NoHead),
+            None => return Err(FeedError::ClosedBeforeHead),
         }
-        let last_line_at = Instant::now();
-        Ok(Feed { address, stream, reader, body: BodyBuffer::default(), buffer, lines: 0, last_line_at })
+        Ok(Feed { connection, body: BodyBuffer::default(), lines: 0, last_line_at: Instant::now() })
     }
 
     /// Delivers line by line. Can be dropped and called again without loss.
@@ -214,11 +207,9 @@
                 }
                 continue;
             }
-            match self.reader.next(&mut self.buffer)? {
-                Some(ResponsePart::Head { .. } | ResponsePart::End) => return Ok(()),
+            match self.next_part().await? {
                 Some(ResponsePart::Body(bytes)) => self.body.push(&bytes)?,
-                None if self.read().await? == 0 => return Ok(()),
-                None => {}
+                Some(ResponsePart::Head { .. } | ResponsePart::End) | None => return Ok(()),
             }
         }
     }
@@ -236,9 +227,9 @@
         }
     }
 
-    async fn read(&mut self) -> Result<usize, FeedError> {
+    async fn next_part(&mut self) -> Result<Option<ResponsePart>, FeedError> {
         let deadline = self.last_line_at + FEED_SILENCE_TIMEOUT;
-        let read = timeout_at(deadline, read_some(&self.stream, &mut self.buffer)).await;
-        Ok(read.map_err(|_| FeedError::Silent)??)
+        let part = timeout_at(deadline, self.connection.next_part()).await;
+        Ok(part.map_err(|_| FeedError::Silent)??)
     }
 }
--- a/crates/gateway/src/net/platform/votes.rs
+++ b/crates/gateway/src/net/platform/votes.rs
@@ -3,27 +3,30 @@
 use super::messages::{MessageError, read_rollout_state};
 use crate::counters::COUNTERS;
 use crate::limits::platform::MAX_VOTE_CONNECTION_IDLE;
-use crate::net::{DriverEvent, is_unusable, read_some, write_all};
-use crate::proto::http::{self, BodyBuffer, ResponsePart, ResponseReader};
-use bytes::{Bytes, BytesMut};
+use crate::net::DriverEvent;
+use crate::net::http_connection::{HttpConnection, HttpError};
+use crate::proto::http::{BodyBuffer, ParseError, ResponsePart};
+use bytes::Bytes;
 use latchhaven_policy::{RolloutState, Verdict, Version, VoteOutcome};
 use serde::Deserialize;
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
-use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, timeout_at};
 
 /// Why a vote failed. The texts are logged.
 #[derive(Debug, thiserror::Error)]
 enum VoteError {
-    /// The connection could not be opened, or broke.
+    /// The connection could not be opened, or broke before the vote was written.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The response is not valid HTTP.
+    /// The connection broke within the response, or the response is not valid HTTP.
     #[error(transparent)]
-    Response(#[from] http::ParseError),
+    Http(#[from] HttpError),
+    /// The body exceeds its limit.
+    #[error(transparent)]
+    Body(#[from] ParseError),
     /// The rollout state in the response cannot be read.
     #[error(transparent)]
     State(#[from] MessageError),
@@ -76,17 +79,16 @@
 
 /// A connection on which a vote was answered.
 struct VoteConnection {
-    stream: TcpStream,
-    address: SocketAddr,
+    connection: HttpConnection,
     idle_since: Instant,
 }
 
 impl VoteConnection {
     /// The platform closes idle connections, and a vote written to a closed one would have an unknown result.
     fn is_usable(&self, address: SocketAddr) -> bool {
-        self.address == address
+        self.connection.address() == address
             && self.idle_since.elapsed() < MAX_VOTE_CONNECTION_IDLE
-            && !is_unusable(&self.stream)
+            && !self.connection.is_unusable()
     }
 }
 
@@ -150,26 +152,24 @@
         &mut self, address: Option<SocketAddr>, vote: &Vote, is_written: &mut bool,
     ) -> Result<VoteResult, VoteError> {
         let address = address.ok_or(VoteError::NoPlatform)?;
-        let stream = self.connect(address).await?;
-        write_all(&stream, &[http::post(&address.to_string(), "/v1/ballots", &ballot(vote))]).await?;
+        let mut connection = self.connect(address).await?;
+        connection.post("/v1/ballots", &ballot(vote)).await?;
         *is_written = true;
-        let response = Response::read(&stream).await?;
+        let response = Response::read(&mut connection).await?;
         let result = vote_result(response.status, &response.body)?;
-        if response.keeps_connection && !is_unusable(&stream) {
-            self.idle = Some(VoteConnection { stream, address, idle_since: Instant::now() });
+        if response.keeps_connection && !connection.is_unusable() {
+            self.idle = Some(VoteConnection { connection, idle_since: Instant::now() });
         }
         Ok(result)
     }
 
-    async fn connect(&mut self, address: SocketAddr) -> Result<TcpStream, VoteError> {
+    async fn connect(&mut self, address: SocketAddr) -> io::Result<HttpConnection> {
         if let Some(idle) = self.idle.take()
             && idle.is_usable(address)
         {
-            return Ok(idle.stream);
+            return Ok(idle.connection);
         }
-        let stream = TcpStream::connect(address).await?;
-        stream.set_nodelay(true)?;
-        Ok(stream)
+        HttpConnection::open(address).await
     }
 }
 
@@ -193,23 +193,24 @@
 }
 
 impl Response {
-    async fn read(stream: &TcpStream) -> Result<Self, VoteError> {
-        let mut reader = ResponseReader::default();
+    async fn read(connection: &mut HttpConnection) -> Result<Self, VoteError> {
         let mut body = BodyBuffer::default();
-        let mut buffer = BytesMut::new();
         let mut head = None;
         loop {
-            match reader.next(&mut buffer)? {
+            match connection.next_part().await? {
                 Some(ResponsePart::Head { status, is_last }) => head = Some((status, is_last)),
                 Some(ResponsePart::Body(bytes)) => body.push(&bytes)?,
                 Some(ResponsePart::End) => break,
-                None if read_some(stream, &mut buffer).await? > 0 => {}
-                None if reader.is_complete_at_close() => break,
+                None if connection.is_complete_at_close() => break,
                 None => return Err(VoteError::Truncated),
             }
         }
         let (status, is_last) = head.ok_or(VoteError::NoHead)?;
-        Ok(Response { status, body: body.take(), keeps_connection: !is_last && buffer.is_empty() })
+        Ok(Response {
+            status,
+            body: body.take(),
+            keeps_connection: !is_last && !connection.has_unparsed_input(),
+        })
     }
 }
 
