--- a/crates/control-plane/src/driver/startup.rs
+++ b/crates/control-plane/src/driver/startup.rs
@@ -29,7 +29,7 @@
 pub(super) struct ControlService {
     pub(super) driver: ControlPlaneDriver,
     /// Events of discovery and the platform.
-    pub(super) gateway_events: mpsc::Receiver<DriverEvent>,
+    pub(super) upstream_events: mpsc::Receiver<DriverEvent>,
     /// Events of proxies' streams.
     pub(super) server_events: mpsc::Receiver<ServerEvent>,
     /// The result of the xDS server, when it ends.
@@ -53,7 +53,7 @@
 
     let listener = bind(config.xds.listen)?;
     let listening = listener.local_addr()?;
-    let (event_sender, gateway_events) = mpsc::channel(MAX_PENDING_EVENTS);
+    let (event_sender, upstream_events) = mpsc::channel(MAX_PENDING_EVENTS);
     let (platform_address, address) = watch::channel(config.platform);
     let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
     let votes = platform::spawn_tasks(&mut rng, address, vote_timeout, &event_sender);
@@ -70,7 +70,7 @@
     let xds_listener = XdsListener {
         listener,
         allowed_networks: config.xds.allowed_networks.clone(),
-        max_streams: config.xds.streams_most,
+        max_streams: config.xds.max_streams,
     };
     let xds_server = xds_thread::spawn(xds_listener, context)?;
     tracing::info!(name = config.name, %listening, "control service started");
@@ -84,7 +84,7 @@
         state_writer: store.writer,
         snapshots: snapshot_sender,
     };
-    Ok(ControlService { driver, gateway_events, server_events, xds_server, sent_counters, platform_address })
+    Ok(ControlService { driver, upstream_events, server_events, xds_server, sent_counters, platform_address })
 }
 
 fn read_shared_key(config: &ControlConfig) -> io::Result<Option<Vec<u8>>> {
@@ -104,18 +104,18 @@
             exposure: limits.exposure,
             slow_start: limits.slow_start,
             max_attempts: limits.max_attempts,
-            max_in_flight_per_endpoint: config.xds.in_flight_per_host,
+            max_in_flight_per_endpoint: config.xds.max_in_flight_per_endpoint,
         },
         listener: ListenerConfig {
             address: config.xds.listener,
-            class_header: config.xds.product_header.clone(),
+            class_header: config.xds.class_header.clone(),
             key_header: config.xds.key_header.clone(),
-            connect_timeout: f64::from(config.xds.connect_within_ms),
-            separate_endpoints: config.xds.hosts_apart,
+            connect_timeout: f64::from(config.xds.connect_timeout_ms),
+            separate_endpoints: config.xds.separate_endpoints,
         },
         signer,
-        max_streams: config.xds.streams_most,
-        platform_counts_only: config.xds.evidence == OutcomeSource::Platform,
+        max_streams: config.xds.max_streams,
+        platform_counts_only: config.xds.outcome_source == OutcomeSource::Platform,
     }
 }
 
