--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,52 +1,52 @@
-//! `check`: reads configurations as they would be read at a start, and prints each fault.
+//! The `check` command: validates configurations as at startup, and prints each error.
 
 use latchhaven_gateway::config;
 use latchhaven_operator_config::line_of;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// The ending of operators' scripts.
+/// The file extension of operators' scripts.
 const SCRIPT_EXTENSION: &str = "star";
 
-/// Checks each file: an operator's script by its ending, anything else as a gateway's configuration.
+/// Validates each file: an operator's script by its extension, any other file as a gateway's configuration.
 pub(crate) fn check(files: &[PathBuf], prints_schema: bool) -> ExitCode {
     if prints_schema {
         println!("{:#}", latchhaven_operator_config::schema());
         return ExitCode::SUCCESS;
     }
-    let mut faults = 0;
+    let mut error_count = 0;
     for file in files {
         let is_script = file.extension().is_some_and(|extension| extension == SCRIPT_EXTENSION);
-        let found = if is_script { script_faults(file) } else { gateway_config_faults(file) };
-        if found.is_empty() {
+        let errors = if is_script { script_errors(file) } else { gateway_config_errors(file) };
+        if errors.is_empty() {
             println!("{}: fit", file.display());
         }
-        for fault in &found {
-            println!("{fault}");
+        for error in &errors {
+            println!("{error}");
         }
-        faults += found.len();
+        error_count += errors.len();
     }
-    if faults == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if error_count == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-fn script_faults(file: &Path) -> Vec<String> {
+fn script_errors(file: &Path) -> Vec<String> {
     match latchhaven_operator_config::read(file) {
-        Err(faults) => faults.0.iter().map(ToString::to_string).collect(),
+        Err(errors) => errors.0.iter().map(ToString::to_string).collect(),
         Ok(loaded) => {
-            let fault = latchhaven_control_plane::settings(&loaded.config).err();
-            fault.into_iter().map(|fault| format!("{}: control.{fault}", file.display())).collect()
+            let error = latchhaven_control_plane::settings(&loaded.config).err();
+            error.into_iter().map(|error| format!("{}: control.{error}", file.display())).collect()
         }
     }
 }
 
-fn gateway_config_faults(file: &Path) -> Vec<String> {
+fn gateway_config_errors(file: &Path) -> Vec<String> {
     let path = file.display().to_string();
-    // Variables of this machine play no part: the file alone is checked.
+    // The environment of this process is ignored: only the file is validated.
     let environment = |name: &str| (name == "BALANCER_CONFIG").then(|| path.clone());
-    let Err(fault) = config::read(environment) else { return Vec::new() };
-    let fault = fault.to_string();
+    let Err(error) = config::read(environment) else { return Vec::new() };
+    let error = error.to_string();
     let text = std::fs::read_to_string(file).unwrap_or_default();
-    let line = line_of(&text, fault.split(':').next().unwrap_or_default());
+    let line = line_of(&text, error.split(':').next().unwrap_or_default());
     let line = line.map(|line| format!(":{line}")).unwrap_or_default();
-    vec![format!("{path}{line}: {fault}")]
+    vec![format!("{path}{line}: {error}")]
 }
--- a/crates/cli/src/demo/clients.rs
+++ b/crates/cli/src/demo/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of the demo's gateway: each sends one request after the other, and counts the outcomes.
+//! Clients of the demo's gateway: each sends one request after another, and counts the outcomes.
 
 use latchhaven_test_support::postgres::{Client, outcome, select, startup};
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 
 /// Pause between two requests of one client.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(8);
-/// Time that a request may take, in ms.
+/// The timeout of a request, in ms.
 const REQUEST_TIMEOUT: u32 = 1500;
 /// SQLSTATEs with which a request is rejected without being executed.
 const REJECTED: [&str; 2] = ["53300", "57P03"];
@@ -32,7 +32,7 @@
     }
 }
 
-/// How many requests ended in which way.
+/// Requests by their outcome.
 #[derive(Clone, Copy)]
 pub(super) struct OutcomeCounts {
     pub(super) succeeded: u64,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Sends requests until stopped; connects again where the gateway closes the connection.
+/// Sends requests until stopped; reconnects if the gateway closes the connection.
 pub(super) fn run_client(
     gateway: SocketAddr, number: usize, counters: &OutcomeCounters, stopped: &AtomicBool,
 ) {
--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -1,7 +1,7 @@
 //! The `demo` command: a rollout of a bad and of a good version on loopback, between fakes.
 //!
 //! - `clients`: clients of the gateway, and the counts of their outcomes.
-//! - `rollout`: the platform's part, one version from its first stage to its end.
+//! - `rollout`: the platform: one version from its first stage to promotion or rollback.
 
 mod clients;
 mod rollout;
@@ -14,7 +14,7 @@
 use latchhaven_test_support::gateway::{GatewayProcess, gateway_config, spawn_gateway};
 use latchhaven_test_support::platform_messages::rollout_state;
 use latchhaven_test_support::process::{Process, wait_for_address};
-use rollout::{FIRST_VERSION, Rollout, RolloutEnd, STAGE_CAPS, endpoint};
+use rollout::{DemoVersion, FIRST_VERSION, Rollout, RolloutEnd, STAGE_CAPS, endpoint};
 use serde_json::{Value, json};
 use std::fmt::Write;
 use std::io;
@@ -28,42 +28,32 @@
 use tokio::runtime::Runtime;
 use tokio::sync::watch;
 
+/// Servers behind the gateway and the proxies.
 const SERVERS: usize = 6;
+/// Proxies of the control service.
 const PROXIES: usize = 3;
+/// Clients of the gateway.
 const CLIENTS: usize = 6;
 /// The versions that are rolled out, one after the other.
 const VERSIONS: [DemoVersion; 2] =
     [DemoVersion { number: 2, is_bad: true }, DemoVersion { number: 3, is_bad: false }];
 /// Classes of requests that the proxies report.
 const CLASSES: &[&str] = &["look", "book", "pay"];
-/// Requests that each proxy reports to have sent to a cluster in one interval.
+/// Requests of each class that each proxy reports in one interval.
 const REPORTED_REQUESTS: u64 = 200;
 /// Failures among the requests that proxies report for a bad version, as a share.
 const BAD_VERSION_FAILURE_SHARE: f64 = 0.33;
 /// Mean latency that proxies report, in ms.
 const REPORTED_LATENCY: f64 = 4.0;
 
-#[derive(Clone, Copy)]
-struct DemoVersion {
-    number: u32,
-    is_bad: bool,
-}
-
-impl DemoVersion {
-    /// True where the rollout ended as it should: a bad version rolled back, a good one promoted.
-    fn expects(self, end: RolloutEnd) -> bool {
-        end == if self.is_bad { RolloutEnd::RolledBack } else { RolloutEnd::Promoted }
-    }
-}
-
-/// What one rollout came to.
+/// The result of one rollout.
 struct RolloutSummary {
     version: DemoVersion,
     end: RolloutEnd,
     outcomes: OutcomeCounts,
 }
 
-/// Runs the demo; exit code 1 where the bad version was not rolled back or the good one not promoted.
+/// Runs the demo; exit code 1 if the bad version was not rolled back or the good one not promoted.
 ///
 /// # Errors
 /// A temporary file or the runtime of the fakes cannot be created.
@@ -79,7 +69,7 @@
         let rollout = Rollout {
             platform: &environment.platform,
             servers: &environment.servers,
-            proxies: &proxies.proxies,
+            proxies: &proxies.fakes,
             counters: &clients.counters,
             version,
             start,
@@ -109,7 +99,7 @@
     table
 }
 
-/// A gateway, a control service and their surroundings; the processes end, and files are removed, with it.
+/// A gateway, a control service and the fakes around them. Dropping it ends the processes and removes their files.
 struct Environment {
     servers: Vec<FakeServer>,
     platform: FakePlatform,
@@ -187,11 +177,11 @@
     }
 }
 
-/// Proxies that take their resources from the control service and report load to it; they stop when dropped.
+/// Proxies that subscribe to the control service and report load to it; they stop when dropped.
 struct Proxies {
-    proxies: Vec<FakeProxy>,
+    fakes: Vec<FakeProxy>,
     behavior: watch::Sender<ProxyBehavior>,
-    /// The version whose requests fail at the proxies; 0 where none do.
+    /// The version whose requests fail at the proxies; 0 if there is none.
     bad_version: Arc<AtomicU32>,
     runtime: Option<Runtime>,
 }
@@ -203,15 +193,15 @@
         let (behavior, behavior_receiver) = watch::channel(behavior);
         let bad_version = Arc::new(AtomicU32::new(0));
         let outcomes = reported_outcomes(bad_version.clone());
-        let proxies: Vec<FakeProxy> =
+        let fakes: Vec<FakeProxy> =
             (0..PROXIES).map(|number| FakeProxy::new(number, number % 2 == 1)).collect();
-        for proxy in &proxies {
+        for proxy in &fakes {
             runtime.spawn(proxy.clone().run(behavior_receiver.clone(), seed, Arc::new(|_, _, _| ())));
             let load =
                 ReportedLoad { classes: CLASSES, requests: REPORTED_REQUESTS, outcomes: outcomes.clone() };
             runtime.spawn(proxy.clone().run_load_reports(behavior_receiver.clone(), seed, load));
         }
-        Ok(Proxies { proxies, behavior, bad_version, runtime: Some(runtime) })
+        Ok(Proxies { fakes, behavior, bad_version, runtime: Some(runtime) })
     }
 
     fn set_bad_version(&self, version: DemoVersion) {
--- a/crates/cli/src/demo/rollout.rs
+++ b/crates/cli/src/demo/rollout.rs
@@ -1,6 +1,5 @@
-//! The platform's part of a rollout: it starts servers with the new version stage by stage, and follows the votes.
+//! The platform: it starts servers with the new version stage by stage, and acts on the votes.
 
-use super::DemoVersion;
 use super::clients::OutcomeCounters;
 use latchhaven_test_support::fake_platform::{FakePlatform, Vote};
 use latchhaven_test_support::fake_proxy::FakeProxy;
@@ -12,25 +11,39 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The version that all servers run at the start, and again after a rollback.
+/// The baseline: all servers run it at the start, and again after a rollback.
 pub(super) const FIRST_VERSION: u32 = 1;
 /// The largest share of requests that a version may get in each stage.
 pub(super) const STAGE_CAPS: [f64; 2] = [0.3, 1.0];
-/// How many servers run the version in each stage.
+/// Servers that run the version in each stage.
 const STAGE_SERVERS: [usize; 2] = [2, 4];
-/// Shortest time in a stage, and the time that a rollback takes.
+/// The shortest time in a stage, and the duration of a rollback.
 const SOAK_TIME: Duration = Duration::from_secs(1);
-/// A version that is not decided on by then counts as undecided.
+/// The longest time of a rollout; without a decision it then ends as undecided.
 const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(25);
 /// Time between two checks of the votes.
 const VOTE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time between two printed lines.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Of the requests to a bad version, one in so many fails.
+/// The interval of failures among requests to a bad version.
 const BAD_VERSION_FAILS_ONE_IN: usize = 3;
-/// Parts of a million in one percent.
+/// Parts per million in one percent.
 const PARTS_PER_PERCENT: f64 = 1e4;
 
+/// A version that the demo rolls out.
+#[derive(Clone, Copy)]
+pub(super) struct DemoVersion {
+    pub(super) number: u32,
+    pub(super) is_bad: bool,
+}
+
+impl DemoVersion {
+    /// True if the rollout ended as expected: a bad version rolled back, a good one promoted.
+    pub(super) fn expects(self, end: RolloutEnd) -> bool {
+        end == if self.is_bad { RolloutEnd::RolledBack } else { RolloutEnd::Promoted }
+    }
+}
+
 /// How a rollout ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum RolloutEnd {
@@ -49,7 +62,7 @@
     }
 }
 
-/// One endpoint of the list: a server that started with a version at this time, in ms since 1970.
+/// The endpoint of a server that started with a version at this time, in Unix ms.
 pub(super) fn endpoint(index: usize, server: &FakeServer, version: u32, started_at: u64) -> Value {
     let mut endpoint = host(&format!("s{index}"), server.addr, "up", version);
     endpoint["born_ms"] = json!(started_at);
@@ -67,11 +80,11 @@
     pub(super) proxies: &'a [FakeProxy],
     pub(super) counters: &'a OutcomeCounters,
     pub(super) version: DemoVersion,
-    /// Printed times count from here.
+    /// The start of printed times.
     pub(super) start: Instant,
 }
 
-/// The stage that a rollout is in, and since when.
+/// The stage of a rollout, and when it began.
 struct CurrentStage {
     index: usize,
     since: Instant,
@@ -88,7 +101,7 @@
 }
 
 impl Rollout<'_> {
-    /// Runs the rollout until the votes decide on it, or until its time is over.
+    /// Runs the rollout until the votes decide on it, or until its timeout.
     pub(super) fn run(&self) -> RolloutEnd {
         let begin = Instant::now();
         let mut last_report = begin;
@@ -172,7 +185,7 @@
         self.platform.update_hosts(&endpoints);
     }
 
-    /// Prints one line: the time, what happened, the share of requests that each proxy sends to the version.
+    /// Prints one line: the time, the event, and the share of requests that each proxy routes to the version.
     fn report(&self, event: &str) {
         let version = self.version.number;
         let shares: Vec<String> = self
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,8 @@
-//! The program `latchhaven`: its command line, its log, and how it ends.
+//! The program `latchhaven`: its command line, its log and its exit code.
+
+#![warn(clippy::pedantic)]
+#![allow(clippy::cast_possible_truncation, reason = "stages and times in ms are small")]
+#![allow(clippy::doc_markdown, reason = "doc comments of the command line are printed as its help")]
 
 mod check;
 mod demo;
@@ -15,24 +19,24 @@
 use tracing::Level;
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
 
-/// Log lines held for a reader that is behind; further ones are dropped rather than waited for.
+/// Log lines that are buffered for a slow reader; further ones are dropped, so that logging never blocks.
 const MAX_BUFFERED_LOG_LINES: usize = 2048;
-/// How long the process waits at its end for the last log lines to be taken.
+/// The longest time that the process waits for the last log lines to be written before it exits.
 const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
-/// The variable that sets the log level where no flag does.
+/// The environment variable that sets the log level without a flag.
 const LOG_LEVEL_VARIABLE: &str = "LATCHHAVEN_LOG";
 
-/// Routes requests while software versions roll out, and judges the versions.
+/// Routes requests while software versions roll out, and analyses the canaries.
 #[derive(Parser)]
 #[command(name = "latchhaven", version)]
 struct Cli {
-    /// How log lines are written, on standard error.
+    /// The format of log lines on standard error.
     #[arg(long, global = true, value_enum, default_value = "text")]
     log_format: LogFormat,
-    /// From which level on lines are written; LATCHHAVEN_LOG holds where this is not given.
+    /// The lowest level that is logged; by default the value of LATCHHAVEN_LOG.
     #[arg(long, global = true, value_enum)]
     log_level: Option<LogLevel>,
-    /// A gateway logs its counters every so many seconds, as on SIGUSR1; not at all where this is not given.
+    /// The interval in seconds at which a gateway logs its counters; by default it logs them on SIGUSR1 only.
     #[arg(long, value_name = "SECONDS", value_parser = clap::value_parser!(u32).range(1..), global = true)]
     counters_every: Option<u32>,
     #[command(subcommand)]
@@ -64,24 +68,24 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs one gateway, configured by BALANCER_CONFIG and its like; also without any command.
+    /// Runs one gateway, configured by BALANCER_CONFIG and the other variables; the default command.
     Serve,
     /// Runs a control service that publishes decisions to other proxies over xDS.
     Control {
-        /// The operator's file, a Starlark script.
+        /// The operator's configuration, a Starlark script.
         file: PathBuf,
     },
-    /// Reads configurations (.star or .json) and prints each fault; ends with 1 where there is any.
+    /// Validates configurations (.star or .json) and prints each error; exits with 1 if there are any.
     Check {
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Prints the schema of operators' files instead.
+        /// Prints the schema of operators' configurations instead.
         #[arg(long, conflicts_with = "files")]
         schema: bool,
     },
-    /// Plays a rollout of a bad and a good version between fakes on loopback, in about 30 s.
+    /// Rolls out a bad and a good version between fakes on loopback, in about 30 s.
     Demo {
-        /// Seeds the decisions.
+        /// The seed of the random numbers.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
@@ -89,7 +93,7 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let worker_guard = start_log(cli.log_format, cli.log_level);
+    let log_writer = start_log(cli.log_format, cli.log_level);
     let counters_interval = cli.counters_every.map(|seconds| Duration::from_secs(seconds.into()));
     let result = match cli.command {
         None | Some(Command::Serve) => run_gateway(counters_interval),
@@ -97,7 +101,7 @@
         Some(Command::Check { files, schema }) => Ok(check::check(&files, schema)),
         Some(Command::Demo { seed }) => demo::demo(seed),
     };
-    flush_log(worker_guard);
+    flush_log(log_writer);
     match result {
         Ok(code) => code,
         Err(error) => {
@@ -107,17 +111,17 @@
     }
 }
 
-/// Starts the log on standard error; a reader that is behind stalls nothing.
+/// Starts the log on standard error; a slow reader blocks no other task.
 fn start_log(format: LogFormat, level: Option<LogLevel>) -> WorkerGuard {
     let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_BUFFERED_LOG_LINES);
-    let (writer, guard) = builder.finish(io::stderr());
+    let (writer, worker) = builder.finish(io::stderr());
     let level = level.map_or_else(log_level_from_environment, Level::from);
     let subscriber = tracing_subscriber::fmt().with_writer(writer).with_max_level(level).with_ansi(false);
     match format {
         LogFormat::Text => subscriber.with_target(false).init(),
         LogFormat::Json => subscriber.json().flatten_event(true).init(),
     }
-    guard
+    worker
 }
 
 fn log_level_from_environment() -> Level {
@@ -128,11 +132,11 @@
     }
 }
 
-/// Has the last log lines written. Behind a full pipe the guard would wait, and complain where nobody reads either.
-fn flush_log(worker_guard: WorkerGuard) {
+/// Writes the last log lines. Dropping the writer can block on a full pipe, so this runs on a thread with a time limit.
+fn flush_log(log_writer: WorkerGuard) {
     let (flushed, wait) = mpsc::channel();
     thread::spawn(move || {
-        drop(worker_guard);
+        drop(log_writer);
         let _ = flushed.send(());
     });
     let _ = wait.recv_timeout(LOG_FLUSH_TIMEOUT);
@@ -147,7 +151,7 @@
     run_on_one_thread(latchhaven_control_plane::serve(loaded.config)).map(|()| ExitCode::SUCCESS)
 }
 
-/// One thread and no locks: tasks of a gateway or control service take turns.
+/// Runs all tasks of a gateway or control service on one thread, without locks.
 fn run_on_one_thread(work: impl Future<Output = io::Result<()>>) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, work)
--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -109,8 +109,8 @@
     }
 
     /// Begins an attempt and returns the time remaining in ms, which is sent to the gateway; none where an attempt must
-    /// not be written now. The driver calls this immediately before writing: a call that was queued for a connection may
-    /// have passed its timeout or its deduplication window.
+    /// not be written now. The driver calls this immediately before writing: a call that was queued for a connection
+    /// may have passed its timeout or its deduplication window.
     pub fn begin_attempt(&mut self, now: &Timestamp) -> Option<Millis> {
         let conditions = self.retry_conditions(now);
         if self.is_finished || !conditions.can_send_now() {
--- a/crates/client/src/pool.rs
+++ b/crates/client/src/pool.rs
@@ -1,8 +1,8 @@
 //! Which connections are opened, retained and closed, and which call gets one. Pure: a driver carries out the actions.
 //!
-//! Problem: when a gateway is lost, all its processes lose it simultaneously and would overload the next one. Method: each
-//! process prefers gateways by random ranks of its own, and reconnects, to the same gateway or to the next by rank, after
-//! a random delay; first with a single connection, and with more once that one has carried an answer.
+//! Problem: when a gateway is lost, all its processes lose it simultaneously and would overload the next one. Method:
+//! each process prefers gateways by random ranks of its own, and reconnects, to the same gateway or to the next by
+//! rank, after a random delay; first with a single connection, and with more once that one has carried an answer.
 
 mod gateway;
 mod queue;
@@ -267,7 +267,8 @@
     /// Monotonic time in ms at which [`Pool::poll`] must be called at the latest.
     #[must_use]
     pub fn next_poll_at(&self) -> Millis {
-        // Where no connection may be opened, or a gateway's only one has not answered yet, an event leads to the next step.
+        // Where no connection may be opened, or a gateway's only one has not answered yet, an event leads to the next
+        // step.
         let mut next_poll_at = f64::INFINITY;
         if self.needs_connection() {
             for (_, gateway) in self.available_gateways() {
--- a/crates/client/src/rules.rs
+++ b/crates/client/src/rules.rs
@@ -1,9 +1,9 @@
-//! The rules and limits of calls, retries, reconnects and pools. Pure: times, states and the random number generator are
-//! parameters. [`crate::call`], [`crate::retry_budget`] and [`crate::pool`] own the state and apply the rules.
+//! The rules and limits of calls, retries, reconnects and pools. Pure: times, states and the random number generator
+//! are parameters. [`crate::call`], [`crate::retry_budget`] and [`crate::pool`] own the state and apply the rules.
 //!
 //! Problem: clients that lose a gateway together would reconnect and retry together, and overload the others.
-//! Method: delays with full jitter, a retry budget that is earned by first attempts, and a single connection to a gateway
-//! that has not answered since it failed.
+//! Method: delays with full jitter, a retry budget that is earned by first attempts, and a single connection to a
+//! gateway that has not answered since it failed.
 
 use latchhaven_backoff::{ExponentialBackoff, Jitter, Millis};
 use rand::{Rng, RngExt};
--- a/crates/client/tests/call.rs
+++ b/crates/client/tests/call.rs
@@ -137,8 +137,8 @@
 proptest! {
     #![proptest_config(latchhaven_proptest_config::deterministic())]
 
-    /// Over any outcomes at any times: at most one attempt of a non-idempotent call that was possibly executed, one with
-    /// a key sent again only within the deduplication window, nothing written after the timeout, one result.
+    /// Over any outcomes at any times: at most one attempt of a non-idempotent call that was possibly executed, one
+    /// with a key sent again only within the deduplication window, nothing written after the timeout, one result.
     #[test]
     fn every_call_follows_the_rules(
         idempotency in any_idempotency(), timeout in 1.0f64..5_000.0, seed: u64,
--- a/crates/client/tests/pool.rs
+++ b/crates/client/tests/pool.rs
@@ -244,8 +244,8 @@
 proptest! {
     #![proptest_config(latchhaven_proptest_config::deterministic())]
 
-    /// Over any order of events: the limits are never exceeded, each call gets one connection or is rejected once, and no connection
-    /// is in use by two calls.
+    /// Over any order of events: the limits are never exceeded, each call gets one connection or is rejected once,
+    /// and no connection is in use by two calls.
     #[test]
     fn limits_hold_and_no_connection_serves_two_calls(
         steps in prop::collection::vec(any_step(), 0..200), seed: u64
--- a/crates/simulator-protocol/src/settings/update_delays.rs
+++ b/crates/simulator-protocol/src/settings/update_delays.rs
@@ -28,8 +28,8 @@
         UpdateDelays { start: delay, lost_watch: delay, silent_watch: delay, moved: delay }
     }
 
-    /// The delays on sockets. Where the simulator pushes lists, a change counts as reported immediately, unless the watch
-    /// is open and silent or the gateway has moved.
+    /// The delays on sockets. Where the simulator pushes lists, a change counts as reported immediately, unless the
+    /// watch is open and silent or the gateway has moved.
     pub(super) fn on_sockets(is_pushed: bool) -> Self {
         UpdateDelays {
             start: 0.0,
--- a/crates/test-support/src/resource_cache/cache.rs
+++ b/crates/test-support/src/resource_cache/cache.rs
@@ -1,5 +1,5 @@
-//! Applies responses to the cached resources and makes the next requests. It counts protocol violations: an older version
-//! after a newer one, and a reference to a resource that is not cached.
+//! Applies responses to the cached resources and makes the next requests. It counts protocol violations: an older
+//! version after a newer one, and a reference to a resource that is not cached.
 
 use super::decode::{CachedResource, decode};
 use latchhaven_proxy_config::version::{ConfigVersion, VersionSigner};
