--- a/crates/experiments/src/event_queue.rs
+++ b/crates/experiments/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! Events in simulated time, ordered by time; those of the same time in the order in which they were scheduled.
+//! Events in simulated time, ordered by time; events of the same time are in the order in which they were scheduled.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -30,7 +30,7 @@
     }
 }
 
-/// Events to come; times are in ms.
+/// Scheduled events; times are in ms.
 pub(crate) struct EventQueue<E> {
     last_sequence: u64,
     scheduled: BinaryHeap<ScheduledEvent<E>>,
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,5 +1,5 @@
-//! Experiments on loopback or in simulated time: seeded, with sizes as flags. Each prints one JSON object of figures
-//! last, and exits with 1 where a requirement was not met.
+//! Experiments on loopback or in simulated time. Each is seeded, has its sizes as flags, prints one JSON object of
+//! results last, and exits with 1 if a requirement was not met.
 
 mod event_queue;
 mod reconnect_storm;
@@ -10,7 +10,7 @@
 use clap::{Parser, Subcommand};
 use std::process::ExitCode;
 
-/// Measures this project's programs against stand-ins.
+/// Measures this project's programs against fakes.
 #[derive(Parser)]
 #[command(name = "latchhaven-experiments", version)]
 struct Cli {
@@ -20,25 +20,25 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Proxies that hold what a control service hands out, while builds roll out and hosts come and go.
+    /// Proxies on a control service, while versions roll out and hosts are added and drained.
     Xds(xds::Sizes),
-    /// A crowd of clients loses a gateway at once, in simulated time.
+    /// Many clients lose a gateway simultaneously, in simulated time.
     #[command(name = "crowd")]
     ReconnectStorm(reconnect_storm::Sizes),
-    /// Days in simulated time: routed by handouts, by gateways, and evenly.
+    /// Days in simulated time: requests are routed by configured proxies, by gateways, and evenly.
     #[command(name = "day")]
     RolloutSimulation(rollout_simulation::Sizes),
-    /// Gateways as processes under faults, judged by the rules.
+    /// Gateway processes under faults; their records are checked against the rules.
     Soak(soak::Sizes),
 }
 
 fn main() -> ExitCode {
-    let (figures, is_passed) = match Cli::parse().command {
+    let (results, is_passed) = match Cli::parse().command {
         Command::Xds(sizes) => xds::run(&sizes),
         Command::ReconnectStorm(sizes) => reconnect_storm::run(&sizes),
         Command::RolloutSimulation(sizes) => rollout_simulation::run(&sizes),
         Command::Soak(sizes) => soak::run(&sizes),
     };
-    println!("{figures}");
+    println!("{results}");
     if is_passed { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/crates/experiments/src/reconnect_storm.rs
+++ b/crates/experiments/src/reconnect_storm.rs
@@ -1,11 +1,11 @@
-//! Many clients lose a gateway at once, in simulated time: the client library beside three ways in which applications
-//! reconnect on their own. The same seed gives the same clients, calls and loss.
+//! Many clients lose a gateway simultaneously, in simulated time. The client library is compared with three ways in
+//! which applications reconnect by themselves. The same seed gives the same clients, calls and loss.
 //!
 //! - `sizes`: the command line.
-//! - `model`: gateways, clients and calls, and what is counted.
+//! - `model`: gateways, clients, calls and counts.
 //! - `simulation`: the events, calls and their outcomes.
-//! - `connections`: how clients connect and reconnect.
-//! - `gateway_work`: how gateways work, and how one is lost.
+//! - `connections`: connecting and reconnecting clients.
+//! - `gateway_work`: the queues of gateways, and the loss of one gateway.
 
 mod connections;
 mod gateway_work;
@@ -22,24 +22,24 @@
 
 /// Seconds after the loss in which connection attempts are counted.
 const COUNTED_SECONDS: u64 = 25;
-/// Seconds after the loss whose connection attempts are printed one by one.
+/// Seconds after the loss whose connection attempts are printed individually.
 const PRINTED_SECONDS: u64 = 12;
-/// Range in which 99 % of the clients that lost their gateway are to be served again, in ms.
+/// The required range of the time until 99 % of the disconnected clients are served again, in ms.
 const RECOVERY_RANGE: std::ops::RangeInclusive<Millis> = 3_000.0..=10_000.0;
-/// The library's peak of connection attempts is to be below that of immediate reconnects divided by this.
+/// The library's peak of connection attempts must be below that of immediate reconnects divided by this.
 const PEAK_DIVISOR: u64 = 5;
 
-/// The figures of one style that are compared with those of others.
+/// The results of one style that are compared with the other styles.
 #[derive(Clone, Copy)]
 struct Summary {
     value_in_time: f64,
     peak_connects: u64,
     repeated_payments: u64,
-    /// When 99 % of the clients that lost their gateway were served again, in ms after the loss.
+    /// When 99 % of the disconnected clients were served again, in ms after the loss.
     recovered_99: Millis,
 }
 
-/// Simulates the loss in all four styles; the figures, and whether the library did what it must.
+/// Simulates the loss in all four styles; returns the results, and whether the library met its requirements.
 pub(crate) fn run(sizes: &Sizes) -> (Value, bool) {
     let until = sizes.seconds as Millis * MILLIS_PER_SECOND;
     let mut rows = Map::new();
@@ -48,24 +48,24 @@
         let mut counts = Simulation::new(style, sizes).run(until);
         counts.recovered_after.sort_by(f64::total_cmp);
         let summary = summarize(&counts);
-        rows.insert(style.name().to_string(), figures(&counts, &summary));
+        rows.insert(style.name().to_string(), style_results(&counts, &summary));
         summaries.insert(style, summary);
     }
     let broken = broken_requirements(&summaries);
     let is_passed = broken.is_empty();
-    let figures = json!({"experiment": "crowd", "clients": sizes.clients, "gateways": sizes.gateways,
+    let results = json!({"experiment": "crowd", "clients": sizes.clients, "gateways": sizes.gateways,
         "seconds": sizes.seconds, "seed": sizes.seed, "load": sizes.load, "ways": rows, "broken": broken,
         "servers": "simulated, in simulated time"});
-    (figures, is_passed)
+    (results, is_passed)
 }
 
-/// Connection attempts in each of the first seconds after the loss that had any.
+/// Connection attempts in each of the first seconds after the loss, without seconds that had none.
 fn connects_after_loss(counts: &Counts, seconds: u64) -> impl Iterator<Item = u64> {
     let lost_second = (LOST_AT / MILLIS_PER_SECOND) as u64;
     counts.connects_by_second.range(lost_second..lost_second + seconds).map(|(_, connects)| *connects)
 }
 
-/// When this share of the clients that lost their gateway was served again; `recovered_after` is sorted.
+/// When this share of the disconnected clients was served again; `recovered_after` must be sorted.
 fn recovered(counts: &Counts, share: f64) -> Option<Millis> {
     let count = (counts.disconnected as f64 * share).ceil() as usize;
     counts.recovered_after.get(count.saturating_sub(1)).copied()
@@ -81,7 +81,7 @@
     }
 }
 
-fn figures(counts: &Counts, summary: &Summary) -> Value {
+fn style_results(counts: &Counts, summary: &Summary) -> Value {
     json!({
         "struck": counts.disconnected, "dials_peak_a_second": summary.peak_connects,
         "dials_in_25_s": connects_after_loss(counts, COUNTED_SECONDS).sum::<u64>(),
--- a/crates/experiments/src/reconnect_storm/connections.rs
+++ b/crates/experiments/src/reconnect_storm/connections.rs
@@ -1,4 +1,4 @@
-//! How clients connect and reconnect.
+//! Connecting and reconnecting clients.
 
 use super::model::{
     MAX_PENDING_HANDSHAKES, MILLIS_PER_SECOND, NETWORK_LATENCY, ReconnectStyle, SentAttempt, Work,
@@ -17,14 +17,14 @@
 const FIRST_EXPONENTIAL_DELAY: Millis = 100.0;
 /// The longest exponential delay, in ms.
 const MAX_EXPONENTIAL_DELAY: Millis = 10_000.0;
-/// Failures in a row after which delays no longer double.
+/// Consecutive failures after which delays no longer double.
 const MAX_COUNTED_FAILURES: u32 = 16;
-/// Time between two polls of a pool at least, in ms.
+/// The shortest time between two polls of a pool, in ms.
 const MIN_POLL_INTERVAL: Millis = 0.1;
 
 impl Simulation {
-    /// Performs actions of a client's pool, and schedules its next poll. All styles use the library's pool; only it
-    /// decides where the library connects to.
+    /// Carries out actions of a client's pool, and schedules its next poll. All styles use the library's pool; the
+    /// other styles choose a random gateway.
     pub(super) fn perform(&mut self, client: usize, actions: Vec<PoolAction>) {
         let mut actions = VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
@@ -72,7 +72,7 @@
         self.schedule(at + NETWORK_LATENCY, StormEvent::Connect { client, link, gateway });
     }
 
-    /// Sends a call on a connection; false where it is no longer to be sent.
+    /// Sends a call on a connection; false if it must not be sent any more.
     fn send_call(&mut self, client: usize, id: u64, link: u64) -> bool {
         let now = self.timestamp();
         let Some(call) = self.calls.get_mut(&id).filter(|call| call.is_queued) else { return false };
@@ -97,7 +97,7 @@
         self.enqueue_work(gateway, Work::Handshake { client, link });
     }
 
-    /// A connection attempt failed. The library's pool waits by itself; the other styles by their own delays.
+    /// A connection attempt failed. The library's pool has its own delay; the other styles use theirs.
     fn on_connect_failed(&mut self, client: usize, link: u64) {
         let state = &mut self.clients[client];
         state.links.remove(&link);
@@ -106,7 +106,7 @@
             let actions = state.pool.on_connect_failed(link, self.now);
             return self.perform(client, actions);
         }
-        // Where the pool would connect at once, the style's own delay comes first.
+        // The pool would connect immediately: the delay of the style is added.
         let actions = state.pool.discard(link, self.now);
         let delay = self.reconnect_delay(client);
         for action in actions {
--- a/crates/experiments/src/reconnect_storm/gateway_work.rs
+++ b/crates/experiments/src/reconnect_storm/gateway_work.rs
@@ -1,11 +1,11 @@
-//! How gateways work through their queues, and how one is lost.
+//! The queues of gateways, and the loss of one gateway.
 
 use super::model::{HANDSHAKE_COST, LOST_AT, PAYMENT_KIND, ReconnectStyle, Work};
 use super::simulation::{Simulation, StormEvent};
 use latchhaven_client::call::AttemptOutcome;
 use rand::RngExt;
 
-/// The share of the payments on their way to a lost gateway that were executed.
+/// The share of the payments in flight to a lost gateway that were executed.
 const EXECUTED_SHARE: f64 = 0.5;
 
 impl Simulation {
@@ -60,7 +60,7 @@
     fn finish_request(&mut self, client: usize, link: u64, call: u64) {
         let pending = self.calls.get(&call);
         let is_awaited = pending.is_some_and(|pending| pending.is_sent_on(link));
-        // A payment is executed whether anybody still waits or not.
+        // A payment is executed even if its client no longer waits.
         if pending.is_some_and(|pending| pending.kind == PAYMENT_KIND) {
             *self.counts.executions.entry(call).or_default() += 1;
         }
@@ -77,7 +77,7 @@
         self.perform(client, actions);
     }
 
-    /// The first gateway is lost with its queue and its connections.
+    /// The first gateway is lost, with its queue and its connections.
     pub(super) fn lose_gateway(&mut self) {
         let gateway = &mut self.gateways[0];
         gateway.is_up = false;
@@ -109,14 +109,14 @@
             _ => pool.discard(link, self.now),
         };
         self.perform(client, actions);
-        // Applications on their own connect at once, whether they have a call or not.
+        // Applications without the library reconnect even without a call.
         if self.style != ReconnectStyle::Library {
             let actions = self.clients[client].pool.acquire(u64::MAX - client as u64, 0.0, self.now);
             self.perform(client, actions);
         }
     }
 
-    /// A call was on its way. A part of the payments was executed; only the response was lost.
+    /// A call was in flight. A share of the payments was executed, and only the response was lost.
     fn lose_call(&mut self, id: u64) {
         if self.calls[&id].kind == PAYMENT_KIND && self.rng.random::<f64>() < EXECUTED_SHARE {
             *self.counts.executions.entry(id).or_default() += 1;
--- a/crates/experiments/src/reconnect_storm/model.rs
+++ b/crates/experiments/src/reconnect_storm/model.rs
@@ -11,33 +11,33 @@
 pub(super) const MILLIS_PER_SECOND: Millis = 1000.0;
 /// When the first gateway is lost, in ms.
 pub(super) const LOST_AT: Millis = 10_000.0;
-/// When it is back, in ms.
+/// When it is available again, in ms.
 pub(super) const BACK_AT: Millis = 35_000.0;
 /// Calls of one client in one second.
 pub(super) const CALLS_PER_SECOND: f64 = 0.5;
 /// A new connection costs a gateway as much as so many requests.
 pub(super) const HANDSHAKE_COST: f64 = 3.0;
-/// Connections that wait for their handshake at most; further ones are refused.
+/// Connections in handshake at most; further ones are refused.
 pub(super) const MAX_PENDING_HANDSHAKES: usize = 1024;
-/// A response within this time counts as in time, in ms.
+/// The latency objective of a call, in ms.
 pub(super) const LATENCY_OBJECTIVE: Millis = 600.0;
-/// Limit for a call, in ms.
+/// The timeout of a call, in ms.
 pub(super) const CALL_TIMEOUT: Millis = 2_500.0;
-/// Time that a request needs at least, in ms: nothing is sent with less left.
+/// The shortest time remaining with which a request is sent, in ms.
 pub(super) const MIN_REQUEST_TIME: Millis = 5.0;
 /// How long servers recognize a repeated request by its key, in ms.
 const DEDUP_WINDOW: Millis = 5_000.0;
-/// How long a message takes, in ms.
+/// The latency of a message, in ms.
 pub(super) const NETWORK_LATENCY: Millis = 1.0;
 
 /// A kind of call.
 pub(super) struct CallKind {
     pub(super) effect: Idempotency,
-    /// What an answer in time is worth.
+    /// The value of an answer within the latency objective.
     pub(super) value: f64,
 }
 
-/// The kinds of calls, all as frequent. The last one is a payment without a key.
+/// The kinds of calls, equally frequent. The last one is a payment without a key.
 pub(super) const CALL_KINDS: [CallKind; 4] = [
     CallKind { effect: Idempotency::Idempotent, value: 1.0 },
     CallKind { effect: Idempotency::Idempotent, value: 1.0 },
@@ -50,9 +50,9 @@
 /// How a client reconnects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ReconnectStyle {
-    /// The client library decides.
+    /// As the client library decides.
     Library,
-    /// Almost at once.
+    /// Almost immediately.
     Immediate,
     /// After a fixed delay.
     FixedDelay,
@@ -61,7 +61,7 @@
 }
 
 impl ReconnectStyle {
-    /// All styles in the order of their figures.
+    /// All styles in the order of the results.
     pub(super) const ALL: [ReconnectStyle; 4] = [
         ReconnectStyle::Library,
         ReconnectStyle::Immediate,
@@ -69,7 +69,7 @@
         ReconnectStyle::Exponential,
     ];
 
-    /// The name among the figures.
+    /// The name in the results.
     pub(super) fn name(self) -> &'static str {
         match self {
             ReconnectStyle::Library => "library",
@@ -80,7 +80,7 @@
     }
 }
 
-/// What a gateway has to do.
+/// A unit of work of a gateway.
 #[derive(Clone, Copy)]
 pub(super) enum Work {
     Handshake { client: usize, link: u64 },
@@ -89,7 +89,7 @@
 
 pub(super) struct Gateway {
     pub(super) is_up: bool,
-    /// Increased when it is lost: work of an earlier incarnation is void.
+    /// Increased when it is lost: work of an earlier incarnation is discarded.
     pub(super) incarnation: u64,
     pub(super) queue: VecDeque<Work>,
     pub(super) pending_handshakes: usize,
@@ -108,15 +108,15 @@
     pub(super) rng: Pcg64Mcg,
     /// The gateways of open connections.
     pub(super) links: BTreeMap<u64, usize>,
-    /// When its pool is to be polled next.
+    /// When its pool is polled next, in ms.
     pub(super) next_poll_at: Millis,
-    /// Attempts in a row that failed.
+    /// Consecutive failures.
     pub(super) failures: u32,
     /// It lost its gateway and has not been served since.
     pub(super) is_disconnected: bool,
 }
 
-/// An attempt on its way.
+/// An attempt in flight.
 #[derive(Clone, Copy)]
 pub(super) struct SentAttempt {
     pub(super) at: Millis,
@@ -129,7 +129,7 @@
     pub(super) started_at: Millis,
     pub(super) call: Call,
     pub(super) sent: Option<SentAttempt>,
-    /// It waits for a connection.
+    /// It is queued for a connection.
     pub(super) is_queued: bool,
 }
 
@@ -139,12 +139,12 @@
     }
 }
 
-/// What is counted over one simulation.
+/// The counts of one simulation.
 #[derive(Default)]
 pub(super) struct Counts {
     pub(super) value_requested: f64,
     pub(super) value_in_time: f64,
-    /// Work whose result nobody waited for, in ms.
+    /// Work whose client no longer waited, in ms.
     pub(super) wasted_work: f64,
     /// All work, in ms.
     pub(super) work: f64,
--- a/crates/experiments/src/reconnect_storm/simulation.rs
+++ b/crates/experiments/src/reconnect_storm/simulation.rs
@@ -16,9 +16,9 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// The wall clock at the beginning, in ms: far from zero, and the same in each run.
+/// The wall clock at the start, in ms; constant, so that runs are reproducible.
 const WALL_CLOCK_START: Millis = 1e12;
-/// PoolLimits of each client's pool; times in ms.
+/// The limits of each client's pool; times in ms.
 const POOL_LIMITS: PoolLimits = PoolLimits {
     max_connections: 1,
     max_connecting: 1,
@@ -26,15 +26,15 @@
     idle_timeout: 30_000.0,
     max_age: 600_000.0,
 };
-/// Spreads the seeds of the pools.
+/// Separates the seeds of the pools.
 const POOL_SEED_FACTOR: u64 = 1_000_003;
 
-/// What happens in simulated time.
+/// An event in simulated time.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum StormEvent {
     /// A client starts its next call.
     StartCall(usize),
-    /// A call may be attempted.
+    /// The backoff of a call is over.
     AttemptCall(u64),
     /// A client's pool is due.
     PollPool(usize),
@@ -46,7 +46,7 @@
     CallTimeout(u64),
     /// The first gateway is lost.
     LoseGateway,
-    /// The first gateway is back.
+    /// The first gateway is available again.
     ReturnGateway,
 }
 
@@ -57,7 +57,7 @@
     pub(super) gateways: Vec<Gateway>,
     pub(super) clients: Vec<Client>,
     pub(super) calls: BTreeMap<u64, PendingCall>,
-    /// Time that one request takes a gateway, in ms.
+    /// The work of one request, in ms.
     pub(super) request_work: Millis,
     pub(super) rng: Pcg64Mcg,
     pub(super) counts: Counts,
@@ -115,7 +115,7 @@
         self.counts
     }
 
-    /// The present on both clocks.
+    /// The current time on both clocks.
     pub(super) fn timestamp(&self) -> Timestamp {
         timestamp_at(self.now)
     }
@@ -137,7 +137,7 @@
         self.attempt_call(id);
     }
 
-    /// Asks the client's pool for a connection.
+    /// Queues a call in the client's pool.
     fn attempt_call(&mut self, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         if call.is_queued || call.sent.is_some() {
@@ -181,14 +181,14 @@
             NextStep::Attempt { backoff: after, .. } => {
                 self.schedule(self.now + after, StormEvent::AttemptCall(id))
             }
-            NextStep::Finish(verdict) => {
-                self.counts.unknown_outcomes += u64::from(verdict == CallOutcome::Unknown);
+            NextStep::Finish(outcome) => {
+                self.counts.unknown_outcomes += u64::from(outcome == CallOutcome::Unknown);
                 self.calls.remove(&id);
             }
         }
     }
 
-    /// Applications on their own send a call again after their delay, whatever it was, until its timeout.
+    /// Applications without the library retry every call after their delay, until its timeout.
     fn retry_blindly(&mut self, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let client = call.client;
@@ -202,14 +202,14 @@
         }
     }
 
-    /// Nobody waits for this call any more: a connection on which it was sent is closed.
+    /// A call timed out: the connection on which it was sent is closed.
     fn on_call_timeout(&mut self, id: u64) {
         let Some(call) = self.calls.remove(&id) else { return };
         let client = call.client;
         let sent = call.sent;
         self.clients[client].pool.cancel_acquire(id);
         if call.kind == PAYMENT_KIND && sent.is_some() {
-            // Kept to count its execution only.
+            // Retained only to count its execution.
             self.calls.insert(id, PendingCall { sent: None, is_queued: false, ..call });
         }
         let Some(sent) = sent else { return };
--- a/crates/experiments/src/reconnect_storm/sizes.rs
+++ b/crates/experiments/src/reconnect_storm/sizes.rs
@@ -2,7 +2,7 @@
 
 use clap::Args;
 
-/// How many, for how long, and how busy.
+/// The size, duration and load of the simulation.
 #[derive(Args, Clone, Debug)]
 pub(crate) struct Sizes {
     #[arg(long, default_value_t = 10_000)]
@@ -13,7 +13,7 @@
     pub(super) seconds: u64,
     #[arg(long, default_value_t = 1)]
     pub(super) seed: u64,
-    /// Part of what all gateways can do that clients ask for while all are well.
+    /// The load as a share of the capacity of all gateways.
     #[arg(long, default_value_t = 0.7)]
     pub(super) load: f64,
 }
--- a/crates/experiments/src/rollout_simulation.rs
+++ b/crates/experiments/src/rollout_simulation.rs
@@ -1,6 +1,6 @@
 //! Days with rollouts in simulated time: the same clients, hosts and versions, with requests routed by proxy
 //! configurations, by gateways that decide on each request, and evenly over all hosts. There are no sockets; the
-//! policy, configurations, streams and caches are this project's own. The same seed gives the same day.
+//! policy, configurations, streams and caches are the real ones. The same seed gives the same day.
 //!
 //! State:
 //! - `sizes`: the command line.
@@ -39,10 +39,10 @@
 pub(crate) use sizes::Sizes;
 use std::collections::BTreeMap;
 
-/// Seeds of days with adjacent seeds are this far apart.
+/// The distance between the seeds of experiments with adjacent seeds.
 const SEED_FACTOR: u64 = 1000;
 
-/// The figures of one mode that are compared with those of others.
+/// The results of one mode that are compared with the other modes.
 #[derive(Clone, Copy)]
 struct Summary {
     value_in_time: f64,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Simulates the days in all three modes; the figures, and whether all requirements were met.
+/// Simulates the days in all three modes; returns the results, and whether they meet all requirements.
 pub(crate) fn run(sizes: &Sizes) -> (Value, bool) {
     let mut rows = Map::new();
     let mut is_passed = true;
@@ -68,24 +68,24 @@
         let mut days = Vec::new();
         for day in 0..sizes.days {
             let result = run_day(mode, day, sizes);
-            days.push(day_figures(&result));
+            days.push(day_results(&result));
             total.add(&result.counts);
         }
         let is_within_limits = total.samples_over_cap == 0 && total.repeated_non_idempotent == 0;
         is_passed &= mode == RoutingMode::Even || is_within_limits;
         summaries.insert(mode, Summary::new(&total));
-        rows.insert(mode.name().to_string(), mode_figures(&total, days));
+        rows.insert(mode.name().to_string(), mode_results(&total, days));
     }
     let proxies = summaries[&RoutingMode::Proxies];
     let even = summaries[&RoutingMode::Even];
     let is_better =
         proxies.value_in_time > even.value_in_time && proxies.met_bad_version < even.met_bad_version;
-    let figures = json!({
+    let results = json!({
         "experiment": "day", "days": sizes.days, "seed": sizes.seed, "fronts": sizes.fronts, "hosts": sizes.hosts,
         "seconds": sizes.seconds, "load": sizes.load, "ways": rows, "handout_beats_even": is_better,
         "servers": "simulated, in simulated time",
     });
-    (figures, is_passed && is_better)
+    (results, is_passed && is_better)
 }
 
 fn run_day(mode: RoutingMode, day: u64, sizes: &Sizes) -> DayResult {
@@ -94,7 +94,7 @@
     Simulation::new(mode, seed, sizes).run(until)
 }
 
-fn day_figures(result: &DayResult) -> Value {
+fn day_results(result: &DayResult) -> Value {
     let summary = Summary::new(&result.counts);
     let versions = result.rollouts.iter().map(|rollout| {
         let quality = if rollout.is_bad { "bad" } else { "good" };
@@ -104,7 +104,7 @@
         "builds": versions.collect::<Vec<_>>()})
 }
 
-fn mode_figures(total: &Counts, days: Vec<Value>) -> Value {
+fn mode_results(total: &Counts, days: Vec<Value>) -> Value {
     let summary = Summary::new(total);
     json!({
         "revenue_in_time": summary.value_in_time, "met_bad_build": summary.met_bad_version,
--- a/crates/experiments/src/rollout_simulation/attempts.rs
+++ b/crates/experiments/src/rollout_simulation/attempts.rs
@@ -10,17 +10,17 @@
 use rand::RngExt;
 use rand_distr::{Distribution, Exp1};
 
-/// An attempt ends after so many request timeouts at the latest.
+/// The longest duration of an attempt, in request timeouts.
 const MAX_ATTEMPT_TIMEOUTS: f64 = 4.0;
 
-/// How an attempt will end.
+/// The planned end of an attempt.
 struct PlannedEnd {
     outcome: AttemptOutcome,
-    /// When the host is done, in ms.
+    /// When the host has finished, in ms.
     at: Millis,
 }
 
-/// The event by which a gateway's policy learns of the end of an attempt.
+/// The event that reports the end of an attempt to a gateway's policy.
 pub(super) fn completion_event(
     id: RequestId, number: u32, host: usize, outcome: AttemptOutcome, is_final: bool, elapsed: Millis,
 ) -> Event {
@@ -58,7 +58,7 @@
         self.schedule(ends_at, DayEvent::AttemptEnds { request: id, attempt });
     }
 
-    /// Draws how an attempt at a host ends, and occupies a worker.
+    /// Draws the end of an attempt at a host, and occupies a worker.
     fn plan_end(&mut self, class: usize, host: usize) -> PlannedEnd {
         let received_at = self.now + NETWORK_LATENCY;
         let effect = self.defect_effect(self.hosts[host].version, class);
@@ -79,7 +79,7 @@
         defect.map_or(DefectEffect::NONE, |defect| defect.effect_on(class))
     }
 
-    /// An attempt ends, unless it was cancelled before.
+    /// An attempt ends, unless it was cancelled.
     pub(super) fn on_attempt_ended(&mut self, id: RequestId, number: u32) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let is_late = request.is_timed_out(self.now);
--- a/crates/experiments/src/rollout_simulation/exposure.rs
+++ b/crates/experiments/src/rollout_simulation/exposure.rs
@@ -1,4 +1,4 @@
-//! The rule on the canary's share of all requests.
+//! The limit on the canary's share of all requests.
 
 use super::model::RoutingMode;
 use super::parameters::{DRAIN_GRACE, EXPOSURE_ALLOWANCE, EXPOSURE_WINDOW};
@@ -23,7 +23,7 @@
         self.counts.samples_over_cap += u64::from(self.canary_attempts.len() as f64 > limit);
     }
 
-    /// The highest cap that was in force at or after a time.
+    /// The highest cap that applied at or after a time.
     fn highest_cap_since(&self, time: Millis) -> f64 {
         let mut highest = 0.0f64;
         for change in self.rollout.caps.iter().rev() {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Removes times at or before a time; the earliest are in front.
+/// Removes times at or before a time; times are in ascending order.
 fn remove_until(times: &mut VecDeque<Millis>, time: Millis) {
     while times.front().is_some_and(|at| *at <= time) {
         times.pop_front();
--- a/crates/experiments/src/rollout_simulation/gateway.rs
+++ b/crates/experiments/src/rollout_simulation/gateway.rs
@@ -5,7 +5,7 @@
 /// One gateway.
 pub(super) struct Gateway {
     pub(super) policy: Policy,
-    /// Events that the policy has not handled yet.
+    /// Events that the policy has not handled.
     pub(super) events: Vec<Event>,
     /// When its timer fires, in ms.
     pub(super) timer_at: Millis,
--- a/crates/experiments/src/rollout_simulation/gateways.rs
+++ b/crates/experiments/src/rollout_simulation/gateways.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Lets a gateway's policy handle its events, and performs its actions; again where these make new events.
+    /// Passes a gateway's events to its policy and carries out the actions, until these cause no more events.
     pub(super) fn run_gateway(&mut self, index: usize) {
         loop {
             let gateway = &mut self.gateways[index];
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Performs an action; true where it cancelled an attempt.
+    /// Carries out an action; true if it cancelled an attempt.
     fn perform(&mut self, index: usize, action: Action) -> bool {
         match action {
             Action::SendAttempt { id, endpoint, .. } => self.send_attempt(id, host_of_endpoint(&endpoint)),
@@ -55,7 +55,7 @@
         false
     }
 
-    /// Cancels an attempt; false where it has ended already.
+    /// Cancels an attempt; false if it has already ended.
     fn cancel_attempt(&mut self, index: usize, id: RequestId, number: u32) -> bool {
         let Some(request) = self.requests.get_mut(&id) else { return false };
         let is_closed = request.is_closed;
--- a/crates/experiments/src/rollout_simulation/model.rs
+++ b/crates/experiments/src/rollout_simulation/model.rs
@@ -1,4 +1,4 @@
-//! Hosts, requests, the rollout, and what is counted.
+//! Hosts, requests, the rollout, and counts.
 
 use super::parameters::{
     INITIAL_SPEED, LATENCY_OBJECTIVE, MEAN_WORK, NON_IDEMPOTENT_CLASS, REQUEST_TIMEOUT, WARM_UP, WORKERS,
@@ -21,10 +21,10 @@
 }
 
 impl RoutingMode {
-    /// All modes in the order of their figures.
+    /// All modes in the order of the results.
     pub(super) const ALL: [RoutingMode; 3] = [RoutingMode::Proxies, RoutingMode::Gateways, RoutingMode::Even];
 
-    /// The name among the figures.
+    /// The name in the results.
     pub(super) fn name(self) -> &'static str {
         match self {
             RoutingMode::Proxies => "handout",
@@ -36,9 +36,9 @@
 
 pub(super) struct Host {
     pub(super) version: Version,
-    /// When it started with its version.
+    /// When it started with its version, in ms.
     pub(super) started_at: Millis,
-    /// When each worker is free.
+    /// When each worker is free, in ms.
     pub(super) workers_free_at: Vec<Millis>,
 }
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /// How long a request takes; `drawn` has a mean of 1.
+    /// The time in ms that a request takes; `drawn` has a mean of 1.
     pub(super) fn work_time(&self, now: Millis, slowdown: f64, drawn: f64) -> Millis {
         let warmup =
             if self.started_at > 0.0 { ((now - self.started_at) / WARM_UP).clamp(0.0, 1.0) } else { 1.0 };
@@ -75,7 +75,7 @@
     }
 }
 
-/// What is wrong with a bad version.
+/// The defect of a bad version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Defect {
     /// Some requests of all classes fail.
@@ -102,11 +102,11 @@
     }
 }
 
-/// How a version treats a request class.
+/// The effect of a defect on a request class.
 #[derive(Clone, Copy)]
 pub(super) struct DefectEffect {
     pub(super) failure_share: f64,
-    /// Times the usual work.
+    /// The factor on the mean work.
     pub(super) slowdown: f64,
 }
 
@@ -114,7 +114,7 @@
     pub(super) const NONE: DefectEffect = DefectEffect { failure_share: 0.0, slowdown: 1.0 };
 }
 
-/// A cap of the canary, from a time on.
+/// A change of the canary's cap.
 #[derive(Clone, Copy)]
 pub(super) struct CapChange {
     pub(super) at: Millis,
@@ -124,7 +124,7 @@
 /// The platform's rollout of the newest version.
 pub(super) struct Rollout {
     pub(super) state: RolloutState,
-    /// When it came to its state.
+    /// When the state began, in ms.
     pub(super) state_since: Millis,
     pub(super) defects: BTreeMap<Version, Defect>,
     /// Rollouts that have begun.
@@ -156,7 +156,7 @@
         self.defects.contains_key(&version)
     }
 
-    /// True where the version is being tried out, or was and is not promoted.
+    /// True if the version is a canary or was rolled back.
     pub(super) fn is_canary(&self, version: Version) -> bool {
         self.state.version == version && self.state.phase != RolloutPhase::Promoted && version > Version(1)
     }
@@ -178,9 +178,9 @@
     pub(super) is_closed: bool,
     pub(super) met_bad_version: bool,
     pub(super) attempts: Vec<Attempt>,
-    /// Proxies: the cluster that was drawn.
+    /// Proxies: the cluster of the request.
     pub(super) cluster: String,
-    /// Proxies: retries left.
+    /// Proxies: the remaining retries.
     pub(super) retries_left: u32,
     /// Proxies: conditions for a retry.
     pub(super) retry_on: String,
@@ -209,7 +209,7 @@
         now - self.arrived_at > REQUEST_TIMEOUT
     }
 
-    /// True where another attempt might execute it twice.
+    /// True if another attempt may execute it a second time.
     pub(super) fn may_be_executed(&self) -> bool {
         self.attempts
             .iter()
@@ -221,7 +221,7 @@
     pub(super) host: usize,
     pub(super) version: Version,
     pub(super) sent_at: Millis,
-    /// The outcome that it has, or will have.
+    /// The outcome, drawn when it was sent.
     pub(super) outcome: AttemptOutcome,
     pub(super) has_ended: bool,
 }
@@ -242,7 +242,7 @@
     }
 }
 
-/// What is counted over a day, or over several.
+/// The counts of one or several days.
 #[derive(Default)]
 pub(super) struct Counts {
     pub(super) value_requested: f64,
@@ -254,7 +254,7 @@
     /// Samples of the canary's share.
     pub(super) samples: u64,
     pub(super) samples_over_cap: u64,
-    /// Attempts that might execute a non-idempotent request twice.
+    /// Attempts that may have executed a non-idempotent request twice.
     pub(super) repeated_non_idempotent: u64,
 }
 
--- a/crates/experiments/src/rollout_simulation/outcomes.rs
+++ b/crates/experiments/src/rollout_simulation/outcomes.rs
@@ -13,7 +13,7 @@
     total_latency: Millis,
 }
 
-/// Outcomes that the platform has not reported yet.
+/// Outcomes that the platform has not reported.
 #[derive(Default)]
 pub(super) struct UnreportedOutcomes {
     pub(super) counts: BTreeMap<(Version, usize), OutcomeCounts>,
--- a/crates/experiments/src/rollout_simulation/parameters.rs
+++ b/crates/experiments/src/rollout_simulation/parameters.rs
@@ -12,9 +12,9 @@
 /// A request class.
 pub(super) struct ClassParameters {
     pub(super) name: &'static str,
-    /// The word for its idempotency in settings.
+    /// Its idempotency, as written in the settings.
     effect: &'static str,
-    /// What an answer in time is worth.
+    /// The value of an answer within the latency objective.
     pub(super) value: f64,
 }
 
@@ -24,7 +24,7 @@
     ClassParameters { name: "book", effect: "deduplicated", value: 3.0 },
     ClassParameters { name: "pay", effect: "at_most_once", value: 2.0 },
 ];
-/// The classes of requests to draw from.
+/// The classes from which requests are drawn.
 pub(super) const CLASS_MIX: [usize; 6] = [0, 0, 0, 1, 1, 2];
 /// The index of the class that must not be executed twice.
 pub(super) const NON_IDEMPOTENT_CLASS: usize = 2;
@@ -33,25 +33,25 @@
 
 /// Mean work of a request.
 pub(super) const MEAN_WORK: Millis = 20.0;
-/// Requests that a host works on at once.
+/// Requests that a host executes concurrently.
 pub(super) const WORKERS: usize = 4;
 /// A host rejects requests that would be queued for longer.
 pub(super) const MAX_QUEUE_TIME: Millis = 800.0;
-/// A response within this time counts as in time.
+/// The latency objective of a request.
 pub(super) const LATENCY_OBJECTIVE: Millis = 300.0;
-/// Limit for a request.
+/// The timeout of a request.
 pub(super) const REQUEST_TIMEOUT: Millis = 1500.0;
-/// How long a host warms up.
+/// The warm-up time of a host.
 pub(super) const WARM_UP: Millis = 2000.0;
-/// The speed of a host that begins to warm up.
+/// The speed of a host at the start of its warm-up.
 pub(super) const INITIAL_SPEED: f64 = 0.5;
-/// How long a message takes from one machine to another.
+/// The latency of a message.
 pub(super) const NETWORK_LATENCY: Millis = 2.0;
 /// Interval at which the platform, gateways and the control service act.
 pub(super) const TICK: Millis = 10.0;
 /// Ticks between two load reports of a proxy.
 pub(super) const TICKS_PER_LOAD_REPORT: u64 = 100;
-/// What a load report covers.
+/// The time that a load report covers.
 pub(super) const LOAD_REPORT_INTERVAL: Millis = 1000.0;
 
 /// The canary's cap in each stage.
@@ -62,13 +62,13 @@
 pub(super) const EXPOSURE_ALLOWANCE: f64 = 2.0;
 /// The window of the cap.
 pub(super) const EXPOSURE_WINDOW: Millis = 2000.0;
-/// A lower cap binds after this.
+/// The time after which a lower cap applies.
 pub(super) const DRAIN_GRACE: Millis = 2000.0;
-/// How long a stage lasts at least.
+/// The shortest time in a stage.
 pub(super) const SOAK_TIME: Millis = 2000.0;
-/// How long a rollback takes.
+/// The duration of a rollback.
 pub(super) const ROLLBACK_TIME: Millis = 1500.0;
-/// How long a stage lasts where nothing analyses the canary.
+/// The duration of a stage without canary analysis.
 pub(super) const UNANALYSED_STAGE_TIME: Millis = 5_000.0;
 /// When rollouts begin.
 pub(super) const ROLLOUT_STARTS: [Millis; 2] = [5_000.0, 45_000.0];
@@ -79,11 +79,11 @@
 /// The share of attempts that outcome reports cover.
 pub(super) const OUTCOME_SAMPLE_SHARE: f64 = 0.2;
 
-/// Hosts whose addresses differ only in their ports.
+/// Hosts with the same IP address.
 const HOSTS_PER_ADDRESS: usize = 250;
 /// The port of the first of them.
 const FIRST_PORT: usize = 5000;
-/// Limit for opening a connection, as proxies are configured.
+/// The connect timeout in the configuration of proxies.
 const CONNECT_TIMEOUT: Millis = 250.0;
 /// Requests in flight to one endpoint at most.
 const MAX_IN_FLIGHT_PER_ENDPOINT: u32 = 64;
@@ -123,7 +123,7 @@
     (0..count).map(|gateway| read_settings(gateway, count).start_policy(seed ^ gateway as u64)).collect()
 }
 
-/// Signs the versions that proxies hold.
+/// The signer of the versions that proxies receive.
 pub(super) fn version_signer() -> VersionSigner {
     VersionSigner::new(Some(SIGNING_KEY.to_vec()))
 }
--- a/crates/experiments/src/rollout_simulation/platform.rs
+++ b/crates/experiments/src/rollout_simulation/platform.rs
@@ -11,7 +11,7 @@
     EndpointEntry, Event, Millis, RolloutPhase, RolloutState, UpdateKind, Verdict, Version,
 };
 
-/// The versions before and of the first rollout.
+/// The version before the first rollout, and the versions of the two rollouts.
 const FIRST_VERSION: Version = Version(1);
 const SECOND_VERSION: Version = Version(2);
 const THIRD_VERSION: Version = Version(3);
@@ -57,7 +57,7 @@
         self.publish_rollout();
     }
 
-    /// Starts the first hosts, up to this share, with a version; they finish the work in hand first.
+    /// Starts this share of the hosts with a version; requests in flight are completed.
     fn deploy(&mut self, host_share: f64, version: Version) {
         let count = (host_share * self.hosts.len() as f64).round() as usize;
         for host in self.hosts.iter_mut().take(count).filter(|host| host.version != version) {
@@ -67,7 +67,7 @@
         self.publish_endpoints();
     }
 
-    /// The platform acts on votes or, where nothing analyses the canary, on time.
+    /// Advances the rollout by votes or, without canary analysis, by time.
     pub(super) fn advance_rollout(&mut self) {
         let RolloutState { version, stage, phase, .. } = self.rollout.state;
         match phase {
@@ -75,7 +75,7 @@
             RolloutPhase::RollingBack => self.finish_due_rollback(version, stage),
             RolloutPhase::Canary => self.advance_canary(version, stage),
         }
-        // A version that was promoted and is rejected afterwards is rolled back as well.
+        // A version may be rejected after its promotion.
         let is_rejected = self.is_voted(version, stage, Verdict::RollBack) && version > FIRST_VERSION;
         if phase == RolloutPhase::Promoted && is_rejected {
             self.set_rollout(version, stage, RolloutPhase::RollingBack, 0.0);
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Reports outcomes to the control service and all gateways, when it is time.
+    /// Reports outcomes to the control service and all gateways at their interval.
     pub(super) fn report_outcomes(&mut self) {
         if self.now - self.outcomes.reported_at < OUTCOME_REPORT_INTERVAL {
             return;
--- a/crates/experiments/src/rollout_simulation/proxies.rs
+++ b/crates/experiments/src/rollout_simulation/proxies.rs
@@ -10,7 +10,7 @@
 const RETRY_ON_FAILURE: &str = "5xx";
 
 impl Simulation {
-    /// Load reports once a second, then the control service, then its messages to proxies.
+    /// Sends load reports once a second, polls the control service, and delivers its messages to proxies.
     pub(super) fn run_control_plane(&mut self) {
         let now = self.now;
         let Some(proxy_group) = &mut self.proxy_group else { return };
--- a/crates/experiments/src/rollout_simulation/proxy_group.rs
+++ b/crates/experiments/src/rollout_simulation/proxy_group.rs
@@ -23,7 +23,7 @@
 pub(super) struct Proxy {
     pub(super) cache: ResourceCache,
     stream: Stream,
-    /// Requests on their way to the control service.
+    /// Requests to the control service that were not sent yet.
     requests: Vec<CacheRequest>,
     /// Attempts in flight to each host.
     pub(super) in_flight: Vec<u32>,
@@ -32,7 +32,7 @@
 }
 
 impl Proxy {
-    /// Two random choices among the healthy endpoints of a cluster; none: it has no such endpoint.
+    /// The less loaded of two random healthy endpoints of a cluster; none if it has no such endpoint.
     pub(super) fn choose_host(&self, cluster: &str, rng: &mut Pcg64Mcg) -> Option<usize> {
         let mut endpoints = self.cache.cluster_endpoints(cluster).endpoints;
         endpoints.retain(|endpoint| endpoint.is_healthy);
@@ -81,7 +81,7 @@
     }
 }
 
-/// Draws a cluster by weight; an empty name where none is drawn.
+/// Draws a cluster by weight; the name is empty if none is drawn.
 pub(super) fn draw_cluster(route: &CachedRoute, rng: &mut Pcg64Mcg) -> String {
     let mut draw = rng.random_range(0..TOTAL_WEIGHT);
     for cluster in &route.clusters {
@@ -122,7 +122,7 @@
         ProxyGroup { control_plane, snapshot: None, proxies }
     }
 
-    /// Every proxy reports its load.
+    /// Sends the load report of each proxy.
     pub(super) fn send_load_reports(&mut self, now: Millis) {
         let classes = CLASSES.map(|class| class.name.to_string());
         for (index, proxy) in self.proxies.iter_mut().enumerate() {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The control service acts; its votes.
+    /// Polls the control service and returns its votes.
     pub(super) fn poll_control_plane(&mut self, now: Millis) -> Vec<Vote> {
         let effects = self.control_plane.poll(now);
         if let Some(publication) = effects.published {
@@ -144,7 +144,7 @@
         votes.collect()
     }
 
-    /// Exchanges messages on all streams until there is nothing to send.
+    /// Exchanges messages on all streams until none are pending.
     pub(super) fn exchange_messages(&mut self, now: Millis) {
         let Some(snapshot) = &self.snapshot else { return };
         for (index, proxy) in self.proxies.iter_mut().enumerate() {
--- a/crates/experiments/src/rollout_simulation/simulation.rs
+++ b/crates/experiments/src/rollout_simulation/simulation.rs
@@ -1,4 +1,4 @@
-//! The events of one day, and requests as they come.
+//! The events of one day, and the arrival of requests.
 
 use super::gateway::Gateway;
 use super::model::{Attempt, Counts, Defect, Host, Request, Rollout, RoutingMode, Vote};
@@ -15,10 +15,10 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What happens in simulated time.
+/// An event in simulated time.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum DayEvent {
-    /// A request comes.
+    /// A request arrives.
     RequestArrives,
     /// An attempt ends.
     AttemptEnds { request: RequestId, attempt: u32 },
@@ -30,7 +30,7 @@
 pub(super) struct RolloutEnd {
     pub(super) version: Version,
     pub(super) is_bad: bool,
-    /// `back`, `released` or `undecided`.
+    /// The end in the results: `back`, `released` or `undecided`.
     pub(super) end: &'static str,
 }
 
@@ -48,9 +48,9 @@
     pub(super) hosts: Vec<Host>,
     pub(super) rollout: Rollout,
     pub(super) requests: BTreeMap<RequestId, Request>,
-    /// Where proxies route.
+    /// In the mode [`RoutingMode::Proxies`] only.
     pub(super) proxy_group: Option<ProxyGroup>,
-    /// Where gateways route.
+    /// In the mode [`RoutingMode::Gateways`] only.
     pub(super) gateways: Vec<Gateway>,
     pub(super) votes: Vec<Vote>,
     /// Requests within the window of the cap.
@@ -62,7 +62,7 @@
     events: EventQueue<DayEvent>,
     last_request: u32,
     routers: usize,
-    /// Requests in one ms.
+    /// Requests per ms.
     request_rate: f64,
 }
 
@@ -107,7 +107,7 @@
         self.events.push(at, event);
     }
 
-    /// Runs until a time in ms. Requests that are open then count as neither failed nor in time.
+    /// Runs until a time in ms. Requests that are pending then count neither as failed nor as in time.
     pub(super) fn run(mut self, until: Millis) -> DayResult {
         while let Some((at, event)) = self.events.pop(until) {
             self.now = at;
@@ -182,7 +182,7 @@
         self.sample_exposure();
     }
 
-    /// The client of a request has its answer.
+    /// The client of a request gets its answer.
     pub(super) fn close_request(&mut self, id: RequestId, is_success: bool) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.is_closed) else { return };
         request.is_closed = true;
--- a/crates/experiments/src/rollout_simulation/sizes.rs
+++ b/crates/experiments/src/rollout_simulation/sizes.rs
@@ -2,7 +2,7 @@
 
 use clap::Args;
 
-/// How many days, and how large.
+/// The number of days, and their size.
 #[derive(Args, Clone, Debug)]
 pub(crate) struct Sizes {
     #[arg(long, default_value_t = 6)]
@@ -14,10 +14,10 @@
     pub(super) fronts: usize,
     #[arg(long, default_value_t = 40)]
     pub(super) hosts: usize,
-    /// Length of a day in simulated seconds; two builds come.
+    /// The length of a day in simulated seconds, with two rollouts.
     #[arg(long, default_value_t = 90)]
     pub(super) seconds: u64,
-    /// Part of the warm capacity that clients ask for.
+    /// The load as a share of the capacity of all hosts after warm-up.
     #[arg(long, default_value_t = 0.5)]
     pub(super) load: f64,
 }
--- a/crates/experiments/src/soak.rs
+++ b/crates/experiments/src/soak.rs
@@ -1,17 +1,17 @@
-//! Gateways as processes on loopback under faults by seed: signals in series, outages of discovery, servers that drain,
-//! vanish and return at their addresses, and clients that use their connections until the kill. What was seen is judged
-//! by the rules of `latchhaven_test_support::history`.
+//! Gateway processes on loopback under faults drawn by seed: signals, outages of discovery, servers that drain, stop
+//! and restart at their addresses, and clients that use their connections until a gateway is killed. The records are
+//! checked against the rules of `latchhaven_test_support::history`.
 //!
 //! - `sizes`: the command line.
-//! - `schedule`: pure: which faults, and when.
+//! - `schedule`: the faults and their times; pure.
 //! - `directory`: the endpoint list, and the discovery service of each gateway.
-//! - `fleet`: the gateways' processes.
-//! - `clients`: clients, and floods of connections of them.
-//! - `runner`: plays a schedule.
+//! - `gateways`: the gateway processes.
+//! - `clients`: clients and connection floods.
+//! - `runner`: runs a schedule.
 
 mod clients;
 mod directory;
-mod fleet;
+mod gateways;
 mod runner;
 mod schedule;
 mod sizes;
@@ -22,21 +22,22 @@
 pub(crate) use sizes::Sizes;
 use std::time::Duration;
 
-/// Broken rules that are printed one by one.
-const PRINTED_BREAKS: usize = 5;
-/// The grace of drains in the gateways' configuration.
+/// Violations that are printed individually.
+const PRINTED_VIOLATIONS: usize = 5;
+/// The drain grace in the gateways' configuration.
 const DRAIN_GRACE: Duration = Duration::from_secs(1);
 
-/// Plays the faults of a seed; the figures, and whether all rules were kept.
+/// Runs the faults of a seed; returns the results, and whether there were no violations.
 pub(crate) fn run(sizes: &Sizes) -> (Value, bool) {
     let schedule = Schedule::draw(sizes.seed, sizes.gateways, sizes.servers, sizes.seconds);
     let mut run = Run::start(sizes);
     run.play(&schedule);
     let outcome = run.finish();
-    let breaks = outcome.history.breaks(DRAIN_GRACE);
-    let is_passed = breaks.is_empty() && outcome.crashes.is_empty() && outcome.served > 0;
-    let printed: Vec<String> = breaks.iter().take(PRINTED_BREAKS).map(|found| format!("{found:?}")).collect();
-    let figures = json!({
+    let violations = outcome.history.violations(DRAIN_GRACE);
+    let is_passed = violations.is_empty() && outcome.crashes.is_empty() && outcome.served > 0;
+    let printed: Vec<String> =
+        violations.iter().take(PRINTED_VIOLATIONS).map(|found| format!("{found:?}")).collect();
+    let results = json!({
         "experiment": "soak",
         "seed": sizes.seed,
         "seconds": sizes.seconds,
@@ -46,10 +47,10 @@
         "served": outcome.served,
         "rejected": outcome.rejected,
         "arrivals": outcome.history.arrivals.len(),
-        "breaks": breaks.len(),
+        "breaks": violations.len(),
         "first_breaks": printed,
         "crashes": outcome.crashes,
         "passed": is_passed,
     });
-    (figures, is_passed)
+    (results, is_passed)
 }
--- a/crates/experiments/src/soak/clients.rs
+++ b/crates/experiments/src/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: each keeps one connection and uses it for as long as it is open, also while its gateway ends.
+//! Clients: each uses one connection for as long as it is open, also while its gateway shuts down.
 
 use latchhaven_test_support::history::{RequestEnd, RequestRecord};
 use latchhaven_test_support::postgres::{insert, outcome, query, read_message, select, startup};
@@ -11,22 +11,22 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// ms for which clients wait.
+/// The range of request timeouts, in ms.
 const TIMEOUTS: std::ops::Range<u32> = 300..2000;
-/// ms between two requests of a client: shorter than the time after which a gateway closes an idle connection.
+/// The range of pauses between two requests of a client, in ms; shorter than the gateways' idle timeout.
 const PAUSES: std::ops::Range<u64> = 5..120;
-/// An answer is waited for so long behind the time of its request.
+/// How long a client waits for an answer after the timeout of its request.
 const EXTRA_WAIT: Duration = Duration::from_millis(1500);
-/// Time before a refused connection is tried again.
+/// The delay of a reconnect after a refused connection.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
-/// Connections of a flood of connections.
+/// Connections of a connection flood.
 const FLOOD_CONNECTIONS: usize = 120;
-/// How long the silent ones of a flood of connections stay.
+/// How long the idle connections of a connection flood stay open.
 const FLOOD_DURATION: Duration = Duration::from_secs(3);
-/// The SQLSTATEs of a request that was not executed.
+/// The SQLSTATEs of a request that was definitely not executed.
 const REJECTIONS: [&str; 2] = ["53300", "57P03"];
 
-/// What a client thread needs.
+/// The inputs of a client thread.
 #[derive(Clone)]
 pub(super) struct ClientSetup {
     pub(super) gateway: usize,
@@ -36,28 +36,29 @@
     pub(super) records: mpsc::Sender<RequestRecord>,
 }
 
-/// Starts a client; `number` makes its requests' ids its own.
+/// Starts a client; `number` is part of the ids of its requests.
 pub(super) fn start_client(setup: ClientSetup, number: usize, seed: u64) -> JoinHandle<()> {
     let rng = Pcg64Mcg::seed_from_u64(seed ^ ((number as u64) << 32));
     let mut client = Client { setup, number, rng, connection: None, requests: 0 };
     thread::spawn(move || {
         while !client.setup.is_over.load(SeqCst) {
-            client.ask();
+            client.send_request();
             let pause = client.rng.random_range(PAUSES);
             thread::sleep(Duration::from_millis(pause));
         }
     })
 }
 
-/// Opens many connections at once; half of them ask something, the others stay and say nothing.
+/// Opens many connections concurrently; half of them send a query, the others stay idle.
 pub(super) fn start_connection_flood(setup: &ClientSetup, number: usize) -> JoinHandle<()> {
     let setup = setup.clone();
     thread::spawn(move || {
         let connections: Vec<TcpStream> =
             (0..FLOOD_CONNECTIONS).filter_map(|_| TcpStream::connect(setup.address).ok()).collect();
         for (index, mut connection) in connections.iter().enumerate().filter(|(index, _)| index % 2 == 0) {
-            let probe = [startup(), query(""), query(&select(&format!("{number:x}c{index:x}"), "look", 900))];
-            let _ = connection.write_all(&probe.concat());
+            let messages =
+                [startup(), query(""), query(&select(&format!("{number:x}c{index:x}"), "look", 900))];
+            let _ = connection.write_all(&messages.concat());
         }
         thread::sleep(FLOOD_DURATION);
     })
@@ -72,8 +73,8 @@
 }
 
 impl Client {
-    /// Sends one request and records how it ends.
-    fn ask(&mut self) {
+    /// Sends one request and records its end.
+    fn send_request(&mut self) {
         let Some(mut connection) = self.connection.take().or_else(|| self.connect()) else {
             return thread::sleep(RECONNECT_DELAY);
         };
@@ -84,7 +85,7 @@
         let text = if class == "look" { select(&id, class, timeout) } else { insert(&id, class, timeout) };
         let timeout = Duration::from_millis(timeout.into());
         if connection.write_all(&query(&text)).is_err() {
-            // It was closed between requests: nothing of this one was read.
+            // The gateway closed the connection between requests: it did not read this one.
             return;
         }
         let sent_at = self.setup.started_at.elapsed();
@@ -93,7 +94,7 @@
         let record = RequestRecord {
             id,
             gateway: self.setup.gateway,
-            is_once_only: class == "pay",
+            is_non_idempotent: class == "pay",
             sent_at,
             timeout,
             end,
@@ -120,12 +121,12 @@
     }
 }
 
-/// Reads the answer to a request, to its end.
+/// Reads the answer to a request up to its end.
 fn read_end(connection: &mut TcpStream, id: &str) -> RequestEnd {
     let mut messages = Vec::new();
     let mut is_fatal = false;
     loop {
-        // A message that does not come whole is none; whether the connection ended tells why.
+        // An incomplete message counts as none.
         let Some(message) = read_message(connection) else {
             if is_fatal {
                 break;
--- a/crates/experiments/src/soak/directory.rs
+++ b/crates/experiments/src/soak/directory.rs
@@ -1,34 +1,35 @@
-//! The endpoint list, and a discovery service for each gateway: which service a line is written to tells whom it told.
+//! The endpoint list, and a discovery service for each gateway, so that each notification is recorded by gateway.
 
 use super::schedule::DiscoveryFault;
 use latchhaven_test_support::fake_http::{FakeHttpService, HttpReply, STREAM_HEAD, chunk, response};
 use latchhaven_test_support::history::{Moment, OutageRecord, StatusChangeRecord};
+use latchhaven_test_support::lock_ignoring_poison;
 use latchhaven_test_support::platform_messages::{endpoint_list, host};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// Addresses between which the discovery service of a gateway moves.
+/// Addresses of the discovery service of each gateway; it moves between them.
 const ADDRESSES: usize = 2;
-/// The version that lists begin with.
+/// The first version of the list.
 const FIRST_VERSION: u64 = 5;
-/// Bytes of a list that still arrive where it is cut off.
+/// Bytes of a list that are sent before it is cut off.
 const CUT_OFF_LENGTH: usize = 20;
 
-/// What the services answer from.
+/// The state of all services.
 struct State {
     started_at: Instant,
     addresses: Vec<SocketAddr>,
-    /// What each server is listed as.
+    /// The listed health of each server.
     health: Vec<&'static str>,
     version: u64,
     status_changes: Vec<StatusChangeRecord>,
-    /// By gateway: how discovery fails for it, and since when.
+    /// The current fault of discovery by gateway, and its start.
     faults: BTreeMap<usize, (DiscoveryFault, Moment)>,
     outages: Vec<OutageRecord>,
-    /// By gateway: the list as it was last written to it.
+    /// The list that was last written to each gateway.
     written: Vec<Value>,
 }
 
@@ -46,7 +47,7 @@
         endpoint_list(self.version, true, &hosts)
     }
 
-    /// Everything listed so far is written to a gateway now.
+    /// Records that all changes so far are written to a gateway now; returns the list.
     fn write_to(&mut self, gateway: usize) -> Value {
         let now = self.now();
         for change in &mut self.status_changes {
@@ -93,26 +94,26 @@
         let state = Arc::new(Mutex::new(state));
         let service = |gateway: usize| {
             let state = state.clone();
-            FakeHttpService::start(move |_| recover(&state).reply(gateway))
+            FakeHttpService::start(move |_| lock_ignoring_poison(&state).reply(gateway))
         };
         let services = (0..gateways).map(|gateway| (0..ADDRESSES).map(|_| service(gateway)).collect());
         Directory { services: services.collect(), state }
     }
 
-    /// Where the service of a gateway is after so many moves.
+    /// The address of a gateway's service after so many moves.
     pub(super) fn address(&self, gateway: usize, moves: usize) -> SocketAddr {
         self.services[gateway][moves % ADDRESSES].addr
     }
 
-    /// The list that a gateway holds.
+    /// The list that was last written to a gateway.
     pub(super) fn written_list(&self, gateway: usize) -> Value {
-        recover(&self.state).written[gateway].clone()
+        lock_ignoring_poison(&self.state).written[gateway].clone()
     }
 
     /// Lists a server as `up`, `draining` or `removed`.
     pub(super) fn list_server(&self, server: usize, health: &'static str) {
         {
-            let mut state = recover(&self.state);
+            let mut state = lock_ignoring_poison(&self.state);
             state.version += 1;
             state.health[server] = health;
             let at = state.now();
@@ -125,33 +126,33 @@
             });
         }
         for (gateway, services) in self.services.iter().enumerate() {
-            if recover(&self.state).faults.contains_key(&gateway) {
+            if lock_ignoring_poison(&self.state).faults.contains_key(&gateway) {
                 continue;
             }
             for service in services {
-                service.send_line_with(|| recover(&self.state).list());
+                service.send_line_with(|| lock_ignoring_poison(&self.state).list());
             }
-            // A gateway without a watch was not told; that it has none is only known once it calls again.
+            // A gateway without an open watch was not notified.
             if services.iter().any(|service| !service.all_streams_closed()) {
-                recover(&self.state).write_to(gateway);
+                lock_ignoring_poison(&self.state).write_to(gateway);
             }
         }
     }
 
-    /// Keeps watches alive.
+    /// Sends a keepalive on each watch.
     pub(super) fn send_keepalives(&self) {
         for (gateway, services) in self.services.iter().enumerate() {
-            let is_silent = recover(&self.state).faults.contains_key(&gateway);
+            let is_silent = lock_ignoring_poison(&self.state).faults.contains_key(&gateway);
             if !is_silent {
                 services.iter().for_each(|service| service.write(&chunk("\n")));
             }
         }
     }
 
-    /// Discovery begins to fail for a gateway. False if it fails already.
-    pub(super) fn fail(&self, gateway: usize, fault: DiscoveryFault) -> bool {
+    /// Starts a fault of discovery for a gateway. False if it already has one.
+    pub(super) fn begin_fault(&self, gateway: usize, fault: DiscoveryFault) -> bool {
         {
-            let mut state = recover(&self.state);
+            let mut state = lock_ignoring_poison(&self.state);
             let now = state.now();
             if state.faults.contains_key(&gateway) {
                 return false;
@@ -164,31 +165,27 @@
         true
     }
 
-    /// Discovery can be reached again by a gateway.
-    pub(super) fn recover(&self, gateway: usize) {
+    /// Ends the fault of discovery for a gateway.
+    pub(super) fn end_fault(&self, gateway: usize) {
         let was_silent = {
-            let mut state = recover(&self.state);
+            let mut state = lock_ignoring_poison(&self.state);
             let now = state.now();
             let Some((fault, from)) = state.faults.remove(&gateway) else { return };
-            // What is cut off is written, and so told.
+            // A cut-off list was written: the gateway counts as notified.
             if fault == DiscoveryFault::Unavailable {
                 state.outages.push(OutageRecord { gateway, from, until: now });
             }
             fault == DiscoveryFault::Silent
         };
         if was_silent {
-            // A watch that fell silent is broken.
+            // A watch without keepalives is closed.
             self.services[gateway].iter().for_each(FakeHttpService::close_streams);
         }
     }
 
-    /// What was listed, and when it could not be told.
+    /// All changes of the list, and all outages of discovery.
     pub(super) fn records(&self) -> (Vec<StatusChangeRecord>, Vec<OutageRecord>) {
-        let state = recover(&self.state);
+        let state = lock_ignoring_poison(&self.state);
         (state.status_changes.clone(), state.outages.clone())
     }
 }
-
-fn recover(state: &Mutex<State>) -> MutexGuard<'_, State> {
-    state.lock().unwrap_or_else(PoisonError::into_inner)
-}
--- a/crates/experiments/src/soak/fleet.rs
+++ b/crates/experiments/src/soak/gateways.rs
@@ -1,4 +1,4 @@
-//! The gateways' processes: started, signalled, killed and started again under the same names and addresses.
+//! The gateway processes: started, signalled, killed and restarted under the same names and addresses.
 
 use super::directory::Directory;
 use latchhaven_test_support::fake_http::{FakeHttpService, HttpReply};
@@ -10,29 +10,28 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// From SIGTERM to SIGKILL at the earliest: the longest time that clients wait, counted as 3 s where it is longer, and
-/// 0.7 s.
+/// The shortest time from SIGTERM to SIGKILL: the longest client timeout, 3 s at most, plus 0.7 s.
 pub(super) const SHUTDOWN_TIME: Duration = Duration::from_millis(2000 + 700);
-/// The longest time that clients wait, in s.
+/// The longest client timeout, in s.
 const CLIENT_TIMEOUT_S: f64 = 2.0;
 
 /// One gateway.
 struct Gateway {
     process: GatewayProcess,
     address: SocketAddr,
-    /// How often discovery has moved.
+    /// Moves of its discovery service.
     moves: usize,
-    /// It was asked to end and not yet started again.
+    /// It got SIGTERM and was not restarted yet.
     is_ending: bool,
 }
 
 /// All gateways.
-pub(super) struct Fleet {
+pub(super) struct Gateways {
     started_at: Instant,
     platform: FakeHttpService,
     gateways: Vec<Gateway>,
     pub(super) processes: Vec<ProcessRecord>,
-    /// Processes that ended unasked.
+    /// Processes that exited without a signal, or with an error.
     pub(super) crashes: Vec<String>,
 }
 
@@ -43,7 +42,7 @@
     let settings = &mut config["settings"];
     settings["me"] = json!(gateway);
     settings["replicas-of-me"] = json!(count);
-    // As where fleets are large: the rule on drains allows six seconds.
+    // As in large deployments: with this interval a change counts as reported after 6 s.
     settings["rules"]["ask-within-s"] = json!(10.0);
     for class in settings["classes"].as_array_mut().into_iter().flatten() {
         class["hard-limit-s"] = json!(CLIENT_TIMEOUT_S);
@@ -51,7 +50,7 @@
     config
 }
 
-impl Fleet {
+impl Gateways {
     pub(super) fn start(started_at: Instant, directory: &Directory, count: usize) -> Self {
         let platform = start_feed(&rollout_state(1, 0, "COMPLETE", 1.0), |_| HttpReply::Nothing);
         let start = |gateway| {
@@ -60,12 +59,13 @@
             Gateway { process, address, moves: 0, is_ending: false }
         };
         let gateways: Vec<Gateway> = (0..count).map(start).collect();
-        let mut fleet = Fleet { started_at, platform, gateways, processes: Vec::new(), crashes: Vec::new() };
-        (0..count).for_each(|gateway| fleet.record(gateway, ProcessEvent::Started));
-        fleet
+        let mut started =
+            Gateways { started_at, platform, gateways, processes: Vec::new(), crashes: Vec::new() };
+        (0..count).for_each(|gateway| started.record(gateway, ProcessEvent::Started));
+        started
     }
 
-    /// Where the gateways listen.
+    /// The addresses of the gateways.
     pub(super) fn addresses(&self) -> Vec<SocketAddr> {
         self.gateways.iter().map(|gateway| gateway.address).collect()
     }
@@ -74,14 +74,14 @@
         self.gateways[gateway].is_ending
     }
 
-    /// Asks a gateway to end.
+    /// Sends SIGTERM to a gateway.
     pub(super) fn terminate(&mut self, gateway: usize) {
         self.gateways[gateway].is_ending = true;
         self.record(gateway, ProcessEvent::Terminated);
         self.signal(gateway, "TERM");
     }
 
-    /// Kills a gateway, and starts it again at its address.
+    /// Kills a gateway, and restarts it at its address.
     pub(super) fn replace(&mut self, gateway: usize, directory: &Directory) {
         let count = self.gateways.len();
         self.check(gateway);
@@ -98,7 +98,7 @@
         self.record(gateway, ProcessEvent::Started);
     }
 
-    /// Moves the discovery service of a gateway.
+    /// Moves the discovery service of a gateway, and sends it SIGHUP.
     pub(super) fn reload(&mut self, gateway: usize, directory: &Directory) {
         let count = self.gateways.len();
         self.gateways[gateway].moves += 1;
@@ -113,7 +113,7 @@
         send_signal(self.gateways[gateway].process.child.id(), name);
     }
 
-    /// The lines that the present process of each gateway has logged.
+    /// The log lines of the current process of each gateway.
     pub(super) fn logs(&self) -> Vec<String> {
         let gateways = self.gateways.iter().enumerate();
         let logs = gateways.map(|(index, gateway)| (index, gateway.process.log.lock()));
@@ -124,7 +124,7 @@
         lines.collect()
     }
 
-    /// Ends all gateways, and notes those that had ended unasked.
+    /// Kills all gateways, and records crashes.
     pub(super) fn stop(&mut self) {
         for gateway in 0..self.gateways.len() {
             self.check(gateway);
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Notes a process that has ended unasked, or with an error.
+    /// Records a process that has exited without a signal, or with an error.
     fn check(&mut self, gateway: usize) {
         let checked = &mut self.gateways[gateway];
         let Ok(Some(status)) = checked.process.child.try_wait() else { return };
--- a/crates/experiments/src/soak/schedule.rs
+++ b/crates/experiments/src/soak/schedule.rs
@@ -1,19 +1,19 @@
-//! Which faults a run plays, and when: the same seed gives the same schedule.
+//! The faults of a run and their times: the same seed gives the same schedule.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// ms before the first fault: all gateways hold a list by then.
+/// The time in ms before the first fault, in which all gateways get a list.
 const QUIET_START: u64 = 2000;
-/// ms before the end in which no fault begins.
+/// The time in ms before the end in which no fault begins.
 const QUIET_END: u64 = 4000;
-/// ms between two faults.
+/// The range of the time between two faults, in ms.
 const FAULT_INTERVAL: std::ops::Range<u64> = 150..1500;
-/// ms of an outage of discovery: shorter and longer than the time after which updates count as told.
+/// The range of outages of discovery, in ms: shorter and longer than the time after which a change counts as reported.
 const OUTAGE: std::ops::Range<u64> = 300..9000;
-/// Chance that a run has floods of connections of clients.
+/// The probability that a run has connection floods.
 const FLOOD_SHARE: f64 = 0.4;
 
 /// How discovery fails.
@@ -21,7 +21,7 @@
 pub(super) enum DiscoveryFault {
     /// Calls end with 503.
     Unavailable,
-    /// Calls are not answered; open watches stay open and say nothing.
+    /// Calls are not answered; open watches stay open without messages.
     Silent,
     /// Answers are cut off within a list.
     CutOff,
@@ -30,23 +30,23 @@
 /// One fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Fault {
-    /// SIGKILL without notice, and a new start.
+    /// SIGKILL without notice, and a restart.
     Kill { gateway: usize },
-    /// SIGTERM, SIGKILL at the earliest time allowed, and a new start.
+    /// SIGTERM, SIGKILL after the shutdown time, and a restart.
     Restart { gateway: usize },
     /// SIGHUPs with discovery at another address each time.
     Reload { gateway: usize, times: u32 },
-    /// The process stands still for a moment.
+    /// The process is suspended.
     Pause { gateway: usize, duration: Duration },
     /// Discovery fails for one gateway, or for all.
     Discovery { gateway: Option<usize>, fault: DiscoveryFault, duration: Duration },
-    /// A server drains, vanishes, and returns at its address some time before it is listed again.
+    /// A server drains, stops, and restarts at its address before it is listed again.
     Replace { server: usize },
-    /// A server is silent for a while.
+    /// A server does not respond.
     Hang { server: usize, duration: Duration },
     /// A server closes its connections.
     Reset { server: usize },
-    /// Many clients come at once; half of them say nothing.
+    /// Many clients connect concurrently; half of them stay idle.
     ConnectionFlood { gateway: usize },
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// The faults of a run, in order, each with its time since the start.
+/// The faults of a run, ordered by their time since the start.
 pub(super) struct Schedule(pub(super) Vec<(Duration, Fault)>);
 
 impl Schedule {
@@ -84,7 +84,7 @@
         Schedule(faults)
     }
 
-    /// How many faults of each kind there are.
+    /// The number of faults by kind.
     pub(super) fn counts(&self) -> BTreeMap<&'static str, usize> {
         let mut counts = BTreeMap::new();
         for (_, fault) in &self.0 {
--- a/crates/experiments/src/soak/sizes.rs
+++ b/crates/experiments/src/soak/sizes.rs
@@ -2,10 +2,10 @@
 
 use clap::Args;
 
-/// How many, for how long, and which faults.
+/// The size, duration and faults of the run.
 #[derive(Args, Clone, Debug)]
 pub(crate) struct Sizes {
-    /// Draws the faults.
+    /// The seed of the faults.
     #[arg(long, default_value_t = 1)]
     pub(super) seed: u64,
     #[arg(long, default_value_t = 30)]
@@ -17,7 +17,7 @@
     /// Clients of each gateway.
     #[arg(long, default_value_t = 4)]
     pub(super) clients: usize,
-    /// Print the faults as they are played.
+    /// Print each fault when it begins.
     #[arg(long)]
     pub(super) verbose: bool,
 }
--- a/crates/experiments/src/xds.rs
+++ b/crates/experiments/src/xds.rs
@@ -1,12 +1,13 @@
-//! Thousands of proxies on one control service, while versions roll out and hosts come and go: how long a decision
-//! takes until every proxy uses it, what it costs, and that nothing goes back, dangles or exceeds a cap meanwhile.
+//! Thousands of proxies on one control service, while versions roll out and hosts are added and drained: the time
+//! from a decision until every proxy uses it, and its cost. No version may go back, no reference may dangle, no cap
+//! be exceeded.
 //!
 //! - `sizes`: the command line.
 //! - `testbed`: the control service, the platform and the proxies.
-//! - `rollout_script`: what the platform does.
-//! - `faults`: what goes wrong, and when.
+//! - `rollout_script`: the decisions of the platform.
+//! - `faults`: faults and their times.
 //! - `exposure`: samples of the canary's share.
-//! - `propagation`: how long decisions took.
+//! - `propagation`: the time until proxies used a decision.
 
 mod exposure;
 mod faults;
@@ -18,7 +19,7 @@
 use exposure::ExposureSamples;
 use faults::FaultTimes;
 use latchhaven_test_support::process::ResourceUsage;
-use propagation::{PropagationTimes, histogram_figures, recovery_time};
+use propagation::{PropagationTimes, histogram_results, recovery_time};
 use rollout_script::{Decision, Expectation, RolloutScript};
 use serde_json::{Map, Value, json};
 pub(crate) use sizes::Sizes;
@@ -30,21 +31,21 @@
 const DECISION_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval of samples of the canary's share.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
-/// Nearly all proxies are to use a decision within this, in ms.
+/// The limit of the 99th percentile of the time until a proxy uses a decision, in ms.
 const MAX_P99_MS: u64 = 1_000;
-/// All proxies are to use a decision within this, in ms.
+/// The limit of the time until all proxies use a decision, in ms.
 const MAX_MS: u64 = 5_000;
-/// Limit for all proxies to begin, and to converge at the end.
+/// The longest time until all proxies have started, and until they converge at the end.
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What was measured.
+/// The measurements of one run.
 struct Measurements {
-    /// Ms until all proxies had begun, and whether they had in time.
+    /// The time in ms until all proxies had started.
     begun_after: u64,
     all_began: bool,
     decisions: Vec<Decision>,
     exposure: ExposureSamples,
-    /// Ms until all proxies used the last decision, and the last one on the rollout; none: they did not in time.
+    /// The times in ms until all proxies used the last decision and the last rollout decision; none after a timeout.
     converged_after: Option<Vec<u64>>,
     propagation: PropagationTimes,
     recovered_after: Option<u64>,
@@ -53,17 +54,17 @@
     rejected: u64,
     usage: ResourceUsage,
     counters: Vec<(String, u64)>,
-    /// How long the experiment lasted, in seconds.
+    /// The duration of the experiment, in seconds.
     seconds: f64,
 }
 
-/// Runs the experiment; its figures, and whether all requirements were met.
+/// Runs the experiment; returns its results, and whether they meet all requirements.
 pub(crate) fn run(sizes: &Sizes) -> (Value, bool) {
     let mut testbed = Testbed::start(sizes);
     let measurements = measure(sizes, &mut testbed);
     testbed.stop();
     let broken = broken_requirements(&measurements);
-    (figures(sizes, measurements, &broken), broken.is_empty())
+    (results(sizes, measurements, &broken), broken.is_empty())
 }
 
 fn measure(sizes: &Sizes, testbed: &mut Testbed) -> Measurements {
@@ -128,7 +129,7 @@
     requirements.iter().filter(|(_, is_met)| !is_met).map(|(name, _)| *name).collect()
 }
 
-fn figures(sizes: &Sizes, measured: Measurements, broken: &[&str]) -> Value {
+fn results(sizes: &Sizes, measured: Measurements, broken: &[&str]) -> Value {
     let counters = measured.counters.into_iter();
     let counters: Map<String, Value> = counters.map(|(name, value)| (name, json!(value))).collect();
     let usage = measured.usage;
@@ -138,8 +139,8 @@
         "seed": sizes.seed, "incremental": sizes.incremental, "kill_control": sizes.kill_control,
         "reconnect_all": sizes.reconnect_all, "nack": sizes.nack, "partition": sizes.partition,
         "decisions": measured.decisions.len(), "all_began_ms": measured.begun_after,
-        "to_use": histogram_figures(&measured.propagation.undisturbed),
-        "to_use_of_those_struck": histogram_figures(&measured.propagation.disturbed),
+        "to_use": histogram_results(&measured.propagation.undisturbed),
+        "to_use_of_those_struck": histogram_results(&measured.propagation.disturbed),
         "recovered_all_ms": measured.recovered_after, "converged_ms": measured.converged_after,
         "never_used": measured.propagation.never_used, "regressions": measured.regressions,
         "dangling": measured.dangling, "refused": measured.rejected, "looks": exposure.count,
--- a/crates/experiments/src/xds/exposure.rs
+++ b/crates/experiments/src/xds/exposure.rs
@@ -1,10 +1,10 @@
-//! Samples of the canary's share over all proxies, each with the same traffic.
+//! Samples of the canary's share over all proxies, which have the same traffic.
 
 use super::faults::FaultTimes;
 use super::rollout_script::RolloutScript;
 use super::testbed::Testbed;
 
-/// By how much a share may be above its cap through rounding.
+/// The rounding error by which a share may exceed its cap.
 const TOLERANCE: f64 = 1e-9;
 
 /// The samples so far.
@@ -15,7 +15,7 @@
     pub(super) breaches: u64,
     /// The highest excess over the cap.
     pub(super) worst_excess: f64,
-    /// The highest share that proxies out of reach held.
+    /// The highest share of unreachable proxies.
     pub(super) max_unreachable_share: f64,
 }
 
@@ -29,7 +29,7 @@
         let share = (affected + unaffected) / proxy_count as f64;
         let mut limit = script.binding_cap();
         self.count += 1;
-        // What proxies hold that nobody can reach is theirs until they are reached; the others make room for it.
+        // The share of unreachable proxies cannot be lowered; the limit is at least that.
         if affected_count > 0 && faults.affects_proxies_now() {
             let unreachable_share = affected / proxy_count as f64;
             limit = limit.max(unreachable_share);
--- a/crates/experiments/src/xds/faults.rs
+++ b/crates/experiments/src/xds/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: when they begin and end, and what they do.
+//! Faults: their effects, and when they begin and end.
 
 use super::rollout_script::CAP_GRACE;
 use super::sizes::Sizes;
@@ -6,11 +6,11 @@
 use latchhaven_test_support::fake_proxy::ProxyBehavior;
 use std::time::{Duration, Instant};
 
-/// How long a killed control service is down.
+/// The time until a killed control service is restarted.
 const CONTROL_DOWN_TIME: Duration = Duration::from_secs(2);
-/// Decisions within this of a time without control service are not measured with the others.
+/// Decisions this close to a time without control service count as disturbed.
 const CONTROL_MARGIN: Duration = Duration::from_secs(5);
-/// Decisions within this of a fault are not measured with the others, at the proxies that it affects.
+/// Decisions this close to a fault count as disturbed at the proxies that it affects.
 const FAULT_MARGIN: Duration = Duration::from_secs(1);
 
 /// When faults began and ended.
@@ -23,7 +23,7 @@
 }
 
 impl FaultTimes {
-    /// Begins and ends faults when it is time: they last from the first third of the experiment on to the second.
+    /// Begins and ends faults: they last for the second third of the experiment.
     pub(super) fn advance(&mut self, elapsed: Duration, sizes: &Sizes, testbed: &mut Testbed) {
         let third = Duration::from_secs(sizes.seconds) / 3;
         if elapsed >= third && self.begun_at.is_none() {
@@ -62,24 +62,24 @@
         }
     }
 
-    /// True while the affected proxies may still hold outdated shares.
+    /// True while the affected proxies may have outdated shares.
     pub(super) fn affects_proxies_now(&self) -> bool {
         self.begun_at.is_some() && self.ended_at.is_none_or(|at| at.elapsed() < CAP_GRACE)
     }
 
-    /// True while proxies may still hold outdated shares because the control service was down.
+    /// True while proxies may have outdated shares because the control service was down.
     pub(super) fn affects_control_now(&self) -> bool {
         self.control_down_at.is_some() && self.control_back_at.is_none_or(|at| at.elapsed() < CAP_GRACE)
     }
 
-    /// True where a decision fell into the time without control service.
+    /// True if a decision was close to a time without control service.
     pub(super) fn affected_control_at(&self, decision: Instant) -> bool {
         let Some(down_at) = self.control_down_at else { return false };
         let back_at = self.control_back_at.unwrap_or_else(Instant::now);
         decision + CONTROL_MARGIN >= down_at && decision <= back_at + CONTROL_MARGIN
     }
 
-    /// True where a decision fell into the time in which the affected proxies were.
+    /// True if a decision was close to a fault of the affected proxies.
     pub(super) fn affected_proxies_at(&self, decision: Instant) -> bool {
         self.begun_at.is_some_and(|at| decision + FAULT_MARGIN >= at)
             && self.ended_at.is_none_or(|at| decision <= at + FAULT_MARGIN)
--- a/crates/experiments/src/xds/propagation.rs
+++ b/crates/experiments/src/xds/propagation.rs
@@ -1,4 +1,4 @@
-//! How long decisions took until proxies used them.
+//! The time until proxies used decisions.
 
 use super::faults::FaultTimes;
 use super::rollout_script::Decision;
@@ -57,7 +57,7 @@
 }
 
 /// The ms after the control service's return until all proxies used the last decision before it; none where one did
-/// not, or the service never was away.
+/// not, or the service was not killed.
 pub(super) fn recovery_time(decisions: &[Decision], testbed: &Testbed, faults: &FaultTimes) -> Option<u64> {
     let back_at = faults.control_back_at?;
     let last_decision = decisions.iter().rfind(|decision| decision.at <= back_at);
@@ -72,8 +72,8 @@
     times?.into_iter().max()
 }
 
-/// A histogram among the figures.
-pub(super) fn histogram_figures(times: &Histogram<u64>) -> Value {
+/// A histogram in the results.
+pub(super) fn histogram_results(times: &Histogram<u64>) -> Value {
     json!({"count": times.len(), "p50_ms": times.value_at_quantile(0.5), "p99_ms": times.value_at_quantile(0.99),
         "max_ms": times.max()})
 }
--- a/crates/experiments/src/xds/rollout_script.rs
+++ b/crates/experiments/src/xds/rollout_script.rs
@@ -1,4 +1,5 @@
-//! What the platform does: versions come, advance and are rolled back; between that, hosts drain and return.
+//! The decisions of the platform: versions are rolled out, advanced and rolled back; in between, hosts drain and
+//! return.
 
 use latchhaven_policy::Version;
 use latchhaven_proxy_config::version::{RolloutStatus, RolloutVersion};
@@ -10,17 +11,17 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A lower cap binds after this: the drain grace of the configuration, and the latency of sockets.
+/// The time after which a lower cap applies: the drain grace of the configuration, and the latency of sockets.
 pub(super) const CAP_GRACE: Duration = Duration::from_millis(2_050);
-/// The version that all hosts run at first.
+/// The version that all hosts run at the start.
 const BASELINE: u32 = 1;
 /// The canary's cap in each stage.
 const STAGE_CAPS: [f64; 3] = [0.1, 0.5, 1.0];
-/// One decision in so many is on the rollout, the others on single hosts.
+/// The interval of decisions on the rollout; the others are on single hosts.
 const DECISIONS_PER_ROLLOUT_STEP: u64 = 3;
-/// One host in so many runs the canary.
+/// Hosts per host that runs the canary.
 const HOSTS_PER_CANARY: usize = 4;
-/// Distinguishes the seed of this script from that of the proxies.
+/// Separates the random numbers of this script from those of the proxies.
 const SEED_MASK: u64 = 7;
 /// Zones of the hosts.
 const ZONES: usize = 3;
@@ -29,10 +30,10 @@
 /// The port of all hosts.
 const HOST_PORT: u16 = 5432;
 
-/// How a proxy's state shows that it uses a decision.
+/// The condition on a proxy's state that shows that it uses a decision.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Expectation {
-    /// The rollout is at least this far.
+    /// The rollout has reached at least this state.
     Rollout { version: u32, status: RolloutStatus, stage: u32 },
     /// The endpoint list is at least of this version.
     EndpointList(u64),
@@ -46,8 +47,8 @@
     pub(super) fn is_met(&self, rollout: Option<RolloutVersion>, list_version: u64) -> bool {
         match self {
             Expectation::EndpointList(version) => list_version >= *version,
-            Expectation::Rollout { version, status, stage } => rollout.is_some_and(|held| {
-                (held.version, held.status, held.stage) >= (Version(*version), *status, *stage)
+            Expectation::Rollout { version, status, stage } => rollout.is_some_and(|current| {
+                (current.version, current.status, current.stage) >= (Version(*version), *status, *stage)
             }),
         }
     }
@@ -81,7 +82,7 @@
     entry
 }
 
-/// The script, and how far it is.
+/// The script and its progress.
 pub(super) struct RolloutScript {
     platform: FakePlatform,
     host_count: usize,
@@ -155,7 +156,7 @@
         self.canary_hosts = (0..self.host_count.div_ceil(HOSTS_PER_CANARY)).collect();
         self.version += 1;
         self.stage = 0;
-        // The rollout first: its hosts are canaries from the moment that they are listed.
+        // The rollout is reported first, so that its hosts are canaries as soon as they are listed.
         self.update_rollout("IN_PROGRESS", 0, STAGE_CAPS[0]);
         let hosts: Vec<Value> =
             self.canary_hosts.iter().map(|index| entry(*index, "up", self.version)).collect();
@@ -178,7 +179,7 @@
         self.caps.push(CapChange { at: Instant::now(), version: self.version, cap });
     }
 
-    /// The highest cap that binds the newest version now: an earlier one counts for the grace.
+    /// The highest cap that applies to the newest version now: an earlier one applies during the grace.
     pub(super) fn binding_cap(&self) -> f64 {
         let now = Instant::now();
         let is_recent = |change: &&CapChange| now.duration_since(change.at) < CAP_GRACE;
@@ -190,7 +191,7 @@
         }
         let own_caps = recent.iter().filter(|change| change.version == self.version);
         let highest = own_caps.map(|change| change.cap).fold(newest, f64::max);
-        // What was in force before the oldest recent change binds as well.
+        // The cap before the oldest recent change applies as well.
         highest.max(self.last_cap(earlier).unwrap_or(0.0))
     }
 
--- a/crates/experiments/src/xds/testbed.rs
+++ b/crates/experiments/src/xds/testbed.rs
@@ -6,6 +6,7 @@
 use latchhaven_test_support::fake_load_reports::{ClusterOutcome, ReportedLoad};
 use latchhaven_test_support::fake_platform::{FakePlatform, control_config};
 use latchhaven_test_support::fake_proxy::{FakeProxy, ProxyBehavior, ResponseObserver};
+use latchhaven_test_support::lock_ignoring_poison;
 use latchhaven_test_support::platform_messages::rollout_state;
 use latchhaven_test_support::process::Process;
 use latchhaven_test_support::resource_cache::ResourceCache;
@@ -14,7 +15,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 use tokio::runtime::{Builder, Runtime};
@@ -24,12 +25,12 @@
 const REQUESTS_PER_SECOND: u64 = 20;
 /// The mean latency that proxies report, in ms.
 const REPORTED_LATENCY: f64 = 20.0;
-/// Time between two checks whether all proxies meet an expectation.
+/// The interval of checks whether all proxies meet an expectation.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// The sum of all weights of a route.
 const TOTAL_WEIGHT: f64 = 1e6;
 
-/// What a proxy held from a time on.
+/// The state of a proxy from a time on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ProxyState {
     pub(super) at: Instant,
@@ -49,7 +50,7 @@
         }
     }
 
-    fn holds_same(&self, other: &ProxyState) -> bool {
+    fn equals_except_time(&self, other: &ProxyState) -> bool {
         self.rollout == other.rollout && self.list_version == other.list_version
     }
 
@@ -61,7 +62,7 @@
 /// The states of all proxies so far, by their numbers.
 type Histories = Arc<Vec<Mutex<Vec<ProxyState>>>>;
 
-/// What a group of proxies does.
+/// The behavior of a group of proxies.
 struct ProxyGroup {
     behavior: watch::Sender<ProxyBehavior>,
     receiver: watch::Receiver<ProxyBehavior>,
@@ -75,12 +76,12 @@
     }
 }
 
-/// Everything that runs.
+/// All parts of the experiment.
 pub(super) struct Testbed {
     pub(super) platform: FakePlatform,
     pub(super) control: Process,
     pub(super) proxies: Vec<FakeProxy>,
-    /// How many proxies, the first ones, faults affect.
+    /// The number of proxies that faults affect: the first ones.
     pub(super) affected_count: usize,
     pub(super) started_at: Instant,
     affected: ProxyGroup,
@@ -143,23 +144,23 @@
         if self.is_affected(proxy) { &self.affected } else { &self.unaffected }
     }
 
-    /// True where faults affect a proxy.
+    /// True if faults affect a proxy.
     pub(super) fn is_affected(&self, proxy: usize) -> bool {
         proxy < self.affected_count
     }
 
-    /// Changes what the proxies do that faults affect.
+    /// Changes the behavior of the proxies that faults affect.
     pub(super) fn change_affected(&self, change: impl FnOnce(&mut ProxyBehavior)) {
         self.affected.behavior.send_modify(change);
     }
 
-    /// Changes what all proxies do.
+    /// Changes the behavior of all proxies.
     pub(super) fn change_all(&self, change: impl Fn(&mut ProxyBehavior)) {
         self.unaffected.behavior.send_modify(&change);
         self.affected.behavior.send_modify(&change);
     }
 
-    /// Starts the control service again, and all proxies connect to it.
+    /// Restarts the control service and connects all proxies to it.
     pub(super) fn restart_control(&mut self) {
         self.control = Process::start_control(&self.config_path);
         let addr = self.control.addr;
@@ -168,10 +169,10 @@
 
     /// The states of a proxy so far.
     pub(super) fn history(&self, proxy: usize) -> MutexGuard<'_, Vec<ProxyState>> {
-        self.histories[proxy].lock().unwrap_or_else(PoisonError::into_inner)
+        lock_ignoring_poison(&self.histories[proxy])
     }
 
-    /// Waits until all proxies meet an expectation; the ms that it took, none where they do not in time.
+    /// Waits until all proxies meet an expectation; returns the time in ms, or none after the limit.
     pub(super) fn wait_for_all(&self, expectation: Expectation, limit: Duration) -> Option<u64> {
         let start = Instant::now();
         while start.elapsed() < limit {
@@ -184,7 +185,7 @@
         None
     }
 
-    /// The sum of the shares of one class that some proxies route to a version.
+    /// The sum over some proxies of the share of one class that is routed to a version.
     pub(super) fn total_share(&self, proxies: std::ops::Range<usize>, version: u32) -> f64 {
         let proxies = self.proxies[proxies].iter();
         proxies.map(|proxy| f64::from(proxy.cache().version_share("look", version)) / TOTAL_WEIGHT).sum()
@@ -222,12 +223,12 @@
     config_path
 }
 
-/// Records the states of proxies that differ from those before.
+/// Records each change of a proxy's state.
 fn record_states(histories: Histories) -> ResponseObserver {
     Arc::new(move |number, cache, at| {
         let state = ProxyState::of(cache, at);
-        let mut history = histories[number].lock().unwrap_or_else(PoisonError::into_inner);
-        if history.last().is_none_or(|last| !last.holds_same(&state)) {
+        let mut history = lock_ignoring_poison(&histories[number]);
+        if history.last().is_none_or(|last| !last.equals_except_time(&state)) {
             history.push(state);
         }
     })
--- a/crates/experiments/tests/soak.rs
+++ b/crates/experiments/tests/soak.rs
@@ -1,4 +1,4 @@
-//! Short runs of the soak, by seed. Longer ones and more seeds are played by hand: `docs/results/incident-pellow.md`.
+//! Short runs of the soak, by seed. Longer runs with more seeds: `docs/results/incident-pellow.md`.
 
 use rstest::rstest;
 use std::process::Command;
@@ -9,10 +9,10 @@
 #[rstest]
 #[case::cut_off_lists(3)]
 #[case::floods_and_silence(6)]
-fn rules_are_kept_under_faults(#[case] seed: u64) {
+fn gateways_violate_no_rule_under_faults(#[case] seed: u64) {
     let mut soak = Command::new(env!("CARGO_BIN_EXE_latchhaven-experiments"));
     soak.args(["soak", "--seed", &seed.to_string(), "--seconds", SECONDS]);
     let output = soak.output().expect("the experiment runs");
-    let figures = String::from_utf8_lossy(&output.stdout);
-    assert!(output.status.success(), "{figures}");
+    let results = String::from_utf8_lossy(&output.stdout);
+    assert!(output.status.success(), "{results}");
 }
--- a/crates/test-support/src/fake_http.rs
+++ b/crates/test-support/src/fake_http.rs
@@ -8,9 +8,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The head of a response whose chunks follow as they come.
+/// The head of a response that is streamed in chunks.
 pub const STREAM_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// How long the end of a stream is looked for.
+/// How long a check waits for the end of a stream.
 const CLOSE_CHECK_TIMEOUT: Duration = Duration::from_millis(2);
 
 /// A complete response.
@@ -23,14 +23,14 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// What the service does with one call.
+/// The reply of the service to one call.
 #[derive(Clone, Debug)]
 pub enum HttpReply {
     /// Writes these bytes; the connection stays open.
     KeepOpen(String),
     /// Writes these bytes and closes the connection.
     Close(String),
-    /// Does not respond.
+    /// Does not reply.
     Nothing,
 }
 
@@ -104,8 +104,7 @@
 
     /// Writes the reply; none where the connection has ended.
     fn reply_to(&self, call: &HttpCall, stream: &mut TcpStream) -> Option<HttpReply> {
-        // Locked from the reply until the stream is listed: a change in between would neither be in the reply nor
-        // be written to the stream.
+        // Locked from the reply until the stream is registered: a change in between would be missing from both.
         let mut streams = lock(&self.streams);
         let reply = lock(&self.reply)(&call.request_line);
         stream.write_all(reply.text().as_bytes()).ok()?;
@@ -135,8 +134,8 @@
         self.send_line_with(|| line.clone());
     }
 
-    /// Writes one line to all open streams. It is made while no stream can begin: a stream that begins later is
-    /// answered from the state that the line reports.
+    /// Writes one line to all open streams. The line is made while no stream can begin: a stream that begins later gets
+    /// the state that the line reports.
     pub fn send_line_with(&self, make_line: impl FnOnce() -> Value) {
         self.write_with(|| chunk(&format!("{}\n", make_line())));
     }
@@ -147,10 +146,10 @@
         streams.retain_mut(|stream| stream.write_all(text.as_bytes()).is_ok());
     }
 
-    /// True where the peers have closed all streams.
+    /// True if the peers have closed all streams.
     ///
     /// # Panics
-    /// A socket refuses a read timeout.
+    /// A socket does not accept a read timeout.
     pub fn all_streams_closed(&self) -> bool {
         let mut streams = lock(&self.streams);
         streams.iter_mut().all(|stream| {
--- a/crates/test-support/src/fake_load_reports.rs
+++ b/crates/test-support/src/fake_load_reports.rs
@@ -1,6 +1,6 @@
-//! Load reports of an xDS proxy, for requests that it did not send.
+//! Load reports of an xDS proxy about requests that were not sent.
 
-use crate::fake_proxy::{FakeProxy, ProxyBehavior, RECONNECT_INTERVAL, connect};
+use crate::fake_proxy::{FakeProxy, ProxyBehavior, RECONNECT_INTERVAL, connect, wait_for_service};
 use crate::resource_cache::{CachedEndpoint, ResourceCache};
 use bytes::Bytes;
 use latchhaven_xds::codec::ChunkCodec;
@@ -29,9 +29,9 @@
 
 /// The path of load reports.
 const LOAD_REPORTS_PATH: &str = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats";
-/// Reports that may wait to be sent.
+/// Reports that are queued at most.
 const MAX_QUEUED_REPORTS: usize = 4;
-/// Endpoints that one report names in each cluster at most: a proxy uses few in one second.
+/// Endpoints of each cluster in one report at most.
 const MAX_REPORTED_ENDPOINTS: usize = 5;
 /// Time between two reports.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
@@ -40,7 +40,7 @@
 /// The sum of all weights of a route.
 const TOTAL_WEIGHT: f64 = 1e6;
 
-/// Sends load reports as they come, until the service ends the stream.
+/// Sends load reports until the service ends the stream.
 ///
 /// # Errors
 /// The status with which the stream ended.
@@ -71,7 +71,7 @@
     vec![Bytes::from(report.encode_to_vec())]
 }
 
-/// How the requests to one cluster go.
+/// The outcomes of requests to one cluster.
 #[derive(Clone, Copy, Debug)]
 pub struct ClusterOutcome {
     /// The share that fails, from 0 to 1.
@@ -80,7 +80,7 @@
     pub mean_latency: f64,
 }
 
-/// How requests go, by cluster name.
+/// The outcomes of requests by cluster name.
 pub type ClusterOutcomes = Arc<dyn Fn(&str) -> ClusterOutcome + Send + Sync>;
 
 /// The requests that a proxy reports.
@@ -90,12 +90,12 @@
     pub classes: &'static [&'static str],
     /// Requests of each class in one second.
     pub requests: u64,
-    /// How they go.
+    /// Their outcomes.
     pub outcomes: ClusterOutcomes,
 }
 
 impl ReportedLoad {
-    /// A report over one second in which the requests were routed by what a cache holds.
+    /// A report over one second in which the requests were routed by the resources of a cache.
     pub fn report(&self, cache: &ResourceCache, node: &str, rng: &mut Pcg64Mcg) -> LoadStatsRequest {
         let mut clusters = Vec::new();
         for class in self.classes {
@@ -141,7 +141,7 @@
     failed: u64,
 }
 
-/// Spreads requests over a few endpoints, and draws which of them fail.
+/// Distributes requests over a few endpoints, and draws which of them fail.
 fn draw_counts(
     endpoints: &[CachedEndpoint], count: u64, failure_share: f64, rng: &mut Pcg64Mcg,
 ) -> BTreeMap<SocketAddr, Counts> {
@@ -184,19 +184,10 @@
         let proxy_seed = seed ^ (self.number as u64 + 1).wrapping_mul(0x2545_f491_4f6c_dd1d);
         let mut rng = Pcg64Mcg::seed_from_u64(proxy_seed);
         loop {
-            let current = behavior.borrow_and_update().clone();
-            if current.stops {
-                return;
-            }
-            let Some(service) = current.service else {
-                if behavior.changed().await.is_err() {
-                    return;
-                }
-                continue;
-            };
+            let Some(connected) = wait_for_service(&mut behavior).await else { return };
             let (reports, report_receiver) = mpsc::channel(1);
             select! {
-                _ = send_load_reports(service, report_receiver) => sleep(RECONNECT_INTERVAL).await,
+                _ = send_load_reports(connected.service, report_receiver) => sleep(RECONNECT_INTERVAL).await,
                 () = self.make_reports(&load, reports, &mut rng) => {}
                 changed = behavior.changed() => if changed.is_err() { return },
             }
--- a/crates/test-support/src/fake_platform.rs
+++ b/crates/test-support/src/fake_platform.rs
@@ -1,11 +1,11 @@
-//! Service discovery and a platform that hold a state: calls are answered with it, and open streams are sent every
-//! change.
+//! Service discovery and a platform with a state: calls get the state, and open streams get every change.
 
 use crate::fake_http::{FakeHttpService, HttpCall, HttpReply, chunk, response};
+use crate::lock_ignoring_poison;
 use crate::platform_messages::{endpoint_list, is_vote, rollout_line, rollout_state};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -21,14 +21,14 @@
 }
 
 impl State {
-    /// The rollout state with its present age.
+    /// The rollout state with its current age.
     fn rollout(&self) -> Value {
         let mut rollout = self.rollout.clone();
         rollout["observedAgoMs"] = json!(self.rollout_since.elapsed().as_millis() as u64);
         rollout
     }
 
-    /// The reply of service discovery to a fetch, or to a watch from a version on.
+    /// The reply of service discovery to a fetch, or to a watch after a version.
     fn discovery_reply(&self, request_line: &str) -> HttpReply {
         let list = endpoint_list(self.list_version, true, &self.hosts).to_string();
         let Some(after) = request_line.split("after=").nth(1) else {
@@ -53,7 +53,7 @@
     state: Arc<Mutex<State>>,
     /// Service discovery.
     pub discovery: FakeHttpService,
-    /// The platform's feed, which also takes votes.
+    /// The platform's feed, which also receives votes.
     pub feed: FakeHttpService,
 }
 
@@ -64,7 +64,7 @@
     pub version: u64,
     /// The stage of its rollout.
     pub stage: u64,
-    /// `approve` or `reject`.
+    /// The vote, `approve` or `reject`.
     pub word: String,
 }
 
@@ -77,21 +77,22 @@
         let state = State { list_version, hosts, rollout, rollout_since: Instant::now() };
         let state = Arc::new(Mutex::new(state));
         let discovery_state = state.clone();
-        let discovery = FakeHttpService::start(move |line| recover(&discovery_state).discovery_reply(line));
+        let discovery =
+            FakeHttpService::start(move |line| lock_ignoring_poison(&discovery_state).discovery_reply(line));
         let feed_state = state.clone();
-        let feed = FakeHttpService::start(move |line| recover(&feed_state).platform_reply(line));
+        let feed = FakeHttpService::start(move |line| lock_ignoring_poison(&feed_state).platform_reply(line));
         send_keepalives(discovery.clone(), feed.clone());
         FakePlatform { state, discovery, feed }
     }
 
-    /// Replaces or adds hosts; those with the health `removed` leave the list. Returns the list's version.
+    /// Replaces or adds hosts; those with the health `removed` are removed. Returns the list's version.
     pub fn update_hosts(&self, hosts: &[Value]) -> u64 {
         let mut version = 0;
         self.discovery.send_line_with(|| {
-            let mut state = recover(&self.state);
+            let mut state = lock_ignoring_poison(&self.state);
             state.list_version += 1;
             for host in hosts {
-                state.hosts.retain(|held| held["host"] != host["host"]);
+                state.hosts.retain(|listed| listed["host"] != host["host"]);
                 if host["health"] != "removed" {
                     state.hosts.push(host.clone());
                 }
@@ -105,10 +106,10 @@
     /// Changes the rollout state.
     pub fn update_rollout(&self, version: u32, stage: u32, status: &str, cap: f64) {
         self.feed.send_line_with(|| {
-            let mut state = recover(&self.state);
-            state.rollout = rollout_state(version, stage, status, cap);
-            state.rollout_since = Instant::now();
-            rollout_line(&state.rollout())
+            let mut current = lock_ignoring_poison(&self.state);
+            current.rollout = rollout_state(version, stage, status, cap);
+            current.rollout_since = Instant::now();
+            rollout_line(&current.rollout())
         });
     }
 
@@ -121,20 +122,15 @@
 
     /// All votes so far.
     pub fn votes(&self) -> Vec<Vote> {
-        recover(&self.feed.calls).iter().filter_map(parse_vote).collect()
+        lock_ignoring_poison(&self.feed.calls).iter().filter_map(parse_vote).collect()
     }
 
     /// The version of the endpoint list.
     pub fn list_version(&self) -> u64 {
-        recover(&self.state).list_version
+        lock_ignoring_poison(&self.state).list_version
     }
 }
 
-/// Locks a mutex also where a thread has failed with the lock.
-fn recover<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
 fn send_keepalives(discovery: FakeHttpService, feed: FakeHttpService) {
     thread::spawn(move || {
         loop {
--- a/crates/test-support/src/fake_proxy.rs
+++ b/crates/test-support/src/fake_proxy.rs
@@ -1,5 +1,6 @@
-//! An xDS proxy on a socket. It keeps its resources while no service answers, and reconnects with them.
+//! An xDS proxy on a socket. It retains its resources while it is disconnected, and reports them when it reconnects.
 
+use crate::lock_ignoring_poison;
 use crate::resource_cache::{CacheRequest, ResourceCache};
 use bytes::Bytes;
 use latchhaven_xds::codec::ChunkCodec;
@@ -9,7 +10,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 use tokio::select;
 use tokio::sync::{mpsc, watch};
@@ -20,35 +21,58 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Request, Status, Streaming};
 
-/// The longest time between two attempts to reconnect; it doubles from a tenth of this and is jittered.
-pub(crate) const RECONNECT_INTERVAL: Duration = Duration::from_millis(1000);
+/// The longest interval between two attempts to reconnect; it doubles from a tenth of this, with jitter.
+pub(crate) const RECONNECT_INTERVAL: Duration = Duration::from_secs(1);
 /// The first interval is the longest one divided by this.
 const FIRST_INTERVAL_DIVISOR: u32 = 10;
-/// Limit for opening a connection.
+/// The longest time in which a connection is opened.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bytes of one response at most: some thousand endpoints.
+/// Bytes of one response at most.
 const MAX_RESPONSE_LENGTH: usize = 64 << 20;
-/// Requests that may wait to be sent.
+/// Requests that are queued at most.
 const MAX_QUEUED_REQUESTS: usize = 64;
 /// The path of incremental aggregated streams.
 const DELTA_PATH: &str = "/envoy.service.discovery.v3.AggregatedDiscoveryService/DeltaAggregatedResources";
 /// The path of full aggregated streams.
 const FULL_PATH: &str = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources";
 
-/// What a proxy does; it can be changed while the proxy runs.
+/// The behavior of a proxy; it can be changed while the proxy runs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProxyBehavior {
-    /// The service that it connects to; none: it is disconnected.
+    /// The service that it connects to; without one it is disconnected.
     pub service: Option<SocketAddr>,
     /// It rejects routes.
     pub rejects_routes: bool,
-    /// Increased to make it begin a new stream.
+    /// Increased to start a new stream.
     pub reconnects: u64,
-    /// It stops for good.
+    /// It stops permanently.
     pub stops: bool,
 }
 
-/// Called after each response with the number of the proxy, what it holds, and the time.
+/// The behavior of a proxy that has a service to connect to.
+#[derive(Clone, Copy)]
+pub(crate) struct ConnectedBehavior {
+    pub(crate) service: SocketAddr,
+    pub(crate) rejects_routes: bool,
+}
+
+/// Waits until a proxy has a service to connect to; none if it stops, or its behavior can no longer change.
+pub(crate) async fn wait_for_service(
+    behavior: &mut watch::Receiver<ProxyBehavior>,
+) -> Option<ConnectedBehavior> {
+    loop {
+        let current = behavior.borrow_and_update().clone();
+        if current.stops {
+            return None;
+        }
+        if let Some(service) = current.service {
+            return Some(ConnectedBehavior { service, rejects_routes: current.rejects_routes });
+        }
+        behavior.changed().await.ok()?;
+    }
+}
+
+/// Called after each response with the number of the proxy, its resources, and the time.
 pub type ResponseObserver = Arc<dyn Fn(usize, &ResourceCache, Instant) + Send + Sync>;
 
 /// The proxy.
@@ -60,7 +84,7 @@
 }
 
 impl FakeProxy {
-    /// A proxy that holds nothing yet.
+    /// A proxy without resources.
     pub fn new(number: usize, incremental: bool) -> Self {
         let cache = ResourceCache::new(&node_id(number), incremental);
         FakeProxy { number, cache: Arc::new(Mutex::new(cache)) }
@@ -71,12 +95,12 @@
         node_id(self.number)
     }
 
-    /// What it holds now.
+    /// Its resources.
     pub fn cache(&self) -> MutexGuard<'_, ResourceCache> {
-        self.cache.lock().unwrap_or_else(PoisonError::into_inner)
+        lock_ignoring_poison(&self.cache)
     }
 
-    /// Runs until its behavior says to stop, or can no longer change.
+    /// Runs until its behavior stops it, or can no longer change.
     pub async fn run(
         self, mut behavior: watch::Receiver<ProxyBehavior>, seed: u64, observer: ResponseObserver,
     ) {
@@ -85,18 +109,9 @@
         let first_interval = RECONNECT_INTERVAL / FIRST_INTERVAL_DIVISOR;
         let mut interval = first_interval;
         loop {
-            let current = behavior.borrow_and_update().clone();
-            if current.stops {
-                return;
-            }
-            let Some(service) = current.service else {
-                if behavior.changed().await.is_err() {
-                    return;
-                }
-                continue;
-            };
+            let Some(connected) = wait_for_service(&mut behavior).await else { return };
             select! {
-                result = self.run_stream(service, current.rejects_routes, &observer) => {
+                result = self.run_stream(connected, &observer) => {
                     interval =
                         if result.is_ok() { first_interval } else { (interval * 2).min(RECONNECT_INTERVAL) };
                 }
@@ -113,15 +128,16 @@
 
     /// One stream, until it ends.
     async fn run_stream(
-        &self, service: SocketAddr, rejects_routes: bool, observer: &ResponseObserver,
+        &self, connected: ConnectedBehavior, observer: &ResponseObserver,
     ) -> Result<(), Status> {
-        let channel = connect(service).await?;
+        let channel = connect(connected.service).await?;
         let (requests, request_stream) = mpsc::channel(MAX_QUEUED_REQUESTS);
         let initial_requests = self.cache().initial_requests();
         send_all(&requests, initial_requests).await;
         let mut grpc = Grpc::new(channel).max_decoding_message_size(MAX_RESPONSE_LENGTH);
         grpc.ready().await.map_err(|error| Status::unavailable(error.to_string()))?;
         let request = Request::new(ReceiverStream::new(request_stream));
+        let rejects_routes = connected.rejects_routes;
         let stream = ProxyStream { proxy: self, requests, rejects_routes, observer };
         if self.is_incremental() {
             let path = PathAndQuery::from_static(DELTA_PATH);
@@ -145,7 +161,7 @@
     format!("proxy-{number}")
 }
 
-/// A stream whose responses are received.
+/// The receiver of one stream.
 struct ProxyStream<'a> {
     proxy: &'a FakeProxy,
     requests: mpsc::Sender<Vec<Bytes>>,
@@ -200,7 +216,7 @@
 /// Opens a connection to a service.
 ///
 /// # Errors
-/// It cannot be opened in time.
+/// It is not opened within the timeout.
 pub async fn connect(service: SocketAddr) -> Result<Channel, Status> {
     let endpoint = Endpoint::from_shared(format!("http://{service}"))
         .map_err(|error| Status::internal(error.to_string()))?;
--- a/crates/test-support/src/fake_server.rs
+++ b/crates/test-support/src/fake_server.rs
@@ -1,4 +1,4 @@
-//! A server on the PostgreSQL protocol whose behavior can be changed while it runs.
+//! A server on the `PostgreSQL` protocol whose behavior can be changed while it runs.
 
 use crate::postgres::{
     AUTHENTICATION_OK, READY_FOR_QUERY, TypedMessage, error_response, message, read_message, read_startup,
@@ -15,15 +15,15 @@
 const HANDSHAKE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// The SQLSTATEs of queries that were not executed.
 const NOT_EXECUTED: [&str; 2] = ["53300", "57P03"];
-/// Messages that a flooding server writes at once.
+/// Messages in each write of a flooding server.
 const FLOOD_MESSAGES: usize = 10_000;
 /// Bytes of a row without end that are written.
 const ENDLESS_ROW_LENGTH: usize = 1 << 20;
 
-/// What a server does with a query.
+/// The behavior of a server on a query.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerBehavior {
-    /// Responds with a row that holds the id of the query.
+    /// Responds with a row that contains the id of the query.
     Succeed,
     /// The same, after so many ms.
     SucceedAfter(u64),
@@ -35,19 +35,19 @@
     FailOneIn(usize, &'static str),
     /// Does not respond.
     NeverRespond,
-    /// Closes the connection once the query has come.
+    /// Closes the connection after it has received the query.
     Reset,
-    /// Closes the connection once the query has come; from then on [`ServerBehavior::NeverHandshake`].
+    /// Closes the connection after it has received the query; from then on [`ServerBehavior::NeverHandshake`].
     ResetForGood,
     /// Closes the connection in the middle of the row.
     TruncateRow,
-    /// Responds with bytes that are no message.
+    /// Responds with bytes that are not a message.
     RespondGarbage,
     /// Responds and, so many ms later, before another query, writes the row once more.
     RespondTwice(u64),
     /// Responds with a value of so many bytes.
     LargeValue(usize),
-    /// Responds with an error whose SQLSTATE says "not executed", but which cannot be decoded.
+    /// Responds with a malformed error whose SQLSTATE means "not executed".
     UndecodableError,
     /// Responds with a row that never ends.
     EndlessRow,
@@ -55,14 +55,14 @@
     FloodParameters,
     /// Responds with notices and parameters around the row.
     SucceedAmongNotices,
-    /// Accepts connections without a handshake until the behavior changes; connections that are up are served.
+    /// Accepts connections without a handshake until the behavior changes; established connections are served.
     NeverHandshake,
     /// Responds and closes the connection.
     SucceedAndClose,
 }
 
 impl ServerBehavior {
-    /// True where the connection is closed after the response.
+    /// True if the connection is closed after the response.
     fn closes_connection(self) -> bool {
         matches!(
             self,
@@ -84,18 +84,18 @@
     pub text: String,
 }
 
-/// When a query arrived, and what became of it.
+/// The arrival of a query, and whether it was executed.
 #[derive(Clone, Debug)]
 pub struct QueryArrival {
     /// The id of the query.
     pub id: String,
-    /// When its last byte had come.
+    /// When its last byte was received.
     pub at: Instant,
-    /// It was executed, or may have been.
+    /// It was possibly executed.
     pub is_executed: bool,
 }
 
-/// What a server has seen so far.
+/// The records of a server.
 #[derive(Default)]
 pub struct ServerHistory {
     /// The queries in order.
@@ -106,18 +106,18 @@
     pub connections: usize,
     /// Numbers of the connections that have ended.
     pub ended: Vec<usize>,
-    /// The connections, as far as they were not closed by [`FakeServer::close_connections`].
+    /// The connections that were not closed by [`FakeServer::close_connections`].
     pub open: Vec<TcpStream>,
 }
 
 /// The server.
 #[derive(Clone)]
 pub struct FakeServer {
-    /// Where it listens.
+    /// The address that it listens on.
     pub addr: SocketAddr,
-    /// What it does with the next query.
+    /// Its behavior on the next query.
     pub behavior: Arc<Mutex<ServerBehavior>>,
-    /// What it has seen.
+    /// Its records.
     pub seen: Arc<Mutex<ServerHistory>>,
 }
 
@@ -174,7 +174,7 @@
     ConnectionEnded,
 }
 
-/// One connection of a server. Options are none where it has ended.
+/// One connection of a server. Its functions return none once the connection has ended.
 struct ServerConnection {
     stream: TcpStream,
     number: usize,
@@ -214,7 +214,7 @@
         self.stream.set_read_timeout(None).ok()
     }
 
-    /// Records a query; its id.
+    /// Records a query and returns its id.
     fn record_query(&mut self, message: &TypedMessage) -> String {
         assert_eq!(message.kind, b'Q');
         let text = &message.body[..message.body.len() - 1];
@@ -274,12 +274,12 @@
                 [message(b'T', b"\0\x01")[..5].to_vec(), vec![0x7f; ENDLESS_ROW_LENGTH]].concat()
             }
             ServerBehavior::FloodParameters => return self.flood_parameters(),
-            ServerBehavior::SucceedAmongNotices => among_notices(success),
+            ServerBehavior::SucceedAmongNotices => among_notices(&success),
         };
         Response::Bytes(response)
     }
 
-    /// Writes the response at once where the row follows later; the row is left to write.
+    /// Writes the response immediately if the row is repeated later, and returns the bytes that remain to be written.
     fn respond_twice(&mut self, delay: u64, id: &str, success: Vec<u8>) -> Response {
         let copy = row(id.as_bytes());
         if delay == 0 {
@@ -300,9 +300,9 @@
     }
 }
 
-fn among_notices(success: Vec<u8>) -> Vec<u8> {
+fn among_notices(success: &[u8]) -> Vec<u8> {
     let notice = message(b'N', b"SNOTICE\0C00000\0Mhm\0\0");
     let load = message(b'S', b"load\0inflight=7,util=0.61\0");
     let parameter = message(b'S', b"a\0b\0");
-    [notice, load, success, parameter].concat()
+    [&notice[..], &load, success, &parameter].concat()
 }
--- a/crates/test-support/src/gateway.rs
+++ b/crates/test-support/src/gateway.rs
@@ -35,8 +35,7 @@
         "known": endpoint_list(5, true, hosts), "settings": settings})
 }
 
-/// Changes a configuration so that requests and connections may take long: a test that does something meanwhile need
-/// not hurry.
+/// Sets long timeouts of requests and connections, so that a test can act meanwhile on a busy machine.
 ///
 /// # Panics
 /// The configuration has no classes.
@@ -58,9 +57,9 @@
     pub child: Child,
     /// The lines of its log so far.
     pub log: Log,
-    /// While set, nothing more of its log is read.
+    /// While set, reading of its log is paused.
     pub log_paused: Arc<AtomicBool>,
-    /// The file that holds its configuration.
+    /// The path of its configuration.
     pub config_path: String,
 }
 
@@ -73,11 +72,11 @@
     let folder = std::env::temp_dir();
     let config_path = format!("{}/latchhaven-{}-{number}.json", folder.display(), std::process::id());
     std::fs::write(&config_path, config).expect("the configuration is written");
-    // Both streams go to one pipe, as where they are one log.
+    // Both streams go to one pipe, as in a container's log.
     let mut command = Command::new("/bin/sh");
     command.args(["-c", "exec \"$0\" 1>&2"]).arg(program());
     command.env_clear().env("BALANCER_CONFIG", &config_path);
-    // As where the environment holds what the file says as well.
+    // The environment variable repeats the value of the file, as in deployments.
     if let Some(discovery) = configured_discovery(config) {
         command.env("BALANCER_DISCOVERY", discovery);
     }
@@ -91,16 +90,16 @@
     config["discovery"].as_str().map(str::to_string)
 }
 
-/// A gateway, and the fakes that it speaks with.
+/// A gateway, and the fakes around it.
 pub struct Gateway {
     process: GatewayProcess,
     /// Its configuration.
     pub config: Value,
-    /// The file that holds its configuration.
+    /// The path of its configuration.
     pub path: String,
-    /// While set, nothing of its log is read.
+    /// While set, reading of its log is paused.
     pub log_paused: Arc<AtomicBool>,
-    /// Where it listens.
+    /// The address that it listens on.
     pub addr: SocketAddr,
     /// Service discovery.
     pub discovery: FakeHttpService,
@@ -109,10 +108,10 @@
 }
 
 impl Gateway {
-    /// Starts a gateway before these servers.
+    /// Starts a gateway for these servers.
     ///
     /// # Panics
-    /// It does not listen in time.
+    /// It does not listen within [`crate::wait::MAX_WAIT`].
     pub fn start(servers: &[&FakeServer]) -> Self {
         Self::start_with(servers, |_| ())
     }
@@ -120,7 +119,7 @@
     /// Starts a gateway with a changed configuration.
     ///
     /// # Panics
-    /// It does not listen in time.
+    /// It does not listen within [`crate::wait::MAX_WAIT`].
     pub fn start_with(servers: &[&FakeServer], change: impl FnOnce(&mut Value)) -> Self {
         let platform = start_feed(&rollout_state(1, 0, "COMPLETE", 1.0), |_| HttpReply::Nothing);
         Self::start_with_platform(servers, platform, change)
@@ -129,7 +128,7 @@
     /// Starts a gateway with another platform and a changed configuration.
     ///
     /// # Panics
-    /// It does not listen in time.
+    /// It does not listen within [`crate::wait::MAX_WAIT`].
     pub fn start_with_platform(
         servers: &[&FakeServer], platform: FakeHttpService, change: impl FnOnce(&mut Value),
     ) -> Self {
@@ -146,10 +145,10 @@
         Gateway { process, config, path, log_paused, addr, discovery, platform }
     }
 
-    /// As [`Self::start_with`], and waits until the gateway watches the endpoint list.
+    /// As [`Self::start_with`], then waits until the gateway watches the endpoint list.
     ///
     /// # Panics
-    /// It does not listen or watch in time.
+    /// It does not listen or watch within [`crate::wait::MAX_WAIT`].
     pub fn start_watching(servers: &[&FakeServer], change: impl FnOnce(&mut Value)) -> Self {
         let gateway = Self::start_with(servers, change);
         wait_until("the list is watched", || {
@@ -169,12 +168,12 @@
         client
     }
 
-    /// How many lines of its log contain this.
+    /// The number of lines of its log that contain this.
     pub fn count_logged(&self, part: &str) -> usize {
         lock(&self.process.log).iter().filter(|line| line.contains(part)).count()
     }
 
-    /// True where a line of its log contains this.
+    /// True if a line of its log contains this.
     pub fn logged(&self, part: &str) -> bool {
         self.count_logged(part) > 0
     }
@@ -187,19 +186,19 @@
         assert!(send_signal(self.pid(), name), "the signal {name} is sent");
     }
 
-    /// Replaces its configuration file, and signals that.
+    /// Replaces its configuration file, and sends SIGHUP.
     ///
     /// # Panics
-    /// The file cannot be written, or the signal not be sent.
+    /// The file cannot be written, or the signal cannot be sent.
     pub fn reconfigure(&self, text: &str) {
         std::fs::write(&self.path, text).expect("the configuration is written");
         self.signal("HUP");
     }
 
-    /// A counter, as printed now.
+    /// The current value of a counter.
     ///
     /// # Panics
-    /// There is no such counter, or none is printed in time.
+    /// There is no such counter, or the counters are not printed within [`crate::wait::MAX_WAIT`].
     pub fn counter(&self, name: &str) -> u64 {
         let printed_before = self.count_logged("counters:");
         self.signal("USR1");
@@ -211,10 +210,10 @@
         value.unwrap_or_else(|| panic!("{name} in {line}"))
     }
 
-    /// Waits until it exits; its exit code.
+    /// Waits until it exits, and returns its exit code.
     ///
     /// # Panics
-    /// It does not exit in time.
+    /// It does not exit within [`crate::wait::MAX_WAIT`].
     pub fn wait_for_exit(&mut self) -> Option<i32> {
         let mut status = None;
         wait_until("the gateway ends", || {
--- a/crates/test-support/src/history.rs
+++ b/crates/test-support/src/history.rs
@@ -1,4 +1,4 @@
-//! What clients, servers, discovery and processes saw during a run, and the rules that it is judged by.
+//! The records of clients, servers, discovery and processes during a run, and the rules that they are checked against.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,44 +6,44 @@
 /// Time since the start of the run.
 pub type Moment = Duration;
 
-/// An answer may come this long after the time of its request.
+/// The longest delay of an answer after the timeout of its request.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// What discovery lists counts as told this long after it could be reached, arrived or not.
+/// A change counts as reported to a gateway this long after discovery was reachable, even if it did not arrive.
 const MAX_UPDATE_DELAY: Duration = Duration::from_secs(6);
-/// How far the fakes' clocks lag behind what they record.
+/// The longest delay of a record after its event.
 const RECORDING_SLACK: Duration = Duration::from_millis(300);
-/// A close that is seen this soon after a query may have crossed it.
+/// A connection that closes this soon after a query may have been closed before the query arrived.
 const MAX_CROSSING: Duration = Duration::from_millis(50);
 
-/// How a request ended for its client.
+/// The end of a request for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
     /// It got its own value.
     Served,
-    /// It got a value that no server made for it.
+    /// It got the value of another request.
     WrongValue,
-    /// It was told that it was not executed.
+    /// It was rejected: definitely not executed.
     Rejected,
-    /// It was told that it failed.
+    /// It got an error: possibly executed.
     Failed,
     /// Its connection ended without an answer.
     Closed,
-    /// Nothing came.
+    /// It got no answer.
     Unanswered,
 }
 
-/// A request, as its client saw it.
+/// A request, as recorded by its client.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
     /// Its id.
     pub id: String,
     /// Its gateway.
     pub gateway: usize,
-    /// It may take effect once only.
-    pub is_once_only: bool,
+    /// It must be executed once at most.
+    pub is_non_idempotent: bool,
     /// When its last byte was written.
     pub sent_at: Moment,
-    /// For how long the client waits.
+    /// The client's timeout.
     pub timeout: Duration,
     /// How it ended.
     pub end: RequestEnd,
@@ -60,7 +60,7 @@
     pub server: usize,
     /// When it arrived.
     pub at: Moment,
-    /// It was executed, or may have been.
+    /// It was possibly executed.
     pub is_executed: bool,
 }
 
@@ -71,31 +71,31 @@
     pub server: usize,
     /// When it was listed.
     pub at: Moment,
-    /// It takes new requests.
+    /// It accepts new requests.
     pub is_ready: bool,
-    /// When it was written to each gateway that it was written to.
+    /// When it was written to each gateway; gateways without an entry did not get it.
     pub written_at: BTreeMap<usize, Moment>,
 }
 
-/// What happened to a gateway's process.
+/// A change of a gateway's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessEvent {
     /// It was started.
     Started,
-    /// It was asked to end.
+    /// It got SIGTERM.
     Terminated,
-    /// It was killed.
+    /// It got SIGKILL.
     Killed,
 }
 
-/// What happened to a gateway's process, and when.
+/// A change of a gateway's process, and its time.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessRecord {
     /// The gateway.
     pub gateway: usize,
-    /// When.
+    /// The time.
     pub at: Moment,
-    /// What.
+    /// The change.
     pub event: ProcessEvent,
 }
 
@@ -104,28 +104,28 @@
 pub struct OutageRecord {
     /// The gateway.
     pub gateway: usize,
-    /// From when.
+    /// The start.
     pub from: Moment,
-    /// Until when.
+    /// The end.
     pub until: Moment,
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Break {
-    /// A request got no final answer in time.
+pub enum Violation {
+    /// A request got no final answer before its timeout.
     Lost {
         /// The request.
         id: String,
         /// How it ended.
         end: RequestEnd,
     },
-    /// A request that may take effect once only was executed more often, or again after it was said not to be.
+    /// A non-idempotent request was executed more than once, or was executed and rejected.
     Duplicate {
         /// The request.
         id: String,
     },
-    /// A query went to a server that was told to drain or is gone.
+    /// A query arrived at a server that the gateway knew to be draining or removed.
     Drain {
         /// The request.
         id: String,
@@ -135,7 +135,7 @@
         server: usize,
         /// When it arrived.
         at: Moment,
-        /// How long after its gateway was told.
+        /// The time since its gateway was notified.
         after: Duration,
     },
 }
@@ -156,12 +156,12 @@
 }
 
 impl History {
-    /// The rules that were broken; `drain_grace`: how long queries may go to a server that was told to drain.
-    pub fn breaks(&self, drain_grace: Duration) -> Vec<Break> {
+    /// All violations; `drain_grace`: how long after its notification a gateway may send queries to a draining server.
+    pub fn violations(&self, drain_grace: Duration) -> Vec<Violation> {
         let lost = self.requests.iter().filter(|request| self.is_lost(request));
-        let mut breaks: Vec<Break> =
-            lost.map(|request| Break::Lost { id: request.id.clone(), end: request.end }).collect();
-        breaks.extend(self.duplicates());
+        let mut violations: Vec<Violation> =
+            lost.map(|request| Violation::Lost { id: request.id.clone(), end: request.end }).collect();
+        violations.extend(self.duplicates());
         let gateways: BTreeMap<&str, usize> =
             self.requests.iter().map(|request| (request.id.as_str(), request.gateway)).collect();
         for arrival in &self.arrivals {
@@ -169,7 +169,7 @@
                 && let Some(after) = self.time_since_notified(*gateway, arrival)
                 && after > drain_grace + RECORDING_SLACK
             {
-                breaks.push(Break::Drain {
+                violations.push(Violation::Drain {
                     id: arrival.id.clone(),
                     gateway: *gateway,
                     server: arrival.server,
@@ -178,7 +178,7 @@
                 });
             }
         }
-        breaks
+        violations
     }
 
     fn is_lost(&self, request: &RequestRecord) -> bool {
@@ -192,13 +192,13 @@
         }
     }
 
-    /// A process that ends may close a connection on which it has read nothing.
+    /// A process that is shutting down may close a connection on which it has read no query.
     fn may_have_crossed(&self, request: &RequestRecord) -> bool {
         let is_ending = self.last_event(request.gateway, request.ended_at) == Some(ProcessEvent::Terminated);
         is_ending && request.ended_at <= request.sent_at + MAX_CROSSING
     }
 
-    /// The process was killed without notice while the request was out.
+    /// The process was killed without notice while the request was in flight.
     fn was_killed_outright(&self, request: &RequestRecord) -> bool {
         let mut was_terminated = false;
         for record in self.processes.iter().filter(|record| record.gateway == request.gateway) {
@@ -222,26 +222,27 @@
         earlier.max_by_key(|record| record.at).map(|record| record.event)
     }
 
-    fn duplicates(&self) -> Vec<Break> {
+    fn duplicates(&self) -> Vec<Violation> {
         let mut executions: BTreeMap<&str, usize> = BTreeMap::new();
         for arrival in self.arrivals.iter().filter(|arrival| arrival.is_executed) {
             *executions.entry(arrival.id.as_str()).or_default() += 1;
         }
-        let once_only = self.requests.iter().filter(|request| request.is_once_only);
-        let broken = once_only.filter(|request| {
+        let non_idempotent = self.requests.iter().filter(|request| request.is_non_idempotent);
+        let duplicated = non_idempotent.filter(|request| {
             let count = executions.get(request.id.as_str()).copied().unwrap_or(0);
             count > 1 || (count == 1 && request.end == RequestEnd::Rejected)
         });
-        broken.map(|request| Break::Duplicate { id: request.id.clone() }).collect()
+        duplicated.map(|request| Violation::Duplicate { id: request.id.clone() }).collect()
     }
 
-    /// Time since the gateway was told that a server drains or is gone; none where the server is ready or it was not.
+    /// The time since the gateway was notified that a server is draining or removed; none if the server is ready or the
+    /// gateway was not notified.
     fn time_since_notified(&self, gateway: usize, arrival: &ArrivalRecord) -> Option<Duration> {
         let listed = self
             .status_changes
             .iter()
             .filter(|change| change.server == arrival.server && change.at <= arrival.at + RECORDING_SLACK);
-        // Since it was last listed as ready, it counts from its first listing as something else.
+        // Only the first change after the last listing as ready counts.
         let listed: Vec<&StatusChangeRecord> = listed.collect();
         let since_ready = listed.iter().rposition(|change| change.is_ready).map_or(0, |index| index + 1);
         let first = listed.get(since_ready)?;
@@ -259,7 +260,7 @@
         change.written_at.get(&gateway).map_or(notified_at, |written_at| notified_at.min(*written_at))
     }
 
-    /// When the process that ran at a time was started.
+    /// The start of the process that ran at a time.
     fn started_at(&self, gateway: usize, at: Moment) -> Moment {
         let starts = self.processes.iter().filter(|record| {
             record.gateway == gateway && record.event == ProcessEvent::Started && record.at <= at
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,18 +1,24 @@
 //! Fakes on loopback for tests, the demonstration and experiments, and the program as a child process.
 //!
 //! - [`wait`]: bounded waits.
-//! - [`postgres`]: messages of the PostgreSQL protocol, and a client.
+//! - [`postgres`]: messages of the `PostgreSQL` protocol, and a client.
 //! - [`fake_server`]: a server on that protocol whose behavior can be changed.
 //! - [`fake_http`]: an HTTP service whose replies can be changed and whose streams can be written to.
-//! - [`history`]: what was seen during a run, and the rules that it is judged by.
+//! - [`history`]: the records of a run, and the rules that they are checked against.
 //! - [`platform_messages`]: the JSON of service discovery and of the platform.
-//! - [`fake_platform`]: service discovery and a platform that hold a state and report its changes.
+//! - [`fake_platform`]: service discovery and a platform with a state, which report its changes.
 //! - [`process`]: the program as a child process: its log, counters and resource usage.
 //! - [`gateway`]: a gateway process with fakes around it.
-//! - [`resource_cache`]: what an xDS proxy holds, without I/O.
+//! - [`resource_cache`]: the resources of an xDS proxy, without I/O.
 //! - [`fake_proxy`]: an xDS proxy on a socket.
 //! - [`fake_load_reports`]: load reports of such a proxy.
 
+#![warn(clippy::pedantic)]
+#![allow(clippy::must_use_candidate, reason = "tests fail where a result is needed and not used")]
+#![allow(clippy::cast_possible_truncation, reason = "lengths and counts in tests are small")]
+#![allow(clippy::cast_precision_loss, reason = "counts in tests are small")]
+#![allow(clippy::cast_sign_loss, reason = "counts are not negative")]
+
 pub mod fake_http;
 pub mod fake_load_reports;
 pub mod fake_platform;
@@ -27,7 +33,7 @@
 pub mod wait;
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::{Arc, Mutex, MutexGuard};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 
 /// Serves each connection on a thread of its own; the connections are numbered from 0.
@@ -44,7 +50,12 @@
     addr
 }
 
-/// Locks a mutex; fails the test where another thread has failed with the lock.
+/// Locks a mutex; panics if another thread has panicked with the lock, so that its failure is not hidden.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().expect("no thread fails while it has the lock")
 }
+
+/// Locks a mutex, even if another thread has panicked with the lock: cleanup and records still need the state.
+pub fn lock_ignoring_poison<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
--- a/crates/test-support/src/platform_messages.rs
+++ b/crates/test-support/src/platform_messages.rs
@@ -10,9 +10,9 @@
         "share": 1.0, "born_ms": 0, "release": version})
 }
 
-/// An endpoint list, or with `whole` false a change of it.
-pub fn endpoint_list(version: u64, whole: bool, hosts: &[Value]) -> Value {
-    json!({"seq": version, "whole": whole, "hosts": hosts})
+/// A complete endpoint list, or a change of it.
+pub fn endpoint_list(version: u64, is_complete: bool, hosts: &[Value]) -> Value {
+    json!({"seq": version, "whole": is_complete, "hosts": hosts})
 }
 
 /// The state of the newest version's rollout.
@@ -28,13 +28,12 @@
 /// Starts a platform that reports this rollout state, and replies to votes as given.
 pub fn start_feed(state: &Value, vote_reply: impl Fn(&str) -> HttpReply + Send + 'static) -> FakeHttpService {
     let line = rollout_line(state).to_string();
-    FakeHttpService::start(move |call| match is_vote(call) {
-        true => vote_reply(call),
-        false => HttpReply::stream(&line),
-    })
+    FakeHttpService::start(
+        move |call| if is_vote(call) { vote_reply(call) } else { HttpReply::stream(&line) },
+    )
 }
 
-/// True where a call casts a vote.
+/// True if a call casts a vote.
 pub(crate) fn is_vote(request_line: &str) -> bool {
     request_line.contains("ballots")
 }
--- a/crates/test-support/src/postgres.rs
+++ b/crates/test-support/src/postgres.rs
@@ -1,12 +1,12 @@
-//! Messages of the PostgreSQL protocol, and a client.
+//! Messages of the `PostgreSQL` protocol, and a client.
 
 use crate::wait::MAX_WAIT;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// Version 3.0 of the protocol, as the startup message holds it.
+/// Version 3.0 of the protocol, as encoded in the startup message.
 const PROTOCOL_VERSION: u32 = 3 << 16;
-/// Bytes of a length, which counts itself.
+/// Bytes of a length field, which counts itself.
 const LENGTH_SIZE: usize = 4;
 /// Bytes of a data row before its only value: the number of columns and the length of the value.
 const ROW_HEADER_SIZE: usize = 6;
@@ -157,7 +157,7 @@
 /// The value of a response, or the SQLSTATE of its error.
 ///
 /// # Errors
-/// The first SQLSTATE, or a text that says that the response has neither row nor error.
+/// The first SQLSTATE, or a text if the response has neither row nor error.
 ///
 /// # Panics
 /// A value is not UTF-8, or an error has no SQLSTATE.
--- a/crates/test-support/src/process.rs
+++ b/crates/test-support/src/process.rs
@@ -1,13 +1,13 @@
-//! The program as a child process: its log, counters, and resource usage as the kernel counts it.
+//! The program as a child process: its log, counters, and resource usage as reported by the kernel.
 
-use crate::lock;
 use crate::wait::wait_until;
+use crate::{lock, lock_ignoring_poison};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread;
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 /// Time between two checks whether a paused log is read again.
 const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The program next to this one: tests are in a folder below it, other binaries beside it.
+/// The program in the folder of this one, or in the folder above: tests are one folder below.
 ///
 /// # Panics
 /// It was not built.
@@ -37,14 +37,14 @@
 pub struct LogReader {
     /// The lines so far.
     pub log: Log,
-    /// While set, nothing more is read.
+    /// While set, reading is paused.
     pub paused: Arc<AtomicBool>,
 }
 
-/// Reads what a child logs to its standard error.
+/// Reads the log of a child from its standard error.
 ///
 /// # Panics
-/// The child's standard error is no pipe.
+/// The child's standard error is not a pipe.
 pub fn read_log(child: &mut Child) -> LogReader {
     let lines = BufReader::new(child.stderr.take().expect("a pipe")).lines();
     let log = Log::default();
@@ -62,10 +62,10 @@
     LogReader { log, paused }
 }
 
-/// Waits until a child logs where it listens.
+/// Waits until a child logs the address that it listens on.
 ///
 /// # Panics
-/// It does not in time.
+/// It does not within [`crate::wait::MAX_WAIT`].
 pub fn wait_for_address(log: &Log) -> SocketAddr {
     let mut addr = None;
     wait_until("the program listens", || {
@@ -79,7 +79,7 @@
     line.split("listening=").nth(1)?.split(' ').next()?.parse().ok()
 }
 
-/// Sends a signal to a process; true where it was sent.
+/// Sends a signal to a process; true if it was sent.
 pub fn send_signal(process: u32, name: &str) -> bool {
     let status = Command::new("kill").args([&format!("-{name}"), &process.to_string()]).status();
     status.is_ok_and(|status| status.success())
@@ -90,7 +90,7 @@
 pub struct ResourceUsage {
     /// CPU time so far, in seconds.
     pub cpu_seconds: f64,
-    /// The most memory that was resident, in MiB.
+    /// The highest resident memory, in MiB.
     pub peak_memory_mib: f64,
 }
 
@@ -98,7 +98,7 @@
 pub struct Process {
     child: Child,
     log: Log,
-    /// Where it listens.
+    /// The address that it listens on.
     pub addr: SocketAddr,
 }
 
@@ -106,7 +106,7 @@
     /// Starts a control service from its configuration file.
     ///
     /// # Panics
-    /// It does not listen in time.
+    /// It does not listen within [`crate::wait::MAX_WAIT`].
     pub fn start_control(config: &Path) -> Process {
         let mut command = Command::new(program());
         command.arg("control").arg(config).stderr(Stdio::piped()).stdout(Stdio::null());
@@ -117,7 +117,7 @@
     }
 
     fn log(&self) -> MutexGuard<'_, Vec<String>> {
-        self.log.lock().unwrap_or_else(PoisonError::into_inner)
+        lock_ignoring_poison(&self.log)
     }
 
     /// Lines of its log that contain this.
@@ -130,7 +130,7 @@
         send_signal(self.child.id(), name);
     }
 
-    /// Its counters, as printed now: names and values.
+    /// Its current counters: names and values.
     pub fn counters(&self) -> Vec<(String, u64)> {
         let printed_before = self.logged("counters").len();
         self.signal("USR1");
@@ -140,7 +140,7 @@
         pairs.filter_map(|(name, value)| Some((name.to_string(), value.parse().ok()?))).collect()
     }
 
-    /// What it has used so far; zeros where the kernel does not tell.
+    /// Its resource usage so far; zeros if the kernel does not report it.
     pub fn resource_usage(&self) -> ResourceUsage {
         let read = |name: &str| std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id()));
         ResourceUsage {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Kills it at once, as a power loss would.
+    /// Kills it without notice.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/test-support/src/resource_cache/cache.rs
+++ b/crates/test-support/src/resource_cache/cache.rs
@@ -11,7 +11,7 @@
 use latchhaven_xds::resources::ResourceType;
 use latchhaven_xds::stream::SubscriptionRequest;
 use prost::Message;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// The cluster in the node of every proxy.
 const NODE_CLUSTER: &str = "stand-in";
@@ -144,7 +144,7 @@
             type_url: resource_type.url().to_string(),
             resource_names_subscribe: names.difference(&previous).cloned().collect(),
             resource_names_unsubscribe: previous.difference(&names).cloned().collect(),
-            initial_resource_versions: if is_first { labels.collect() } else { Default::default() },
+            initial_resource_versions: if is_first { labels.collect() } else { HashMap::new() },
             response_nonce: state.nonce.clone(),
             error_detail: error,
             ..DeltaDiscoveryRequest::default()
--- a/crates/test-support/src/wait.rs
+++ b/crates/test-support/src/wait.rs
@@ -3,15 +3,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Bounds every wait of a test; no test depends on it being short.
+/// The longest wait of a test.
 pub const MAX_WAIT: Duration = Duration::from_secs(20);
 /// Time between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Waits until a condition holds.
+/// Waits until a condition is true.
 ///
 /// # Panics
-/// The condition does not hold within [`MAX_WAIT`]; `what` describes it.
+/// The condition is not true within [`MAX_WAIT`]; `what` describes it.
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
--- a/crates/test-support/tests/fake_http.rs
+++ b/crates/test-support/tests/fake_http.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// The reply takes a while here, so that the line is sent while the stream begins.
+/// The reply is delayed, so that the line is sent while the stream begins.
 #[test]
 fn line_sent_while_a_stream_begins_reaches_it() {
     let (replying, reply_begun) = mpsc::channel();
@@ -24,7 +24,7 @@
     service.send_line(&json!({"seq": 7}));
     stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
     let mut received = Vec::new();
-    wait_until("the line comes", || {
+    wait_until("the line arrives", || {
         let mut buffer = [0; 512];
         let count = stream.read(&mut buffer).unwrap();
         received.extend(&buffer[..count]);
--- a/crates/test-support/tests/history.rs
+++ b/crates/test-support/tests/history.rs
@@ -1,8 +1,8 @@
-//! The checker finds each broken rule, and nothing in a history that keeps them.
+//! The checker finds each violation, and none in a history that follows the rules.
 
 use latchhaven_test_support::history::{
-    ArrivalRecord, Break, History, Moment, OutageRecord, ProcessEvent, ProcessRecord, RequestEnd,
-    RequestRecord, StatusChangeRecord,
+    ArrivalRecord, History, Moment, OutageRecord, ProcessEvent, ProcessRecord, RequestEnd, RequestRecord,
+    StatusChangeRecord, Violation,
 };
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,7 +17,7 @@
     RequestRecord {
         id: "a1".to_string(),
         gateway: 0,
-        is_once_only: true,
+        is_non_idempotent: true,
         sent_at: at(sent_at),
         timeout: at(900),
         end,
@@ -37,14 +37,14 @@
     History { requests, arrivals, ..History::default() }
 }
 
-fn lost(end: RequestEnd) -> Vec<Break> {
-    vec![Break::Lost { id: "a1".to_string(), end }]
+fn lost(end: RequestEnd) -> Vec<Violation> {
+    vec![Violation::Lost { id: "a1".to_string(), end }]
 }
 
 #[test]
-fn history_that_keeps_the_rules_has_no_breaks() {
-    let kept = history(vec![request(0, RequestEnd::Served, 100)], vec![arrival(50, true)]);
-    assert_eq!(kept.breaks(GRACE), []);
+fn history_that_follows_the_rules_has_no_violations() {
+    let compliant = history(vec![request(0, RequestEnd::Served, 100)], vec![arrival(50, true)]);
+    assert_eq!(compliant.violations(GRACE), []);
 }
 
 #[test]
@@ -55,31 +55,31 @@
         (RequestEnd::WrongValue, 100),
         (RequestEnd::Served, 1800),
     ] {
-        assert_eq!(history(vec![request(0, end, ended_at)], vec![]).breaks(GRACE), lost(end));
+        assert_eq!(history(vec![request(0, end, ended_at)], vec![]).violations(GRACE), lost(end));
     }
 }
 
 #[test]
-fn kill_without_notice_excuses_what_was_out_and_one_behind_a_termination_does_not() {
+fn requests_in_flight_may_be_lost_by_a_kill_without_notice_and_not_after_a_termination() {
     let mut killed = history(vec![request(1000, RequestEnd::Closed, 1200)], vec![]);
     killed.processes = vec![process(0, ProcessEvent::Started), process(1200, ProcessEvent::Killed)];
-    assert_eq!(killed.breaks(GRACE), []);
+    assert_eq!(killed.violations(GRACE), []);
     killed.processes.insert(1, process(500, ProcessEvent::Terminated));
-    assert_eq!(killed.breaks(GRACE), lost(RequestEnd::Closed));
+    assert_eq!(killed.violations(GRACE), lost(RequestEnd::Closed));
     killed.requests[0].ended_at = at(1030);
-    assert_eq!(killed.breaks(GRACE), [], "the close crossed the query");
+    assert_eq!(killed.violations(GRACE), [], "the close crossed the query");
 }
 
 #[test]
 fn second_execution_and_rejection_of_an_execution_are_duplicates() {
     let twice =
         history(vec![request(0, RequestEnd::Served, 100)], vec![arrival(20, true), arrival(50, true)]);
-    assert_eq!(twice.breaks(GRACE), [Break::Duplicate { id: "a1".to_string() }]);
+    assert_eq!(twice.violations(GRACE), [Violation::Duplicate { id: "a1".to_string() }]);
     let rejected = history(vec![request(0, RequestEnd::Rejected, 100)], vec![arrival(20, true)]);
-    assert_eq!(rejected.breaks(GRACE), [Break::Duplicate { id: "a1".to_string() }]);
+    assert_eq!(rejected.violations(GRACE), [Violation::Duplicate { id: "a1".to_string() }]);
     let retried =
         history(vec![request(0, RequestEnd::Served, 100)], vec![arrival(20, false), arrival(50, true)]);
-    assert_eq!(retried.breaks(GRACE), []);
+    assert_eq!(retried.violations(GRACE), []);
 }
 
 fn drained(written_at: BTreeMap<usize, Moment>, arrives_at: u64) -> History {
@@ -93,25 +93,26 @@
 }
 
 #[test]
-fn query_at_a_drained_server_breaks_the_rule_once_it_was_told_and_the_grace_is_over() {
+fn query_to_a_draining_server_is_a_violation_after_notification_and_grace() {
     let written = || BTreeMap::from([(0, at(1100))]);
-    assert_eq!(drained(written(), 2300).breaks(GRACE), []);
-    let found = Break::Drain { id: "a1".to_string(), gateway: 0, server: 0, at: at(2500), after: at(1400) };
-    assert_eq!(drained(written(), 2500).breaks(GRACE), [found]);
-    assert_eq!(drained(BTreeMap::new(), 8200).breaks(GRACE), [], "told 6 s later");
-    assert_eq!(drained(BTreeMap::new(), 8400).breaks(GRACE).len(), 1);
+    assert_eq!(drained(written(), 2300).violations(GRACE), []);
+    let found =
+        Violation::Drain { id: "a1".to_string(), gateway: 0, server: 0, at: at(2500), after: at(1400) };
+    assert_eq!(drained(written(), 2500).violations(GRACE), [found]);
+    assert_eq!(drained(BTreeMap::new(), 8200).violations(GRACE), [], "notified 6 s later");
+    assert_eq!(drained(BTreeMap::new(), 8400).violations(GRACE).len(), 1);
 }
 
 #[test]
-fn outage_delays_what_counts_as_told_and_a_start_or_a_ready_listing_begins_anew() {
+fn outage_delays_the_notification_and_a_start_or_a_ready_status_resets_it() {
     let mut outage = drained(BTreeMap::new(), 12_000);
     outage.outages = vec![OutageRecord { gateway: 0, from: at(500), until: at(5000) }];
-    assert_eq!(outage.breaks(GRACE), []);
+    assert_eq!(outage.violations(GRACE), []);
     let mut restarted = drained(BTreeMap::new(), 9000);
     restarted.processes = vec![process(8000, ProcessEvent::Started)];
-    assert_eq!(restarted.breaks(GRACE), []);
+    assert_eq!(restarted.violations(GRACE), []);
     let mut ready = drained(BTreeMap::new(), 9000);
     let written_at = BTreeMap::new();
     ready.status_changes.push(StatusChangeRecord { server: 0, at: at(3000), is_ready: true, written_at });
-    assert_eq!(ready.breaks(GRACE), []);
+    assert_eq!(ready.violations(GRACE), []);
 }
