--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,6 +1,11 @@
 //! Experiments on loopback or in simulated time. Each is seeded, has its sizes as flags, prints one JSON object of
 //! results last, and exits with 1 if a requirement was not met.
 
+#![warn(clippy::pedantic)]
+#![allow(clippy::cast_possible_truncation, reason = "counts and times in ms are small")]
+#![allow(clippy::cast_precision_loss, reason = "counts and times in ms stay below 2^53")]
+#![allow(clippy::cast_sign_loss, reason = "times and counts are not negative")]
+
 mod event_queue;
 mod reconnect_storm;
 mod rollout_simulation;
--- a/crates/experiments/src/reconnect_storm/connections.rs
+++ b/crates/experiments/src/reconnect_storm/connections.rs
@@ -4,6 +4,7 @@
     MAX_PENDING_HANDSHAKES, MILLIS_PER_SECOND, NETWORK_LATENCY, ReconnectStyle, SentAttempt, Work,
 };
 use super::simulation::{Simulation, StormEvent};
+use latchhaven_backoff::{ExponentialBackoff, Jitter};
 use latchhaven_client::pool::PoolAction;
 use latchhaven_policy::Millis;
 use rand::RngExt;
@@ -13,12 +14,8 @@
 const IMMEDIATE_DELAY: Millis = 10.0;
 /// The fixed delay, in ms.
 const FIXED_DELAY: Millis = 1_000.0;
-/// The first exponential delay, in ms.
-const FIRST_EXPONENTIAL_DELAY: Millis = 100.0;
-/// The longest exponential delay, in ms.
-const MAX_EXPONENTIAL_DELAY: Millis = 10_000.0;
-/// Consecutive failures after which delays no longer double.
-const MAX_COUNTED_FAILURES: u32 = 16;
+/// The exponential delay without jitter: 100 ms to 10 s.
+const EXPONENTIAL_DELAY: ExponentialBackoff = ExponentialBackoff::new(100.0, 10_000.0, Jitter::None);
 /// The shortest time between two polls of a pool, in ms.
 const MIN_POLL_INTERVAL: Millis = 0.1;
 
@@ -121,14 +118,11 @@
 
     /// The delay of a style before the next attempt, in ms.
     pub(super) fn reconnect_delay(&self, client: usize) -> Millis {
-        let failures = self.clients[client].failures.min(MAX_COUNTED_FAILURES);
         match self.style {
             ReconnectStyle::Library => 0.0,
             ReconnectStyle::Immediate => IMMEDIATE_DELAY,
             ReconnectStyle::FixedDelay => FIXED_DELAY,
-            ReconnectStyle::Exponential => {
-                (FIRST_EXPONENTIAL_DELAY * f64::from(1u32 << failures)).min(MAX_EXPONENTIAL_DELAY)
-            }
+            ReconnectStyle::Exponential => EXPONENTIAL_DELAY.upper_bound(self.clients[client].failures),
         }
     }
 }
--- a/crates/experiments/src/reconnect_storm/simulation.rs
+++ b/crates/experiments/src/reconnect_storm/simulation.rs
@@ -179,7 +179,7 @@
         let sent = timestamp_at(sent_at);
         match call.call.on_attempt_ended(end, sent, &mut client.budget, &mut client.rng, &now) {
             NextStep::Attempt { backoff: after, .. } => {
-                self.schedule(self.now + after, StormEvent::AttemptCall(id))
+                self.schedule(self.now + after, StormEvent::AttemptCall(id));
             }
             NextStep::Finish(outcome) => {
                 self.counts.unknown_outcomes += u64::from(outcome == CallOutcome::Unknown);
--- a/crates/experiments/src/rollout_simulation.rs
+++ b/crates/experiments/src/rollout_simulation.rs
@@ -74,7 +74,7 @@
         let is_within_limits = total.samples_over_cap == 0 && total.repeated_non_idempotent == 0;
         is_passed &= mode == RoutingMode::Even || is_within_limits;
         summaries.insert(mode, Summary::new(&total));
-        rows.insert(mode.name().to_string(), mode_results(&total, days));
+        rows.insert(mode.name().to_string(), mode_results(&total, &days));
     }
     let proxies = summaries[&RoutingMode::Proxies];
     let even = summaries[&RoutingMode::Even];
@@ -104,7 +104,7 @@
         "builds": versions.collect::<Vec<_>>()})
 }
 
-fn mode_results(total: &Counts, days: Vec<Value>) -> Value {
+fn mode_results(total: &Counts, days: &[Value]) -> Value {
     let summary = Summary::new(total);
     json!({
         "revenue_in_time": summary.value_in_time, "met_bad_build": summary.met_bad_version,
--- a/crates/experiments/src/rollout_simulation/platform.rs
+++ b/crates/experiments/src/rollout_simulation/platform.rs
@@ -47,11 +47,8 @@
     }
 
     fn set_rollout(&mut self, version: Version, stage: u32, phase: RolloutPhase, traffic_cap: f64) {
-        let state = &mut self.rollout.state;
-        state.version = version;
-        state.stage = stage;
-        state.phase = phase;
-        state.traffic_cap = traffic_cap;
+        let age = self.rollout.state.age;
+        self.rollout.state = RolloutState { version, stage, phase, traffic_cap, age };
         self.rollout.state_since = self.now;
         self.rollout.caps.push(CapChange { at: self.now, cap: traffic_cap });
         self.publish_rollout();
--- a/crates/experiments/src/soak/directory.rs
+++ b/crates/experiments/src/soak/directory.rs
@@ -144,7 +144,9 @@
         for (gateway, services) in self.services.iter().enumerate() {
             let is_silent = lock_ignoring_poison(&self.state).faults.contains_key(&gateway);
             if !is_silent {
-                services.iter().for_each(|service| service.write(&chunk("\n")));
+                for service in services {
+                    service.write(&chunk("\n"));
+                }
             }
         }
     }
--- a/crates/experiments/src/soak/gateways.rs
+++ b/crates/experiments/src/soak/gateways.rs
@@ -26,7 +26,7 @@
 }
 
 /// All gateways.
-pub(super) struct Gateways {
+pub(super) struct GatewayGroup {
     started_at: Instant,
     platform: FakeHttpService,
     gateways: Vec<Gateway>,
@@ -50,7 +50,7 @@
     config
 }
 
-impl Gateways {
+impl GatewayGroup {
     pub(super) fn start(started_at: Instant, directory: &Directory, count: usize) -> Self {
         let platform = start_feed(&rollout_state(1, 0, "COMPLETE", 1.0), |_| HttpReply::Nothing);
         let start = |gateway| {
@@ -60,7 +60,7 @@
         };
         let gateways: Vec<Gateway> = (0..count).map(start).collect();
         let mut started =
-            Gateways { started_at, platform, gateways, processes: Vec::new(), crashes: Vec::new() };
+            GatewayGroup { started_at, platform, gateways, processes: Vec::new(), crashes: Vec::new() };
         (0..count).for_each(|gateway| started.record(gateway, ProcessEvent::Started));
         started
     }
--- a/crates/experiments/src/soak/runner.rs
+++ b/crates/experiments/src/soak/runner.rs
@@ -2,7 +2,7 @@
 
 use super::clients::{ClientSetup, start_client, start_connection_flood};
 use super::directory::Directory;
-use super::gateways::{Gateways, SHUTDOWN_TIME};
+use super::gateways::{GatewayGroup, SHUTDOWN_TIME};
 use super::schedule::{Fault, Schedule};
 use super::sizes::Sizes;
 use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
@@ -16,7 +16,7 @@
 /// The interval of checks for due faults and steps.
 const TICK: Duration = Duration::from_millis(2);
 /// The interval of keepalives of discovery.
-const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(1000);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// The time from the listing of a server as draining until it rejects requests.
 const DRAIN_NOTICE: Duration = Duration::from_millis(200);
 /// The time from there until its process ends.
@@ -57,7 +57,7 @@
     /// Servers that are being replaced or do not respond.
     busy_servers: Vec<bool>,
     directory: Directory,
-    gateways: Gateways,
+    gateways: GatewayGroup,
     setups: Vec<ClientSetup>,
     threads: Vec<JoinHandle<()>>,
     is_over: Arc<AtomicBool>,
@@ -74,7 +74,7 @@
             (0..sizes.servers).map(|_| FakeServer::start(ServerBehavior::Succeed)).collect();
         let addresses: Vec<_> = servers.iter().map(|server| server.addr).collect();
         let directory = Directory::start(started_at, &addresses, sizes.gateways);
-        let gateways = Gateways::start(started_at, &directory, sizes.gateways);
+        let gateways = GatewayGroup::start(started_at, &directory, sizes.gateways);
         let is_over = Arc::new(AtomicBool::new(false));
         let (sender, records) = mpsc::channel();
         let setup = |(gateway, address)| ClientSetup {
--- a/crates/experiments/src/xds/propagation.rs
+++ b/crates/experiments/src/xds/propagation.rs
@@ -59,7 +59,7 @@
 /// The ms after the control service's return until all proxies used the last decision before it; none where one did
 /// not, or the service was not killed.
 pub(super) fn recovery_time(decisions: &[Decision], testbed: &Testbed, faults: &FaultTimes) -> Option<u64> {
-    let back_at = faults.control_back_at?;
+    let back_at = faults.control_restarted?;
     let last_decision = decisions.iter().rfind(|decision| decision.at <= back_at);
     let recovered = |proxy: usize| {
         let history = testbed.history(proxy);
