--- a/crates/policy/tests/policy/canary.rs
+++ b/crates/policy/tests/policy/canary.rs
@@ -59,9 +59,9 @@
     gateway.start_endpoints(&["a7", "b8", "b9"], Version(2));
     gateway.update_rollout(Version(2), 1, RolloutPhase::Canary, 0.5);
     gateway.serve_for(4000.0, 2);
-    ["a0", "a1", "b2", "b3"]
-        .iter()
-        .for_each(|name| drop(gateway.update_endpoint(name, Version(1), EndpointStatus::Removed, 0.0)));
+    for name in ["a0", "a1", "b2", "b3"] {
+        gateway.update_endpoint(name, Version(1), EndpointStatus::Removed, 0.0);
+    }
     gateway.update_rollout(Version(2), 2, RolloutPhase::Canary, 1.0);
     gateway.serve_for(10_000.0, 2);
     assert_eq!(gateway.has_voted(Version(2), Verdict::RollBack), bad);
--- a/crates/policy/tests/policy/many_gateways.rs
+++ b/crates/policy/tests/policy/many_gateways.rs
@@ -32,14 +32,14 @@
     )
 }
 
-struct Gateways {
+struct Simulation {
     gateways: Vec<TestGateway>,
     /// Each gateway's share of all requests, and its fraction of the next request.
     shares: Vec<f64>,
     pending: Vec<f64>,
 }
 
-impl Gateways {
+impl Simulation {
     /// Gateways of this size, all with the same warm endpoints of version 1, named by zone.
     fn new(size: Size) -> Self {
         let count = f64::from(size.gateways);
@@ -47,10 +47,10 @@
         let times_mean = |index| if index == 0 { size.first_share } else { others };
         let share = |index| times_mean(index) / count;
         let shares = (0..size.gateways).map(share).collect();
-        let gateways = (0..size.gateways).map(|index| Gateways::gateway(size, index)).collect();
+        let gateways = (0..size.gateways).map(|index| Simulation::gateway(size, index)).collect();
         // Each starts at another fraction, so that gateways do not send simultaneously.
         let pending = (0..size.gateways).map(|index| f64::from(index) * 0.618 % 1.0).collect();
-        Gateways { gateways, shares, pending }
+        Simulation { gateways, shares, pending }
     }
 
     fn gateway(size: Size, index: u32) -> TestGateway {
@@ -108,13 +108,13 @@
     /// An endpoint is warming up: all gateways together stay within its budget at every size, however uneven their rates.
     #[test]
     fn warming_endpoint_gets_no_more_than_its_budget_from_all_gateways(size in sizes()) {
-        let mut gateways = Gateways::new(size);
-        gateways.serve_for(3000.0);
-        let start = gateways.now();
-        gateways.for_each(|gateway| gateway.start_endpoints(&["a999"], Version(1)));
-        gateways.serve_for(2000.0);
+        let mut simulation = Simulation::new(size);
+        simulation.serve_for(3000.0);
+        let start = simulation.now();
+        simulation.for_each(|gateway| gateway.start_endpoints(&["a999"], Version(1)));
+        simulation.serve_for(2000.0);
         // Budget: twice its capacity's part of all requests within 1 s. Its capacity grows from 0.4 to 1 in 4 s.
-        let times = gateways.sent_to("a999", start);
+        let times = simulation.sent_to("a999", start);
         let capacity = size.endpoints as f64 + 0.4;
         for from in [start, start + 500.0, start + 1000.0] {
             let got = times.iter().filter(|at| (from..from + 1000.0).contains(*at)).count() as f64;
@@ -128,27 +128,27 @@
     /// The number of votes per analysis is bounded at every size, and a bad version is rolled back.
     #[test]
     fn votes_per_analysis_are_bounded_and_bad_version_is_rolled_back(size in sizes()) {
-        let mut gateways = Gateways::new(size);
-        gateways.serve_for(500.0);
+        let mut simulation = Simulation::new(size);
+        simulation.serve_for(500.0);
         for _ in 0..4 {
-            gateways.for_each(|gateway| gateway.report_outcomes(Version(1), 100, 1, 60.0));
-            gateways.serve_for(250.0);
+            simulation.for_each(|gateway| gateway.report_outcomes(Version(1), 100, 1, 60.0));
+            simulation.serve_for(250.0);
         }
-        gateways.for_each(|gateway| {
+        simulation.for_each(|gateway| {
             gateway.start_endpoints(&["a998", "a999"], Version(2));
             gateway.update_rollout(Version(2), 1, RolloutPhase::Canary, 0.5);
         });
-        gateways.serve_for(4000.0);
+        simulation.serve_for(4000.0);
         for _ in 0..4 {
-            gateways.for_each(|gateway| {
+            simulation.for_each(|gateway| {
                 gateway.report_outcomes(Version(2), 60, 40, 60.0);
                 gateway.report_outcomes(Version(1), 80, 1, 60.0);
             });
-            gateways.serve_for(1000.0);
+            simulation.serve_for(1000.0);
         }
         let mut votes_by_interval: BTreeMap<u64, usize> = BTreeMap::new();
         let mut rollback_votes = 0;
-        for (at, action) in gateways.gateways.iter().flat_map(|gateway| &gateway.actions) {
+        for (at, action) in simulation.gateways.iter().flat_map(|gateway| &gateway.actions) {
             if let Action::CastVote { verdict, .. } = action {
                 *votes_by_interval.entry((at / 250.0) as u64).or_default() += 1;
                 rollback_votes += usize::from(*verdict == Verdict::RollBack);
@@ -166,12 +166,12 @@
         let run = || {
             let gateways = size.gateways.min(40);
             let first_share = size.first_share.min(f64::from(gateways));
-            let mut all = Gateways::new(Size { gateways, first_share, ..size });
-            all.serve_for(1000.0);
-            all.for_each(|gateway| gateway.start_endpoints(&["a999"], Version(2)));
-            all.for_each(|gateway| gateway.update_rollout(Version(2), 1, RolloutPhase::Canary, 0.5));
-            all.serve_for(1500.0);
-            all.gateways.into_iter().map(|gateway| gateway.actions).collect::<Vec<_>>()
+            let mut simulation = Simulation::new(Size { gateways, first_share, ..size });
+            simulation.serve_for(1000.0);
+            simulation.for_each(|gateway| gateway.start_endpoints(&["a999"], Version(2)));
+            simulation.for_each(|gateway| gateway.update_rollout(Version(2), 1, RolloutPhase::Canary, 0.5));
+            simulation.serve_for(1500.0);
+            simulation.gateways.into_iter().map(|gateway| gateway.actions).collect::<Vec<_>>()
         };
         prop_assert!(run() == run(), "{size:?}");
     }
@@ -179,16 +179,18 @@
     /// Every endpoint is in the subset of some gateway, and subsets follow the rate of their gateway.
     #[test]
     fn subsets_of_all_gateways_cover_every_endpoint(size in sizes()) {
-        let mut gateways = Gateways::new(size);
-        gateways.serve_for(8000.0);
+        let mut simulation = Simulation::new(size);
+        simulation.serve_for(8000.0);
         let mut users: BTreeMap<&str, usize> = BTreeMap::new();
         let mut subsets = Vec::new();
-        for gateway in &gateways.gateways {
+        for gateway in &simulation.gateways {
             let mut names: Vec<&str> = gateway.sent.iter().map(|sent| sent.endpoint.as_str()).collect();
             names.sort_unstable();
             names.dedup();
             subsets.push((names.len(), gateway.sent.len()));
-            names.into_iter().for_each(|name| *users.entry(name).or_default() += 1);
+            for name in names {
+                *users.entry(name).or_default() += 1;
+            }
         }
         // 2,000 requests over 200 endpoints at most: ten per endpoint.
         prop_assert!(users.len() == size.endpoints, "{} of {} are used, {size:?}", users.len(), size.endpoints);
--- a/crates/policy/tests/policy/outliers.rs
+++ b/crates/policy/tests/policy/outliers.rs
@@ -3,6 +3,7 @@
 use crate::support::{SentAttempt, TestConfig, TestGateway, succeed};
 use latchhaven_policy::{Action, AttemptOutcome, Millis};
 use rstest::rstest;
+use std::collections::BTreeMap;
 
 #[rstest]
 #[case::everywhere(|sent: &SentAttempt| if sent.id.0.is_multiple_of(3) { (AttemptOutcome::ConnectFailed, 1.0) } else { succeed(sent) }, true)]
@@ -46,10 +47,12 @@
     };
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 10, behavior);
     gateway.serve_for(12_000.0, every);
-    let mut of: std::collections::BTreeMap<&str, Vec<&SentAttempt>> = Default::default();
-    gateway.sent.iter().for_each(|sent| of.entry(&sent.endpoint).or_default().push(sent));
-    assert_eq!(of.len(), 10);
-    for (name, sent) in of.iter().filter(|(_, sent)| !pauses(sent[0])) {
+    let mut sent_to: BTreeMap<&str, Vec<&SentAttempt>> = BTreeMap::new();
+    for sent in &gateway.sent {
+        sent_to.entry(&sent.endpoint).or_default().push(sent);
+    }
+    assert_eq!(sent_to.len(), 10);
+    for (name, sent) in sent_to.iter().filter(|(_, sent)| !pauses(sent[0])) {
         let gap = sent.windows(2).map(|two| two[1].at - two[0].at).fold(0.0, f64::max);
         assert!(gap <= longest, "{name} is ejected for {gap} ms");
         let max = sent.iter().map(|sent| sent.in_flight).max().unwrap_or(0);
