--- a/crates/gateway/src/net/clients/accept.rs
+++ b/crates/gateway/src/net/clients/accept.rs
@@ -68,7 +68,7 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
                 // Further connections may be queued.
                 Err(error) if failures < MAX_FINAL_ACCEPT_FAILURES => {
-                    tracing::debug!(%error, "clients: final accept failed, tried again");
+                    tracing::debug!(%error, "clients: final accept failed, retrying");
                     failures += 1;
                 }
                 Err(error) => return Err(error),
