--- a/crates/policy/src/canary.rs
+++ b/crates/policy/src/canary.rs
@@ -1,4 +1,11 @@
-//! The evidence on a canary: what this gateway's own attempts and the platform's counts tell of it.
+//! The evidence on a canary: outcomes of this gateway's own attempts, and counts that the platform reports.
+//!
+//! Problem: the mix of requests, faulty endpoints and faults common to all versions must not count against a canary. Method:
+//! each outcome is recorded per endpoint relative to what is usual for its class; reported counts are compared with the
+//! baseline's within each period and class. All evidence loses weight with age.
+//!
+//! [`Policy`](crate::Policy) calls [`CanaryAnalysis::record_outcome`] for each attempt that ended; each analysis
+//! ([`CanaryAnalysis::analyse`]) first calls [`CanaryAnalysis::refresh`]. The verdict is in [`crate::verdict`].
 
 use crate::outlier::RUNNING_MEAN_WEIGHT;
 use crate::request::AttemptOutcome;
@@ -11,59 +18,59 @@
 use crate::statistics::{RunningMoments, half_life_decay, indicator};
 use crate::time::Millis;
 
-/// Outcomes per version before a comparison means anything (design page).
+/// Outcomes per version from which versions are compared.
 pub(crate) const MIN_OUTCOMES: f64 = 10.0;
-/// Log of 1.5: good versions, and the machines they happen to get, differ by less.
+/// Log of the ratio of latencies (1.5) up to which versions and their endpoints count as equal.
 pub(crate) const SPEED_MARGIN: f64 = 0.4;
-/// Times the others' share of errors and wrong answers that chance and peeking allow.
+/// Factor on the baseline's failure rate up to which versions count as equal.
 pub(crate) const FAILURE_MARGIN: f64 = 1.5;
-/// Times the requests for each answering endpoint up to which speeds compare over time.
+/// Ratio of the load per endpoint up to which latencies are compared over time.
 pub(crate) const MAX_LOAD_RATIO: f64 = 1.2;
-/// ms in which an outcome's weight halves: long for power, short for late harm.
+/// ms in which the weight of an outcome halves.
 const OUTCOME_HALF_LIFE: Millis = 4000.0;
-/// Outcomes at an endpoint from which old ones lose weight: few are all there is.
+/// Outcomes at an endpoint above which old ones lose weight.
 const MIN_DECAYING_OUTCOMES: f64 = 20.0;
-/// ms in which the weight of reported counts halves: several periods of few counts.
+/// ms in which the weight of reported counts halves.
 const REPORT_HALF_LIFE: Millis = 8000.0;
-/// Weight kept of an earlier stage's reported counts: its few machines may have been faulty.
+/// Weight of an earlier stage's reported counts: its few endpoints may have been faulty.
 const STAGE_WEIGHT: f64 = 0.3;
-/// Capacity of the canary's endpoints from which reported counts compare.
+/// Warm-up factor of the canary's endpoints from which reported counts are compared.
 const MIN_COMPARABLE_WARMUP: f64 = 0.7;
-/// Weight kept per outcome of the time before: some hundreds count.
+/// Weight of the earlier outcomes in the usual speed, per new outcome.
 const USUAL_SPEED_DECAY: f64 = 0.995;
-/// Weight of the newest latency at an endpoint.
+/// Weight of the newest latency in an endpoint's latency bias.
 const LATENCY_BIAS_WEIGHT: f64 = 0.3;
-/// Share of failures on top of those before the canary that no good version costs.
+/// Failure rate above the usual one from which a version without a comparison counts as collapsed.
 const COLLAPSE_RATE: f64 = 0.2;
-/// Share of failures of all versions on top of those before that a canary is held responsible for.
+/// Failure rate of all versions above the usual one from which it is attributed to the canary.
 const COMMON_FAILURE_RATE: f64 = 0.1;
-/// Share of the counted attempts from which a canary can harm all endpoints.
+/// Share of the reported attempts from which a canary can affect all endpoints.
 const MIN_HARMFUL_SHARE: f64 = 0.25;
 
 impl CanaryAnalysis {
-    /// Records what one attempt tells of its endpoint's version.
+    /// Records one attempt that ended, as evidence on its endpoint's version; `elapsed` and `objective` in ms.
     pub(crate) fn record_outcome(
         &mut self, endpoint: &mut Endpoint, attempt: &Attempt, request: &Request, outcome: AttemptOutcome,
         elapsed: Millis, objective: Millis,
     ) {
         let is_success = outcome == AttemptOutcome::Success;
-        // A machine that is down, full or unresponsive tells of itself, not of its version.
+        // An endpoint that is down, full or unresponsive is no evidence on its version.
         let is_answer = is_success || outcome == AttemptOutcome::Error;
         if is_answer {
             endpoint.metrics[Metric::Correctness].add(indicator(is_success));
         }
         let answered_others = endpoint.last_answer_at >= attempt.sent_at;
-        let is_telling = is_answer || (outcome == AttemptOutcome::Timeout && answered_others);
-        // A warming endpoint is no slow version: its time counts as at the capacity that it had at least.
+        let is_evidence = is_answer || (outcome == AttemptOutcome::Timeout && answered_others);
+        // An endpoint that warms up is no slow version: latencies are scaled to full capacity.
         let warm_latency = elapsed * attempt.warmup_factor;
         let work = request.expected_work.map_or(1.0, |work| work.max(0.1));
         let speed = -(warm_latency.max(0.1) / work).ln();
         let is_idle = self.is_idle();
         let usual = &mut self.classes[request.class].usual_speed;
-        // What was cancelled took at least that long: sent elsewhere, slowness would leave no trace.
+        // A cancelled attempt took at least that long: without it, slow attempts that are retried would not count.
         let is_overdue = matches!(outcome, AttemptOutcome::Cancelled | AttemptOutcome::Timeout)
             && speed < usual.mean - SPEED_MARGIN;
-        if is_telling || (is_overdue && warm_latency > objective) {
+        if is_evidence || (is_overdue && warm_latency > objective) {
             endpoint.metrics[Metric::Success].add(indicator(is_success && warm_latency <= objective));
         }
         if is_success || is_overdue {
@@ -75,7 +82,7 @@
         }
     }
 
-    /// Lets old evidence lose weight, then takes in what is new.
+    /// Reduces the weight of old evidence, then adds the reports since the last analysis.
     pub(crate) fn refresh(
         &mut self, endpoints: &mut EndpointTable, view: &AnalysisView, rollout: &RolloutState,
     ) {
@@ -91,7 +98,7 @@
         self.weigh_reports(view, rollout.traffic_cap >= 1.0);
     }
 
-    /// Weighs the new reports within each period and class, so that their mix does not count.
+    /// Compares the new reports within each period and class, so that the mix of requests does not count.
     fn weigh_reports(&mut self, view: &AnalysisView, is_uncapped: bool) {
         let ready = view.ready_count();
         let is_idle = self.is_idle();
@@ -108,36 +115,39 @@
             self.count_reported(&reported);
             self.weigh_class(class, reported, view, is_uncapped);
         }
-        // Failures common to old and new are attributed to a canary that carries much, unless they were there before.
+        // Failures common to all versions are attributed to a canary with much traffic, unless they preceded it.
         if comparable.total.attempts >= MIN_OUTCOMES {
             self.latency_ratio_log = comparable.total.mean_latency.ln();
-            let carries_little = comparable.canary_attempts < MIN_HARMFUL_SHARE * comparable.total.attempts;
+            let has_little_traffic =
+                comparable.canary_attempts < MIN_HARMFUL_SHARE * comparable.total.attempts;
             let is_failing = comparable.failures.counted > comparable.failures.expected;
-            self.has_preexisting_failures = is_failing && (carries_little || self.has_preexisting_failures);
+            self.has_preexisting_failures =
+                is_failing && (has_little_traffic || self.has_preexisting_failures);
             let is_attributed = is_failing && !self.has_preexisting_failures;
             self.common_failures =
                 if is_attributed { comparable.failures } else { CommonFailures::default() };
         }
     }
 
+    /// Adds the reports of one class to the evidence; `is_uncapped`: the canary may get all requests.
     fn weigh_class(
         &mut self, class: usize, reported: BySide<OutcomeCounts>, view: &AnalysisView, is_uncapped: bool,
     ) {
         let BySide { baseline, canary } = reported;
-        // Failures compare once most of the canary is warm; latencies, which cold ones stretch, once all is.
+        // Failures are compared once most of the canary's endpoints have warmed up, latencies once all have.
         let is_warm = view.mean_canary_warmup >= MIN_COMPARABLE_WARMUP;
         let canary = if is_warm { canary } else { OutcomeCounts::default() };
-        // A baseline that is gone, or idle while the canary carries nearly all, is no comparison.
+        // A baseline that has left, or is idle while the canary gets nearly all requests, is no comparison.
         let is_alone = is_uncapped || baseline.attempts < MIN_OUTCOMES.min(canary.attempts);
         let usual = &self.classes[class];
         let collapse_rate = (usual.usual_failure_rate.mean + COLLAPSE_RATE) / FAILURE_MARGIN;
         let expected_rate = if is_alone { collapse_rate } else { baseline.failure_rate() };
         let expected_failures = expected_rate * canary.attempts;
         self.evidence.expected_failures += expected_failures;
-        // Failures beside answers as quick as ever are some tenant's or machine's, not a slow version's.
-        let quick_latency = usual.usual_latency.mean * (SPEED_MARGIN / 4.0).exp();
-        let is_quick = canary.successes() > 0.0 && canary.mean_latency < quick_latency;
-        let max_failures = if is_alone && is_quick { expected_failures } else { f64::INFINITY };
+        // With latencies as usual, failures are attributed to a tenant or an endpoint, not to the version.
+        let fast_latency = usual.usual_latency.mean * (SPEED_MARGIN / 4.0).exp();
+        let is_fast = canary.successes() > 0.0 && canary.mean_latency < fast_latency;
+        let max_failures = if is_alone && is_fast { expected_failures } else { f64::INFINITY };
         self.evidence.failures += canary.failures.min(max_failures);
         let (ours, theirs) = (canary.successes(), baseline.successes());
         let is_fully_warm = view.min_canary_warmup >= MIN_COMPARABLE_WARMUP;
--- a/crates/policy/src/discovery_calls.rs
+++ b/crates/policy/src/discovery_calls.rs
@@ -1,46 +1,50 @@
-//! When the endpoint list is asked for. Gateways share one discovery service, and it works through calls in turn, also
-//! through those that waited too long: calls of hundreds at once are spread over the time that it may take for them.
+//! When a gateway calls the discovery service for the endpoint list.
+//!
+//! Problem: gateways share one discovery service, which works through its queue in order, including calls that have timed
+//! out; calls of hundreds of gateways within a short time overload it for longer than their timeouts. Method: calls are
+//! spread over an interval in proportion to the number of gateways, with full jitter and exponential backoff.
+//!
+//! [`Policy`](crate::Policy) draws [`first_call_delay`] when a process starts from a cached list, and [`retry_delay`] when a
+//! call fails or a watch breaks; it calls again after that time, unless a list arrives first.
 
 use crate::config::DiscoveryConfig;
 use crate::time::Millis;
-use rand::RngExt;
+use latchhaven_backoff::{ExponentialBackoff, Jitter};
 use rand_pcg::Pcg64Mcg;
 
-/// ms of the span of calls for each other gateway: as much as the slowest service needs for a few callers.
+/// ms of the interval over which calls are spread, for each other gateway.
 const CALL_SPREAD: Millis = 250.0;
-/// ms within which a new process calls for the list: until then it takes no clients.
+/// ms within which a new process first calls for the list; until then it accepts no clients.
 pub const MAX_FIRST_CALL_DELAY: Millis = 4000.0;
-/// ms of the span of calls of a large fleet: a service that is made for it needs about so long for one call of each.
+/// ms of that interval at most: the service scales with the number of gateways.
 const MAX_CALL_SPREAD: Millis = 6000.0;
-/// Share of that span over which watches are opened anew that broke, and that passes before a failed call is repeated:
-/// what waits at an overloaded service has to be worked through first.
+/// Share of the interval over which broken watches are reopened, and that passes before a failed call is repeated, so
+/// that an overloaded service can empty its queue.
 const SHORT_SHARE: f64 = 1.0 / 3.0;
-/// Times the span grows with each call that fails: a small fleet may have too many calls as well.
-const RETRY_SPREAD_GROWTH: f64 = 2.0;
-/// Share of the polling interval that the span may reach: a fleet that waited out an outage has to learn of its end.
+/// Share of the polling interval up to which the interval grows, so that the end of an outage is noticed.
 const MAX_SPREAD_OF_POLLS: f64 = 0.8;
-
 /// ms after which a call without an answer is repeated.
 pub(crate) const CALL_TIMEOUT: Millis = 4000.0;
 
-/// Time until a new process calls for the list.
+/// ms until a new process first calls for the list; `gateways`: how many there are.
 pub(crate) fn first_call_delay(gateways: u32, rng: &mut Pcg64Mcg) -> Millis {
-    rng.random_range(0.0..=call_spread(gateways).min(MAX_FIRST_CALL_DELAY))
-}
-
-fn call_spread(gateways: u32) -> Millis {
-    (CALL_SPREAD * f64::from(gateways.saturating_sub(1))).min(MAX_CALL_SPREAD)
+    Jitter::Full.draw(call_spread(gateways).min(MAX_FIRST_CALL_DELAY), rng)
 }
 
-/// Time until a call is repeated after so many failed; 0: the watch broke that stood.
+/// ms until a call is repeated after so many calls in a row have failed; 0: an open watch broke.
 pub(crate) fn retry_delay(
     failed_calls: u32, gateways: u32, discovery: &DiscoveryConfig, rng: &mut Pcg64Mcg,
 ) -> Millis {
     let spread = call_spread(gateways).max(CALL_SPREAD);
     if failed_calls == 0 {
-        return rng.random_range(0.0..=SHORT_SHARE * spread);
+        return Jitter::Full.draw(SHORT_SHARE * spread, rng);
     }
-    let growth = RETRY_SPREAD_GROWTH.powf(f64::from(failed_calls - 1));
     let max_spread = MAX_SPREAD_OF_POLLS * discovery.max_poll_interval;
-    (SHORT_SHARE * spread).min(max_spread) + rng.random_range(0.0..=(growth * spread).min(max_spread))
+    let backoff = ExponentialBackoff::new(spread, max_spread, Jitter::Full);
+    (SHORT_SHARE * spread).min(max_spread) + backoff.delay(failed_calls - 1, rng)
+}
+
+/// ms over which the calls of all gateways are spread.
+fn call_spread(gateways: u32) -> Millis {
+    (CALL_SPREAD * f64::from(gateways.saturating_sub(1))).min(MAX_CALL_SPREAD)
 }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -32,7 +32,7 @@
 /// The decisions of one gateway.
 pub struct Policy {
     pub(crate) zone: String,
-    /// How many gateways there are.
+    /// Number of gateways.
     pub(crate) gateways: u32,
     pub(crate) classes: Vec<RequestClass>,
     pub(crate) permissions: Permissions,
@@ -53,7 +53,7 @@
 }
 
 impl Policy {
-    /// A policy that knows of no endpoint yet.
+    /// A policy without an endpoint list yet.
     #[must_use]
     pub fn new(config: PolicyConfig) -> Self {
         let PolicyConfig { identity, classes, voting, discovery, .. } = config;
@@ -124,7 +124,7 @@
         }
     }
 
-    /// The number of a class.
+    /// The number of the class of that name.
     pub(crate) fn class_named(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class.name == name)
     }
@@ -153,7 +153,7 @@
         self.registry.apply(entries, is_snapshot, concurrency_limit, &mut self.rng, now);
     }
 
-    /// The watch may stand or not: the list is asked for again.
+    /// Schedules the next poll for the list, whether or not a watch is still open.
     fn on_update_failed(&mut self, failure: &UpdateFailure, now: Millis) {
         let registry = &mut self.registry;
         if !registry.lease.is_confirmed() {
@@ -178,7 +178,7 @@
         endpoint.metrics[Metric::Success].replace_one_by_zero();
         endpoint.metrics[Metric::Correctness].replace_one_by_zero();
         self.analysis.record_wrong_answer(endpoint.version);
-        // One report tells a gateway little, those of hundreds tell of the version.
+        // One gateway gets few reports: all of them together are evidence on a version.
         if self.permissions.peer_messages {
             let data = encode_wrong_answer(endpoint.version);
             self.actions.push(Action::SendPeerMessage { to: None, data });
@@ -244,19 +244,20 @@
         }
     }
 
-    /// Ready endpoints by side; all, or this gateway's subset alone.
+    /// Ready endpoints by side; `is_subset`: only those of this gateway's subset.
     pub(crate) fn partition(&self, is_subset: bool) -> Sides {
         let lowest_version = self.registry.lowest_version;
         self.registry.partition(is_subset, |version| self.exposure.canary(version, lowest_version).is_some())
     }
 
-    /// Learns from a request that was served how long its class takes, and where its key stays.
+    /// Updates the typical latency of the class of a request that was served, and the version of its sticky key;
+    /// `weight`: that of the newest latency, `elapsed`: ms.
     pub(crate) fn record_success(&mut self, id: RequestId, version: Version, elapsed: Millis, weight: f64) {
         let request = &self.requests.requests[&id];
         let typical = &mut self.requests.typical_latency[request.class];
         *typical += weight * (elapsed - *typical);
         if let Some(key) = &request.sticky_key {
-            self.exposure.pin_key(key, version, self.registry.lowest_version);
+            self.exposure.record_sticky_key(key, version, self.registry.lowest_version);
         }
     }
 
@@ -290,7 +291,7 @@
         true
     }
 
-    /// Cancels an attempt that is in flight; false where it was already, or may not be.
+    /// Cancels an attempt that is in flight; false where that is not permitted or was done before.
     pub(crate) fn cancel(&mut self, id: RequestId, number: usize) -> bool {
         let Some(attempt) = self.requests.attempt_mut(id, number) else { return false };
         if !self.permissions.cancel || attempt.outcome.is_some() || attempt.is_cancelled {
@@ -301,7 +302,7 @@
         true
     }
 
-    /// Nothing more is sent for this request; what is still in flight is cancelled.
+    /// Closes a request, cancelling its attempts in flight; `quality`: how well it was served, from 0 to 1.
     pub(crate) fn close(&mut self, id: RequestId, quality: f64, now: Millis) {
         let Some(request) = self.requests.requests.get_mut(&id) else { return };
         let was_answered = std::mem::replace(&mut request.is_answered, true);
--- a/crates/policy/src/exposure.rs
+++ b/crates/policy/src/exposure.rs
@@ -1,4 +1,10 @@
-//! The rule on exposure: how much a canary may get.
+//! The rule on exposure: how many attempts a canary may get.
+//!
+//! A canary may get, within a sliding window, a fixed allowance plus its traffic cap times the requests that arrived. In
+//! early stages it may get idempotent requests only, and a sticky key that it has answered goes to no earlier version.
+//!
+//! The gate of all attempts ([`AttemptGate`](crate::routing::AttemptGate)) calls it for each attempt; the counts are in
+//! [`ExposureLimiter`].
 
 use crate::request::Idempotency;
 use crate::rollout::Version;
@@ -6,16 +12,17 @@
 use crate::state::requests::Request;
 use crate::time::Millis;
 
-/// ms kept from the ends of spans that rules set.
+/// ms of margin to each time limit that a rule sets.
 pub(crate) const SAFETY_MARGIN: Millis = 20.0;
 
 impl ExposureLimiter {
-    /// Whether one more attempt at a version keeps the rule.
+    /// Whether one more attempt at a version complies with the rule; `lowest_version`: the lowest among the ready
+    /// endpoints, which is no canary.
     pub(crate) fn admits(
         &self, request: &Request, idempotency: Idempotency, version: Version, lowest_version: Version,
         now: Millis,
     ) -> bool {
-        if self.pinned_version(request.sticky_key.as_ref()).is_some_and(|pinned| version < pinned) {
+        if self.sticky_version(request.sticky_key.as_ref()).is_some_and(|sticky| version < sticky) {
             return false;
         }
         let Some(canary) = self.canary(version, lowest_version) else { return true };
--- a/crates/policy/src/list_lease.rs
+++ b/crates/policy/src/list_lease.rs
@@ -1,26 +1,31 @@
-//! How long attempts may go by the endpoint list. While a watch stands, the list is confirmed. Without one, what it
-//! misses counts as told after some time, arrived or not: then an attempt may only go to an endpoint that has proven
-//! since that it is not draining.
+//! The lease of the endpoint list: how long attempts may be sent to endpoints that no watch confirms as ready.
+//!
+//! While a watch is open, the list is confirmed. Without one, updates that do not arrive count as delivered some time
+//! later, and the grace of a draining endpoint begins then. When the lease expires, attempts may only go to endpoints that
+//! have since proven, by an answer, that they were not draining.
+//!
+//! [`Policy`](crate::Policy) changes the lease when the list is confirmed, a call fails, a watch breaks or the discovery
+//! service moves. The gate of all attempts compares the time with [`ListLease::expires_at`] and with the endpoint's proof.
 
 use crate::config::DiscoveryConfig;
 use crate::endpoint::UpdateFailure;
 use crate::time::Millis;
 
-/// ms kept from the end of a lease: a process may be held up between reading its clock and writing.
+/// ms subtracted from the end of a lease: a process may be suspended between reading its clock and writing.
 const LEASE_MARGIN: Millis = 250.0;
-/// Share of the grace of drains that a proof lasts beyond the delay of updates: an endpoint may answer for a moment
-/// after it is listed as draining.
+/// Share of the drain grace that a proof lasts beyond the delay of updates: an endpoint may answer shortly after it is
+/// listed as draining.
 const PROOF_GRACE_SHARE: f64 = 0.5;
 
-/// Until when the endpoint list may be gone by.
+/// Until when the endpoint list may be used.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ListLease {
-    /// When the list was last known to be up to date; infinite while a watch stands.
+    /// When the list was last confirmed to be up to date, in ms; infinite while a watch is open.
     confirmed_at: Millis,
     /// Until then attempts may be sent to every endpoint that is listed as ready.
     expires_at: Millis,
-    /// Queries sent before then prove nothing: an update may have been lost, and an endpoint that it lists as draining may
-    /// still answer for a moment.
+    /// Attempts sent before then prove nothing: an update may have been lost, and an endpoint that it lists as draining
+    /// may still answer shortly after.
     no_proof_before: Millis,
 }
 
@@ -40,7 +45,7 @@
         }
     }
 
-    /// A list from an earlier process: nobody knows its age, and whatever has changed since may count as told at once.
+    /// A list from an earlier process, of unknown age.
     pub(crate) fn cached(discovery: &DiscoveryConfig, now: Millis) -> Self {
         ListLease {
             confirmed_at: f64::NEG_INFINITY,
@@ -49,7 +54,7 @@
         }
     }
 
-    /// True while a watch stands.
+    /// True while a watch is open.
     pub(crate) fn is_confirmed(&self) -> bool {
         self.confirmed_at == f64::INFINITY
     }
@@ -70,25 +75,25 @@
         }
     }
 
-    /// The discovery service has moved: what its new address lists counts as told after some time.
+    /// The discovery service has moved: updates at its new address count as delivered some time later.
     pub(crate) fn move_discovery(&mut self, discovery: &DiscoveryConfig, now: Millis) {
         self.confirmed_at = self.confirmed_at.min(now);
         self.shorten(now + discovery.update_delay_after_move, discovery);
     }
 
-    /// What is missed counts as told at a time.
-    fn shorten(&mut self, notified_at: Millis, discovery: &DiscoveryConfig) {
-        self.expires_at = self.expires_at.min(notified_at + discovery.drain_grace - LEASE_MARGIN);
+    /// Missed updates count as delivered at a time in ms.
+    fn shorten(&mut self, delivered_at: Millis, discovery: &DiscoveryConfig) {
+        self.expires_at = self.expires_at.min(delivered_at + discovery.drain_grace - LEASE_MARGIN);
     }
 
-    /// Until when attempts may be sent to every endpoint that is listed as ready.
+    /// Until when attempts may be sent to every endpoint that is listed as ready, in ms.
     pub(crate) fn expires_at(&self) -> Millis {
         self.expires_at
     }
 
-    /// Until when attempts may be sent to an endpoint that has answered a query; none if that proves nothing. It proves
-    /// that the endpoint was not draining as the query was sent if the connection was up while the list was up to date,
-    /// so that no other process has taken its place, and if no update has been lost since.
+    /// Until when attempts may be sent to an endpoint that has answered one; none if the answer proves nothing. It proves
+    /// that the endpoint was not draining when the attempt was sent, if its connection was established while the list was
+    /// up to date (so the process is the listed one) and no update has been lost since.
     pub(crate) fn proof_expires_at(
         &self, connected_at: Option<Millis>, sent_at: Millis, discovery: &DiscoveryConfig,
     ) -> Option<Millis> {
@@ -98,7 +103,7 @@
         (is_same_process && sent_at >= self.no_proof_before).then_some(expires_at)
     }
 
-    /// Until when an earlier proof holds once an update is lost.
+    /// Until when earlier proofs remain valid once an update may have been lost, in ms.
     pub(crate) fn proof_limit(discovery: &DiscoveryConfig, now: Millis) -> Millis {
         now + discovery.drain_grace - LEASE_MARGIN
     }
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -3,7 +3,7 @@
 //! [`Policy`](crate::Policy) calls [`record_outcome`] for each attempt that ended and [`record_reported_errors`] for each
 //! report of other senders; both update the endpoint and return the reason for which it is to be ejected, if any. The time
 //! of an ejection follows [`EJECTION_BACKOFF`]. The concurrency limit grows with answers well within the latency objective
-//! and shrinks with late ones, as TCP Vegas does with its window.
+//! and shrinks with late ones.
 
 use crate::config::GatewayIdentity;
 use crate::log_event::EjectionReason;
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -10,7 +10,7 @@
 use crate::config::SlowStartConfig;
 use crate::time::Millis;
 
-/// Share of a warming endpoint's budget that is used; the rest covers variation between gateways.
+/// Share of a warming endpoint's budget that is used at full load.
 const BUDGET_SHARE: f64 = 0.5;
 /// Factor on the usual arrival rate up to which a burst raises the refill rate.
 const MAX_RATE_SURGE: f64 = 1.5;
--- a/crates/policy/src/state/canary.rs
+++ b/crates/policy/src/state/canary.rs
@@ -22,7 +22,7 @@
 
 /// One test of a canary.
 #[derive(Clone, Copy, Debug)]
-pub struct Suspicion {
+pub struct TestResult {
     /// The probability that the canary is worse.
     pub probability_worse: f64,
     /// The chance of being wrong that the test may take.
@@ -31,11 +31,11 @@
     pub reason: RejectionReason,
 }
 
-impl Suspicion {
+impl TestResult {
     /// The test that is surest; of equals the last.
     #[must_use]
-    pub fn strongest(suspicions: Vec<Suspicion>) -> Option<Suspicion> {
-        suspicions.into_iter().max_by(|a, b| a.probability_worse.total_cmp(&b.probability_worse))
+    pub fn strongest(results: Vec<TestResult>) -> Option<TestResult> {
+        results.into_iter().max_by(|a, b| a.probability_worse.total_cmp(&b.probability_worse))
     }
 }
 
--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -9,7 +9,7 @@
 pub mod timer;
 pub mod window;
 
-pub use canary::{AnalysisView, CanaryAnalysis, CanaryContext, CastVote, Promotion, Suspicion};
+pub use canary::{AnalysisView, CanaryAnalysis, CanaryContext, CastVote, Promotion, TestResult};
 pub use endpoint::{Endpoint, EndpointIndex, Metric, MetricMoments};
 pub use evidence::{
     BySide, ClassEvidence, CommonFailures, ComparableCounts, OutcomeCounts, WeightedEvidence,
--- a/crates/policy/src/verdict.rs
+++ b/crates/policy/src/verdict.rs
@@ -1,11 +1,19 @@
 //! The verdict on a canary, and the votes that follow from it.
+//!
+//! Problem: each gateway sees a part of the outcomes, tests them repeatedly and must not roll back a good version. Method:
+//! several tests of the evidence ([`crate::canary`]), each with a share of one error rate δ: comparisons of means by draws
+//! from Student-t posteriors, and Poisson tail probabilities of failures. A canary is rejected once the probability that it
+//! is worse has exceeded 1 - δ for some time.
+//!
+//! [`Policy`](crate::Policy) calls [`CanaryAnalysis::analyse`] at intervals while a rollout is known. It returns votes for the
+//! platform and log events as actions.
 
 use crate::action::Action;
 use crate::canary::{FAILURE_MARGIN, MAX_LOAD_RATIO, MIN_OUTCOMES, SPEED_MARGIN};
 use crate::config::{GatewayIdentity, VoteMode, VotingConfig};
 use crate::log_event::RejectionReason;
 use crate::rollout::{RolloutPhase, RolloutState, Verdict};
-use crate::state::canary::{AnalysisView, CanaryAnalysis, CanaryContext, CastVote, Suspicion};
+use crate::state::canary::{AnalysisView, CanaryAnalysis, CanaryContext, CastVote, TestResult};
 use crate::state::endpoint::Metric;
 use crate::state::registry::EndpointTable;
 use crate::statistics::{MeanComparison, RunningMoments, poisson_probability_of_fewer};
@@ -13,31 +21,31 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// Draws per version (design page; more while the baseline wins all), samples and least variance of a comparison.
+/// How means are compared: draws, samples and least variance.
 const POSTERIOR: MeanComparison =
     MeanComparison { min_draws: 200.0, max_draws: 4000.0, min_samples: MIN_OUTCOMES, min_variance: 0.01 };
-/// Chance of a wrong rollback, δ (design page), shared among all that may vote it alone.
+/// The probability of a wrong rollback, δ, over all gateways.
 pub(crate) const ROLLBACK_ERROR_RATE: f64 = 0.05;
-/// Probability that the canary is worse above which nothing goes on (design page).
+/// Probability that the canary is worse above which it is not promoted.
 const MAX_DOUBT: f64 = 0.8;
-/// ms that the probability must stay above 1 - δ (design page).
+/// ms that the probability must exceed 1 - δ before the canary is rejected.
 const CONFIDENCE_DURATION: Millis = 1000.0;
-/// ms after the newest canary start before going on (design page).
+/// ms after the start of the canary's newest endpoint before a promotion.
 const SETTLING_TIME: Millis = 3000.0;
-/// ms per stage after that start in which too few outcomes make it wait.
+/// ms after that start, for each stage so far, for which a canary with few outcomes is not promoted.
 const FEW_OUTCOMES_PATIENCE: Millis = 4000.0;
-/// Own outcomes from which a slow time before the canary shows that going back is no cure.
+/// Own outcomes from which the time before the canary shows that a rollback would not restore latencies.
 const MIN_OUTCOMES_BEFORE: f64 = 100.0;
-/// Failures in reports that come as one: in time, and on few faulty machines.
+/// Reported failures that count as one independent event: they are correlated in time and by endpoint.
 const CLUSTER_SIZE: f64 = 3.0;
-/// Failures that are weighed at most: more tell nothing new.
+/// Failures that are counted at most.
 const MAX_FAILURES: f64 = 1e4;
-/// ms after a promotion in which a collapse is attributed to the version.
+/// ms after a promotion in which failures are still attributed to the version.
 const PROMOTION_WATCH: Millis = 15000.0;
-/// ms that the canary carries nearly all before its promotion: costs little.
+/// ms for which the canary gets nearly all requests before its promotion.
 const FULL_TRAFFIC_DURATION: Millis = 6000.0;
-/// Analyses of new reports of one version, which share δ.
-const LOOKS: f64 = 10.0;
+/// Analyses of one version that share δ.
+const ANALYSES_PER_VERSION: f64 = 10.0;
 /// ms after which a vote that did not count is cast again.
 const VOTE_RETRY_INTERVAL: Millis = 500.0;
 /// Gateways that vote at one analysis on average, for each vote of the quorum: the platform accepts few calls.
@@ -57,7 +65,7 @@
 }
 
 impl CanaryAnalysis {
-    /// Analyses the canary, or the version just promoted, every so often, and votes.
+    /// Analyses the canary, or the version just promoted, and adds votes to `actions`.
     pub(crate) fn analyse(
         &mut self, rng: &mut Pcg64Mcg, endpoints: &mut EndpointTable, view: &AnalysisView,
         rollout: &RolloutState, actions: &mut Vec<Action>,
@@ -65,15 +73,15 @@
         self.refresh(endpoints, view, rollout);
         self.watch_promotion(rollout, view, PROMOTION_WATCH);
         let context = self.context(rollout, MIN_OUTCOMES);
-        let suspicions = self.suspicions(rng, endpoints, view, &context);
+        let test_results = self.test_results(rng, endpoints, view, &context);
         let has_outcomes = |members| endpoints.pooled_metric(Metric::Success, members).count >= MIN_OUTCOMES;
         let has_own = has_outcomes(&view.canary) && (context.is_alone || has_outcomes(&view.baseline));
         self.has_min_samples = context.is_canary && (has_own || self.reported_attempts >= MIN_OUTCOMES);
-        self.conclude(suspicions, rollout, view.now);
+        self.conclude(test_results, rollout, view.now);
         let since_start = view.since_newest_start(endpoints).filter(|_| context.is_canary);
         let verdict = self.verdict(rollout, since_start.unwrap_or(f64::NEG_INFINITY), view.now);
         let vote = CastVote { version: rollout.version, stage: rollout.stage, verdict };
-        // One vote suffices where one is needed, and the platform takes few: gateways draw who votes.
+        // The platform accepts few calls: at random, a few of the gateways vote.
         if self.is_vote_due(vote, VOTE_RETRY_INTERVAL, view.now)
             && rng.random::<f64>() < self.vote_probability
         {
@@ -81,42 +89,43 @@
         }
     }
 
-    /// All tests that apply; of equally strong ones the last is logged.
-    fn suspicions(
+    /// The results of all tests that apply; of equal ones the last is logged.
+    fn test_results(
         &mut self, rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &AnalysisView,
         context: &CanaryContext,
-    ) -> Vec<Suspicion> {
-        // δ is shared among looks, and among gateways but for reports, which are the same for all.
-        let error_rate = self.own_error_rate / LOOKS;
-        let own = |probability_worse, reason| Suspicion { probability_worse, error_rate, reason };
-        let mut suspicions = vec![own(0.5, RejectionReason::Prior)];
-        // Some faulty machines are no bad version: own errors tell nothing where reports see no more than usual.
-        let is_vouched_for =
+    ) -> Vec<TestResult> {
+        // Own outcomes differ between gateways, which share δ; reports are the same for all.
+        let error_rate = self.own_error_rate / ANALYSES_PER_VERSION;
+        let own = |probability_worse, reason| TestResult { probability_worse, error_rate, reason };
+        let mut test_results = vec![own(0.5, RejectionReason::Prior)];
+        // Own errors do not count where reports show no more failures than expected: they are due to single endpoints.
+        let is_cleared_by_reports =
             context.is_reported && self.evidence.failures < FAILURE_MARGIN * self.evidence.expected_failures;
-        if context.is_canary && !is_vouched_for {
-            suspicions.push(own(self.own_failures(endpoints, view), RejectionReason::OwnFailures));
+        if context.is_canary && !is_cleared_by_reports {
+            test_results.push(own(self.own_failures(endpoints, view), RejectionReason::OwnFailures));
         }
-        let slowdown = self.slowdown_of_all(rng, endpoints, view, context);
-        suspicions.extend(slowdown.map(|probability| own(probability, RejectionReason::AllEndpointsSlower)));
+        let slowdown = self.slowdown_of_all_endpoints(rng, endpoints, view, context);
+        test_results
+            .extend(slowdown.map(|probability| own(probability, RejectionReason::AllEndpointsSlower)));
         if context.is_canary && !context.is_alone {
-            suspicions
+            test_results
                 .push(own(compare(rng, endpoints, view, Metric::Success, 0.0), RejectionReason::SuccessRate));
             let latency = compare(rng, endpoints, view, Metric::Latency, SPEED_MARGIN);
-            // A lone machine may well be slow by itself: only a second one can tell.
-            suspicions.extend((view.canary.len() > 1).then(|| own(latency, RejectionReason::Latency)));
+            // A single endpoint may be slow for other reasons than its version.
+            test_results.extend((view.canary.len() > 1).then(|| own(latency, RejectionReason::Latency)));
         }
         if context.is_canary || self.promotion.is_some() {
-            suspicions.extend(self.reported_suspicions(rng));
+            test_results.extend(self.report_test_results(rng));
         }
-        suspicions
+        test_results
     }
 
-    /// The probability of fewer own errors and wrong answers, were the canary as right as others: too rare for a Gaussian.
+    /// The probability of fewer own errors and wrong answers, were the canary as correct as the baseline.
     fn own_failures(&self, endpoints: &EndpointTable, view: &AnalysisView) -> f64 {
         let wrong = |moments: &RunningMoments| moments.count * (1.0 - moments.mean);
         let canary = endpoints.metric_of(Metric::Correctness, &view.canary);
         let canary = RunningMoments::pooled_without_worst(&canary);
-        // Without a baseline the time before the canary compares.
+        // Without a baseline the canary is compared with the time before it.
         let baseline = match view.baseline.is_empty() {
             true => self.metrics_before_canary[Metric::Correctness],
             false => endpoints.pooled_metric(Metric::Correctness, &view.baseline),
@@ -125,15 +134,15 @@
         poisson_probability_of_fewer(expected, wrong(&canary), MAX_FAILURES)
     }
 
-    /// A canary may slow all endpoints, old and new: then only the time before it came compares.
-    fn slowdown_of_all(
+    /// The probability that all endpoints are slower than before the canary: it may slow those of the baseline as well.
+    fn slowdown_of_all_endpoints(
         &mut self, rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &AnalysisView,
         context: &CanaryContext,
     ) -> Option<f64> {
         let members = if view.baseline.is_empty() { &view.canary } else { &view.baseline };
         let speed = endpoints.pooled_metric(Metric::Latency, members);
         let before = self.metrics_before_canary[Metric::Latency];
-        // More requests for each that answers, by a burst or where some are lost, slow them all as well.
+        // A higher load per endpoint, by a burst or a loss of endpoints, has the same effect.
         let is_comparable = context.is_canary
             && before.mean > -SPEED_MARGIN
             && !view.canary.is_empty()
@@ -145,10 +154,10 @@
         (is_comparable && !self.has_preexisting_failures && !reports_deny).then_some(clearly_slower)
     }
 
-    /// The tests of what the platform reported, which is the same for all gateways.
-    fn reported_suspicions(&self, rng: &mut Pcg64Mcg) -> [Suspicion; 4] {
-        let error_rate = ROLLBACK_ERROR_RATE / LOOKS;
-        let test = |probability_worse, reason| Suspicion { probability_worse, error_rate, reason };
+    /// The tests of the platform's reports, which are the same for all gateways.
+    fn report_test_results(&self, rng: &mut Pcg64Mcg) -> [TestResult; 4] {
+        let error_rate = ROLLBACK_ERROR_RATE / ANALYSES_PER_VERSION;
+        let test = |probability_worse, reason| TestResult { probability_worse, error_rate, reason };
         let rare = |expected, counted| poisson_probability_of_fewer(expected, counted, MAX_FAILURES);
         let expected = FAILURE_MARGIN * self.evidence.expected_failures / CLUSTER_SIZE;
         let failures = rare(expected, self.evidence.failures / CLUSTER_SIZE);
@@ -156,7 +165,7 @@
         let common = rare(expected, self.common_failures.counted / CLUSTER_SIZE);
         let even = RunningMoments { count: 1e6, ..RunningMoments::default() };
         let speed = POSTERIOR.probability_first_is_higher(rng, &even, &self.evidence.speed, SPEED_MARGIN);
-        // Wrong answers that gateways told each other, against those of other versions per answer.
+        // Wrong answers that any gateway's clients reported, per answer, compared with other versions.
         let baseline_answers = self.reported_answers.baseline.max(MIN_OUTCOMES);
         let answers = self.reported_answers.canary.max(MIN_OUTCOMES);
         let expected = FAILURE_MARGIN * (self.wrong_answers.baseline + 1.0) * answers / baseline_answers;
@@ -169,11 +178,11 @@
         ]
     }
 
-    /// Rejects the version once one test has been sure for long enough.
-    fn conclude(&mut self, suspicions: Vec<Suspicion>, rollout: &RolloutState, now: Millis) {
-        let is_confident = suspicions.iter().any(|test| test.probability_worse > 1.0 - test.error_rate);
+    /// Rejects the version once one test has exceeded 1 - δ for [`CONFIDENCE_DURATION`].
+    fn conclude(&mut self, test_results: Vec<TestResult>, rollout: &RolloutState, now: Millis) {
+        let is_confident = test_results.iter().any(|test| test.probability_worse > 1.0 - test.error_rate);
         self.confident_since = is_confident.then(|| self.confident_since.unwrap_or(now));
-        let Some(strongest) = Suspicion::strongest(suspicions) else { return };
+        let Some(strongest) = TestResult::strongest(test_results) else { return };
         self.probability_worse = strongest.probability_worse;
         let is_confirmed = self.confident_since.is_some_and(|since| now - since >= CONFIDENCE_DURATION);
         if is_confirmed && self.rejected_version != Some(rollout.version) {
@@ -181,6 +190,7 @@
         }
     }
 
+    /// The vote on the rollout's version; `since_start`: ms since the start of the canary's newest endpoint.
     fn verdict(&mut self, rollout: &RolloutState, since_start: Millis, now: Millis) -> Verdict {
         if self.rejected_version == Some(rollout.version) {
             let is_over = matches!(rollout.phase, RolloutPhase::RollingBack | RolloutPhase::RolledBack);
@@ -190,27 +200,28 @@
             let is_doubtful = self.has_min_samples && self.probability_worse > MAX_DOUBT;
             return if is_doubtful { Verdict::Pause } else { Verdict::Abstain };
         }
-        let is_fit = self.is_fit(rollout, since_start);
-        // Nothing is capped any more: the canary carries nearly all for a while, unless too much fails then.
-        let is_known = self.has_min_samples || self.full_traffic_since.is_some();
-        let carries_all = is_fit && rollout.traffic_cap >= 1.0 && is_known;
-        self.full_traffic_since = carries_all.then(|| self.full_traffic_since.unwrap_or(now));
+        let is_promotable = self.is_promotable(rollout, since_start);
+        // Without a cap the canary first gets nearly all requests for a while, unless too many fail.
+        let has_evidence_or_traffic = self.has_min_samples || self.full_traffic_since.is_some();
+        let gets_all = is_promotable && rollout.traffic_cap >= 1.0 && has_evidence_or_traffic;
+        self.full_traffic_since = gets_all.then(|| self.full_traffic_since.unwrap_or(now));
         let duration = if self.is_without_baseline { SETTLING_TIME } else { FULL_TRAFFIC_DURATION };
         let patience = FEW_OUTCOMES_PATIENCE * f64::from(rollout.stage + 1);
         let has_evidence = match self.full_traffic_since {
             Some(since) => self.has_min_samples && now - since >= duration,
             None => self.has_min_samples || since_start >= patience,
         };
-        if is_fit && has_evidence { Verdict::Promote } else { Verdict::Abstain }
+        if is_promotable && has_evidence { Verdict::Promote } else { Verdict::Abstain }
     }
 
-    fn is_fit(&self, rollout: &RolloutState, since_start: Millis) -> bool {
+    /// Whether nothing speaks against a promotion.
+    fn is_promotable(&self, rollout: &RolloutState, since_start: Millis) -> bool {
         let before = &self.metrics_before_canary[Metric::Latency];
         let was_slow_before = before.count >= MIN_OUTCOMES_BEFORE && before.mean <= -SPEED_MARGIN;
         let has_few_failures = self.evidence.failures <= self.evidence.expected_failures;
-        let is_calm = rollout.traffic_cap < 1.0 || was_slow_before || has_few_failures;
-        let is_stable = since_start >= SETTLING_TIME;
-        is_stable && self.probability_worse <= MAX_DOUBT && is_calm && !self.are_all_slower
+        let has_accepted_failures = rollout.traffic_cap < 1.0 || was_slow_before || has_few_failures;
+        let is_settled = since_start >= SETTLING_TIME;
+        is_settled && self.probability_worse <= MAX_DOUBT && has_accepted_failures && !self.are_all_slower
     }
 }
 
