--- a/crates/control-plane/tests/control_plane/support/service.rs
+++ b/crates/control-plane/tests/control_plane/support/service.rs
@@ -59,7 +59,7 @@
             version: self.version,
             zone: "a".to_string(),
             cell: 0,
-            machine_type: String::new(),
+            instance_type: String::new(),
             weight: 1.0,
             started_at: 0.0,
         };
--- a/crates/gateway/src/net/list.rs
+++ b/crates/gateway/src/net/list.rs
@@ -105,7 +105,7 @@
             version: self.release,
             zone: self.site,
             cell: self.block,
-            machine_type: self.class,
+            instance_type: self.class,
             weight: self.share,
             started_at: self.born_ms,
         };
--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -43,7 +43,7 @@
         /// ms since the deadline.
         overdue_for: Millis,
     },
-    /// The adapter requested the answer, as in a graceful shutdown.
+    /// The adapter required the answer, as in a graceful shutdown.
     Abandoned,
     /// The settings have no class of that name.
     UnknownClass,
@@ -89,7 +89,7 @@
         /// Why, for logs and counters.
         reason: UnservedReason,
     },
-    /// Final answer: failed; it may have taken effect.
+    /// Final answer: failed; it may have been executed.
     Fail {
         /// The request.
         id: RequestId,
--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -1,4 +1,4 @@
-//! What the policy is configured with, as the settings tell it.
+//! The configuration of a policy, as an adapter reads it from its settings. Times are in ms.
 
 use crate::request::RequestClass;
 use crate::time::Millis;
@@ -8,11 +8,11 @@
 pub struct PolicyConfig {
     /// Seed of the policy's random generator.
     pub seed: u64,
-    /// Which of the gateways this is.
+    /// The gateway's identity.
     pub identity: GatewayIdentity,
     /// The classes of requests.
     pub classes: Vec<RequestClass>,
-    /// What the gateway may do.
+    /// What the gateway is permitted to do.
     pub permissions: Permissions,
     /// How the endpoint list is obtained, and how drains are timed.
     pub discovery: DiscoveryConfig,
@@ -26,76 +26,76 @@
     pub costs: CostConfig,
 }
 
-/// Which of the gateways this is.
+/// Identifies a gateway among all.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GatewayIdentity {
     /// Its index, from 0.
     pub index: u32,
-    /// How many gateways there are.
+    /// Number of gateways.
     pub gateway_count: u32,
-    /// The zone that it is in.
+    /// Its zone.
     pub zone: String,
 }
 
-/// What a gateway may do.
+/// What a gateway is permitted to do.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Permissions {
-    /// Attempts at one request at most, the first one included.
+    /// Attempts at one request at most, the first included.
     pub max_attempts: usize,
-    /// An attempt may be sent while an earlier one is out.
+    /// Hedged requests: an attempt may be sent while an earlier one is in flight.
     pub hedging: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// Endpoints may be health checked.
     pub health_checks: bool,
-    /// Gateways may write to each other.
+    /// Gateways may send messages to each other.
     pub peer_messages: bool,
-    /// The longest retry advice that clients honour; none where they get none.
+    /// The longest Retry-After that clients honour; none where they get none.
     pub max_retry_after: Option<Millis>,
 }
 
 /// How the endpoint list is obtained, and how drains are timed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DiscoveryConfig {
-    /// The list has to be asked for; otherwise it is pushed.
-    pub must_subscribe: bool,
-    /// A gateway without a watch has to ask within this time.
+    /// The list requires a watch or polls; otherwise it is pushed.
+    pub requires_subscription: bool,
+    /// A gateway without a watch polls within this time.
     pub max_poll_interval: Millis,
-    /// What is listed counts as told to a gateway this long after it lost its watch, arrived or not.
+    /// Time from the loss of a watch after which updates count as delivered.
     pub update_delay_after_loss: Millis,
-    /// What was listed before a process started counts as told to it this long after its start.
+    /// Time from the start of a process after which earlier updates count as delivered to it.
     pub update_delay_after_start: Millis,
-    /// What is listed counts as told this long after a watch fell silent.
+    /// Time from the last message of a silent watch after which updates count as delivered.
     pub update_delay_after_silence: Millis,
-    /// What is listed counts as told this long after the discovery service moved to another address.
+    /// Time from a move of the discovery service to another address after which updates count as delivered.
     pub update_delay_after_move: Millis,
-    /// How long attempts may still be sent to an endpoint that was told to drain.
+    /// Time for which attempts may still be sent to an endpoint after its draining counts as delivered.
     pub drain_grace: Millis,
 }
 
-/// How endpoints warm up, and what overloads one that has not.
+/// How endpoints warm up, and what overloads one meanwhile.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SlowStartConfig {
     /// The share of its capacity that an endpoint starts with.
     pub initial_capacity: f64,
     /// How long it takes to reach full capacity.
     pub duration: Millis,
-    /// Times its present capacity that overload it.
+    /// Ratio of attempts to its current capacity that overloads it.
     pub overload_multiple: f64,
-    /// The time over which that is counted.
+    /// The time over which attempts are counted.
     pub overload_window: Millis,
 }
 
-/// The rule on exposure: how much a canary may get.
+/// The rule on exposure: how many attempts a canary may get.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ExposureConfig {
-    /// Attempts that are always allowed in a window.
+    /// Attempts that are permitted in each window regardless of the cap.
     pub allowance: f64,
     /// The cap of each stage, as a share of requests.
     pub stage_caps: Vec<f64>,
     /// The time over which attempts and requests are counted.
     pub window: Millis,
-    /// Each class is counted for itself.
+    /// Each class is counted separately.
     pub per_class: bool,
     /// Stages, from the first, in which only idempotent requests may go to a canary.
     pub closed_stages: u32,
@@ -111,7 +111,7 @@
     Single,
     /// A majority decides.
     Majority,
-    /// Stages pass by the clock unless votes hold them.
+    /// Stages pass after a time unless votes pause them.
     Clocked,
 }
 
@@ -130,11 +130,11 @@
     pub vote_lease: Millis,
     /// The shortest time of a stage.
     pub min_stage_duration: Millis,
-    /// Time after which a stage passes by itself, where a clock decides.
+    /// Time after which a stage passes without votes, in [`VoteMode::Clocked`].
     pub auto_promote_after: Millis,
-    /// How long the answer to a vote is waited for.
+    /// Timeout of a vote's answer.
     pub answer_timeout: Millis,
-    /// Baseline endpoints stay until the version is promoted.
+    /// Baseline endpoints remain until the version is promoted.
     pub keeps_baseline: bool,
 }
 
@@ -156,14 +156,14 @@
     InHealthChecks,
 }
 
-/// What an adapter on sockets has to know of connections to endpoints.
+/// How an adapter on sockets connects to endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamConnectionConfig {
-    /// Endpoints close connections that stood idle for this long.
+    /// Endpoints close connections that have been idle for this long.
     pub idle_timeout: Millis,
-    /// A connection that is not up by then never comes up.
+    /// Timeout of establishing a connection.
     pub connect_timeout: Millis,
-    /// How long the answer to a vote is waited for.
+    /// Timeout of a vote's answer.
     pub vote_timeout: Millis,
     /// Endpoints may be health checked.
     pub health_checks: bool,
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! The parts of a [`Policy`], and the way of each event to the part that handles it. No rule stands here.
+//! The parts of a [`Policy`], and the way of each event to the part that handles it. No rule is defined here.
 
 use crate::action::{Action, UnservedReason};
 use crate::admission;
@@ -63,7 +63,7 @@
         let typical_latency = classes.iter().map(initial_latency).collect();
         Policy {
             registry: EndpointRegistry {
-                next_poll_at: discovery.must_subscribe.then_some(0.0),
+                next_poll_at: discovery.requires_subscription.then_some(0.0),
                 discovery,
                 slow_start: config.slow_start,
                 logs_ejections: outlier::logs_ejections(&identity),
@@ -132,7 +132,7 @@
     fn on_endpoint_update(&mut self, kind: UpdateKind, entries: &[EndpointEntry], now: Millis) {
         let registry = &mut self.registry;
         match kind {
-            UpdateKind::CachedSnapshot if registry.discovery.must_subscribe => {
+            UpdateKind::CachedSnapshot if registry.discovery.requires_subscription => {
                 registry.lease = ListLease::cached(&registry.discovery, now);
                 let delay = discovery_calls::first_call_delay(self.gateways, &mut self.rng);
                 registry.next_poll_at = Some(now + delay);
@@ -315,6 +315,6 @@
         for attempt in 0..attempts {
             self.cancel(id, attempt);
         }
-        self.requests.forget_if_finished(id);
+        self.requests.remove_if_finished(id);
     }
 }
--- a/crates/policy/src/endpoint.rs
+++ b/crates/policy/src/endpoint.rs
@@ -1,34 +1,34 @@
-//! Entries of the endpoint list, as discovery tells them.
+//! Entries of the endpoint list, and updates of it, as discovery delivers them.
 
 use crate::rollout::Version;
 use crate::time::Millis;
 
-/// How an update relates to the endpoint list held so far.
+/// How an update relates to the current endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
     /// Only the entries that changed.
     Delta,
-    /// The whole list.
+    /// The complete list.
     Snapshot,
-    /// The whole list as it was last held, perhaps stale.
+    /// The complete list as an earlier process cached it, possibly stale.
     CachedSnapshot,
 }
 
-/// A call for the endpoint list that failed, or a watch that broke. The list held stays.
+/// A call for the endpoint list that failed, or a watch that broke. The current list remains in use.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct UpdateFailure {
-    /// Time since the last sign of life of a watch, in ms; 0 where it broke, or where there was none.
+    /// Time since the last message of a watch, in ms; 0 where it broke, or where there was none.
     pub silent_for: Millis,
-    /// Updates may have been sent that did not arrive whole.
+    /// Updates may have been sent that did not arrive completely.
     pub may_have_lost_update: bool,
 }
 
-/// What the endpoint list says of an endpoint's lifecycle.
+/// An endpoint's lifecycle, as the list shows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It takes new requests.
+    /// It accepts new requests.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes its requests and accepts no new ones.
     Draining,
     /// It left the list.
     Removed,
@@ -39,7 +39,7 @@
 pub struct EndpointEntry {
     /// The endpoint's id, the same at every gateway.
     pub endpoint: String,
-    /// What the list says of its lifecycle.
+    /// Its lifecycle.
     pub status: EndpointStatus,
     /// The software version that it runs.
     pub version: Version,
@@ -47,10 +47,10 @@
     pub zone: String,
     /// Its cell within the zone.
     pub cell: u32,
-    /// The type of machine that it runs on.
-    pub machine_type: String,
-    /// Its capacity beside other endpoints'.
+    /// The type of the instance that it runs on.
+    pub instance_type: String,
+    /// Its capacity relative to other endpoints.
     pub weight: f64,
-    /// Clock time of its last start; 0 for long ago.
+    /// Clock time of its last start, in ms; 0 where unknown.
     pub started_at: Millis,
 }
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -1,28 +1,28 @@
-//! What the policy is told.
+//! Events that an adapter passes to the policy. Times are in ms.
 
 use crate::endpoint::{EndpointEntry, UpdateFailure, UpdateKind};
 use crate::request::{AttemptOutcome, LoadReport, RequestId};
 use crate::rollout::{RolloutState, Version, VoteOutcome};
 use crate::time::Millis;
 
-/// A client's request as it came in.
+/// A client's request on arrival.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IncomingRequest {
     /// Its id.
     pub id: RequestId,
     /// The name of its class.
     pub class: String,
-    /// The tenant that sent it, where there are any.
+    /// The tenant that sent it, where requests have tenants.
     pub tenant: Option<String>,
-    /// The key that may not return to an earlier version, where it has one.
+    /// Its sticky key: one that a canary has answered may not go to an earlier version.
     pub sticky_key: Option<String>,
-    /// Time until the client gives up.
+    /// Time left of the client's timeout.
     pub time_remaining: Millis,
-    /// How long it had been queued by now.
+    /// Time that it was queued before this event.
     pub queued_for: Millis,
-    /// The client's guess at its work.
+    /// The client's estimate of its work.
     pub expected_work: Option<Millis>,
-    /// The client sent it before.
+    /// The client has sent it before.
     pub is_retry: bool,
     /// It writes data.
     pub is_write: bool,
@@ -37,19 +37,19 @@
     pub attempt: u32,
     /// The endpoint that it was sent to.
     pub endpoint: String,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: AttemptOutcome,
     /// The request has its final answer.
     pub is_final: bool,
     /// Time since the attempt was sent.
     pub elapsed: Millis,
-    /// The endpoint's load, where answers hold reports.
+    /// The endpoint's load, where answers contain reports.
     pub load: LoadReport,
-    /// When the connection that carried it came up; none where that is not known.
+    /// When its connection was established; none where unknown.
     pub connected_at: Option<Millis>,
 }
 
-/// What the platform counted for one version and class over the past period.
+/// The platform's counts for one version and class over the past period.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutcomeReport {
     /// The version.
@@ -58,53 +58,53 @@
     pub class: String,
     /// Attempts in the sample.
     pub attempts: u64,
-    /// Those of them that failed.
+    /// Attempts that failed.
     pub failures: u64,
-    /// Mean time of the others.
+    /// Mean latency of the others.
     pub mean_latency: Option<Millis>,
-    /// Age of the end of the period.
+    /// Time since the end of the period.
     pub age: Millis,
 }
 
-/// What other senders counted at one endpoint over a period.
+/// Other senders' counts at one endpoint over a period.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointOutcomes {
     /// The endpoint.
     pub endpoint: String,
     /// The name of the class.
     pub class: String,
-    /// Attempts counted.
+    /// Attempts.
     pub attempts: u64,
-    /// Those of them that failed.
+    /// Attempts that failed.
     pub failures: u64,
-    /// Mean time of those that succeeded.
+    /// Mean latency of those that succeeded.
     pub mean_latency: Option<Millis>,
 }
 
-/// Something that happened.
+/// One event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The endpoint list, or changes to it.
     EndpointUpdate {
-        /// How it relates to the list held so far.
+        /// How it relates to the current list.
         kind: UpdateKind,
         /// The list's version.
         list_version: u64,
-        /// What it holds.
+        /// Its entries.
         entries: Vec<EndpointEntry>,
     },
     /// A call for the endpoint list failed, or the watch broke.
     EndpointUpdateFailed(UpdateFailure),
-    /// The discovery service is at another address from now on.
+    /// The discovery service has moved to another address.
     DiscoveryMoved,
-    /// An update from the address that the discovery service had before: it holds, but does not confirm the list.
+    /// An update from the previous address of the discovery service: it is applied, but does not confirm the list.
     EndpointUpdateFromPreviousAddress {
-        /// How it relates to the list held so far.
+        /// How it relates to the current list.
         kind: UpdateKind,
-        /// What it holds.
+        /// Its entries.
         entries: Vec<EndpointEntry>,
     },
-    /// A client's request came in.
+    /// A client's request arrived.
     RequestReceived(IncomingRequest),
     /// A streamed response has begun: the attempt now belongs to the client.
     ResponseStarted {
@@ -119,30 +119,30 @@
     },
     /// An attempt ended.
     AttemptCompleted(CompletedAttempt),
-    /// The client went away: nothing is owed any more.
+    /// The client has disconnected: the request needs no answer.
     ClientDisconnected {
         /// The request.
         id: RequestId,
     },
-    /// The adapter needs the final answer now.
+    /// The adapter requires the final answer immediately.
     Abandon {
         /// The request.
         id: RequestId,
     },
-    /// A timer came due.
+    /// A timer fired.
     TimerFired {
-        /// What it was set with.
+        /// Its token.
         token: String,
     },
     /// A health check ended.
     HealthCheckCompleted {
         /// The endpoint.
         endpoint: String,
-        /// How the check ended.
+        /// Its outcome.
         outcome: AttemptOutcome,
-        /// How long it took.
+        /// Its duration.
         elapsed: Millis,
-        /// The endpoint's load, where checks report it.
+        /// The endpoint's load, where health checks report it.
         load: LoadReport,
     },
     /// A message from another gateway.
@@ -154,17 +154,17 @@
     },
     /// The state of the newest version's rollout.
     RolloutUpdate(RolloutState),
-    /// The platform could not tell the state of the rollout.
+    /// The platform could not determine the state of the rollout.
     RolloutUnavailable,
-    /// A vote was answered, or will not be.
+    /// A vote was answered, or its answer will not arrive.
     VoteCompleted(VoteOutcome),
-    /// What the platform counted for one version and class over the past period.
+    /// The platform's counts for one version and class over the past period.
     OutcomesReported(OutcomeReport),
-    /// What other senders counted at one endpoint over a period.
+    /// Other senders' counts at one endpoint over a period.
     EndpointOutcomesReported(EndpointOutcomes),
-    /// A client found an answer wrong.
+    /// A client reported a wrong answer.
     WrongAnswerReported {
-        /// The endpoint that gave it.
+        /// The endpoint that sent it.
         endpoint: String,
         /// The name of the request's class.
         class: String,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,8 @@
 //! The decisions of a gateway that sees only its own traffic: routing, retries, exposure, and the verdict on canaries.
 //!
-//! [`Policy`] is the one entry: an adapter hands it each [`Event`] with the clock and carries out the [`Action`]s in
-//! the order given. The crate is pure: it does no I/O, reads no clock and names no protocol. Times are milliseconds.
-//! docs/another-front.md says what an adapter owes.
+//! [`Policy`] is the entry point: an adapter passes it each [`Event`] with the time and performs the [`Action`]s in the
+//! order returned. The crate is pure: it does no I/O, reads no clock and depends on no protocol. Times are in
+//! milliseconds. docs/another-front.md defines the duties of an adapter.
 
 mod admission;
 mod canary;
--- a/crates/policy/src/log_event.rs
+++ b/crates/policy/src/log_event.rs
@@ -21,7 +21,7 @@
 }
 
 impl EjectionReason {
-    /// The reason as it stands in log lines.
+    /// The reason as log lines show it.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -58,7 +58,7 @@
 }
 
 impl RejectionReason {
-    /// The reason as it stands in log lines.
+    /// The reason as log lines show it.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -2,7 +2,7 @@
 //!
 //! An adapter calls [`Policy::handle_events`] with all events since its last call and performs the returned actions in
 //! order. The policy collects the inputs of each rule, calls it (in the module named by its path) and applies the result.
-//! Random numbers come from the seed alone: the same seed and events give the same actions.
+//! All random numbers derive from the seed: the same seed and events give the same actions.
 
 use crate::action::{Action, UnservedReason};
 use crate::admission;
@@ -119,7 +119,7 @@
             self.record_success(id, attempt.version, elapsed, RUNNING_MEAN_WEIGHT);
         }
         self.conclude_attempt(completed, now);
-        self.requests.forget_if_finished(id);
+        self.requests.remove_if_finished(id);
     }
 
     /// Records an outcome for the verdict on a canary and for outlier detection; `elapsed`: ms since it was sent.
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests of clients, attempts at serving them, and the classes that settings divide requests into.
+//! Identifiers, classes and outcomes of requests. Times are in ms.
 
 use crate::time::Millis;
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 use std::num::ParseIntError;
 use std::str::FromStr;
 
-/// Identifies a request for as long as the gateway knows of it. The adapter chooses it.
+/// Identifies a request among those of a gateway that are not finished. The adapter assigns it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
@@ -24,14 +24,14 @@
     }
 }
 
-/// What sending a request twice may do.
+/// Whether a request may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Sending it again is harmless.
+    /// Repeats are harmless.
     Idempotent,
-    /// Endpoints drop repeats of one key, within the class's scope and window.
+    /// Endpoints recognise repeats by an idempotency key, within the class's scope and window.
     IdempotencyKey,
-    /// It must not take effect twice.
+    /// It must not be executed twice.
     NonIdempotent,
 }
 
@@ -51,52 +51,52 @@
 pub struct RequestClass {
     /// The name by which clients and the platform refer to the class.
     pub name: String,
-    /// What sending a request twice may do.
+    /// Whether a request may be sent again.
     pub idempotency: Idempotency,
     /// Which endpoints recognise a repeated idempotency key.
     pub dedup_scope: DedupScope,
-    /// How long repeats are recognised, from the first attempt that may have been executed.
+    /// The time for which repeats are recognised, from the first attempt that may have been executed.
     pub dedup_window: Millis,
-    /// The time within which an answer has its full worth.
+    /// The latency within which an answer has its full value.
     pub latency_objective: Millis,
-    /// What the latency objective grows by for each millisecond of expected work.
+    /// Growth of the latency objective per ms of expected work.
     pub objective_per_work: f64,
-    /// The time for which clients wait.
+    /// The clients' timeout.
     pub timeout: Millis,
-    /// How much a request of the class is worth beside those of others.
+    /// The value of a request of the class relative to others.
     pub priority_weight: f64,
-    /// The share of its worth that an answer keeps after the latency objective.
+    /// The share of its value that an answer has after the latency objective.
     pub late_value_share: f64,
     /// Responses are streamed.
     pub streamed: bool,
 }
 
 impl RequestClass {
-    /// The latency objective of one request.
+    /// The latency objective of one request in ms; `expected_work` in ms.
     #[must_use]
     pub fn objective_for(&self, expected_work: Option<Millis>) -> Millis {
         self.latency_objective + self.objective_per_work * expected_work.unwrap_or(0.0)
     }
 }
 
-/// How an attempt or a health check ended.
+/// The outcome of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// The endpoint served it.
     Success,
     /// The endpoint failed; it may have been executed.
     Error,
-    /// The endpoint refused it unexecuted.
+    /// The endpoint rejected it without executing it.
     Rejected,
-    /// No answer came in time; it may have been executed, or may be yet.
+    /// Timeout; it may have been executed, or may still be.
     Timeout,
-    /// No connection came up.
+    /// No connection was established.
     ConnectFailed,
     /// The connection broke after the attempt was written; it may have been executed.
     ConnectionLost,
-    /// The gateway stopped waiting for it; it may have been executed.
+    /// The gateway cancelled it; it may have been executed.
     Cancelled,
-    /// It was never written whole.
+    /// It was not written completely.
     NotSent,
 }
 
@@ -108,12 +108,12 @@
     }
 }
 
-/// The figures of an endpoint's own load report, by name.
+/// An endpoint's own load report: values by name.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadReport(pub BTreeMap<String, f64>);
 
 impl FromIterator<(String, f64)> for LoadReport {
-    fn from_iter<I: IntoIterator<Item = (String, f64)>>(figures: I) -> Self {
-        LoadReport(figures.into_iter().collect())
+    fn from_iter<I: IntoIterator<Item = (String, f64)>>(values: I) -> Self {
+        LoadReport(values.into_iter().collect())
     }
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -15,7 +15,7 @@
 
 /// Retries added to the budget by each request: the bound on the load that retries add.
 pub(crate) const RETRY_BUDGET_PER_REQUEST: f64 = 0.15;
-/// Retries that the budget holds at most.
+/// Maximum of the retry budget.
 pub(crate) const MAX_RETRY_BUDGET: f64 = 10.0;
 /// Share of the latency objective after which an unanswered attempt counts as unresponsive.
 const PATIENCE_SHARE: f64 = 0.5;
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -30,16 +30,16 @@
     }
 }
 
-/// How far the rollout of a version is.
+/// The phase of a version's rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutPhase {
-    /// It is a canary: its traffic is capped and it is being judged.
+    /// It is a canary: its traffic is capped and it is analysed.
     Canary,
-    /// It is being taken off the endpoints.
+    /// It is being removed from the endpoints.
     RollingBack,
     /// It is the new baseline.
     Promoted,
-    /// It was taken off.
+    /// It was removed.
     RolledBack,
 }
 
@@ -50,11 +50,11 @@
     pub version: Version,
     /// The rollout's stage, from 0.
     pub stage: u32,
-    /// How far the rollout is.
+    /// Its phase.
     pub phase: RolloutPhase,
     /// The share of requests that the version may get, from 0 to 1.
     pub traffic_cap: f64,
-    /// How long it has stood so.
+    /// Time in ms since the state last changed.
     pub age: Millis,
 }
 
@@ -71,13 +71,13 @@
     RollBack,
 }
 
-/// What became of a vote.
+/// The result of a vote.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum VoteOutcome {
     /// It counts; this is the state of the rollout now.
     Counted(RolloutState),
-    /// The platform did not take it.
+    /// The platform did not accept it.
     NotCounted,
-    /// No answer came: it may have counted, or may yet.
+    /// No answer: it may have counted, or may still.
     Unknown,
 }
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -1,7 +1,7 @@
 //! Routing of an attempt: a coin between baseline and canary, then a choice between two endpoints.
 //!
 //! Problem: a gateway sees only its own attempts in flight, and must compare a canary with the baseline under equal load.
-//! Method: a top-two coin that keeps the attempts in flight per endpoint equal on both sides (top-two sampling), then the
+//! Method: a top-two coin that equalises the attempts in flight per endpoint of both sides (top-two sampling), then the
 //! power of two choices (Mitzenmacher, 2001) on attempts in flight per unit of capacity.
 //!
 //! [`Policy`](crate::Policy) calls these rules for each queued request and each hedged request. [`AttemptGate`] is the only
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -1,20 +1,19 @@
-//! The policy's view at one moment, for adapters that publish decisions instead of asking for each request.
+//! The policy's decisions at one time, for adapters that publish them instead of routing each request.
 
 use crate::rollout::Version;
 
-/// The policy's view at one moment.
+/// The policy's decisions at one time.
 ///
-/// Shares, weights and health in it are decided. What such an adapter still owes to the rules is the job of the
-/// crate `latchhaven-proxy-config`.
+/// The crate `latchhaven-proxy-config` applies the limits of the rules, such as the cap, to what is published from it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PolicySnapshot {
     /// Canaries among the ready endpoints, lowest version first.
     pub canaries: Vec<Canary>,
     /// The share of requests that the canaries are to get, before the cap.
     pub canary_share: f64,
-    /// The newest version was rejected here, whatever the platform says by now.
+    /// The newest version was rejected here, even if the platform does not show it yet.
     pub is_canary_rejected: bool,
-    /// The share of all requests to reject at once.
+    /// The probability of rejecting a request on arrival, from 0 to 1.
     pub shed_probability: f64,
     /// All endpoints on the list.
     pub endpoints: Vec<EndpointSnapshot>,
@@ -31,7 +30,7 @@
     pub stage: u32,
 }
 
-/// One endpoint at one moment.
+/// One endpoint at one time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointSnapshot {
     /// The endpoint's id.
@@ -40,11 +39,11 @@
     pub version: Version,
     /// Its zone.
     pub zone: String,
-    /// It takes new requests, as the list says.
+    /// It accepts new requests, according to the list.
     pub is_ready: bool,
-    /// It is ejected for now.
+    /// It is ejected.
     pub is_ejected: bool,
-    /// Its weight, times the share of its capacity that it has reached at least.
+    /// Its weight times its warm-up factor.
     pub capacity: f64,
     /// It is still warming up.
     pub is_warming_up: bool,
--- a/crates/policy/src/state/canary.rs
+++ b/crates/policy/src/state/canary.rs
@@ -1,4 +1,7 @@
-//! The evidence on a canary, and the votes cast on it.
+//! The state of the analysis of a canary: evidence, results of the tests, and the votes cast.
+//!
+//! [`crate::canary`] and [`crate::verdict`] update it. A rejection is final: it remains in
+//! [`CanaryAnalysis::rejected_version`] until a later version is rejected.
 
 use crate::action::Action;
 use crate::config::VotingConfig;
@@ -14,52 +17,52 @@
 pub struct CastVote {
     /// The version voted on.
     pub version: Version,
-    /// Its stage then.
+    /// The stage of its rollout when it was cast, from 0.
     pub stage: u32,
     /// The vote.
     pub verdict: Verdict,
 }
 
-/// One test of a canary.
+/// The result of one test of a canary.
 #[derive(Clone, Copy, Debug)]
 pub struct TestResult {
     /// The probability that the canary is worse.
     pub probability_worse: f64,
-    /// The chance of being wrong that the test may take.
+    /// The probability of a wrong rejection that the test may accept.
     pub error_rate: f64,
-    /// What was tested, for the log.
+    /// The test, for the log.
     pub reason: RejectionReason,
 }
 
 impl TestResult {
-    /// The test that is surest; of equals the last.
+    /// The result with the largest probability; of equal ones the last.
     #[must_use]
     pub fn strongest(results: Vec<TestResult>) -> Option<TestResult> {
         results.into_iter().max_by(|a, b| a.probability_worse.total_cmp(&b.probability_worse))
     }
 }
 
-/// What tests of a canary depend on.
+/// Which tests of a canary apply.
 #[derive(Clone, Copy, Debug)]
 pub struct CanaryContext {
-    /// The newest version is the canary, here and for the platform.
+    /// The newest version is the canary, by the endpoint list and by the platform.
     pub is_canary: bool,
-    /// It gets all requests, or no baseline is left: nothing compares.
+    /// It may get all requests, or has no baseline: there is no comparison.
     pub is_alone: bool,
-    /// The platform counted enough of its answers.
+    /// The platform has reported the minimum of its answers.
     pub is_reported: bool,
 }
 
-/// A version that was promoted, and since when that is known.
+/// A version that was promoted recently.
 #[derive(Clone, Copy, Debug)]
 pub struct Promotion {
     /// The version.
     pub version: Version,
-    /// When this gateway learnt of it.
+    /// When this gateway was notified of the promotion, in ms.
     pub seen_at: Millis,
 }
 
-/// The endpoints at the moment of an analysis.
+/// The endpoints at the time of an analysis.
 pub struct AnalysisView {
     /// Ready endpoints of canaries.
     pub canary: Vec<EndpointIndex>,
@@ -69,82 +72,82 @@
     pub min_canary_warmup: f64,
     /// Their mean warm-up factor.
     pub mean_canary_warmup: f64,
-    /// Requests of late for each endpoint that answered of late.
+    /// Arrivals within the load window per endpoint that has answered within it.
     pub load: f64,
-    /// The time.
+    /// The time in ms.
     pub now: Millis,
 }
 
-/// Everything that a gateway knows for its verdict.
+/// The evidence on a canary, the results of the last analysis, and the votes cast.
 #[derive(Default)]
 pub struct CanaryAnalysis {
     /// How versions are voted on.
     pub voting: VotingConfig,
-    /// The chance of a wrong rollback that this gateway may take.
+    /// The probability of a wrong rollback that this gateway may accept.
     pub own_error_rate: f64,
-    /// The probability of voting at a look, where a vote is due.
+    /// The probability of casting a vote that is due, at one analysis.
     pub vote_probability: f64,
-    /// What is known of each class.
+    /// The evidence by class.
     pub classes: Vec<ClassEvidence>,
 
-    /// When the last analysis was.
+    /// When the last analysis was, in ms.
     pub analysed_at: Millis,
-    /// The version that is a canary now.
+    /// The version that is a canary.
     pub canary: Option<Version>,
-    /// The version that is, or was last, a canary.
+    /// The version that is or was last a canary.
     pub watched_version: Option<Version>,
-    /// The watched version was promoted a short while ago.
+    /// The promotion of the watched version, if it was recent.
     pub promotion: Option<Promotion>,
-    /// The version that was rejected: that verdict stays.
+    /// The last version that was rejected.
     pub rejected_version: Option<Version>,
     /// The version and stage that `reported_attempts` belongs to.
     pub stage: (Version, u32),
 
-    /// The metrics of all endpoints as the canary came.
+    /// The metrics of all endpoints before the canary.
     pub metrics_before_canary: MetricMoments,
-    /// The load of all endpoints as the canary came.
+    /// The load per endpoint before the canary.
     pub load_before_canary: f64,
-    /// No baseline endpoint takes requests any more.
+    /// No baseline endpoint is ready.
     pub is_without_baseline: bool,
 
-    /// The largest probability that the canary is worse.
+    /// The largest probability over all tests that the canary is worse.
     pub probability_worse: f64,
-    /// Since when that is beyond doubt.
+    /// Since when a test has exceeded its threshold, in ms.
     pub confident_since: Option<Millis>,
-    /// There are enough outcomes for a verdict.
+    /// The minimum of outcomes for a verdict is reached.
     pub has_min_samples: bool,
     /// All endpoints are probably slower than before the canary.
     pub are_all_slower: bool,
-    /// Since when the canary gets nearly all requests before its promotion.
+    /// Since when the canary gets nearly all requests before its promotion, in ms.
     pub full_traffic_since: Option<Millis>,
 
-    /// Attempts at the canary that the platform counted in the present stage.
+    /// Reported attempts at the canary in the present stage.
     pub reported_attempts: f64,
-    /// What those tell.
+    /// The canary's reported outcomes compared with the baseline's.
     pub evidence: WeightedEvidence,
-    /// Answers that the platform counted.
+    /// Reported answers.
     pub reported_answers: BySide<f64>,
     /// Answers that clients reported wrong, at any gateway.
     pub wrong_answers: BySide<f64>,
-    /// Failures of all in the newest counts that the canary is held responsible for.
+    /// Failures common to all versions, in the newest reports, that are attributed to the canary.
     pub common_failures: CommonFailures,
-    /// Failures of all were there before the canary carried much.
+    /// Failures common to all versions preceded the canary's traffic.
     pub has_preexisting_failures: bool,
-    /// Log of how many times longer answers took just now than before the canary.
+    /// Log of the ratio of latencies in the newest reports to those before the canary.
     pub latency_ratio_log: f64,
 
     /// The last vote.
     pub last_vote: Option<CastVote>,
-    /// When it was cast.
+    /// When it was cast, in ms.
     pub last_vote_at: Millis,
-    /// It counts, for all that is known.
+    /// It counts, unless the platform has answered otherwise.
     pub vote_is_active: bool,
-    /// Why the version was rejected, until the vote on it is cast.
+    /// The log event of a rejection, until the next vote is cast.
     pub rejection_log: Option<LogEvent>,
 }
 
 impl AnalysisView {
-    /// What is seen now; `load_window`: the time over which load is counted.
+    /// The endpoints at `now`; `load_window`: ms over which load is counted.
     #[must_use]
     pub fn new(registry: &EndpointRegistry, sides: Sides, load_window: Millis, now: Millis) -> Self {
         let warmup = |index: &EndpointIndex| registry.warmup_factor(*index, now);
@@ -159,13 +162,13 @@
         }
     }
 
-    /// Endpoints on both sides, one at least.
+    /// The number of endpoints on both sides, at least one.
     #[must_use]
     pub fn ready_count(&self) -> f64 {
         (self.canary.len() + self.baseline.len()).max(1) as f64
     }
 
-    /// Time since the newest endpoint of the canary started, if it has any.
+    /// ms since the start of the canary's newest endpoint; none without any.
     #[must_use]
     pub fn since_newest_start(&self, endpoints: &EndpointTable) -> Option<Millis> {
         let starts = self.canary.iter().map(|index| endpoints[*index].started_at);
@@ -174,7 +177,7 @@
 }
 
 impl CanaryAnalysis {
-    /// Nothing is known yet.
+    /// No evidence yet.
     #[must_use]
     pub fn new(voting: VotingConfig, own_error_rate: f64, vote_probability: f64, class_count: usize) -> Self {
         CanaryAnalysis {
@@ -186,13 +189,13 @@
         }
     }
 
-    /// No version is a canary, nor was promoted a short while ago.
+    /// No version is a canary, and none was promoted recently.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.canary.is_none() && self.promotion.is_none()
     }
 
-    /// Begins anew where another version is the canary now, lest earlier trouble count against it.
+    /// Resets the evidence if another version is the canary now, so that earlier faults do not count against it.
     pub fn begin(&mut self, canary: Option<Version>, endpoints: &mut EndpointTable, load: f64) {
         if canary == self.canary {
             return;
@@ -212,14 +215,14 @@
         endpoints.iter_mut().for_each(|endpoint| endpoint.metrics = MetricMoments::default());
     }
 
-    /// Counts attempts and answers that were reported.
+    /// Counts reported attempts and answers.
     pub fn count_reported(&mut self, reported: &BySide<OutcomeCounts>) {
         self.reported_attempts += reported.canary.attempts;
         self.reported_answers.baseline += reported.baseline.successes();
         self.reported_answers.canary += reported.canary.successes();
     }
 
-    /// Counts reports by stage; `carry_over`: the weight kept of an earlier stage's.
+    /// Counts reports by stage; `carry_over`: the weight of the previous stage's.
     pub fn enter_stage(&mut self, rollout: &RolloutState, carry_over: f64) {
         let stage = (rollout.version, rollout.stage);
         if stage != self.stage {
@@ -229,7 +232,7 @@
         }
     }
 
-    /// What tests of the newest version depend on; `min_answers`: reported answers of it that are enough.
+    /// Which tests of the newest version apply; `min_answers`: its minimum of reported answers.
     #[must_use]
     pub fn context(&self, rollout: &RolloutState, min_answers: f64) -> CanaryContext {
         let is_canary = self.canary == Some(rollout.version) && rollout.phase == RolloutPhase::Canary;
@@ -240,7 +243,7 @@
         }
     }
 
-    /// Notes the time of an analysis, and remembers the promotion of the watched version for a while.
+    /// Records the time of an analysis, and retains the promotion of the watched version for `duration` ms.
     pub fn watch_promotion(&mut self, rollout: &RolloutState, view: &AnalysisView, duration: Millis) {
         self.analysed_at = view.now;
         self.is_without_baseline = view.baseline.is_empty();
@@ -252,7 +255,7 @@
         self.promotion = is_recent.then_some(Promotion { version, seen_at });
     }
 
-    /// Rejects the newest version for good; the reason is logged with the vote on it.
+    /// Rejects the newest version; the reason is logged with the next vote.
     pub fn reject(&mut self, rollout: &RolloutState, reason: RejectionReason) {
         let RolloutState { version, stage, .. } = *rollout;
         let WeightedEvidence { failures, expected_failures, .. } = self.evidence;
@@ -267,7 +270,8 @@
         });
     }
 
-    /// Whether a vote is to be cast now: it is new, or its lease is half over, or it did not count.
+    /// Whether a vote is due: it is new, or half of its lease has passed, or it did not count and `retry_interval` ms have
+    /// passed.
     #[must_use]
     pub fn is_vote_due(&self, vote: CastVote, retry_interval: Millis, now: Millis) -> bool {
         let lease = if self.vote_is_active { self.voting.vote_lease / 2.0 } else { retry_interval };
@@ -282,7 +286,7 @@
         self.last_vote.filter(|last| last.version == version)
     }
 
-    /// Remembers a vote, and returns what is to be done about it.
+    /// Records a vote and returns the actions that cast and log it.
     pub fn record_vote(&mut self, vote: CastVote, now: Millis) -> Vec<Action> {
         let CastVote { version, stage, verdict } = vote;
         let is_new = self.last_vote_on(version) != Some(vote);
@@ -307,7 +311,7 @@
         }
     }
 
-    /// Adds what the platform counted.
+    /// Adds reported counts of a version and class.
     pub fn record_reported(&mut self, version: Version, class: usize, counts: OutcomeCounts) {
         let reported = &mut self.classes[class].reported;
         match self.watched_version == Some(version) {
@@ -317,13 +321,13 @@
     }
 }
 
-/// The message in which gateways tell each other of a wrong answer: the version, as four bytes.
+/// Encodes the message by which gateways notify each other of a wrong answer: its version, as four bytes.
 #[must_use]
 pub fn encode_wrong_answer(version: Version) -> Vec<u8> {
     version.0.to_be_bytes().to_vec()
 }
 
-/// The version that such a message tells of.
+/// Decodes such a message; none if it is malformed.
 #[must_use]
 pub fn decode_wrong_answer(message: &[u8]) -> Option<Version> {
     <[u8; 4]>::try_from(message).ok().map(|bytes| Version(u32::from_be_bytes(bytes)))
--- a/crates/policy/src/state/endpoint.rs
+++ b/crates/policy/src/state/endpoint.rs
@@ -1,4 +1,6 @@
-//! One endpoint, and what this gateway has learnt of it.
+//! One endpoint: what the list says of it, and what this gateway's attempts show.
+//!
+//! [`crate::outlier`], [`crate::canary`] and the registry update it; [`crate::routing`] reads it.
 
 use crate::endpoint::{EndpointEntry, EndpointStatus};
 use crate::rollout::Version;
@@ -9,11 +11,11 @@
 use rand_pcg::Pcg64Mcg;
 use std::ops::{Index, IndexMut};
 
-/// Where an endpoint stands in the table. Indices of removed endpoints are used again.
+/// An endpoint's place in the table. Places of removed endpoints are reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EndpointIndex(pub(super) usize);
 
-/// What is measured at each endpoint.
+/// The metrics by which versions are compared, recorded at each endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Metric {
     /// 1 for an answer within the latency objective, else 0.
@@ -24,7 +26,7 @@
     Correctness,
 }
 
-/// One value for each metric.
+/// The moments of each metric.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MetricMoments {
     pub(super) success: RunningMoments,
@@ -57,7 +59,7 @@
 /// One endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
-    /// Its id.
+    /// Its id, the same at every gateway.
     pub id: String,
     /// Its zone.
     pub zone: String,
@@ -65,48 +67,48 @@
     pub cell: u32,
     /// The version that it runs.
     pub version: Version,
-    /// Its capacity beside others'.
+    /// Its capacity relative to other endpoints.
     pub weight: f64,
-    /// Its last start as listed; 0 for long ago.
+    /// Clock time of its last start as listed, in ms; 0 where unknown.
     pub listed_start: Millis,
-    /// Its last start by this gateway's clock; 0 for long ago.
+    /// Its last start by this gateway's clock, in ms; 0 where unknown.
     pub started_at: Millis,
-    /// It takes new requests.
+    /// It accepts new requests.
     pub is_ready: bool,
-    /// It left the list: its index is free for another once nothing is out there.
+    /// It left the list: its place is reused once no attempt is in flight.
     pub is_removed: bool,
-    /// Counts the endpoints and restarts that had this index.
+    /// Counts the endpoints and restarts that had this place in the table.
     pub incarnation: u32,
-    /// Attempts that are out there.
+    /// This gateway's attempts in flight there.
     pub in_flight: u32,
-    /// Attempts that may be out there.
+    /// Attempts that may be in flight there.
     pub concurrency_limit: f64,
-    /// When it last answered.
+    /// When it last answered, in ms.
     pub last_answer_at: Millis,
-    /// Until when its answers prove that it is neither draining nor replaced.
+    /// Until when, in ms, its answers prove that it is neither draining nor replaced.
     pub proof_expires_at: Millis,
-    /// Share of its answers that are errors, of late.
+    /// Running mean of the share of its answers that are errors.
     pub error_rate: f64,
-    /// It gets nothing until then.
+    /// Until when it is ejected, in ms.
     pub ejected_until: Millis,
-    /// How often it was ejected in a row.
+    /// Ejections in a row.
     pub ejection_count: u32,
-    /// What its answers tell of its version.
+    /// Its outcomes, as evidence on its version.
     pub metrics: MetricMoments,
     /// Attempts in a row that got no answer.
     pub consecutive_timeouts: u32,
-    /// Log of how many times its usual time it took of late.
+    /// Running mean of the log of the ratio of its latencies to the usual ones.
     pub latency_bias: f64,
-    /// When that was learnt.
+    /// When that was updated, in ms.
     pub latency_bias_at: Millis,
-    /// Attempts that it may still get from this gateway while it warms up.
+    /// Attempts that this gateway may still send while it warms up.
     pub slow_start_tokens: f64,
-    /// It is in this gateway's subset where this is below the subset's size.
+    /// A random position from 0 to 1; the gateway's subset consists of those below the subset's size.
     pub subset_position: f64,
 }
 
 impl Endpoint {
-    /// Takes over what the list says of it.
+    /// Applies its entry of the list.
     pub(super) fn apply(&mut self, entry: &EndpointEntry) {
         self.version = entry.version;
         self.weight = if entry.weight > 0.0 { entry.weight } else { 1.0 };
@@ -122,14 +124,15 @@
         self.ejected_until <= now
     }
 
-    /// Learns that it answered; `weight`: that of the newest answer in its error rate.
+    /// Records an answer; `weight`: that of the newest answer in its error rate.
     pub fn record_answer(&mut self, is_error: bool, weight: f64, now: Millis) {
         self.last_answer_at = now;
         self.consecutive_timeouts = 0;
         self.error_rate += weight * (indicator(is_error) - self.error_rate);
     }
 
-    /// Learns how many attempts of others it answered, and which share of the answers were errors.
+    /// Records answers to other senders, and the share of them that were errors; `weight` as in
+    /// [`Endpoint::record_answer`].
     pub fn record_answers(&mut self, attempts: f64, error_rate: f64, weight: f64, now: Millis) {
         let decay = (1.0 - weight).powf(attempts);
         self.error_rate = decay * self.error_rate + (1.0 - decay) * error_rate;
@@ -138,14 +141,15 @@
         }
     }
 
-    /// Learns of the speed of an answer beside the usual one; `weight`: that of the newest in its latency bias.
+    /// Records the log of the speed of an answer relative to the usual one; `weight`: that of the newest in its latency
+    /// bias.
     pub fn record_speed(&mut self, relative_speed: f64, weight: f64, answered_at: Millis) {
         self.metrics[Metric::Latency].add(relative_speed);
         self.latency_bias += weight * (-relative_speed - self.latency_bias);
         self.latency_bias_at = answered_at;
     }
 
-    /// Takes back an attempt in flight; false where it was sent to an earlier incarnation.
+    /// Counts an attempt as ended; false where it was sent to an earlier incarnation.
     pub fn release(&mut self, incarnation: u32) -> bool {
         let is_same = self.incarnation == incarnation;
         self.in_flight = self.in_flight.saturating_sub(u32::from(is_same));
@@ -161,13 +165,13 @@
         duration
     }
 
-    /// Moves the concurrency limit; it stays from one to twice what is, or may be, in flight.
+    /// Moves the concurrency limit by `step` attempts, from one up to twice the attempts in flight plus one, or to itself.
     pub fn move_concurrency_limit(&mut self, step: f64) {
         let max = 2.0 * f64::from(self.in_flight + 1).max(self.concurrency_limit / 2.0);
         self.concurrency_limit = (self.concurrency_limit + step).clamp(1.0, max);
     }
 
-    /// Forgets all that was learnt before a restart or another version.
+    /// Resets the state after a restart or a change of version.
     pub(super) fn begin_incarnation(&mut self, concurrency_limit: f64, rng: &mut Pcg64Mcg) {
         self.incarnation += 1;
         self.in_flight = 0;
@@ -179,7 +183,7 @@
         self.metrics = MetricMoments::default();
         self.consecutive_timeouts = 0;
         self.latency_bias = 0.0;
-        // By chance: of hundreds of gateways few have an attempt to spare at once.
+        // A random part of one token: of hundreds of gateways only a few may send an attempt right away.
         self.slow_start_tokens = rng.random();
         self.subset_position = rng.random();
     }
--- a/crates/policy/src/state/evidence.rs
+++ b/crates/policy/src/state/evidence.rs
@@ -1,21 +1,23 @@
-//! What is counted for the verdict on a canary.
+//! Counts and moments that are the evidence on a canary.
+//!
+//! [`crate::canary`] fills and compares them, [`crate::verdict`] tests them; thresholds are parameters.
 
 use crate::statistics::RunningMoments;
 use crate::time::Millis;
 
-/// Attempts that the platform counted.
+/// Reported attempts of one version and class.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutcomeCounts {
-    /// All of them.
+    /// All attempts.
     pub attempts: f64,
     /// Those that failed.
     pub failures: f64,
-    /// Mean time of the others.
+    /// Mean latency of the others, in ms.
     pub mean_latency: Millis,
 }
 
 impl OutcomeCounts {
-    /// Share of failures, one taken for granted.
+    /// The failure rate, with a prior of one failed attempt.
     #[must_use]
     pub fn failure_rate(&self) -> f64 {
         (self.failures + 1.0) / (self.attempts + 1.0)
@@ -57,23 +59,23 @@
     }
 }
 
-/// What is known of one class of requests.
+/// The evidence of one class of requests, and what is usual for it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClassEvidence {
     /// Log of the speed of this gateway's own answers, while there was no canary.
     pub usual_speed: RunningMoments,
-    /// What the platform counted and was not weighed yet.
+    /// Reported counts since the last analysis.
     pub reported: BySide<OutcomeCounts>,
-    /// Share of failures that the platform counted while there was no canary.
+    /// Reported failure rate while there was no canary.
     pub usual_failure_rate: RunningMoments,
-    /// Mean time of an answer that it counted then.
+    /// Reported mean latency in ms while there was no canary.
     pub usual_latency: RunningMoments,
-    /// Attempts that it counted at each endpoint in a period then.
+    /// Reported attempts per endpoint and period while there was no canary.
     pub usual_load: RunningMoments,
 }
 
 impl ClassEvidence {
-    /// Learns what is usual from a period without a canary.
+    /// Updates what is usual by a period without a canary; `decay`: the weight of earlier periods.
     pub fn record_usual(&mut self, counts: &OutcomeCounts, ready_endpoints: f64, decay: f64) {
         self.usual_failure_rate.follow(decay, counts.attempts, counts.failures / counts.attempts);
         self.usual_latency.follow(decay, counts.successes(), counts.mean_latency);
@@ -81,19 +83,19 @@
     }
 }
 
-/// The canary's reported outcomes, weighed against the baseline's.
+/// The canary's reported outcomes compared with the baseline's, weighted by age.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WeightedEvidence {
-    /// Its speed beside the baseline's.
+    /// Log of its speed relative to the baseline's.
     pub speed: RunningMoments,
     /// Its failures.
     pub failures: f64,
-    /// Failures that were to be expected of the baseline.
+    /// Failures expected of the baseline in its place.
     pub expected_failures: f64,
 }
 
 impl WeightedEvidence {
-    /// Scales the weight of what came so far.
+    /// Scales the weight of the evidence so far.
     pub fn scale(&mut self, factor: f64) {
         self.speed.scale(factor);
         self.failures *= factor;
@@ -101,28 +103,28 @@
     }
 }
 
-/// Failures that old and new versions have in common.
+/// Failures common to all versions.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CommonFailures {
-    /// Those that were to be expected.
+    /// Those expected.
     pub expected: f64,
-    /// Those that were counted.
+    /// Those reported.
     pub counted: f64,
 }
 
-/// Reported counts of all classes, where the load was the usual one.
+/// Reported counts of all classes in which the load was the usual one.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ComparableCounts {
-    /// Attempts at all versions; the latency is in multiples of the usual one.
+    /// Attempts at all versions; the latency is relative to the usual one.
     pub total: OutcomeCounts,
-    /// Those of them at the canary.
+    /// Attempts at the canary.
     pub canary_attempts: f64,
     /// Failures of all versions.
     pub failures: CommonFailures,
 }
 
 impl ComparableCounts {
-    /// Adds the counts of one class; `excess_rate`: the share of failures that is expected beyond the usual one.
+    /// Adds the counts of one class; `excess_rate`: the failure rate above the usual one that is still expected.
     pub fn add(&mut self, reported: &BySide<OutcomeCounts>, class: &ClassEvidence, excess_rate: f64) {
         let total = reported.total();
         let mean_latency = total.mean_latency / class.usual_latency.mean.max(1.0);
--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -1,4 +1,7 @@
-//! What the policy remembers. No decision is taken here.
+//! The state of a policy: endpoints, requests, exposure, evidence on a canary, and the tick timer.
+//!
+//! The rule modules and [`Policy`](crate::Policy) read and update it. No rule and no constant of a rule is defined here: what a rule
+//! decides arrives as a parameter.
 
 pub mod canary;
 pub mod endpoint;
--- a/crates/policy/src/state/registry.rs
+++ b/crates/policy/src/state/registry.rs
@@ -1,4 +1,6 @@
-//! The endpoint list: every endpoint by index, and what is counted over all of them.
+//! The endpoint registry: the endpoints of the list by place, the list's lease, and the gateway's arrival rate.
+//!
+//! [`Policy`](crate::Policy) applies updates of the list; the rule modules read it.
 
 use crate::config::{DiscoveryConfig, SlowStartConfig};
 use crate::endpoint::EndpointEntry;
@@ -16,7 +18,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
 
-/// All endpoints, by index.
+/// ms by which the listed clock time of one start may vary between updates.
+const START_ROUNDING: Millis = 1.0;
+
+/// All endpoints, by their place.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointTable(Vec<Endpoint>);
 
@@ -35,39 +40,39 @@
 }
 
 impl EndpointTable {
-    /// All indices, lowest first.
+    /// All places, lowest first.
     pub fn indices(&self) -> impl Iterator<Item = EndpointIndex> + use<> {
         (0..self.0.len()).map(EndpointIndex)
     }
 
-    /// All endpoints, by index.
+    /// All endpoints, by their place.
     pub fn iter(&self) -> impl Iterator<Item = &Endpoint> {
         self.0.iter()
     }
 
-    /// All endpoints, by index.
+    /// All endpoints, by their place.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Endpoint> {
         self.0.iter_mut()
     }
 
-    /// Indices of those that take new requests.
+    /// The places of endpoints that accept new requests.
     pub fn ready(&self) -> impl Iterator<Item = EndpointIndex> + '_ {
         self.indices().filter(|index| self[*index].is_ready)
     }
 
-    /// One metric of some endpoints, each for itself.
+    /// One metric of each of some endpoints.
     #[must_use]
     pub fn metric_of(&self, metric: Metric, members: &[EndpointIndex]) -> Vec<&RunningMoments> {
         members.iter().map(|index| &self[*index].metrics[metric]).collect()
     }
 
-    /// One metric of some endpoints as one.
+    /// One metric pooled over some endpoints.
     #[must_use]
     pub fn pooled_metric(&self, metric: Metric, members: &[EndpointIndex]) -> RunningMoments {
         RunningMoments::pooled(self.metric_of(metric, members))
     }
 
-    /// The metrics of all endpoints as one.
+    /// All metrics pooled over all endpoints.
     #[must_use]
     pub fn pooled_metrics(&self) -> MetricMoments {
         let pooled = |metric| RunningMoments::pooled(self.iter().map(|endpoint| &endpoint.metrics[metric]));
@@ -78,7 +83,7 @@
         }
     }
 
-    /// Scales the weight of one metric where it has more samples than these.
+    /// Scales the weight of one metric at endpoints with more than `min_samples` samples.
     pub fn scale_metric(&mut self, metric: Metric, min_samples: f64, factor: f64) {
         let moments = self.0.iter_mut().map(|endpoint| &mut endpoint.metrics[metric]);
         moments.filter(|moments| moments.count > min_samples).for_each(|moments| moments.scale(factor));
@@ -91,7 +96,7 @@
         in_flight.sum::<f64>() / members.len().max(1) as f64
     }
 
-    /// Gives an entry an index that nothing refers to, a new one if need be.
+    /// A place for a new entry: one of a removed endpoint without attempts in flight, else a new one.
     fn allocate(&mut self, entry: &EndpointEntry) -> EndpointIndex {
         let is_free = |endpoint: &Endpoint| endpoint.is_removed && endpoint.in_flight == 0;
         if let Some(free) = self.0.iter().position(is_free) {
@@ -99,7 +104,7 @@
             endpoint.id.clone_from(&entry.endpoint);
             endpoint.listed_start = 0.0;
             endpoint.started_at = 0.0;
-            // Whatever comes begins an incarnation of its own.
+            // Differs from every listed version, so that the entry begins a new incarnation.
             endpoint.version = Version::INVALID;
             return EndpointIndex(free);
         }
@@ -131,50 +136,50 @@
     }
 }
 
-/// The endpoint list and its arrivals.
+/// The endpoint list, its lease, and the arrival rate.
 #[derive(Default)]
 pub struct EndpointRegistry {
-    /// How the list is obtained.
+    /// How the list is obtained, and the delays of its lease.
     pub discovery: DiscoveryConfig,
     /// How endpoints warm up.
     pub slow_start: SlowStartConfig,
     /// All endpoints.
     pub endpoints: EndpointTable,
-    /// Where each listed endpoint stands in the table.
+    /// The place of each listed endpoint.
     pub index_by_id: BTreeMap<String, EndpointIndex>,
-    /// How long attempts may go by the list.
+    /// Until when the list may be used.
     pub(crate) lease: ListLease,
-    /// When the list is to be asked for, if it is.
+    /// When the list is polled next, in ms; none where no poll is due.
     pub next_poll_at: Option<Millis>,
-    /// Calls for the list that failed in a row.
+    /// Calls for the list that have failed in a row.
     pub failed_calls: u32,
-    /// The lowest version that is ready.
+    /// The lowest version among the ready endpoints.
     pub lowest_version: Version,
-    /// Requests that came in, retries left out.
+    /// Times of arrivals, without retries.
     pub arrivals: SlidingWindow,
     /// Running mean of arrivals per ms and unit of capacity.
     pub usual_rate: f64,
     /// The share of the endpoints that is this gateway's subset.
     pub subset_size: f64,
-    /// When slow start tokens were last added.
+    /// When slow start tokens were last added, in ms.
     pub tokens_refilled_at: Millis,
-    /// This gateway logs which endpoints it ejects.
+    /// This gateway logs its ejections.
     pub logs_ejections: bool,
 }
 
 impl EndpointRegistry {
-    /// The index of a listed endpoint.
+    /// The place of a listed endpoint.
     #[must_use]
     pub fn index_of(&self, id: &str) -> Option<EndpointIndex> {
         self.index_by_id.get(id).copied()
     }
 
-    /// Until when attempts may be sent to a ready endpoint.
+    /// Until when attempts may be sent to a ready endpoint, in ms: by the list's lease or by its own proof.
     pub(crate) fn lease_expires_at(&self, index: EndpointIndex) -> Millis {
         self.lease.expires_at().max(self.endpoints[index].proof_expires_at)
     }
 
-    /// An endpoint has answered a query that was sent at a time, on a connection that came up at another.
+    /// Records that an endpoint has answered an attempt; `connected_at`: when its connection was established, in ms.
     pub(crate) fn record_proof(
         &mut self, index: EndpointIndex, connected_at: Option<Millis>, sent_at: Millis,
     ) {
@@ -185,14 +190,14 @@
         endpoint.proof_expires_at = endpoint.proof_expires_at.max(expires_at);
     }
 
-    /// An update may have been lost: what endpoints proved before holds for a moment at most.
+    /// An update may have been lost: earlier proofs expire at `limit` at the latest, in ms.
     pub(crate) fn limit_proofs(&mut self, limit: Millis) {
         for endpoint in self.endpoints.iter_mut() {
             endpoint.proof_expires_at = endpoint.proof_expires_at.min(limit);
         }
     }
 
-    /// Ready endpoints are listed, but attempts may be sent to none of them.
+    /// The list shows ready endpoints, but the leases of all have expired.
     pub(crate) fn is_list_expired(&self, now: Millis) -> bool {
         let mut ready = self.endpoints.ready().peekable();
         ready.peek().is_some() && ready.all(|index| self.lease_expires_at(index) <= now)
@@ -238,7 +243,7 @@
         }
     }
 
-    /// The least share of its capacity that an endpoint has reached by now.
+    /// The share of its capacity, from 0 to 1, that an endpoint has reached at least.
     #[must_use]
     pub fn warmup_factor(&self, index: EndpointIndex, now: Millis) -> f64 {
         let started_at = self.endpoints[index].started_at;
@@ -249,20 +254,20 @@
         self.slow_start.initial_capacity + (1.0 - self.slow_start.initial_capacity) * progress
     }
 
-    /// Its weight, times the least share of its capacity that it has reached by now.
+    /// An endpoint's weight times its warm-up factor.
     #[must_use]
     pub fn capacity(&self, index: EndpointIndex, now: Millis) -> f64 {
         self.endpoints[index].weight * self.warmup_factor(index, now)
     }
 
-    /// What those of some endpoints can carry that are not ejected.
+    /// The capacity of those of some endpoints that are not ejected.
     #[must_use]
     pub fn healthy_capacity(&self, members: &[EndpointIndex], now: Millis) -> f64 {
         let healthy = members.iter().filter(|index| self.endpoints[**index].is_healthy(now));
         healthy.map(|index| self.capacity(*index, now)).sum()
     }
 
-    /// Ready endpoints by side; all, or this gateway's subset alone.
+    /// Ready endpoints by side; `is_subset`: only those of this gateway's subset.
     pub fn partition(&self, is_subset: bool, is_canary: impl Fn(Version) -> bool) -> Sides {
         let is_mine =
             |index: &EndpointIndex| !is_subset || self.endpoints[*index].subset_position < self.subset_size;
@@ -271,7 +276,7 @@
         Sides { canary, baseline }
     }
 
-    /// All listed endpoints at one moment.
+    /// All listed endpoints at `now` in ms.
     #[must_use]
     pub fn snapshot(&self, now: Millis) -> Vec<EndpointSnapshot> {
         let listed = self.endpoints.indices().filter(|index| !self.endpoints[*index].is_removed);
@@ -290,7 +295,7 @@
         snapshots.collect()
     }
 
-    /// Takes over entries of the list; `concurrency_limit` is what a new incarnation begins with.
+    /// Applies entries of the list; `concurrency_limit`: that of a new incarnation.
     pub fn apply(
         &mut self, entries: &[EndpointEntry], is_snapshot: bool, concurrency_limit: f64, rng: &mut Pcg64Mcg,
         now: Millis,
@@ -301,10 +306,10 @@
         for entry in entries {
             let index = self.index_for(entry);
             let endpoint = &mut self.endpoints[index];
-            // An id may return with another version or after a restart: nothing learnt of it counts.
-            // The wall clock that lists starts may have been stepped back meanwhile.
+            // After a restart or a change of version the earlier state is invalid. Starts are compared for difference
+            // only: the clock that lists them may have been set back.
             let is_restarted =
-                entry.started_at > 0.0 && (entry.started_at - endpoint.listed_start).abs() > 1.0;
+                entry.started_at > 0.0 && (entry.started_at - endpoint.listed_start).abs() > START_ROUNDING;
             if endpoint.incarnation == 0 || endpoint.version != entry.version || is_restarted {
                 endpoint.begin_incarnation(concurrency_limit, rng);
             }
@@ -340,7 +345,7 @@
         }
     }
 
-    /// Requests that arrived since a moment, for each endpoint that answered since.
+    /// Arrivals since a time in ms per ready endpoint that has answered since.
     #[must_use]
     pub fn arrivals_per_answering_endpoint(&self, since: Millis) -> f64 {
         let answers = |index: &EndpointIndex| self.endpoints[*index].last_answer_at > since;
--- a/crates/policy/src/state/requests.rs
+++ b/crates/policy/src/state/requests.rs
@@ -1,4 +1,6 @@
-//! The requests that a gateway has taken, and how they are served.
+//! Requests from their arrival until their last attempt has ended, the queue, and how well requests are served.
+//!
+//! [`crate::admission`] and [`crate::retry`] decide on them; [`Policy`](crate::Policy) applies the results here.
 
 use crate::event::{CompletedAttempt, IncomingRequest};
 use crate::request::{AttemptOutcome, DedupScope, Idempotency, RequestClass, RequestId};
@@ -8,34 +10,34 @@
 use crate::time::Millis;
 use std::collections::BTreeMap;
 
-/// Tenants that are remembered at most: a bound of memory, far above those that matter at once.
+/// Tenants whose service level is retained at most: a bound on memory.
 const MAX_RETAINED_TENANTS: usize = 512;
 
 /// One attempt at a request.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The endpoint that it was sent to.
+    /// The endpoint's place in the table.
     pub endpoint: EndpointIndex,
-    /// The endpoint's incarnation then.
+    /// The endpoint's incarnation when it was sent.
     pub incarnation: u32,
-    /// The endpoint's version then.
+    /// The endpoint's version when it was sent.
     pub version: Version,
     /// The endpoint's zone.
     pub zone: String,
     /// The endpoint's cell.
     pub cell: u32,
-    /// When it was sent.
+    /// When it was sent, in ms.
     pub sent_at: Millis,
-    /// The least share of its capacity that the endpoint had reached then.
+    /// The endpoint's warm-up factor when it was sent.
     pub warmup_factor: f64,
-    /// How it ended, if it has.
+    /// Its outcome; none while it is in flight.
     pub outcome: Option<AttemptOutcome>,
     /// It was cancelled.
     pub is_cancelled: bool,
 }
 
 impl Attempt {
-    /// An attempt that is sent to an endpoint now.
+    /// An attempt that is sent to an endpoint at `now`.
     #[must_use]
     pub fn new(index: EndpointIndex, endpoint: &Endpoint, warmup_factor: f64, now: Millis) -> Self {
         Attempt {
@@ -51,7 +53,7 @@
         }
     }
 
-    /// It may have been executed, or may be yet.
+    /// It may have been executed, or may still be.
     #[must_use]
     pub fn is_possibly_executed(&self) -> bool {
         !self.outcome.is_some_and(AttemptOutcome::is_definitely_not_executed)
@@ -74,33 +76,33 @@
     }
 }
 
-/// A request that was taken and is not yet forgotten.
+/// A request that is open or has attempts in flight.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its class, by number.
+    /// The index of its class.
     pub class: usize,
     /// Its tenant.
     pub tenant: Option<String>,
-    /// The key that may not return to an earlier version.
+    /// Its sticky key, which must not go to a version below the one that has answered it.
     pub sticky_key: Option<String>,
-    /// When it was told.
+    /// When the policy was notified of it, in ms.
     pub arrived_at: Millis,
-    /// When the client gives up.
+    /// When the client's timeout ends, in ms.
     pub deadline: Millis,
-    /// When an answer stops being in time.
+    /// When its latency objective ends, in ms.
     pub objective_deadline: Millis,
-    /// The client's guess at its work.
+    /// The client's estimate of its work, in ms.
     pub expected_work: Option<Millis>,
     /// Its attempts, in order.
     pub attempts: Vec<Attempt>,
-    /// Its answer is being streamed.
+    /// Its response is being streamed.
     pub is_streaming: bool,
     /// It has its final answer.
     pub is_answered: bool,
 }
 
 impl Request {
-    /// A request that has just come; `objective`: time left for an answer in time.
+    /// A request that has just arrived; `objective`: ms left of its latency objective.
     #[must_use]
     pub fn new(incoming: IncomingRequest, class: usize, objective: Millis, now: Millis) -> Self {
         Request {
@@ -117,32 +119,32 @@
         }
     }
 
-    /// It may get its final answer from the gateway itself.
+    /// The gateway may give its final answer.
     #[must_use]
     pub fn is_open(&self) -> bool {
         !self.is_streaming && !self.is_answered
     }
 
-    /// The share of the time for an answer in time that is left; below 0 afterwards.
+    /// The share of its latency objective that is left; below 0 after it.
     #[must_use]
     pub fn share_of_objective_left(&self, now: Millis) -> f64 {
         let objective = (self.objective_deadline - self.arrived_at).max(1.0);
         (self.objective_deadline - now) / objective
     }
 
-    /// Attempts that have not ended.
+    /// The number of attempts that have not ended.
     #[must_use]
     pub fn attempts_in_flight(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.outcome.is_none()).count()
     }
 
-    /// Attempts that may have been executed, or may be yet.
+    /// Attempts that may have been executed, or may still be.
     pub fn possibly_executed(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| attempt.is_possibly_executed())
     }
 
-    /// How long endpoints still recognise a repeat, from the first attempt on that may have been executed; none where
-    /// that does not matter.
+    /// ms for which endpoints still recognise the idempotency key, from the first attempt that may have been executed;
+    /// none without a key or without such an attempt.
     #[must_use]
     pub fn dedup_window_left(&self, class: &RequestClass, margin: Millis, now: Millis) -> Option<Millis> {
         let first = self.possibly_executed().map(|attempt| attempt.sent_at).min_by(f64::total_cmp);
@@ -157,7 +159,7 @@
     }
 }
 
-/// How requests were served of late, older ones weighing less.
+/// The share of requests served well, weighted by age.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceLevel {
     requests: f64,
@@ -167,7 +169,7 @@
 }
 
 impl ServiceLevel {
-    /// Nothing was served yet; `half_life`: the time in which the weight of a request halves.
+    /// No requests yet; `half_life`: ms in which the weight of a request halves.
     #[must_use]
     pub fn new(half_life: Millis) -> Self {
         ServiceLevel { requests: 0.0, served_well: 0.0, updated_at: 0.0, half_life }
@@ -180,42 +182,42 @@
         self.updated_at = now;
     }
 
-    /// Records so many requests, of which this share was served well.
+    /// Records some requests, and the share of them that was served well.
     pub fn record(&mut self, now: Millis, requests: f64, share_served_well: f64) {
         self.decay(now);
         self.requests += requests;
         self.served_well += requests * share_served_well;
     }
 
-    /// The share of requests served well, together with so many that are assumed to have been served as `assumed_share`
-    /// says.
+    /// The share of requests served well; the prior is `assumed_requests` requests of which `assumed_share` was served
+    /// well.
     pub fn share_served_well(&mut self, now: Millis, assumed_requests: f64, assumed_share: f64) -> f64 {
         self.decay(now);
         (self.served_well + assumed_requests * assumed_share) / (self.requests + assumed_requests)
     }
 }
 
-/// All requests that a gateway knows of.
+/// All requests of a gateway.
 pub struct RequestTable {
     /// The requests, by id.
     pub requests: BTreeMap<RequestId, Request>,
-    /// Those that wait to be sent.
+    /// Requests to be sent.
     pub queue: Vec<RequestId>,
-    /// Usual time of an answer, by class.
+    /// Running mean of the latencies of answers in ms, by class.
     pub typical_latency: Vec<Millis>,
-    /// The longest time that clients left to a request, by class.
+    /// The longest time in ms that clients have left to a request, by class.
     pub longest_timeout: Vec<Millis>,
     /// Retries that may be sent.
     pub retry_budget: f64,
-    /// Share of attempts of late that got no connection.
+    /// Running mean of the share of attempts that got no connection.
     pub connect_failure_rate: f64,
-    /// How all requests are served.
+    /// The service level of all requests.
     pub overall_service: ServiceLevel,
     tenant_service: BTreeMap<Option<String>, ServiceLevel>,
 }
 
 impl RequestTable {
-    /// No request came yet.
+    /// No requests yet; `service_half_life` in ms.
     #[must_use]
     pub fn new(typical_latency: Vec<Millis>, retry_budget: f64, service_half_life: Millis) -> Self {
         RequestTable {
@@ -230,7 +232,7 @@
         }
     }
 
-    /// Open requests whose client has given up by now.
+    /// Open requests whose deadline has passed.
     #[must_use]
     pub fn overdue(&self, now: Millis) -> Vec<RequestId> {
         let is_overdue = |request: &Request| request.is_open() && now >= request.deadline;
@@ -238,7 +240,7 @@
         overdue.map(|(id, _)| *id).collect()
     }
 
-    /// Marks an attempt as ended; returns it, unless it had ended before or is not known.
+    /// Records the outcome of an attempt and returns it; none if it had one already or is unknown.
     pub fn complete_attempt(&mut self, completed: &CompletedAttempt) -> Option<Attempt> {
         let request = self.requests.get_mut(&completed.id)?;
         let attempt = request.attempts.get_mut(completed.attempt as usize)?;
@@ -256,18 +258,18 @@
         *longest
     }
 
-    /// Allows more retries, up to a bound.
+    /// Adds retries to the budget, up to a maximum.
     pub fn add_retry_budget(&mut self, retries: f64, max: f64) {
         self.retry_budget = (self.retry_budget + retries).min(max);
     }
 
-    /// A request that has no final answer yet.
+    /// A request, if it has no final answer yet.
     #[must_use]
     pub fn unanswered(&self, id: RequestId) -> Option<&Request> {
         self.requests.get(&id).filter(|request| !request.is_answered)
     }
 
-    /// Takes the queue of what is still open, highest rank first.
+    /// Removes and returns the queue without answered requests, highest rank first.
     pub fn take_queue(&mut self, rank: impl Fn(&Request) -> (f64, Millis)) -> Vec<RequestId> {
         let requests = &self.requests;
         let mut queue = std::mem::take(&mut self.queue);
@@ -282,30 +284,30 @@
         self.requests.get_mut(&id)?.attempts.get_mut(attempt)
     }
 
-    /// Forgets a request that is answered and has nothing in flight.
-    pub fn forget_if_finished(&mut self, id: RequestId) {
+    /// Removes a request that is answered and has no attempt in flight.
+    pub fn remove_if_finished(&mut self, id: RequestId) {
         let is_finished = |request: &Request| request.is_answered && request.attempts_in_flight() == 0;
         if self.requests.get(&id).is_some_and(is_finished) {
             self.requests.remove(&id);
         }
     }
 
-    /// Tenants that are remembered.
+    /// The number of tenants whose service level is retained.
     #[must_use]
     pub fn retained_tenants(&self) -> usize {
         self.tenant_service.len()
     }
 
-    /// How all requests are served, then those of one tenant.
+    /// The service level of all requests, then that of one tenant's.
     pub fn service_levels(&mut self, tenant: &Option<String>) -> [&mut ServiceLevel; 2] {
-        self.make_room_for_tenant(tenant);
+        self.evict_tenant_if_full(tenant);
         let half_life = self.overall_service.half_life;
         let tenant = self.tenant_service.entry(tenant.clone()).or_insert(ServiceLevel::new(half_life));
         [&mut self.overall_service, tenant]
     }
 
-    /// Names come from clients: those that came longest ago are forgotten.
-    fn make_room_for_tenant(&mut self, tenant: &Option<String>) {
+    /// Clients set tenant names, so their number is bounded: the least recently updated is removed.
+    fn evict_tenant_if_full(&mut self, tenant: &Option<String>) {
         if self.tenant_service.len() < MAX_RETAINED_TENANTS || self.tenant_service.contains_key(tenant) {
             return;
         }
--- a/crates/policy/src/state/timer.rs
+++ b/crates/policy/src/state/timer.rs
@@ -1,17 +1,17 @@
-//! When the policy looks round next, and the timer that it asked for.
+//! The timer of ticks: when the next tick is due, and the timer that was requested for it.
 
 use crate::action::Action;
 use crate::time::Millis;
 
-/// What the timer of ticks is set with.
+/// The token of the timer; part of recorded traces.
 const TICK_TOKEN: &str = "look";
 
 /// The timer of ticks.
 #[derive(Clone, Copy, Debug)]
 pub struct TickTimer {
-    /// When the next tick is due.
+    /// When the next tick is due, in ms.
     pub next_tick_at: Millis,
-    /// When the timer fires that was asked for last.
+    /// When the timer that was requested last fires, in ms.
     pub fires_at: Millis,
 }
 
@@ -22,8 +22,8 @@
 }
 
 impl TickTimer {
-    /// Makes the next tick due after an interval, or as the list is to be asked for if that is sooner; asks for a timer
-    /// unless one fires by then that has yet to. `rounding`: how early a timer may come.
+    /// Schedules the next tick after `interval` ms, or at `poll_at` if that is sooner; returns a request for a timer unless
+    /// a pending one fires by then. `rounding`: ms that a timer may fire early.
     pub fn schedule(
         &mut self, interval: Millis, poll_at: Option<Millis>, rounding: Millis, now: Millis,
     ) -> Option<Action> {
--- a/crates/policy/src/statistics.rs
+++ b/crates/policy/src/statistics.rs
@@ -1,6 +1,6 @@
-//! Running moments, posterior sampling and tail probabilities.
+//! Running moments (Welford, 1962), posterior sampling and tail probabilities.
 //!
-//! Thresholds and sample sizes are arguments: this module decides nothing.
+//! Thresholds and sample sizes are parameters: the rules that use it define them.
 
 use rand_distr::{Distribution, StudentT};
 use rand_pcg::Pcg64Mcg;
@@ -9,7 +9,7 @@
 /// Count, mean and summed squared deviations of weighted samples.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunningMoments {
-    /// How many samples there were; a fraction once old ones have decayed.
+    /// The number of samples; a fraction once old ones have decayed.
     pub count: f64,
     /// Their mean.
     pub mean: f64,
@@ -26,7 +26,7 @@
         self.sum_squared_deviations += deviation * (sample - self.mean);
     }
 
-    /// Turns one sample of 1 into 0, among samples that are all 0 or 1.
+    /// Replaces one sample of 1 by 0, among samples that are all 0 or 1.
     pub fn replace_one_by_zero(&mut self) {
         if self.count < 1.0 || self.mean <= 0.0 {
             return;
@@ -55,13 +55,13 @@
         self.sum_squared_deviations *= factor;
     }
 
-    /// Scales the weight of all samples so far, then adds so many equal ones.
+    /// Scales the weight of all samples so far, then adds `count` samples of one value.
     pub fn follow(&mut self, factor: f64, count: f64, sample: f64) {
         self.scale(factor);
         self.merge(&RunningMoments { count, mean: sample, sum_squared_deviations: 0.0 });
     }
 
-    /// Several as one.
+    /// Pools the samples of several.
     pub fn pooled<'a>(members: impl IntoIterator<Item = &'a RunningMoments>) -> RunningMoments {
         let mut pool = RunningMoments::default();
         for member in members {
@@ -70,7 +70,7 @@
         pool
     }
 
-    /// Several as one, without the one that lowers the mean most; a lone one stays.
+    /// Pools the samples of several, without the one that lowers the mean most; a single one remains.
     #[must_use]
     pub fn pooled_without_worst(members: &[&RunningMoments]) -> RunningMoments {
         let all = RunningMoments::pooled(members.iter().copied());
@@ -85,13 +85,13 @@
 /// How two means are compared by draws from their posteriors.
 #[derive(Clone, Copy, Debug)]
 pub struct MeanComparison {
-    /// Draws at least.
+    /// Minimum of draws.
     pub min_draws: f64,
-    /// Draws at most, while the first has won them all.
+    /// Maximum of draws, as long as the first has won them all.
     pub max_draws: f64,
-    /// Samples without which nothing can be told.
+    /// Minimum of samples.
     pub min_samples: f64,
-    /// The least variance that is believed.
+    /// Lower bound on the variance.
     pub min_variance: f64,
 }
 
@@ -110,7 +110,7 @@
         let (Some(first), Some(second)) = (self.posterior(first), self.posterior(second)) else { return 0.5 };
         let mut wins = 0.0;
         let mut draws = 0.0;
-        // A share that is finer than the usual draws tell is told by drawing on while all are won.
+        // While the first wins all draws, more of them refine the share.
         while draws < self.min_draws || (wins >= draws && draws < self.max_draws) {
             let one = first.mean - handicap + first.scale * first.distribution.sample(rng);
             let other = second.mean + second.scale * second.distribution.sample(rng);
@@ -133,7 +133,7 @@
 }
 
 /// The probability of fewer events than were observed, where so many are expected and they are independent.
-/// Above `max_observed` more tell nothing new.
+/// `max_observed`: upper bound on the observed events.
 #[must_use]
 pub fn poisson_probability_of_fewer(expected: f64, observed: f64, max_observed: f64) -> f64 {
     let observed = observed.clamp(0.0, max_observed).round() as u64;
@@ -143,11 +143,11 @@
 
 /// 1 for true, 0 for false.
 #[must_use]
-pub fn indicator(holds: bool) -> f64 {
-    f64::from(u8::from(holds))
+pub fn indicator(condition: bool) -> f64 {
+    f64::from(u8::from(condition))
 }
 
-/// What is left of a weight after some time.
+/// The factor by which a weight decays after some time; both in the same unit.
 #[must_use]
 pub fn half_life_decay(elapsed: f64, half_life: f64) -> f64 {
     0.5f64.powf(elapsed / half_life)
--- a/crates/policy/src/verdict.rs
+++ b/crates/policy/src/verdict.rs
@@ -220,8 +220,8 @@
         let was_slow_before = before.count >= MIN_OUTCOMES_BEFORE && before.mean <= -SPEED_MARGIN;
         let has_few_failures = self.evidence.failures <= self.evidence.expected_failures;
         let has_accepted_failures = rollout.traffic_cap < 1.0 || was_slow_before || has_few_failures;
-        let is_settled = since_start >= SETTLING_TIME;
-        is_settled && self.probability_worse <= MAX_DOUBT && has_accepted_failures && !self.are_all_slower
+        let has_run_long = since_start >= SETTLING_TIME;
+        has_run_long && self.probability_worse <= MAX_DOUBT && has_accepted_failures && !self.are_all_slower
     }
 }
 
--- a/crates/policy/tests/policy/support/config.rs
+++ b/crates/policy/tests/policy/support/config.rs
@@ -77,7 +77,7 @@
             classes: config.classes,
             permissions: config.permissions,
             discovery: DiscoveryConfig {
-                must_subscribe: true,
+                requires_subscription: true,
                 max_poll_interval: 10_000.0,
                 update_delay_after_start: 0.0,
                 update_delay_after_loss: config.update_delay_after_loss,
--- a/crates/policy/tests/policy/support/mod.rs
+++ b/crates/policy/tests/policy/support/mod.rs
@@ -124,7 +124,7 @@
             version,
             zone: name[..1].to_string(),
             cell: 0,
-            machine_type: "std".to_string(),
+            instance_type: "std".to_string(),
             weight: 1.0,
             started_at,
         };
--- a/crates/simulator-protocol/src/messages.rs
+++ b/crates/simulator-protocol/src/messages.rs
@@ -50,7 +50,7 @@
         version: Version(version as u32),
         zone: fields.optional("az").unwrap_or("").to_string(),
         cell: fields.optional_number("cluster")?.unwrap_or(0),
-        machine_type: fields.optional("model").unwrap_or("").to_string(),
+        instance_type: fields.optional("model").unwrap_or("").to_string(),
         weight: fields.optional_real("power-hint")?.unwrap_or(1.0),
         started_at: fields.optional_ms("online-since-s")?.unwrap_or(0.0),
     })
--- a/crates/simulator-protocol/src/settings/mod.rs
+++ b/crates/simulator-protocol/src/settings/mod.rs
@@ -154,7 +154,7 @@
 
     fn discovery(&self) -> DiscoveryConfig {
         DiscoveryConfig {
-            must_subscribe: self.schema.registry_mode == schema::RegistryMode::Subscribe,
+            requires_subscription: self.schema.registry_mode == schema::RegistryMode::Subscribe,
             max_poll_interval: ms(self.schema.rules.ask_within),
             update_delay_after_start: self.update_delays.after_start,
             update_delay_after_loss: self.update_delays.after_loss,
