--- a/crates/gateway/src/net/list.rs
+++ b/crates/gateway/src/net/list.rs
@@ -96,7 +96,7 @@
             version: self.version,
             zone: self.zone,
             cell: self.cell,
-            machine_type: self.hardware,
+            instance_type: self.hardware,
             weight: self.weight,
             started_at: self.started_at,
         };
--- a/crates/simulator-protocol/src/settings/mod.rs
+++ b/crates/simulator-protocol/src/settings/mod.rs
@@ -134,7 +134,7 @@
 
     fn discovery(&self) -> DiscoveryConfig {
         DiscoveryConfig {
-            must_subscribe: self.schema.discovery_mode == schema::DiscoveryMode::Subscribed,
+            requires_subscription: self.schema.discovery_mode == schema::DiscoveryMode::Subscribed,
             max_poll_interval: ms(self.schema.rules.max_poll_interval),
             update_delay_after_start: self.update_delays.start,
             update_delay_after_loss: self.update_delays.lost_watch,
