--- a/crates/cli/tests/gateway/discovery.rs
+++ b/crates/cli/tests/gateway/discovery.rs
@@ -40,6 +40,15 @@
     gateway.reconfigure(&config.to_string());
 }
 
+/// Sends a request, checks that it is served, and checks the number of queries that each server has received so far.
+#[track_caller]
+fn assert_served_by(gateway: &Gateway, id: &str, received: [(&FakeServer, usize); 2]) {
+    assert_served(&mut gateway.client(), id, 1900);
+    for (server, queries) in received {
+        assert_eq!(server.queries().len(), queries);
+    }
+}
+
 #[test]
 fn watch_starts_at_the_current_version_and_changes_apply_immediately() {
     let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
@@ -177,8 +186,7 @@
         .set_reply(move |_| HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", line_chunk(&restarted))));
     gateway.discovery.close_streams();
     wait_until("the list is applied", || gateway.counter("endpoint_list_updates_total") == 2);
-    assert_served(&mut gateway.client(), "a1", 1900);
-    assert_eq!((old.queries().len(), new.queries().len()), (0, 1));
+    assert_served_by(&gateway, "a1", [(&old, 0), (&new, 1)]);
     // Versions of changes continue from there.
     gateway.discovery.send_line(&endpoint_list(
         3,
@@ -186,8 +194,7 @@
         &[host("s1", new.addr, "draining", 1), host("s0", old.addr, "up", 1)],
     ));
     wait_until("the change is applied", || gateway.counter("endpoint_list_updates_total") == 3);
-    assert_served(&mut gateway.client(), "a2", 1900);
-    assert_eq!((old.queries().len(), new.queries().len()), (1, 1));
+    assert_served_by(&gateway, "a2", [(&old, 1), (&new, 1)]);
 }
 
 #[test]
@@ -201,8 +208,7 @@
     });
     gateway.discovery.close_streams();
     wait_until("the full list is applied", || gateway.counter("endpoint_list_updates_total") == 2);
-    assert_served(&mut gateway.client(), "a1", 1900);
-    assert_eq!((old.queries().len(), new.queries().len()), (0, 1));
+    assert_served_by(&gateway, "a1", [(&old, 0), (&new, 1)]);
 }
 
 #[test]
@@ -218,8 +224,7 @@
     }
     gateway.discovery.send_line(&endpoint_list(6, true, &[host("s1", new.addr, "up", 1)]));
     wait_until("the change is applied", || gateway.counter("endpoint_list_updates_total") == 2);
-    assert_served(&mut gateway.client(), "a1", 1900);
-    assert_eq!((old.queries().len(), new.queries().len()), (0, 1));
+    assert_served_by(&gateway, "a1", [(&old, 0), (&new, 1)]);
 }
 
 #[test]
@@ -230,8 +235,7 @@
     let text = format!("\n{}\n", serde_json::to_string_pretty(&change).unwrap());
     text.lines().for_each(|line| gateway.discovery.write(&chunk(&format!("{line}\r\n"))));
     wait_until("the list is applied", || gateway.counter("endpoint_list_updates_total") == 2);
-    assert_served(&mut gateway.client(), "a1", 1900);
-    assert_eq!((old.queries().len(), new.queries().len()), (0, 1));
+    assert_served_by(&gateway, "a1", [(&old, 0), (&new, 1)]);
     gateway.discovery.write(&chunk(&format!("{}\n{change}\n", &change.to_string()[..40])));
     wait_until("the watch is restarted", || gateway.discovery.count_calls("after=6 ") == 1);
 }
