--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -139,7 +139,8 @@
 }
 
 fn run_gateway(counters_interval: Option<Duration>) -> io::Result<ExitCode> {
-    run_on_one_thread(serve(counters_interval)).map(|()| ExitCode::SUCCESS)
+    let gateway = async { serve(counters_interval).await.map_err(io::Error::other) };
+    run_on_one_thread(gateway).map(|()| ExitCode::SUCCESS)
 }
 
 fn run_control_plane(file: &Path) -> io::Result<ExitCode> {
--- a/crates/gateway/src/limits/clients.rs
+++ b/crates/gateway/src/limits/clients.rs
@@ -48,7 +48,7 @@
     /// All requests are answered.
     Idle,
     /// It was evicted and is about to close.
-    Leaving,
+    Evicted,
     /// Its last message was written; the client may still read it.
     Closing,
 }
@@ -57,7 +57,7 @@
     /// The connection is about to end and does not count against the limit.
     #[must_use]
     pub fn is_ending(self) -> bool {
-        matches!(self, SessionState::Leaving | SessionState::Closing)
+        matches!(self, SessionState::Evicted | SessionState::Closing)
     }
 }
 
--- a/crates/gateway/src/net/clients/client_session.rs
+++ b/crates/gateway/src/net/clients/client_session.rs
@@ -26,11 +26,11 @@
     }
 
     pub(super) fn is_evicted(&self) -> bool {
-        self.state.get() == SessionState::Leaving
+        self.state.get() == SessionState::Evicted
     }
 
     pub(super) fn evict(&self) {
-        self.state.set(SessionState::Leaving);
+        self.state.set(SessionState::Evicted);
         self.wake.notify_one();
     }
 }
--- a/crates/gateway/src/net/clients/closing.rs
+++ b/crates/gateway/src/net/clients/closing.rs
@@ -20,7 +20,7 @@
     /// An answer may be on its way. Unread requests remain unanswered; the client may retry them.
     Answered,
     /// An error may be on its way. The rest of the input is discarded.
-    Refused,
+    Rejected,
 }
 
 /// Delays the close of a connection until the client has read the last message. Closing a socket with unread input resets the
@@ -30,7 +30,7 @@
         return;
     }
     let client_leaves = async {
-        if reason == CloseReason::Refused {
+        if reason == CloseReason::Rejected {
             discard_input(stream).await;
         } else {
             client_disconnected(stream, || ()).await;
--- a/crates/gateway/src/net/clients/reading.rs
+++ b/crates/gateway/src/net/clients/reading.rs
@@ -45,7 +45,7 @@
             () = sleep_until(deadline) => return Ok(outcome_at_deadline(progress)),
         };
         match read {
-            Some(0) => Ok(ReadOutcome::Left),
+            Some(0) => Ok(ReadOutcome::Ended),
             Some(_) => Ok(ReadOutcome::Read),
             None => self.read_before_closing(buffered).await,
         }
@@ -69,7 +69,7 @@
 }
 
 fn outcome_at_deadline(progress: InputProgress) -> ReadOutcome {
-    if progress.is_idle() { ReadOutcome::Left } else { ReadOutcome::Late }
+    if progress.is_idle() { ReadOutcome::Ended } else { ReadOutcome::TimedOut }
 }
 
 /// The inputs of a connection's close time while it waits for input.
--- a/crates/gateway/src/net/clients/session.rs
+++ b/crates/gateway/src/net/clients/session.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 
 /// Error text for a client that sends no complete query in time.
-const LATE: &str = "nothing whole was asked in time";
+const NO_COMPLETE_QUERY: &str = "nothing whole was asked in time";
 /// Error text for a client whose connection is closed before its first request.
 const NO_CAPACITY: &str = "no room, or stopping: come again";
 
@@ -27,11 +27,11 @@
     /// There is more input.
     Read,
     /// The client has disconnected, or was idle for too long.
-    Left,
+    Ended,
     /// The connection was evicted, or the gateway is shutting down.
     Closing,
     /// No complete message arrived in time.
-    Late,
+    TimedOut,
 }
 
 /// Whether a connection is served further.
@@ -77,7 +77,11 @@
             self.input.record_arrival(self.stream, self.clients.clock.now());
             let message = match self.frontend.next(&mut self.input.bytes) {
                 Ok(message) => message,
-                Err(error) => return self.refuse(&error.to_string(), &COUNTERS.protocol_errors_total).await,
+                Err(error) => {
+                    return self
+                        .close_with_violation(&error.to_string(), &COUNTERS.protocol_errors_total)
+                        .await;
+                }
             };
             let arrived_at = self.input.consume();
             self.track_message_start(message.is_some());
@@ -103,9 +107,11 @@
     async fn read_on(&mut self) -> io::Result<Step> {
         let reason = match self.read_more().await? {
             ReadOutcome::Read => return Ok(Step::Continue(())),
-            ReadOutcome::Left => CloseReason::Quiet,
+            ReadOutcome::Ended => CloseReason::Quiet,
             ReadOutcome::Closing => self.close().await?,
-            ReadOutcome::Late => self.refuse(LATE, &COUNTERS.clients_timed_out_total).await?,
+            ReadOutcome::TimedOut => {
+                self.close_with_violation(NO_COMPLETE_QUERY, &COUNTERS.clients_timed_out_total).await?
+            }
         };
         Ok(Step::Break(reason))
     }
@@ -114,7 +120,7 @@
     async fn close(&mut self) -> io::Result<CloseReason> {
         if !self.session.has_requested.get() {
             // Without an error the client would not know that a retry is safe.
-            return self.reject_client(NO_CAPACITY).await;
+            return self.close_with_rejection(NO_CAPACITY).await;
         }
         Ok(if self.session.is_evicted() { CloseReason::Quiet } else { CloseReason::Answered })
     }
@@ -128,7 +134,7 @@
                 return Ok(Step::Break(CloseReason::Answered));
             }
             FrontendMessage::Startup if !self.is_admitted => {
-                return self.reject_client("too many connections").await.map(Step::Break);
+                return self.close_with_rejection("too many connections").await.map(Step::Break);
             }
             FrontendMessage::Startup => self.write(&[pg::encode::greeting()]).await?,
             FrontendMessage::Sync => self.write(&[Bytes::from_static(pg::encode::READY)]).await?,
@@ -191,21 +197,21 @@
         let error = pg::encode::error(is_fatal, code, reason, None);
         let end: &[u8] = if is_ready && !is_fatal { pg::encode::READY } else { &[] };
         self.write(&[error, Bytes::from_static(end)]).await?;
-        Ok(if is_fatal { Step::Break(CloseReason::Refused) } else { Step::Continue(()) })
+        Ok(if is_fatal { Step::Break(CloseReason::Rejected) } else { Step::Continue(()) })
     }
 
     /// Closes a connection that violates the protocol.
-    async fn refuse(&self, reason: &str, counter: &Metric) -> io::Result<CloseReason> {
+    async fn close_with_violation(&self, reason: &str, counter: &Metric) -> io::Result<CloseReason> {
         self.log_malformed_input(reason, counter);
         self.write(&[pg::encode::error(true, pg::sqlstate::PROTOCOL_VIOLATION, reason, None)]).await?;
-        Ok(CloseReason::Refused)
+        Ok(CloseReason::Rejected)
     }
 
     /// Closes a connection above the limit, or before its first request.
-    async fn reject_client(&self, reason: &str) -> io::Result<CloseReason> {
+    async fn close_with_rejection(&self, reason: &str) -> io::Result<CloseReason> {
         COUNTERS.clients_rejected_total.increment();
         self.write(&[pg::encode::error(true, pg::sqlstate::TOO_MANY_CONNECTIONS, reason, None)]).await?;
-        Ok(CloseReason::Refused)
+        Ok(CloseReason::Rejected)
     }
 
     /// Counts and logs malformed input; sampled, because clients can cause it at will.
--- a/crates/gateway/src/net/upstream/connection_task.rs
+++ b/crates/gateway/src/net/upstream/connection_task.rs
@@ -7,7 +7,7 @@
 use crate::counters::COUNTERS;
 use crate::limits::upstream::{READY_TIMEOUT, close_timeout};
 use crate::net::{DriverEvent, is_unusable, read_some, write_all};
-use crate::proto::pg::{self, BackendMessage};
+use crate::proto::pg::{self, BackendMessage, ParseError};
 use latchhaven_policy::{AttemptOutcome, UpstreamConnectionConfig};
 use std::io;
 use std::net::SocketAddr;
@@ -18,6 +18,32 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::{Instant, sleep_until, timeout};
 
+/// Why a connection could not be opened. The texts are logged.
+#[derive(Debug, thiserror::Error)]
+enum OpenError {
+    /// The connection was refused, or broke.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The endpoint violates the protocol.
+    #[error(transparent)]
+    Protocol(#[from] ParseError),
+    /// The endpoint was not ready for a query in time.
+    #[error("not ready in time")]
+    Timeout,
+    /// The pool closed the connection.
+    #[error("closed before it was ready")]
+    Closed,
+    /// The endpoint returned an error with this SQLSTATE.
+    #[error("the endpoint returned error {0}")]
+    ErrorResponse(String),
+    /// The endpoint sent a row without a query.
+    #[error("a row before any query")]
+    UnexpectedRow,
+    /// The endpoint closed the connection.
+    #[error("the endpoint closed the connection")]
+    ClosedByEndpoint,
+}
+
 /// Drives a connection from its opening to its close.
 pub(super) async fn run(
     connection: Rc<UpstreamConnection>, address: SocketAddr, config: UpstreamConnectionConfig,
@@ -53,30 +79,33 @@
 
 impl ConnectionTask {
     /// Opens the connection, unless it is closed meanwhile.
-    async fn open(&mut self, address: SocketAddr) -> io::Result<()> {
+    async fn open(&mut self, address: SocketAddr) -> Result<(), OpenError> {
         let connect_timeout = duration(self.config.connect_timeout);
         let connection = self.connection.clone();
         select! {
-            opened = timeout(connect_timeout, self.connect(&connection, address)) => opened?,
-            () = connection.closed() => Err(io::ErrorKind::ConnectionAborted.into()),
+            opened = timeout(connect_timeout, self.connect(&connection, address)) => {
+                opened.unwrap_or(Err(OpenError::Timeout))
+            }
+            () = connection.closed() => Err(OpenError::Closed),
         }
     }
 
     /// Connects and waits until the endpoint is ready for a query.
-    async fn connect(&mut self, connection: &UpstreamConnection, address: SocketAddr) -> io::Result<()> {
+    async fn connect(
+        &mut self, connection: &UpstreamConnection, address: SocketAddr,
+    ) -> Result<(), OpenError> {
         let stream = TcpStream::connect(address).await?;
         connection.connected_at.set(Some(Instant::now()));
         stream.set_nodelay(true)?;
         let stream = connection.stream.get_or_init(|| stream);
         write_all(stream, &[pg::encode::startup()]).await?;
         loop {
-            let message = self.channel.next_message();
-            match message.map_err(|error| invalid_data(&error.to_string()))? {
+            match self.channel.next_message()? {
                 Some(BackendMessage::Ready) => return Ok(()),
-                Some(BackendMessage::Error(code)) => return Err(invalid_data(&code)),
-                Some(BackendMessage::Row(_)) => return Err(invalid_data("a row before any query")),
+                Some(BackendMessage::Error(code)) => return Err(OpenError::ErrorResponse(code)),
+                Some(BackendMessage::Row(_)) => return Err(OpenError::UnexpectedRow),
                 None if read_some(stream, &mut self.channel.buffer).await? == 0 => {
-                    return Err(io::ErrorKind::UnexpectedEof.into());
+                    return Err(OpenError::ClosedByEndpoint);
                 }
                 Some(BackendMessage::Parameter { .. }) | None => {}
             }
@@ -148,7 +177,3 @@
         let _ = self.events.send(event).await;
     }
 }
-
-fn invalid_data(reason: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, reason.to_string())
-}
--- a/crates/gateway/src/serve/bind.rs
+++ b/crates/gateway/src/serve/bind.rs
@@ -23,7 +23,7 @@
             Err(error) if error.kind() == io::ErrorKind::AddrInUse && start.elapsed() < BIND_TIMEOUT => {
                 sleep(BIND_RETRY_INTERVAL).await;
             }
-            Err(error) => return Err(io::Error::new(error.kind(), format!("listen: {address}: {error}"))),
+            Err(error) => return Err(error),
         }
     }
 }
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -4,7 +4,7 @@
 mod signals;
 
 use crate::clock::{Clock, duration};
-use crate::config::{self, GatewayConfig};
+use crate::config::{self, ConfigError, GatewayConfig};
 use crate::counters::COUNTERS;
 use crate::gateway::{Gateway, GatewayParts};
 use crate::limits::start::DescriptorShares;
@@ -18,15 +18,38 @@
 use rand_pcg::Pcg64Mcg;
 use signals::{Signals, StopSignals};
 use std::io;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::select;
 use tokio::signal::unix::Signal;
 use tokio::sync::{mpsc, watch};
-use tokio::task::JoinHandle;
+use tokio::task::{JoinError, JoinHandle};
 use tokio::time::sleep;
 
+/// Why a gateway could not start, or stopped without a signal. The text is printed at the end of the process.
+#[derive(Debug, thiserror::Error)]
+pub enum ServeError {
+    /// A signal handler cannot be installed.
+    #[error("signals: {0}")]
+    Signals(#[source] io::Error),
+    /// The configuration is faulty.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The listener cannot be bound.
+    #[error("listen: {address}: {error}")]
+    Listen {
+        /// The configured address.
+        address: SocketAddr,
+        /// What the system reported.
+        error: io::Error,
+    },
+    /// The event loop ended.
+    #[error("the gateway ended: {0:?}")]
+    EventLoopEnded(Result<(), JoinError>),
+}
+
 fn environment(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
@@ -36,25 +59,27 @@
 /// not all log at the same moment.
 ///
 /// # Errors
-/// The configuration is faulty, the listener cannot be bound, or the event loop ended.
-pub async fn serve(counters_interval: Option<Duration>) -> io::Result<()> {
+/// The gateway cannot start, or its event loop ended.
+pub async fn serve(counters_interval: Option<Duration>) -> Result<(), ServeError> {
     let clock = Clock::start();
     // First: an unhandled signal ends the process.
-    let signals = Signals::install()?;
-    let config = config::read(environment).map_err(io::Error::other)?;
-    let listener = bind_with_retry(config.addresses.listen).await?;
+    let signals = Signals::install().map_err(ServeError::Signals)?;
+    let config = config::read(environment)?;
+    let address = config.addresses.listen;
+    let listen_error = |error| ServeError::Listen { address, error };
+    let listener = bind_with_retry(address).await.map_err(listen_error)?;
+    let listening = listener.local_addr().map_err(listen_error)?;
     let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
     let name = config.addresses.name.clone();
     let endpoints = config.initial_state.list.entries.len();
     let Started { clients, mut gateway } = start(config, signals.reload, clock, &mut rng);
-    let listening = listener.local_addr()?;
     tracing::info!(name, %listening, servers = endpoints, "gateway started");
     select! {
         () = accept_until_stopped(signals.stop, &clients) => {}
         () = clients.clone().accept(&listener) => {}
         () = signals::print_counters(signals.print_counters) => {}
         () = log_counters(counters_interval, &mut rng) => {}
-        ended = &mut gateway => return Err(io::Error::other(format!("the gateway ended: {ended:?}"))),
+        ended = &mut gateway => return Err(ServeError::EventLoopEnded(ended)),
     }
     shut_down(&clients, listener, &gateway).await;
     Ok(())
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -40,7 +40,7 @@
 #[case::first_of_equals(&[(SessionState::Idle, 2500), (SessionState::Idle, 2500)], Some(0))]
 #[case::silent_too_briefly(&[(SessionState::New, 49), (SessionState::Idle, 2000)], Some(1))]
 #[case::idle_too_briefly(&[(SessionState::New, 49), (SessionState::Idle, 1999)], None)]
-#[case::in_use(&[(SessionState::Busy, 9000), (SessionState::Leaving, 9000)], None)]
+#[case::in_use(&[(SessionState::Busy, 9000), (SessionState::Evicted, 9000)], None)]
 fn eviction_chooses(#[case] candidates: &[(SessionState, u64)], #[case] expected: Option<u64>) {
     assert_eq!(evicted(candidates), expected);
 }
