--- a/crates/gateway/src/net/discovery_calls.rs
+++ b/crates/gateway/src/net/discovery_calls.rs
@@ -7,10 +7,9 @@
 use crate::discovery::calls::CallId;
 use crate::limits::SERVICE_CONNECT_TIMEOUT;
 use crate::limits::discovery::{CALL_TIMEOUT, WATCH_SILENCE_TIMEOUT, missed_keepalive};
-use crate::proto::http::{BodyBuffer, ParseError, ResponsePart};
+use crate::proto::http::{BodyBuffer, ResponsePart};
 use crate::proto::json::{JsonFrame, JsonFramer};
 use latchhaven_policy::UpdateFailure;
-use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -19,15 +18,12 @@
 /// Why a call for the endpoint list failed. The texts are logged.
 #[derive(Debug, thiserror::Error)]
 enum ListCallError {
-    /// The connection could not be opened.
-    #[error(transparent)]
-    Connect(#[from] io::Error),
-    /// The connection broke, or the response is not valid HTTP.
+    /// The connection failed, or the response is malformed.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The body is not a stream of JSON objects, or exceeds a limit.
-    #[error(transparent)]
-    Body(#[from] ParseError),
+    /// The connection was not established in time.
+    #[error("no connection in time")]
+    NoConnection,
     /// The list cannot be read.
     #[error(transparent)]
     List(#[from] ListError),
@@ -51,10 +47,7 @@
 impl ListCallError {
     /// Data arrived that cannot be read.
     fn is_unreadable(&self) -> bool {
-        matches!(
-            self,
-            ListCallError::Http(HttpError::Response(_)) | ListCallError::Body(_) | ListCallError::List(_)
-        )
+        matches!(self, ListCallError::Http(HttpError::Response(_)) | ListCallError::List(_))
     }
 }
 
@@ -86,9 +79,10 @@
 }
 
 /// Opens a connection and sends a request for `path`.
-async fn start_call(address: SocketAddr, path: &str) -> io::Result<HttpConnection> {
+async fn start_call(address: SocketAddr, path: &str) -> Result<HttpConnection, ListCallError> {
     COUNTERS.discovery_calls_total.increment();
-    let connection = timeout(SERVICE_CONNECT_TIMEOUT, HttpConnection::open(address)).await??;
+    let connected = timeout(SERVICE_CONNECT_TIMEOUT, HttpConnection::open(address)).await;
+    let connection = connected.map_err(|_| ListCallError::NoConnection)??;
     connection.get(path).await?;
     Ok(connection)
 }
@@ -145,7 +139,7 @@
     /// The next list or delta. None: the watch has ended.
     async fn next_list(&mut self) -> Result<Option<List>, ListCallError> {
         loop {
-            while let Some(frame) = self.framer.next_frame()? {
+            while let Some(frame) = self.framer.next_frame().map_err(HttpError::from)? {
                 if let Some(list) = self.on_frame(frame)? {
                     return Ok(Some(list));
                 }
@@ -156,7 +150,7 @@
                     self.silence_timeout = WATCH_SILENCE_TIMEOUT;
                 }
                 Some(ResponsePart::Head { status, .. }) => return Err(ListCallError::Status(status)),
-                Some(ResponsePart::Body(bytes)) => self.framer.push(&bytes)?,
+                Some(ResponsePart::Body(bytes)) => self.framer.push(&bytes).map_err(HttpError::from)?,
                 Some(ResponsePart::End) | None => return Ok(None),
             }
         }
@@ -189,7 +183,7 @@
         match connection.next_part().await? {
             Some(ResponsePart::Head { status: 200, .. }) => {}
             Some(ResponsePart::Head { status, .. }) => return Err(ListCallError::Status(status)),
-            Some(ResponsePart::Body(bytes)) => body.push(&bytes)?,
+            Some(ResponsePart::Body(bytes)) => body.push(&bytes).map_err(HttpError::from)?,
             Some(ResponsePart::End) => return Ok(list::read(&body.take())?),
             None if connection.is_complete_at_close() => return Ok(list::read(&body.take())?),
             None => return Err(ListCallError::Truncated),
--- a/crates/gateway/src/net/http_connection.rs
+++ b/crates/gateway/src/net/http_connection.rs
@@ -7,10 +7,10 @@
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// Why a response cannot be read.
+/// Why a request or its response failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum HttpError {
-    /// The connection broke.
+    /// The connection could not be opened, or broke.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The response is malformed or exceeds a limit.
@@ -31,7 +31,7 @@
     ///
     /// # Errors
     /// The connection cannot be opened.
-    pub(super) async fn open(address: SocketAddr) -> io::Result<Self> {
+    pub(super) async fn open(address: SocketAddr) -> Result<Self, HttpError> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         Ok(HttpConnection { address, stream, reader: ResponseReader::default(), buffer: BytesMut::new() })
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     /// The connection broke before the last byte was written.
-    pub(super) async fn get(&self, path: &str) -> io::Result<()> {
+    pub(super) async fn get(&self, path: &str) -> Result<(), HttpError> {
         self.write(http::get(&self.address.to_string(), path)).await
     }
 
@@ -54,12 +54,12 @@
     ///
     /// # Errors
     /// The connection broke before the last byte was written.
-    pub(super) async fn post(&self, path: &str, body: &str) -> io::Result<()> {
+    pub(super) async fn post(&self, path: &str, body: &str) -> Result<(), HttpError> {
         self.write(http::post(&self.address.to_string(), path, body)).await
     }
 
-    async fn write(&self, request: Bytes) -> io::Result<()> {
-        write_all(&self.stream, &[request]).await
+    async fn write(&self, request: Bytes) -> Result<(), HttpError> {
+        Ok(write_all(&self.stream, &[request]).await?)
     }
 
     /// The next part of the response. None: the service has closed the connection. Can be dropped and called again
--- a/crates/gateway/src/net/platform/feed.rs
+++ b/crates/gateway/src/net/platform/feed.rs
@@ -8,10 +8,9 @@
 use crate::limits::platform::{FEED_BACKOFF, FEED_SILENCE_TIMEOUT};
 use crate::net::DriverEvent;
 use crate::net::http_connection::{HttpConnection, HttpError};
-use crate::proto::http::{BodyBuffer, ParseError, ResponsePart};
+use crate::proto::http::{BodyBuffer, ResponsePart};
 use bytes::Bytes;
 use rand_pcg::Pcg64Mcg;
-use std::io;
 use std::net::SocketAddr;
 use std::pin::pin;
 use tokio::select;
@@ -21,15 +20,9 @@
 /// Why a feed could not be opened or was lost. The texts are logged.
 #[derive(Debug, thiserror::Error)]
 enum FeedError {
-    /// The connection could not be opened.
-    #[error(transparent)]
-    Connect(#[from] io::Error),
-    /// The connection broke, or the response is not valid HTTP.
+    /// The connection failed, or the response is malformed.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// A line exceeds its limit.
-    #[error(transparent)]
-    Body(#[from] ParseError),
     /// A line cannot be read; lines after it may be out of step.
     #[error("a line cannot be read: {0}")]
     Line(MessageError),
@@ -208,7 +201,7 @@
                 continue;
             }
             match self.next_part().await? {
-                Some(ResponsePart::Body(bytes)) => self.body.push(&bytes)?,
+                Some(ResponsePart::Body(bytes)) => self.body.push(&bytes).map_err(HttpError::from)?,
                 Some(ResponsePart::Head { .. } | ResponsePart::End) | None => return Ok(()),
             }
         }
--- a/crates/gateway/src/net/platform/votes.rs
+++ b/crates/gateway/src/net/platform/votes.rs
@@ -5,11 +5,10 @@
 use crate::limits::platform::MAX_VOTE_CONNECTION_IDLE;
 use crate::net::DriverEvent;
 use crate::net::http_connection::{HttpConnection, HttpError};
-use crate::proto::http::{BodyBuffer, ParseError, ResponsePart};
+use crate::proto::http::{BodyBuffer, ResponsePart};
 use bytes::Bytes;
 use latchhaven_policy::{RolloutState, Verdict, Version, VoteOutcome};
 use serde::Deserialize;
-use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
@@ -18,15 +17,9 @@
 /// Why a vote failed. The texts are logged.
 #[derive(Debug, thiserror::Error)]
 enum VoteError {
-    /// The connection could not be opened, or broke before the vote was written.
-    #[error(transparent)]
-    Io(#[from] io::Error),
-    /// The connection broke within the response, or the response is not valid HTTP.
+    /// The connection failed, or the response is malformed.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The body exceeds its limit.
-    #[error(transparent)]
-    Body(#[from] ParseError),
     /// The rollout state in the response cannot be read.
     #[error(transparent)]
     State(#[from] MessageError),
@@ -163,7 +156,7 @@
         Ok(result)
     }
 
-    async fn connect(&mut self, address: SocketAddr) -> io::Result<HttpConnection> {
+    async fn connect(&mut self, address: SocketAddr) -> Result<HttpConnection, HttpError> {
         if let Some(idle) = self.idle.take()
             && idle.is_usable(address)
         {
@@ -199,7 +192,7 @@
         loop {
             match connection.next_part().await? {
                 Some(ResponsePart::Head { status, is_last }) => head = Some((status, is_last)),
-                Some(ResponsePart::Body(bytes)) => body.push(&bytes)?,
+                Some(ResponsePart::Body(bytes)) => body.push(&bytes).map_err(HttpError::from)?,
                 Some(ResponsePart::End) => break,
                 None if connection.is_complete_at_close() => break,
                 None => return Err(VoteError::Truncated),
