--- a/crates/control-plane/src/driver/startup.rs
+++ b/crates/control-plane/src/driver/startup.rs
@@ -1,9 +1,10 @@
-//! Starts the parts of the control service and connects them.
+//! Starts the tasks and threads of the control service and connects them by channels.
 
 use super::event_loop::ControlPlaneDriver;
 use super::settings;
 use super::xds_thread::{self, XdsListener};
 use crate::control_plane::{ControlPlane, ControlPlaneConfig};
+use crate::limits::MAX_PENDING_SERVER_EVENTS;
 use crate::state_store;
 use latchhaven_gateway::clock::{Clock, duration};
 use latchhaven_gateway::discovery::snapshot_client::SnapshotFirstClient;
@@ -24,38 +25,35 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Events of streams that were not taken in yet; a stream that has more waits.
-const MAX_PENDING_SERVER_EVENTS: usize = 1024;
-
 /// The control service, ready to run.
 pub(super) struct ControlService {
     pub(super) driver: ControlPlaneDriver,
-    /// From discovery and the platform.
-    pub(super) gateway_events: mpsc::Receiver<DriverEvent>,
-    /// From the streams of proxies.
+    /// Events of discovery and the platform.
+    pub(super) upstream_events: mpsc::Receiver<DriverEvent>,
+    /// Events of proxies' streams.
     pub(super) server_events: mpsc::Receiver<ServerEvent>,
-    /// How serving proxies ended.
+    /// The result of the xDS server, when it ends.
     pub(super) xds_server: oneshot::Receiver<io::Result<()>>,
     pub(super) sent_counters: Arc<SentCounters>,
-    /// Held so that the platform's tasks see an address that may change.
+    /// The sender of the platform's address; must outlive the platform's tasks.
     pub(super) platform_address: watch::Sender<Option<SocketAddr>>,
 }
 
-/// Starts all that the event loop needs.
-pub(super) fn start(config: ControlConfig) -> io::Result<ControlService> {
+/// Starts everything that the event loop needs.
+pub(super) fn start(config: &ControlConfig) -> io::Result<ControlService> {
     let clock = Clock::start();
-    let signer = VersionSigner::new(read_shared_key(&config)?);
-    let settings = settings::settings(&config).map_err(io::Error::other)?.on_sockets();
+    let signer = VersionSigner::new(read_shared_key(config)?);
+    let settings = settings::settings(config).map_err(io::Error::other)?.on_sockets();
     let vote_timeout = duration(settings.upstream_connections().vote_timeout);
     let store = state_store::open(config.state.as_deref());
     let class_names = settings.classes().into_iter().map(|class| class.name).collect();
-    let control_plane_config = control_plane_config(&config, &settings, signer.clone());
+    let control_plane_config = control_plane_config(config, &settings, signer.clone());
     let control_plane =
         ControlPlane::new(settings.start_policy(config.seed), control_plane_config, store.state);
 
     let listener = bind(config.xds.listen)?;
     let listening = listener.local_addr()?;
-    let (event_sender, gateway_events) = mpsc::channel(MAX_PENDING_EVENTS);
+    let (event_sender, upstream_events) = mpsc::channel(MAX_PENDING_EVENTS);
     let (platform_address, address) = watch::channel(config.platform);
     let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
     let votes = platform::spawn_tasks(&mut rng, address, vote_timeout, &event_sender);
@@ -72,7 +70,7 @@
     let xds_listener = XdsListener {
         listener,
         allowed_networks: config.xds.allowed_networks.clone(),
-        max_streams: config.xds.streams_most,
+        max_streams: config.xds.max_streams,
     };
     let xds_server = xds_thread::spawn(xds_listener, context)?;
     tracing::info!(name = config.name, %listening, "control service started");
@@ -86,7 +84,7 @@
         state_writer: store.writer,
         snapshots: snapshot_sender,
     };
-    Ok(ControlService { driver, gateway_events, server_events, xds_server, sent_counters, platform_address })
+    Ok(ControlService { driver, upstream_events, server_events, xds_server, sent_counters, platform_address })
 }
 
 fn read_shared_key(config: &ControlConfig) -> io::Result<Option<Vec<u8>>> {
@@ -106,18 +104,18 @@
             exposure: limits.exposure,
             slow_start: limits.slow_start,
             max_attempts: limits.max_attempts,
-            max_in_flight_per_endpoint: config.xds.in_flight_per_host,
+            max_in_flight_per_endpoint: config.xds.max_in_flight_per_endpoint,
         },
         listener: ListenerConfig {
             address: config.xds.listener,
-            class_header: config.xds.product_header.clone(),
+            class_header: config.xds.class_header.clone(),
             key_header: config.xds.key_header.clone(),
-            connect_timeout: f64::from(config.xds.connect_within_ms),
-            separate_endpoints: config.xds.hosts_apart,
+            connect_timeout: f64::from(config.xds.connect_timeout_ms),
+            separate_endpoints: config.xds.separate_endpoints,
         },
         signer,
-        max_streams: config.xds.streams_most,
-        platform_counts_only: config.xds.evidence == OutcomeSource::Platform,
+        max_streams: config.xds.max_streams,
+        platform_counts_only: config.xds.outcome_source == OutcomeSource::Platform,
     }
 }
 
--- a/crates/control-plane/src/driver/upstreams.rs
+++ b/crates/control-plane/src/driver/upstreams.rs
@@ -1,16 +1,17 @@
-//! Discovery and the platform: what their tasks bring, and the actions of the decisions that concern them.
+//! Discovery and the platform: events of their tasks, and the actions of the decisions for them.
 
 use super::event_loop::ControlPlaneDriver;
 use latchhaven_gateway::discovery::calls::CallId;
 use latchhaven_gateway::net::DriverEvent;
 use latchhaven_gateway::net::list::List;
 use latchhaven_gateway::net::platform::Vote;
+use latchhaven_gateway::policy_log;
 use latchhaven_policy::{Action, Event, Millis, UpdateFailure, VoteOutcome};
 use tokio::time::Instant;
 
 impl ControlPlaneDriver {
-    /// Takes in what a task of discovery or the platform brings.
-    pub(super) fn on_gateway_event(&mut self, event: DriverEvent, now: Millis) {
+    /// Handles an event of a task of discovery or the platform.
+    pub(super) fn on_upstream_event(&mut self, event: DriverEvent, now: Millis) {
         match event {
             DriverEvent::EndpointList { call, list } => self.on_list_answer(call, list, now),
             DriverEvent::Rollout(rollout) => self.control_plane.on_rollout_state(rollout, now),
@@ -19,7 +20,7 @@
                 let report = Event::OutcomesReported(counts.into());
                 self.control_plane.on_outcome_report(report, now);
             }
-            // Those of a gateway's clients and upstreams: a control plane carries no requests.
+            // Events of a gateway's clients and upstreams: a control plane forwards no requests.
             _ => {}
         }
     }
@@ -42,8 +43,8 @@
                     self.control_plane.on_vote_completed(VoteOutcome::NotCounted, now);
                 }
             }
-            Action::Log(line) => tracing::info!("{line}"),
-            // Those of a gateway that carries requests itself.
+            Action::Log(event) => policy_log::log_event(&event),
+            // Actions of a gateway, which forwards requests.
             _ => {}
         }
     }
--- a/crates/control-plane/tests/control_plane/canary_shares.rs
+++ b/crates/control-plane/tests/control_plane/canary_shares.rs
@@ -4,7 +4,7 @@
 use latchhaven_policy::{RolloutPhase, Version};
 
 #[test]
-fn proxies_that_reject_keep_their_share_and_the_others_make_room() {
+fn proxies_that_reject_keep_their_share_and_the_others_get_less() {
     let (mut service, mut proxies) = service_with_canary(4);
     let held = proxies[0].share_of(Version(2));
     proxies.iter_mut().take(2).for_each(|proxy| proxy.rejects_routes = true);
@@ -39,7 +39,7 @@
     exchange_all(&mut proxies, &mut service);
     assert!(
         proxies.iter().enumerate().all(|(n, proxy)| n == 4 || proxy.share_of(Version(2)) == 0.0),
-        "at once, to all who hear"
+        "immediately, at every connected proxy"
     );
     proxies[4].connect(&mut service);
     proxies[4].exchange(&mut service);
--- a/crates/experiments/src/rollout_simulation/gateways.rs
+++ b/crates/experiments/src/rollout_simulation/gateways.rs
@@ -1,29 +1,14 @@
 //! Routing by gateways, each with a policy of its own.
 
-use super::attempts::{EndedAttempt, completion_event};
-use super::model::Vote;
+use super::attempts::completion_event;
+use super::model::{EndedAttempt, Vote};
 use super::parameters::host_of_endpoint;
 use super::simulation::Simulation;
-use latchhaven_policy::{Action, AttemptOutcome, Event, Millis, Policy, RequestId};
+use latchhaven_policy::{Action, AttemptOutcome, Event, RequestId};
 
 /// The token of the policy's timer.
 const TIMER_TOKEN: &str = "look";
 
-/// One gateway.
-pub(super) struct Gateway {
-    policy: Policy,
-    /// Events that the policy has not handled yet.
-    pub(super) events: Vec<Event>,
-    /// When its timer fires, in ms.
-    timer_at: Millis,
-}
-
-impl Gateway {
-    pub(super) fn new(policy: Policy) -> Self {
-        Gateway { policy, events: Vec::new(), timer_at: 0.0 }
-    }
-}
-
 impl Simulation {
     /// Runs the gateways that have events or whose timer fires.
     pub(super) fn run_due_gateways(&mut self) {
@@ -37,7 +22,7 @@
         }
     }
 
-    /// Lets a gateway's policy handle its events, and performs its actions; again where these make new events.
+    /// Passes a gateway's events to its policy and carries out the actions, until these cause no more events.
     pub(super) fn run_gateway(&mut self, index: usize) {
         loop {
             let gateway = &mut self.gateways[index];
@@ -52,7 +37,7 @@
         }
     }
 
-    /// Performs an action; true where it cancelled an attempt.
+    /// Carries out an action; true if it cancelled an attempt.
     fn perform(&mut self, index: usize, action: Action) -> bool {
         match action {
             Action::SendAttempt { id, endpoint, .. } => self.send_attempt(id, host_of_endpoint(&endpoint)),
@@ -70,7 +55,7 @@
         false
     }
 
-    /// Cancels an attempt; false where it has ended already.
+    /// Cancels an attempt; false if it has already ended.
     fn cancel_attempt(&mut self, index: usize, id: RequestId, number: u32) -> bool {
         let Some(request) = self.requests.get_mut(&id) else { return false };
         let is_closed = request.is_closed;
--- a/crates/policy/src/state/canary.rs
+++ b/crates/policy/src/state/canary.rs
@@ -1,13 +1,13 @@
 //! The evidence on a canary, and the votes cast on it.
 
-use crate::Millis;
 use crate::action::Action;
 use crate::config::VotingConfig;
+use crate::log_event::{LogEvent, RejectionReason};
 use crate::rollout::{RolloutPhase, RolloutState, Verdict, Version};
-use crate::state::{
-    BySide, ClassEvidence, CommonFailures, EndpointIndex, EndpointRegistry, EndpointTable, MetricMoments,
-    OutcomeCounts, Sides, WeightedEvidence,
-};
+use crate::state::endpoint::{EndpointIndex, MetricMoments};
+use crate::state::evidence::{BySide, ClassEvidence, CommonFailures, OutcomeCounts, WeightedEvidence};
+use crate::state::registry::{EndpointRegistry, EndpointTable, Sides};
+use crate::time::Millis;
 
 /// A vote that was cast.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
     /// The chance of being wrong that the test may take.
     pub error_rate: f64,
     /// What was tested, for the log.
-    pub reason: &'static str,
+    pub reason: RejectionReason,
 }
 
 impl Suspicion {
@@ -60,7 +60,7 @@
 }
 
 /// The endpoints at the moment of an analysis.
-pub struct FleetView {
+pub struct AnalysisView {
     /// Ready endpoints of canaries.
     pub canary: Vec<EndpointIndex>,
     /// Ready endpoints of the baseline.
@@ -112,9 +112,9 @@
     /// Since when that is beyond doubt.
     pub confident_since: Option<Millis>,
     /// There are enough outcomes for a verdict.
-    pub has_enough_samples: bool,
+    pub has_min_samples: bool,
     /// All endpoints are probably slower than before the canary.
-    pub is_fleet_slower: bool,
+    pub are_all_slower: bool,
     /// Since when the canary gets nearly all requests before its promotion.
     pub full_traffic_since: Option<Millis>,
 
@@ -140,16 +140,16 @@
     /// It counts, for all that is known.
     pub vote_is_active: bool,
     /// Why the version was rejected, until the vote on it is cast.
-    pub rejection_log: Option<String>,
+    pub rejection_log: Option<LogEvent>,
 }
 
-impl FleetView {
+impl AnalysisView {
     /// What is seen now; `load_window`: the time over which load is counted.
     #[must_use]
     pub fn new(registry: &EndpointRegistry, sides: Sides, load_window: Millis, now: Millis) -> Self {
         let warmup = |index: &EndpointIndex| registry.warmup_factor(*index, now);
         let warmup: Vec<f64> = sides.canary.iter().map(warmup).collect();
-        FleetView {
+        AnalysisView {
             mean_canary_warmup: warmup.iter().sum::<f64>() / warmup.len().max(1) as f64,
             min_canary_warmup: warmup.into_iter().fold(1.0, f64::min),
             load: registry.arrivals_per_answering_endpoint(now - load_window),
@@ -241,7 +241,7 @@
     }
 
     /// Notes the time of an analysis, and remembers the promotion of the watched version for a while.
-    pub fn watch_promotion(&mut self, rollout: &RolloutState, view: &FleetView, duration: Millis) {
+    pub fn watch_promotion(&mut self, rollout: &RolloutState, view: &AnalysisView, duration: Millis) {
         self.analysed_at = view.now;
         self.is_without_baseline = view.baseline.is_empty();
         let (version, now) = (rollout.version, view.now);
@@ -253,15 +253,18 @@
     }
 
     /// Rejects the newest version for good; the reason is logged with the vote on it.
-    pub fn reject(&mut self, rollout: &RolloutState, reason: &str) {
+    pub fn reject(&mut self, rollout: &RolloutState, reason: RejectionReason) {
         let RolloutState { version, stage, .. } = *rollout;
-        let probability = self.probability_worse;
         let WeightedEvidence { failures, expected_failures, .. } = self.evidence;
         self.rejected_version = Some(version);
-        self.rejection_log = Some(format!(
-            "canary rejected version={version} stage={stage} reason={reason:?} probability={probability:.3} \
-             failures={failures:.0} expected={expected_failures:.0}"
-        ));
+        self.rejection_log = Some(LogEvent::CanaryRejected {
+            version,
+            stage,
+            reason,
+            probability: self.probability_worse,
+            failures,
+            expected_failures,
+        });
     }
 
     /// Whether a vote is to be cast now: it is new, or its lease is half over, or it did not count.
@@ -289,10 +292,8 @@
         let mut actions = vec![Action::CastVote { version, stage, verdict }];
         actions.extend(self.rejection_log.take().map(Action::Log));
         if is_new && verdict != Verdict::Abstain {
-            let probability = self.probability_worse;
-            actions.push(Action::Log(format!(
-                "vote cast verdict={verdict:?} version={version} stage={stage} probability_worse={probability:.3}"
-            )));
+            let probability_worse = self.probability_worse;
+            actions.push(Action::Log(LogEvent::VoteCast { verdict, version, stage, probability_worse }));
         }
         actions
     }
