--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -143,7 +143,8 @@
 }
 
 fn run_gateway(counters_interval: Option<Duration>) -> io::Result<ExitCode> {
-    run_on_one_thread(serve(counters_interval)).map(|()| ExitCode::SUCCESS)
+    let gateway = async { serve(counters_interval).await.map_err(io::Error::other) };
+    run_on_one_thread(gateway).map(|()| ExitCode::SUCCESS)
 }
 
 fn run_control_plane(file: &Path) -> io::Result<ExitCode> {
