--- a/crates/client/examples/app.rs
+++ b/crates/client/examples/app.rs
@@ -1,4 +1,4 @@
-//! An app that looks items up: `cargo run -p latchhaven-client --example app -- 127.0.0.1:15432`.
+//! An application that reads items: `cargo run -p latchhaven-client --example app -- 127.0.0.1:15432`.
 
 use latchhaven_client::{Client, ClientConfig, IdempotentRequest};
 
--- a/crates/client/examples/counter_terminal.rs
+++ b/crates/client/examples/counter_terminal.rs
@@ -1,4 +1,4 @@
-//! A counter terminal that takes a payment: one whose outcome is unknown is looked up, never sent again.
+//! A payment terminal: a payment whose outcome is unknown is verified by a read, and never sent again.
 
 use latchhaven_client::{Client, ClientConfig, NonIdempotentOutcome, NonIdempotentRequest};
 
--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -93,7 +93,7 @@
         self.timeout - now.since(&self.started_at)
     }
 
-    /// Attempts so far; each was written at least in part, or may have been.
+    /// Attempts so far, including an attempt whose query was possibly not written.
     #[must_use]
     pub fn attempts(&self) -> u32 {
         self.attempts
@@ -108,7 +108,7 @@
         NextStep::Attempt { backoff: 0.0, is_retry: false }
     }
 
-    /// Begins an attempt and returns the time remaining in ms, which is sent to the gateway; none where an attempt must
+    /// Begins an attempt and returns the time remaining in ms, which is sent to the gateway; none if an attempt must
     /// not be written now. The driver calls this immediately before writing: a call that was queued for a connection
     /// may have passed its timeout or its deduplication window.
     pub fn begin_attempt(&mut self, now: &Timestamp) -> Option<Millis> {
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -252,7 +252,7 @@
         }
     }
 
-    /// Makes one attempt under a new id; none where a name cannot be sent.
+    /// Makes one attempt under a new id; none if a name cannot be sent.
     async fn attempt(
         &self, connection: &mut AcquiredConnection, query: &Query<'_>, time_limit: Millis,
     ) -> Option<Result<Value, AttemptOutcome>> {
@@ -262,7 +262,7 @@
         Some(connection.attempt(&message, bounded_wait(time_limit)).await)
     }
 
-    /// Waits for a connection; none where the call was rejected by the full queue.
+    /// Waits for a connection; none if the call was rejected by the full queue.
     async fn acquire(&self, priority_weight: f64) -> Option<AcquiredConnection> {
         let call = self.shared.last_call.fetch_add(1, Ordering::Relaxed);
         let (reply, assigned) = oneshot::channel();
--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -17,7 +17,7 @@
 }
 
 impl GatewayConnection {
-    /// Connects; none where the gateway is not ready for a query.
+    /// Connects; none if the gateway is not ready for a query.
     pub(crate) async fn connect(id: u64, gateway: SocketAddr) -> Option<Self> {
         let mut stream = TcpStream::connect(gateway).await.ok()?;
         stream.set_nodelay(true).ok()?;
@@ -29,13 +29,13 @@
         }
     }
 
-    /// True where the gateway has closed it, or has sent bytes without a query.
+    /// True if the gateway has closed it, or has sent bytes without a query.
     pub(crate) fn is_unusable(&self) -> bool {
         let read = self.stream.try_read(&mut [0]);
         !matches!(read, Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// True where bytes remain that belong to no answer.
+    /// True if bytes remain that belong to no answer.
     pub(crate) fn has_unread_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
--- a/crates/client/src/pool.rs
+++ b/crates/client/src/pool.rs
@@ -77,7 +77,7 @@
     gateways: Vec<Gateway>,
     connections: BTreeMap<u64, Connection>,
     queue: CallQueue,
-    /// The last id that was assigned, to a connection or to a place in the queue.
+    /// The last id that was assigned, to a connection or to an entry of the queue.
     last_id: u64,
     rng: Pcg64Mcg,
     /// Monotonic time in ms before which no gateway is connected to: one was just lost.
@@ -85,7 +85,7 @@
 }
 
 impl Pool {
-    /// A pool for so many gateways; the seed determines their ranks and all delays.
+    /// A pool for this number of gateways; the seed determines their ranks and all delays.
     #[must_use]
     pub fn new(gateway_count: usize, limits: PoolLimits, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
--- a/crates/client/src/pool/gateway.rs
+++ b/crates/client/src/pool/gateway.rs
@@ -12,7 +12,7 @@
     pub(super) failures: u32,
     /// It is not connected to before.
     pub(super) retry_at: Millis,
-    /// When it answered last; none where it has not since its last failure.
+    /// When it answered last; none if it has not since its last failure.
     answered_at: Option<Millis>,
     /// Timeouts in a row.
     pub(super) consecutive_timeouts: u32,
--- a/crates/client/src/pool/queue.rs
+++ b/crates/client/src/pool/queue.rs
@@ -45,7 +45,7 @@
         Some(self.calls.remove(index).call)
     }
 
-    /// Removes the call that gets the next connection.
+    /// Removes and returns the call that is assigned the next connection.
     pub(super) fn pop(&mut self) -> Option<u64> {
         self.pops += 1;
         let calls = self.calls.iter().enumerate();
--- a/crates/client/src/pool_messages.rs
+++ b/crates/client/src/pool_messages.rs
@@ -9,7 +9,7 @@
     pub(crate) call: u64,
     /// Higher ones go first.
     pub(crate) priority_weight: f64,
-    /// Dropped where the call gets no connection.
+    /// Dropped if the call gets no connection.
     pub(crate) reply: oneshot::Sender<Box<GatewayConnection>>,
 }
 
--- a/crates/client/src/retry_budget.rs
+++ b/crates/client/src/retry_budget.rs
@@ -24,7 +24,7 @@
         self.saved_retries = rules::retries_after_first_attempt(self.saved_retries);
     }
 
-    /// Spends one retry; `now`: monotonic time in ms. Returns false where none is saved up.
+    /// Spends one retry; `now`: monotonic time in ms. Returns false if none is saved up.
     pub fn try_spend(&mut self, now: Millis) -> bool {
         self.refill_reserve(now);
         let has_retry = self.saved_retries >= 1.0;
--- a/crates/client/src/rules.rs
+++ b/crates/client/src/rules.rs
@@ -1,5 +1,6 @@
-//! The rules and limits of calls, retries, reconnects and pools. Pure: times, states and the random number generator
-//! are parameters. [`crate::call`], [`crate::retry_budget`] and [`crate::pool`] own the state and apply the rules.
+//! The rules and limits of calls, retries, reconnects, pools and messages. Pure: times, states and the random number
+//! generator are parameters. [`crate::call`], [`crate::retry_budget`] and [`crate::pool`] own the state and apply the
+//! rules.
 //!
 //! Problem: clients that lose a gateway together would reconnect and retry together, and overload the others.
 //! Method: delays with full jitter, a retry budget that is earned by first attempts, and a single connection to a
@@ -13,7 +14,7 @@
 const DEDUP_MARGIN: Millis = 20.0;
 /// The pause between attempts of a call; it doubles with each attempt.
 const RETRY_BACKOFF: ExponentialBackoff = ExponentialBackoff::new(25.0, 1_000.0, Jitter::Full);
-/// A `retry_after` is a minimum: up to this part of it is added at random.
+/// The largest part of a `retry_after` that is added at random: `retry_after` is a minimum.
 const RETRY_AFTER_JITTER: f64 = 0.5;
 /// Attempts of one call at most; its timeout usually ends it before.
 const MAX_ATTEMPTS: u32 = 8;
@@ -45,9 +46,9 @@
 
 /// The age at which a connection is closed varies by this part, so that those opened together do not close together.
 const AGE_JITTER: f64 = 0.2;
-/// One connection in so many goes to the call that is queued longest, whatever its priority.
+/// Every connection of this number goes to the call that is queued longest, regardless of priority.
 const FAIR_INTERVAL: u64 = 4;
-/// Requests for a connection that the pool driver has not yet received; further ones wait.
+/// Requests for a connection in the queue of the pool driver; further ones wait to be queued.
 pub(crate) const ACQUIRE_QUEUE_LENGTH: usize = 64;
 /// Bytes by which a connection's buffer grows before each read.
 pub(crate) const READ_SIZE: usize = 16 * 1024;
@@ -55,9 +56,16 @@
 const MAX_POLL_INTERVAL: Millis = 1_000.0;
 /// The shortest time in ms between two polls of the pool.
 const MIN_POLL_INTERVAL: Millis = 0.5;
-/// The longest span that is waited for: a day, in ms.
+/// The longest wait: a day, in ms.
 const MAX_WAIT: Millis = 86_400_000.0;
 
+/// The longest message of a gateway in bytes, with its framing.
+pub(crate) const MAX_MESSAGE_LENGTH: usize = 1 << 20;
+/// The largest sum of the lengths in bytes of all messages of one answer.
+pub(crate) const MAX_ANSWER_LENGTH: usize = 2 << 20;
+/// The longest name in a query, in bytes.
+pub(crate) const MAX_NAME_LENGTH: usize = 128;
+
 /// Connections of a process, unless configured.
 pub(crate) const DEFAULT_MAX_CONNECTIONS: usize = 8;
 /// Connections that are being opened concurrently, unless configured.
@@ -113,7 +121,7 @@
     pub(crate) min_request_time: Millis,
     /// Whether a second execution is harmless.
     pub(crate) idempotency: Idempotency,
-    /// Time in ms since the first attempt that was possibly executed; none where there was none.
+    /// Time in ms since the first attempt that was possibly executed; none if there was none.
     pub(crate) since_possibly_executed: Option<Millis>,
 }
 
@@ -146,7 +154,7 @@
     min_request_time.max(MIN_TIME_REMAINING)
 }
 
-/// The pause in ms before the attempt after so many.
+/// The pause in ms before the next attempt, after a number of attempts.
 pub(crate) fn retry_backoff(attempts: u32, rng: &mut impl Rng) -> Millis {
     RETRY_BACKOFF.delay(attempts, rng)
 }
@@ -175,17 +183,17 @@
     if answered_recently { 1 } else { failures + 1 }
 }
 
-/// Whether a gateway counts as lost after so many timeouts in a row.
+/// Whether a gateway counts as lost after this number of timeouts in a row.
 pub(crate) fn is_lost_after(consecutive_timeouts: u32) -> bool {
     consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS
 }
 
-/// The range in ms over which so many reconnecting clients spread; 0 where their number is unknown.
+/// The range in ms over which reconnecting clients spread; 0 if their number is unknown.
 pub(crate) fn reconnect_spread(reconnecting_clients: Option<u64>) -> Millis {
     reconnecting_clients.map_or(0.0, |clients| RECONNECT_DELAY_PER_THOUSAND * clients as f64 / 1000.0)
 }
 
-/// The delay in ms before a gateway with so many failures in a row, at least 1, is connected to again.
+/// The delay in ms before a reconnect to a gateway with this number of failures in a row, at least 1.
 pub(crate) fn reconnect_delay(failures: u32, reconnect_spread: Millis, rng: &mut impl Rng) -> Millis {
     let upper_bound = RECONNECT_BACKOFF.upper_bound(failures - 1).max(reconnect_spread);
     Jitter::Full.draw(upper_bound, rng)
@@ -209,12 +217,12 @@
     is_allowed && queued_calls > connecting
 }
 
-/// Whether the connection that is assigned as the `number`th goes to the call that is queued longest.
+/// Whether the assignment with this number, from 1, goes to the call that is queued longest.
 pub(crate) fn is_turn_of_longest_queued(number: u64) -> bool {
     number.is_multiple_of(FAIR_INTERVAL)
 }
 
-/// The time until the pool is polled again, given the time in ms until something is due.
+/// The time until the next poll of the pool, given the time in ms until its next action is due.
 pub(crate) fn poll_interval(until_due: Millis) -> Duration {
     bounded_wait(until_due.clamp(MIN_POLL_INTERVAL, MAX_POLL_INTERVAL))
 }
--- a/crates/client/src/wire/answer.rs
+++ b/crates/client/src/wire/answer.rs
@@ -1,11 +1,8 @@
 //! Reads answers from bytes as they arrive.
 
+use crate::rules::{MAX_ANSWER_LENGTH, MAX_MESSAGE_LENGTH};
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The longest message in bytes, with its framing.
-const MAX_MESSAGE_LENGTH: usize = 1 << 20;
-/// The largest sum of the lengths in bytes of all messages of one answer.
-const MAX_ANSWER_LENGTH: usize = 2 << 20;
 /// Bytes of a message before its body: its kind and its length.
 const HEADER_LENGTH: usize = 5;
 /// Bytes of a length field, which counts itself.
--- a/crates/client/src/wire/query.rs
+++ b/crates/client/src/wire/query.rs
@@ -1,10 +1,9 @@
 //! The bytes of a query and of the startup message.
 
+use crate::rules::MAX_NAME_LENGTH;
 use bytes::Bytes;
 use std::fmt::Write;
 
-/// The longest name in bytes.
-const MAX_NAME_LENGTH: usize = 128;
 /// Version 3.0 of the protocol.
 const PROTOCOL_VERSION: u32 = 3 << 16;
 
@@ -48,14 +47,14 @@
 }
 
 impl Query<'_> {
-    /// True where all names are plain.
+    /// True if all names are plain.
     #[must_use]
     pub fn has_plain_names(&self) -> bool {
         let names = [Some(self.id), Some(self.class), self.tenant, Some(self.item), self.key];
         names.into_iter().flatten().all(is_plain_name)
     }
 
-    /// The query message; none where a name is not plain.
+    /// The query message; none if a name is not plain.
     #[must_use]
     pub fn encode(&self) -> Option<Bytes> {
         if !self.has_plain_names() {
--- a/crates/client/tests/client.rs
+++ b/crates/client/tests/client.rs
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What a gateway says to a query; its messages.
+/// The messages of a gateway in reply to a query.
 const VALUE: &[Message] = &[(b'D', b"\0\x01\0\0\0\x03abc"), (b'C', b"SELECT 1\0"), READY];
 const REJECTED: &[Message] = &[(b'E', b"SERROR\0C53300\0\0"), READY];
 const REJECTED_FOR_30_S: &[Message] = &[(b'E', b"SERROR\0C53300\0D30000\0\0"), READY];
@@ -30,7 +30,7 @@
     bytes
 }
 
-/// What a gateway does with a query.
+/// The reply of a gateway to a query.
 #[derive(Clone, Copy, Debug)]
 enum Reply {
     Send(&'static [Message]),
@@ -40,7 +40,7 @@
     Nothing,
 }
 
-/// What a gateway has seen.
+/// The records of a gateway.
 #[derive(Default)]
 struct Log {
     connections: usize,
--- a/crates/client/tests/pool.rs
+++ b/crates/client/tests/pool.rs
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Takes a step; none where no connection is there for it.
+    /// Takes a step; none if no connection is there for it.
     fn apply(&mut self, step: Step) -> Option<Vec<PoolAction>> {
         let now = self.now;
         Some(match step {
--- a/crates/client/tests/retry_budget.rs
+++ b/crates/client/tests/retry_budget.rs
@@ -12,7 +12,7 @@
         retries += u32::from(budget.try_spend(now));
     }
     assert!((1_000..=1_010).contains(&retries), "{retries}");
-    // Then the process is idle for a minute, and one call fails again and again.
+    // Then the process is idle for a minute, and one call fails repeatedly.
     let retries = (0..100).filter(|number| budget.try_spend(70_000.0 + f64::from(*number))).count();
     assert_eq!(retries, 2);
 }
--- a/crates/experiments/src/reconnect_storm/model.rs
+++ b/crates/experiments/src/reconnect_storm/model.rs
@@ -15,7 +15,7 @@
 pub(super) const BACK_AT: Millis = 35_000.0;
 /// Calls of one client in one second.
 pub(super) const CALLS_PER_SECOND: f64 = 0.5;
-/// A new connection costs a gateway as much as so many requests.
+/// The work of a handshake, in requests.
 pub(super) const HANDSHAKE_COST: f64 = 3.0;
 /// Connections in handshake at most; further ones are refused.
 pub(super) const MAX_PENDING_HANDSHAKES: usize = 1024;
--- a/crates/experiments/src/soak/directory.rs
+++ b/crates/experiments/src/soak/directory.rs
@@ -100,7 +100,7 @@
         Directory { services: services.collect(), state }
     }
 
-    /// The address of a gateway's service after so many moves.
+    /// The address of a gateway's service after this number of moves.
     pub(super) fn address(&self, gateway: usize, moves: usize) -> SocketAddr {
         self.services[gateway][moves % ADDRESSES].addr
     }
--- a/crates/experiments/src/xds/propagation.rs
+++ b/crates/experiments/src/xds/propagation.rs
@@ -56,7 +56,7 @@
     Some(millis(first_use.at.duration_since(decision.at)))
 }
 
-/// The ms after the control service's return until all proxies used the last decision before it; none where one did
+/// The ms after the control service's return until all proxies used the last decision before it; none if one did
 /// not, or the service was not killed.
 pub(super) fn recovery_time(decisions: &[Decision], testbed: &Testbed, faults: &FaultTimes) -> Option<u64> {
     let back_at = faults.control_restarted?;
--- a/crates/test-support/src/fake_http.rs
+++ b/crates/test-support/src/fake_http.rs
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Writes the reply; none where the connection has ended.
+    /// Writes the reply; none if the connection has ended.
     fn reply_to(&self, call: &HttpCall, stream: &mut TcpStream) -> Option<HttpReply> {
         // Locked from the reply until the stream is registered: a change in between would be missing from both.
         let mut streams = lock(&self.streams);
--- a/crates/test-support/src/fake_server.rs
+++ b/crates/test-support/src/fake_server.rs
@@ -25,13 +25,13 @@
 pub enum ServerBehavior {
     /// Responds with a row that contains the id of the query.
     Succeed,
-    /// The same, after so many ms.
+    /// The same, after a delay in ms.
     SucceedAfter(u64),
     /// Responds with an error of this SQLSTATE, and stays ready.
     Fail(&'static str),
     /// Responds with an error of this SQLSTATE, and closes the connection.
     FailAndClose(&'static str),
-    /// Fails one in so many queries with this SQLSTATE; the others succeed.
+    /// Fails every query of this number with this SQLSTATE; the others succeed.
     FailOneIn(usize, &'static str),
     /// Does not respond.
     NeverRespond,
@@ -43,9 +43,9 @@
     TruncateRow,
     /// Responds with bytes that are not a message.
     RespondGarbage,
-    /// Responds and, so many ms later, before another query, writes the row once more.
+    /// Responds, and writes the row a second time after a delay in ms, before it reads another query.
     RespondTwice(u64),
-    /// Responds with a value of so many bytes.
+    /// Responds with a value of this length in bytes.
     LargeValue(usize),
     /// Responds with a malformed error whose SQLSTATE means "not executed".
     UndecodableError,
--- a/crates/test-support/src/gateway.rs
+++ b/crates/test-support/src/gateway.rs
@@ -72,7 +72,7 @@
     let folder = std::env::temp_dir();
     let config_path = format!("{}/latchhaven-{}-{number}.json", folder.display(), std::process::id());
     std::fs::write(&config_path, config).expect("the configuration is written");
-    // Both streams go to one pipe, as in a container's log.
+    // Both output streams go to one pipe, so that their lines are in one log.
     let mut command = Command::new("/bin/sh");
     command.args(["-c", "exec \"$0\" 1>&2"]).arg(program());
     command.env_clear().env("BALANCER_CONFIG", &config_path);
--- a/crates/test-support/src/process.rs
+++ b/crates/test-support/src/process.rs
@@ -17,7 +17,7 @@
 const KIB_PER_MIB: f64 = 1024.0;
 /// The fields of `/proc/PID/stat` with the CPU time in user and in system mode, counted after the command.
 const CPU_TIME_FIELDS: [usize; 2] = [11, 12];
-/// Time between two checks whether a paused log is read again.
+/// The interval of checks whether the reading of a paused log is resumed.
 const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// The program in the folder of this one, or in the folder above: tests are one folder below.
--- a/crates/test-support/src/resource_cache/cache.rs
+++ b/crates/test-support/src/resource_cache/cache.rs
@@ -293,7 +293,7 @@
     }
 }
 
-/// True where a wanted name, or a wanted glob collection, covers the name.
+/// True if a wanted name, or a wanted glob collection, covers the name.
 fn is_wanted(want: &str, name: &str) -> bool {
     want == name || want.strip_suffix('*').is_some_and(|prefix| name.starts_with(prefix))
 }
--- a/crates/test-support/src/resource_cache/decode.rs
+++ b/crates/test-support/src/resource_cache/decode.rs
@@ -74,7 +74,7 @@
     pub(super) resource: CachedResource,
 }
 
-/// Decodes a resource; none where it is malformed.
+/// Decodes a resource; none if it is malformed.
 pub(super) fn decode(resource_type: ResourceType, any: &Any, version_label: &str) -> Option<DecodedResource> {
     let bytes = any.value.as_slice();
     let mut resource =
