--- a/crates/experiments/src/rollout_simulation/platform.rs
+++ b/crates/experiments/src/rollout_simulation/platform.rs
@@ -1,63 +1,21 @@
 //! The platform: rollouts, their hosts, and its reports.
 
 use super::model::{CapChange, RoutingMode, Vote};
+use super::outcomes::outcome_report;
 use super::parameters::{
-    CLASSES, OUTCOME_REPORT_AGE, OUTCOME_REPORT_INTERVAL, ROLLBACK_TIME, ROLLOUT_STARTS, SOAK_TIME,
-    STAGE_CAPS, STAGE_HOST_SHARES, UNANALYSED_STAGE_TIME, host_address,
+    OUTCOME_REPORT_INTERVAL, ROLLBACK_TIME, ROLLOUT_STARTS, SOAK_TIME, STAGE_CAPS, STAGE_HOST_SHARES,
+    UNANALYSED_STAGE_TIME, host_address,
 };
 use super::simulation::Simulation;
 use latchhaven_policy::{
-    AttemptOutcome, EndpointEntry, Event, Millis, OutcomeReport, RolloutPhase, RolloutState, UpdateKind,
-    Verdict, Version,
+    EndpointEntry, Event, Millis, RolloutPhase, RolloutState, UpdateKind, Verdict, Version,
 };
-use std::collections::BTreeMap;
 
-/// The versions before and of the first rollout.
+/// The version before the first rollout, and the versions of the two rollouts.
 const FIRST_VERSION: Version = Version(1);
 const SECOND_VERSION: Version = Version(2);
 const THIRD_VERSION: Version = Version(3);
 
-/// Outcomes of attempts at one version in one class.
-#[derive(Clone, Copy, Default)]
-struct OutcomeCounts {
-    attempts: u64,
-    failures: u64,
-    /// Of attempts that did not fail, in ms.
-    total_latency: Millis,
-}
-
-/// Outcomes that the platform has not reported yet.
-#[derive(Default)]
-pub(super) struct UnreportedOutcomes {
-    counts: BTreeMap<(Version, usize), OutcomeCounts>,
-    reported_at: Millis,
-}
-
-impl UnreportedOutcomes {
-    pub(super) fn record(
-        &mut self, version: Version, class: usize, outcome: AttemptOutcome, elapsed: Millis,
-    ) {
-        let counts = self.counts.entry((version, class)).or_default();
-        counts.attempts += 1;
-        match outcome {
-            AttemptOutcome::Error => counts.failures += 1,
-            _ => counts.total_latency += elapsed,
-        }
-    }
-}
-
-fn outcome_report(version: Version, class: usize, counts: OutcomeCounts) -> OutcomeReport {
-    let successes = counts.attempts - counts.failures;
-    OutcomeReport {
-        version,
-        class: CLASSES[class].name.to_string(),
-        attempts: counts.attempts,
-        failures: counts.failures,
-        mean_latency: (successes > 0).then(|| counts.total_latency / successes as f64),
-        age: OUTCOME_REPORT_AGE,
-    }
-}
-
 impl Simulation {
     /// Reports the endpoint list to the control service and all gateways.
     pub(super) fn publish_endpoints(&mut self) {
@@ -89,17 +47,14 @@
     }
 
     fn set_rollout(&mut self, version: Version, stage: u32, phase: RolloutPhase, traffic_cap: f64) {
-        let state = &mut self.rollout.state;
-        state.version = version;
-        state.stage = stage;
-        state.phase = phase;
-        state.traffic_cap = traffic_cap;
+        let age = self.rollout.state.age;
+        self.rollout.state = RolloutState { version, stage, phase, traffic_cap, age };
         self.rollout.state_since = self.now;
         self.rollout.caps.push(CapChange { at: self.now, cap: traffic_cap });
         self.publish_rollout();
     }
 
-    /// Starts the first hosts, up to this share, with a version; they finish the work in hand first.
+    /// Starts this share of the hosts with a version; requests in flight are completed.
     fn deploy(&mut self, host_share: f64, version: Version) {
         let count = (host_share * self.hosts.len() as f64).round() as usize;
         for host in self.hosts.iter_mut().take(count).filter(|host| host.version != version) {
@@ -109,7 +64,7 @@
         self.publish_endpoints();
     }
 
-    /// The platform acts on votes or, where nothing analyses the canary, on time.
+    /// Advances the rollout by votes or, without canary analysis, by time.
     pub(super) fn advance_rollout(&mut self) {
         let RolloutState { version, stage, phase, .. } = self.rollout.state;
         match phase {
@@ -117,7 +72,7 @@
             RolloutPhase::RollingBack => self.finish_due_rollback(version, stage),
             RolloutPhase::Canary => self.advance_canary(version, stage),
         }
-        // A version that was promoted and is rejected afterwards is rolled back as well.
+        // A version may be rejected after its promotion.
         let is_rejected = self.is_voted(version, stage, Verdict::RollBack) && version > FIRST_VERSION;
         if phase == RolloutPhase::Promoted && is_rejected {
             self.set_rollout(version, stage, RolloutPhase::RollingBack, 0.0);
@@ -173,7 +128,7 @@
         }
     }
 
-    /// Reports outcomes to the control service and all gateways, when it is time.
+    /// Reports outcomes to the control service and all gateways at their interval.
     pub(super) fn report_outcomes(&mut self) {
         if self.now - self.outcomes.reported_at < OUTCOME_REPORT_INTERVAL {
             return;
--- a/crates/gateway/src/gateway/event_loop.rs
+++ b/crates/gateway/src/gateway/event_loop.rs
@@ -1,20 +1,22 @@
-//! The event loop: events of the drivers in, actions of the decisions out.
+//! The event loop: passes events of the drivers to the decisions, and executes the resulting actions.
 
 use super::Gateway;
 use super::timers::Timer;
 use crate::config::InitialState;
 use crate::counters::COUNTERS;
 use crate::invariant;
+use crate::limits::MAX_PENDING_EVENTS;
+use crate::net::DriverEvent;
 use crate::net::platform::{OutcomeCounts, Vote};
 use crate::net::upstream::{CallResult, UpstreamCall};
-use crate::net::{DriverEvent, MAX_PENDING_EVENTS};
+use crate::policy_log;
 use latchhaven_policy::{Action, AttemptOutcome, Event, Millis, Verdict, Version, VoteOutcome};
 use tokio::select;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
 impl Gateway {
-    /// Starts from what was known, and serves until dropped.
+    /// Starts with the cached list and rollout state, and serves until dropped.
     pub async fn run(mut self, initial_state: InitialState, mut events: mpsc::Receiver<DriverEvent>) {
         self.start(initial_state);
         let mut batch = Vec::new();
@@ -42,8 +44,8 @@
         self.decide(events);
     }
 
-    /// Waits for an event or a timer, and takes all events that are there. Tasks run in the order in which they were
-    /// woken: all that this wake-up brought is there by then.
+    /// Waits for an event or a timer, then drains the queue into `batch`. Tasks run in the order in which they were woken,
+    /// so the events of the drivers that woke together are in one batch.
     async fn wait(&self, events: &mut mpsc::Receiver<DriverEvent>, batch: &mut Vec<DriverEvent>) {
         if self.next_events.is_empty() {
             let timer = self.timers.next_at().map(|at| self.clock.instant(at));
@@ -127,7 +129,7 @@
     fn perform(&mut self, action: Action) {
         match action {
             Action::SendAttempt { id, endpoint, timeout, write_within } => {
-                self.send_attempt(id, endpoint, timeout, write_within);
+                self.send_attempt(id, &endpoint, timeout, write_within);
             }
             Action::Reject { id, retry_after, reason } => self.reject(id, retry_after, reason),
             Action::Fail { id, reason } => self.fail(id, reason),
@@ -137,7 +139,7 @@
                 self.next_events.append(&mut events);
             }
             Action::SetTimer { after, token } => self.set_policy_timer(after, token),
-            Action::HealthCheck { endpoint } => self.check_health(endpoint),
+            Action::HealthCheck { endpoint } => self.check_health(&endpoint),
             Action::CloseIdleConnections { endpoint } => self.pool.close_idle(&endpoint),
             Action::WatchEndpoints { enabled } => {
                 self.discovery.set_watch(enabled);
@@ -148,8 +150,8 @@
                 self.run_discovery_commands();
             }
             Action::CastVote { version, stage, verdict } => self.cast_vote(version, stage, verdict),
-            Action::Log(line) => tracing::info!("{line}"),
-            // There is no protocol between gateways yet.
+            Action::Log(event) => policy_log::log_event(&event),
+            // Gateways have no protocol between them.
             Action::SendPeerMessage { .. } => {}
         }
     }
@@ -160,11 +162,11 @@
 
     fn cast_vote(&mut self, version: Version, stage: u32, verdict: Verdict) {
         let vote = Vote { version, stage, verdict, cast_at: Instant::now() };
-        invariant!(self.votes.try_send(vote).is_ok(), "few votes wait for the platform");
+        invariant!(self.votes.try_send(vote).is_ok(), "the queue of votes is not full");
     }
 }
 
-/// Updates of the list and the platform come before everything that is decided after them.
+/// Updates of the endpoint list and the platform precede other events of a batch, so that decisions use them.
 fn is_update(event: &DriverEvent) -> bool {
     matches!(
         event,
--- a/crates/policy/tests/policy/support/config.rs
+++ b/crates/policy/tests/policy/support/config.rs
@@ -1,11 +1,11 @@
-//! A policy's configuration, with what tests vary.
+//! The configuration of policies under test.
 
 use latchhaven_policy::{
     CostConfig, DedupScope, DiscoveryConfig, ExposureConfig, GatewayIdentity, Idempotency, Millis,
     Permissions, PolicyConfig, RequestClass, SlowStartConfig, VotingConfig,
 };
 
-/// What tests vary of a policy's configuration.
+/// The part of a policy's configuration that tests vary.
 pub(crate) struct TestConfig {
     pub(crate) seed: u64,
     pub(crate) gateway_count: u32,
@@ -77,7 +77,7 @@
             classes: config.classes,
             permissions: config.permissions,
             discovery: DiscoveryConfig {
-                must_subscribe: true,
+                requires_subscription: true,
                 max_poll_interval: 10_000.0,
                 update_delay_after_start: 0.0,
                 update_delay_after_loss: config.update_delay_after_loss,
