--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -93,7 +93,7 @@
             Event::EndpointUpdate { kind, entries, .. } => self.on_endpoint_update(kind, &entries, now),
             Event::EndpointUpdateFailed(failure) => self.on_update_failed(&failure, now),
             Event::EndpointUpdateFromPreviousAddress { kind, entries } => {
-                self.apply_entries(kind, &entries, now)
+                self.apply_entries(kind, &entries, now);
             }
             Event::DiscoveryMoved => self.registry.lease.move_discovery(&self.registry.discovery, now),
             Event::RequestReceived(request) => self.on_request(request, now),
@@ -207,8 +207,9 @@
         let attempts = outcomes.attempts as f64;
         let error_rate = outcomes.failures as f64 / attempts;
         let endpoint = &mut self.registry.endpoints[index];
-        let ejection = outlier::record_reported_errors(endpoint, attempts, error_rate, now);
-        ejection.into_iter().for_each(|reason| self.eject(index, reason, now));
+        if let Some(reason) = outlier::record_reported_errors(endpoint, attempts, error_rate, now) {
+            self.eject(index, reason, now);
+        }
         let objective = self.classes[class].latency_objective;
         let time_left = outcomes.mean_latency.map_or(0.0, |latency| 1.0 - latency / objective);
         let quality = admission::reported_quality(error_rate, time_left);
@@ -240,7 +241,7 @@
             canary_share: routing::canary_share(&share_inputs),
             is_canary_rejected,
             endpoints: self.registry.snapshot(now),
-            shed_probability: self.shed_probability(&None, now).clamp(0.0, 1.0),
+            shed_probability: self.shed_probability(None, now).clamp(0.0, 1.0),
         }
     }
 
@@ -308,7 +309,7 @@
         let was_answered = std::mem::replace(&mut request.is_answered, true);
         let (tenant, attempts) = (request.tenant.clone(), request.attempts.len());
         if !was_answered && request.arrived_at >= self.stalled_until && attempts > 0 {
-            for service in self.requests.service_levels(&tenant) {
+            for service in self.requests.service_levels(tenant.as_deref()) {
                 service.record(now, 1.0, quality);
             }
         }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -4,6 +4,16 @@
 //! order returned. The crate is pure: it does no I/O, reads no clock and depends on no protocol. Times are in
 //! milliseconds. docs/another-front.md defines the duties of an adapter.
 
+#![warn(clippy::pedantic)]
+#![allow(clippy::cast_precision_loss, reason = "counts are far below 2^52")]
+#![allow(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "casts follow a clamp or a bounded count"
+)]
+#![allow(clippy::float_cmp, reason = "equal draws count half; infinity marks a confirmed list")]
+#![allow(clippy::struct_excessive_bools, reason = "inputs of rules are independent conditions")]
+
 mod admission;
 mod canary;
 mod discovery_calls;
--- a/crates/policy/src/list_lease.rs
+++ b/crates/policy/src/list_lease.rs
@@ -63,10 +63,8 @@
     pub(crate) fn fail(&mut self, failure: &UpdateFailure, discovery: &DiscoveryConfig, now: Millis) {
         let is_silent = failure.silent_for > 0.0;
         let confirmed_at = now - failure.silent_for;
-        let delay = match is_silent {
-            true => discovery.update_delay_after_silence,
-            false => discovery.update_delay_after_loss,
-        };
+        let delay =
+            if is_silent { discovery.update_delay_after_silence } else { discovery.update_delay_after_loss };
         self.confirmed_at = self.confirmed_at.min(confirmed_at);
         self.shorten(confirmed_at + delay, discovery);
         if failure.may_have_lost_update {
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -62,8 +62,12 @@
         }
         let unresponsive = self.unresponsive_attempts(now);
         let overdue = self.requests.overdue(now);
-        overdue.into_iter().for_each(|id| self.answer_overdue(id, now));
-        unresponsive.into_iter().for_each(|(id, attempt)| self.hedge_or_retry(id, attempt, now));
+        for id in overdue {
+            self.answer_overdue(id, now);
+        }
+        for (id, attempt) in unresponsive {
+            self.hedge_or_retry(id, attempt, now);
+        }
         if let Some(rollout) = self.exposure.rollout
             && now - self.analysis.analysed_at >= ANALYSIS_INTERVAL - TIMER_ROUNDING
         {
@@ -87,7 +91,7 @@
         let longest_timeout = self.requests.record_timeout(class, incoming.time_remaining);
         let objective = admission::remaining_objective(&incoming, &self.classes[class], longest_timeout);
         let draw = self.rng.random::<f64>();
-        let shed_probability = self.shed_probability(&incoming.tenant, now);
+        let shed_probability = self.shed_probability(incoming.tenant.as_deref(), now);
         let shed_probability = admission::rejection_probability(shed_probability, incoming.is_retry);
         self.requests.requests.insert(id, Request::new(incoming, class, objective, now));
         if draw < shed_probability {
@@ -131,8 +135,9 @@
         let objective = self.classes[request.class].objective_for(request.expected_work);
         self.analysis.record_outcome(endpoint, attempt, request, outcome, elapsed, objective);
         let queueing = outlier::queueing(elapsed, attempt.warmup_factor, objective, request.expected_work);
-        let ejection = outlier::record_outcome(endpoint, outcome, queueing, now);
-        ejection.into_iter().for_each(|reason| self.eject(attempt.endpoint, reason, now));
+        if let Some(reason) = outlier::record_outcome(endpoint, outcome, queueing, now) {
+            self.eject(attempt.endpoint, reason, now);
+        }
     }
 
     /// Closes a request that has its answer; retries or answers one without attempts in flight.
@@ -181,14 +186,15 @@
 
     /// A request waits at an unresponsive endpoint: hedged where permitted, else cancelled to be sent again.
     fn hedge_or_retry(&mut self, id: RequestId, attempt: usize, now: Millis) {
-        let shed_probability = self.shed_probability(&None, now);
+        let shed_probability = self.shed_probability(None, now);
         if !retry::is_early_retry_allowed(shed_probability, self.requests.retry_budget) || !self.can_retry(id)
         {
             return;
         }
-        let is_retried = match self.permissions.hedging {
-            true => self.route(id, &self.partition(false), now),
-            false => self.cancel(id, attempt),
+        let is_retried = if self.permissions.hedging {
+            self.route(id, &self.partition(false), now)
+        } else {
+            self.cancel(id, attempt)
         };
         if is_retried {
             self.requests.retry_budget -= 1.0;
@@ -204,7 +210,10 @@
         if self.registry.is_list_expired(now) {
             let reason = UnservedReason::ListExpired { expired_for: now - self.registry.lease.expires_at() };
             let queued = std::mem::take(&mut self.requests.queue);
-            return queued.into_iter().for_each(|id| self.answer_unserved(id, reason, now));
+            for id in queued {
+                self.answer_unserved(id, reason, now);
+            }
+            return;
         }
         let sides = [self.partition(true), self.partition(false)];
         let ready_endpoints = sides[1].canary.len() + sides[1].baseline.len();
@@ -234,9 +243,10 @@
         let is_canary_first = routing::is_canary_first(coin, &self.coin_inputs(sides));
         let is_rolling_back = self.exposure.is_rolling_back();
         let warming = routing::warming_endpoints(sides, &self.registry, is_rolling_back, now);
-        let order = match is_canary_first {
-            true => [&warming, &sides.canary, &sides.baseline],
-            false => [&warming, &sides.baseline, &sides.canary],
+        let order = if is_canary_first {
+            [&warming, &sides.canary, &sides.baseline]
+        } else {
+            [&warming, &sides.baseline, &sides.canary]
         };
         let chosen = order.into_iter().find_map(|candidates| self.choose_endpoint(id, candidates, now));
         chosen.is_some_and(|index| self.send_attempt(id, index, now))
@@ -283,7 +293,7 @@
     }
 
     /// The probability of rejecting a new request of a tenant; below 0 without overload.
-    pub(crate) fn shed_probability(&mut self, tenant: &Option<String>, now: Millis) -> f64 {
+    pub(crate) fn shed_probability(&mut self, tenant: Option<&str>, now: Millis) -> f64 {
         admission::shed_probability(self.requests.service_levels(tenant), now)
     }
 
--- a/crates/policy/src/state/canary.rs
+++ b/crates/policy/src/state/canary.rs
@@ -314,10 +314,9 @@
     /// Adds reported counts of a version and class.
     pub fn record_reported(&mut self, version: Version, class: usize, counts: OutcomeCounts) {
         let reported = &mut self.classes[class].reported;
-        match self.watched_version == Some(version) {
-            true => reported.canary.add(counts),
-            false => reported.baseline.add(counts),
-        }
+        let is_watched = self.watched_version == Some(version);
+        let side = if is_watched { &mut reported.canary } else { &mut reported.baseline };
+        side.add(counts);
     }
 }
 
--- a/crates/policy/src/state/exposure.rs
+++ b/crates/policy/src/state/exposure.rs
@@ -87,9 +87,8 @@
 
     /// Records that a version has answered a key: while that version is not rolled back, the key goes to no earlier one.
     pub fn record_sticky_key(&mut self, key: &str, version: Version, lowest_version: Version) {
-        let is_in_use = self.rollout.is_none_or(|rollout| match is_in_use(&rollout) {
-            true => version >= rollout.version,
-            false => version > rollout.version,
+        let is_in_use = self.rollout.is_none_or(|rollout| {
+            if is_in_use(&rollout) { version >= rollout.version } else { version > rollout.version }
         });
         if self.config.sticky_keys && version > lowest_version && is_in_use {
             let sticky = self.sticky_versions.entry(key.to_string()).or_insert(version);
--- a/crates/policy/src/state/registry.rs
+++ b/crates/policy/src/state/registry.rs
@@ -247,9 +247,10 @@
     #[must_use]
     pub fn warmup_factor(&self, index: EndpointIndex, now: Millis) -> f64 {
         let started_at = self.endpoints[index].started_at;
-        let progress = match started_at <= 0.0 {
-            true => 1.0,
-            false => ((now - started_at) / self.slow_start.duration).clamp(0.0, 1.0),
+        let progress = if started_at <= 0.0 {
+            1.0
+        } else {
+            ((now - started_at) / self.slow_start.duration).clamp(0.0, 1.0)
         };
         self.slow_start.initial_capacity + (1.0 - self.slow_start.initial_capacity) * progress
     }
--- a/crates/policy/src/state/requests.rs
+++ b/crates/policy/src/state/requests.rs
@@ -299,16 +299,19 @@
     }
 
     /// The service level of all requests, then that of one tenant's.
-    pub fn service_levels(&mut self, tenant: &Option<String>) -> [&mut ServiceLevel; 2] {
-        self.evict_tenant_if_full(tenant);
+    pub fn service_levels(&mut self, tenant: Option<&str>) -> [&mut ServiceLevel; 2] {
+        let tenant = tenant.map(str::to_string);
+        if !self.tenant_service.contains_key(&tenant) {
+            self.evict_tenant_if_full();
+        }
         let half_life = self.overall_service.half_life;
-        let tenant = self.tenant_service.entry(tenant.clone()).or_insert(ServiceLevel::new(half_life));
+        let tenant = self.tenant_service.entry(tenant).or_insert(ServiceLevel::new(half_life));
         [&mut self.overall_service, tenant]
     }
 
     /// Clients set tenant names, so their number is bounded: the least recently updated is removed.
-    fn evict_tenant_if_full(&mut self, tenant: &Option<String>) {
-        if self.tenant_service.len() < MAX_RETAINED_TENANTS || self.tenant_service.contains_key(tenant) {
+    fn evict_tenant_if_full(&mut self) {
+        if self.tenant_service.len() < MAX_RETAINED_TENANTS {
             return;
         }
         let by_age =
--- a/crates/policy/src/verdict.rs
+++ b/crates/policy/src/verdict.rs
@@ -73,7 +73,7 @@
         self.refresh(endpoints, view, rollout);
         self.watch_promotion(rollout, view, PROMOTION_WATCH);
         let context = self.context(rollout, MIN_OUTCOMES);
-        let test_results = self.test_results(rng, endpoints, view, &context);
+        let test_results = self.test_results(rng, endpoints, view, context);
         let has_outcomes = |members| endpoints.pooled_metric(Metric::Success, members).count >= MIN_OUTCOMES;
         let has_own = has_outcomes(&view.canary) && (context.is_alone || has_outcomes(&view.baseline));
         self.has_min_samples = context.is_canary && (has_own || self.reported_attempts >= MIN_OUTCOMES);
@@ -91,8 +91,7 @@
 
     /// The results of all tests that apply; of equal ones the last is logged.
     fn test_results(
-        &mut self, rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &AnalysisView,
-        context: &CanaryContext,
+        &mut self, rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &AnalysisView, context: CanaryContext,
     ) -> Vec<TestResult> {
         // Own outcomes differ between gateways, which share δ; reports are the same for all.
         let error_rate = self.own_error_rate / ANALYSES_PER_VERSION;
@@ -126,9 +125,10 @@
         let canary = endpoints.metric_of(Metric::Correctness, &view.canary);
         let canary = RunningMoments::pooled_without_worst(&canary);
         // Without a baseline the canary is compared with the time before it.
-        let baseline = match view.baseline.is_empty() {
-            true => self.metrics_before_canary[Metric::Correctness],
-            false => endpoints.pooled_metric(Metric::Correctness, &view.baseline),
+        let baseline = if view.baseline.is_empty() {
+            self.metrics_before_canary[Metric::Correctness]
+        } else {
+            endpoints.pooled_metric(Metric::Correctness, &view.baseline)
         };
         let expected = FAILURE_MARGIN * canary.count * (wrong(&baseline) + 1.0) / baseline.count.max(1.0);
         poisson_probability_of_fewer(expected, wrong(&canary), MAX_FAILURES)
@@ -136,8 +136,7 @@
 
     /// The probability that all endpoints are slower than before the canary: it may slow those of the baseline as well.
     fn slowdown_of_all_endpoints(
-        &mut self, rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &AnalysisView,
-        context: &CanaryContext,
+        &mut self, rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &AnalysisView, context: CanaryContext,
     ) -> Option<f64> {
         let members = if view.baseline.is_empty() { &view.canary } else { &view.baseline };
         let speed = endpoints.pooled_metric(Metric::Latency, members);
--- a/crates/policy/tests/policy/robustness.rs
+++ b/crates/policy/tests/policy/robustness.rs
@@ -107,7 +107,7 @@
         assert_eq!(registry.endpoints[stays].version, Version(1));
         entry.status = EndpointStatus::Removed;
         registry.apply(std::slice::from_ref(&entry), false, 2.0, &mut rng, 0.0);
-        for service in requests.service_levels(&Some(format!("t{n}"))) {
+        for service in requests.service_levels(Some(&format!("t{n}"))) {
             service.record(f64::from(n), 1.0, 1.0);
         }
         exposure.record_attempt(Version(n), 0, 100.0 * f64::from(n));
