--- a/crates/policy/src/state/canary.rs
+++ b/crates/policy/src/state/canary.rs
@@ -1,6 +1,6 @@
 //! The state of the analysis of a canary: evidence, results of the tests, and the votes cast.
 //!
-//! [`crate::canary`] and [`crate::verdict`] update it. A rejection is final: it remains in
+//! `crate::canary` and `crate::verdict` update it. A rejection is final: it remains in
 //! [`CanaryAnalysis::rejected_version`] until a later version is rejected.
 
 use crate::action::Action;
--- a/crates/policy/src/state/endpoint.rs
+++ b/crates/policy/src/state/endpoint.rs
@@ -1,6 +1,6 @@
 //! One endpoint: what the list says of it, and what this gateway's attempts show.
 //!
-//! [`crate::outlier`], [`crate::canary`] and the registry update it; [`crate::routing`] reads it.
+//! `crate::outlier`, `crate::canary` and the registry update it; `crate::routing` reads it.
 
 use crate::endpoint::{EndpointEntry, EndpointStatus};
 use crate::rollout::Version;
--- a/crates/policy/src/state/evidence.rs
+++ b/crates/policy/src/state/evidence.rs
@@ -1,6 +1,6 @@
 //! Counts and moments that are the evidence on a canary.
 //!
-//! [`crate::canary`] fills and compares them, [`crate::verdict`] tests them; thresholds are parameters.
+//! `crate::canary` fills and compares them, `crate::verdict` tests them; thresholds are parameters.
 
 use crate::statistics::RunningMoments;
 use crate::time::Millis;
--- a/crates/policy/src/state/exposure.rs
+++ b/crates/policy/src/state/exposure.rs
@@ -1,6 +1,6 @@
 //! Counts of the attempts at each canary and of the requests that arrived, and the versions of sticky keys.
 //!
-//! The rule on exposure ([`crate::exposure`]) reads them; each arrival and each attempt is recorded here.
+//! The rule on exposure (`crate::exposure`) reads them; each arrival and each attempt is recorded here.
 
 use crate::config::ExposureConfig;
 use crate::rollout::{RolloutPhase, RolloutState, Version};
--- a/crates/policy/src/state/requests.rs
+++ b/crates/policy/src/state/requests.rs
@@ -1,6 +1,6 @@
 //! Requests from their arrival until their last attempt has ended, the queue, and how well requests are served.
 //!
-//! [`crate::admission`] and [`crate::retry`] decide on them; [`Policy`](crate::Policy) applies the results here.
+//! `crate::admission` and `crate::retry` decide on them; [`Policy`](crate::Policy) applies the results here.
 
 use crate::event::{CompletedAttempt, IncomingRequest};
 use crate::request::{AttemptOutcome, DedupScope, Idempotency, RequestClass, RequestId};
--- a/crates/policy/src/verdict.rs
+++ b/crates/policy/src/verdict.rs
@@ -200,17 +200,27 @@
             return if is_doubtful { Verdict::Pause } else { Verdict::Abstain };
         }
         let is_promotable = self.is_promotable(rollout, since_start);
-        // Without a cap the canary first gets nearly all requests for a while, unless too many fail.
-        let has_evidence_or_traffic = self.has_min_samples || self.full_traffic_since.is_some();
-        let gets_all = is_promotable && rollout.traffic_cap >= 1.0 && has_evidence_or_traffic;
-        self.full_traffic_since = gets_all.then(|| self.full_traffic_since.unwrap_or(now));
+        self.update_full_traffic(rollout, is_promotable, now);
+        let has_evidence = self.has_evidence(rollout, since_start, now);
+        if is_promotable && has_evidence { Verdict::Promote } else { Verdict::Abstain }
+    }
+
+    /// Without a cap a canary gets nearly all requests for a while before its promotion, as long as it is promotable.
+    fn update_full_traffic(&mut self, rollout: &RolloutState, is_promotable: bool, now: Millis) {
+        let is_started = self.has_min_samples || self.full_traffic_since.is_some();
+        let is_full = is_promotable && rollout.traffic_cap >= 1.0 && is_started;
+        self.full_traffic_since = is_full.then(|| self.full_traffic_since.unwrap_or(now));
+    }
+
+    /// Whether there is the evidence required for a promotion: outcomes, after the time of full traffic if that applies; without
+    /// it, also a time in which there were few.
+    fn has_evidence(&self, rollout: &RolloutState, since_start: Millis, now: Millis) -> bool {
         let duration = if self.is_without_baseline { SETTLING_TIME } else { FULL_TRAFFIC_DURATION };
         let patience = FEW_OUTCOMES_PATIENCE * f64::from(rollout.stage + 1);
-        let has_evidence = match self.full_traffic_since {
+        match self.full_traffic_since {
             Some(since) => self.has_min_samples && now - since >= duration,
             None => self.has_min_samples || since_start >= patience,
-        };
-        if is_promotable && has_evidence { Verdict::Promote } else { Verdict::Abstain }
+        }
     }
 
     /// Whether nothing speaks against a promotion.
@@ -219,8 +229,11 @@
         let was_slow_before = before.count >= MIN_OUTCOMES_BEFORE && before.mean <= -SPEED_MARGIN;
         let has_few_failures = self.evidence.failures <= self.evidence.expected_failures;
         let has_accepted_failures = rollout.traffic_cap < 1.0 || was_slow_before || has_few_failures;
-        let has_run_long = since_start >= SETTLING_TIME;
-        has_run_long && self.probability_worse <= MAX_DOUBT && has_accepted_failures && !self.are_all_slower
+        let is_past_settling_time = since_start >= SETTLING_TIME;
+        is_past_settling_time
+            && self.probability_worse <= MAX_DOUBT
+            && has_accepted_failures
+            && !self.are_all_slower
     }
 }
 
