--- a/crates/policy/src/state/canary.rs
+++ b/crates/policy/src/state/canary.rs
@@ -1,6 +1,6 @@
 //! The state of the analysis of a canary: evidence, results of the tests, and the votes cast.
 //!
-//! [`crate::canary`] and [`crate::verdict`] update it. A rejection is final: it remains in
+//! `crate::canary` and `crate::verdict` update it. A rejection is final: it remains in
 //! [`CanaryAnalysis::rejected_version`] until a later version is rejected.
 
 use crate::action::Action;
@@ -314,10 +314,9 @@
     /// Adds reported counts of a version and class.
     pub fn record_reported(&mut self, version: Version, class: usize, counts: OutcomeCounts) {
         let reported = &mut self.classes[class].reported;
-        match self.watched_version == Some(version) {
-            true => reported.canary.add(counts),
-            false => reported.baseline.add(counts),
-        }
+        let is_watched = self.watched_version == Some(version);
+        let side = if is_watched { &mut reported.canary } else { &mut reported.baseline };
+        side.add(counts);
     }
 }
 
