--- a/crates/gateway/src/gateway/upstream_calls.rs
+++ b/crates/gateway/src/gateway/upstream_calls.rs
@@ -109,6 +109,14 @@
         attempt.has_ended = true;
         let endpoint = attempt.endpoint.clone();
         let elapsed = self.clock.now() - attempt.started_at;
+        tracing::debug!(
+            id = id.0,
+            attempt = number,
+            endpoint,
+            ?outcome,
+            elapsed_ms = elapsed,
+            "attempt: ended"
+        );
         let Some(request) = self.requests.get_mut(id) else { return };
         if outcome == AttemptOutcome::Success
             && let Some(value) = value
