--- a/crates/gateway/src/gateway/updates.rs
+++ b/crates/gateway/src/gateway/updates.rs
@@ -36,7 +36,7 @@
                 tracing::debug!(
                     call = call.0,
                     list.version,
-                    list.whole = list.is_snapshot,
+                    list.is_snapshot,
                     entries = list.entries.len(),
                     "discovery: list applied"
                 );
@@ -47,7 +47,7 @@
                 tracing::info!(
                     call = call.0,
                     list.version,
-                    list.whole = list.is_snapshot,
+                    list.is_snapshot,
                     current_version,
                     "discovery: list not newer, requested again"
                 );
--- a/crates/gateway/src/net/upstream/call.rs
+++ b/crates/gateway/src/net/upstream/call.rs
@@ -2,6 +2,7 @@
 
 use bytes::Bytes;
 use latchhaven_policy::{AttemptOutcome, LoadReport, RequestId};
+use std::fmt;
 use tokio::time::Instant;
 
 /// What is sent to an endpoint.
@@ -18,6 +19,15 @@
     HealthCheck(u64),
 }
 
+impl fmt::Display for UpstreamCall {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            UpstreamCall::Attempt { id, attempt } => write!(f, "request {id} attempt {attempt}"),
+            UpstreamCall::HealthCheck(number) => write!(f, "health check {number}"),
+        }
+    }
+}
+
 /// How a call ended.
 pub struct CallResult {
     /// Whether and how the endpoint answered.
--- a/crates/gateway/src/net/upstream/connection_task.rs
+++ b/crates/gateway/src/net/upstream/connection_task.rs
@@ -55,8 +55,8 @@
         COUNTERS.server_connects_failed_total.increment();
         let connected = connection.stream.get().is_some();
         let endpoint = &connection.endpoint;
-        let incarnation = connection.incarnation;
-        tracing::debug!(endpoint, incarnation, reason = %error, connected, "upstream: connection failed");
+        let pool_incarnation = connection.incarnation;
+        tracing::debug!(endpoint, pool_incarnation, reason = %error, connected, "upstream: connection failed");
         task.report(DriverEvent::ConnectFailed { connection }).await;
         return;
     }
--- a/crates/gateway/src/net/upstream/exchange.rs
+++ b/crates/gateway/src/net/upstream/exchange.rs
@@ -136,7 +136,7 @@
                 Ok(Some(BackendMessage::Error(code))) if !is_complete => {
                     tracing::debug!(
                         endpoint = self.connection.endpoint,
-                        call = ?self.connection.call.get(),
+                        call = self.connection.call.get().map(tracing::field::display),
                         code,
                         "upstream: server returned an error"
                     );
@@ -164,7 +164,7 @@
                     COUNTERS.malformed_responses_total.increment();
                     tracing::debug!(
                         endpoint = self.connection.endpoint,
-                        call = ?self.connection.call.get(),
+                        call = self.connection.call.get().map(tracing::field::display),
                         ?out_of_step,
                         "upstream: malformed response"
                     );
