--- a/crates/gateway/src/policy_log.rs
+++ b/crates/gateway/src/policy_log.rs
@@ -44,7 +44,7 @@
 }
 
 /// Prints at `debug` why a request gets no result, with the inputs of the rule that decided.
-pub(crate) fn log_unserved(id: RequestId, reason: &UnservedReason) {
+pub fn log_unserved(id: RequestId, reason: &UnservedReason) {
     let id = id.0;
     let rule = reason.name();
     match reason {
--- a/crates/gateway/tests/policy_log.rs
+++ b/crates/gateway/tests/policy_log.rs
@@ -1,7 +1,9 @@
 //! Events of the policy in the JSON log: the event's name as the message, its values as fields.
 
-use latchhaven_gateway::policy_log::log_event;
-use latchhaven_policy::{EjectionReason, LogEvent, RejectionReason, Verdict, Version};
+use latchhaven_gateway::policy_log::{log_event, log_unserved};
+use latchhaven_policy::{
+    AttemptOutcome, EjectionReason, LogEvent, RejectionReason, RequestId, UnservedReason, Verdict, Version,
+};
 use rstest::rstest;
 use serde_json::{Value, json};
 use std::io::{self, Write};
@@ -20,19 +22,20 @@
     }
 }
 
-/// The fields of the one line that an event is printed as, in the format of the gateway's JSON log.
-fn fields(event: &LogEvent) -> Value {
+/// The fields of the one line that is printed, in the format of the gateway's JSON log.
+fn fields(print: impl FnOnce()) -> Value {
     let buffer = LogBuffer::default();
     let writer = buffer.clone();
     let subscriber = tracing_subscriber::fmt()
         .with_writer(move || writer.clone())
+        .with_max_level(tracing::Level::DEBUG)
         .json()
         .flatten_event(true)
         .with_level(false)
         .with_target(false)
         .without_time()
         .finish();
-    tracing::subscriber::with_default(subscriber, || log_event(event));
+    tracing::subscriber::with_default(subscriber, print);
     let line = buffer.0.lock().expect("not poisoned").clone();
     serde_json::from_slice(&line).expect("one line of JSON")
 }
@@ -51,6 +54,37 @@
     json!({"message": "endpoint ejected", "endpoint": "a:1", "incarnation": 2, "reason": "connect failures", "ejected_for_ms": 500.0, "error_rate": 0.25, "consecutive_timeouts": 2})
 )]
 fn event_is_printed_with_its_fields(#[case] event: LogEvent, #[case] expected: Value) {
-    assert_eq!(fields(&event), expected);
+    assert_eq!(fields(|| log_event(&event)), expected);
     assert_eq!(expected["message"], event.name());
 }
+
+#[rstest]
+#[case::overload(
+    UnservedReason::Overload { shed_probability: 0.25 },
+    json!({"reason": "Overload", "shed_probability": 0.25})
+)]
+#[case::no_endpoint(
+    UnservedReason::NoEndpoint { ready_endpoints: 3, expected_latency: 40.0, objective_left: 12.5 },
+    json!({"reason": "NoEndpoint", "ready_endpoints": 3, "expected_latency_ms": 40.0, "objective_left_ms": 12.5})
+)]
+#[case::list_expired(
+    UnservedReason::ListExpired { expired_for: 7.5 },
+    json!({"reason": "ListExpired", "expired_for_ms": 7.5})
+)]
+#[case::attempts_failed(
+    UnservedReason::AttemptsFailed { attempts: 2, last_outcome: AttemptOutcome::Timeout, objective_left: -3.0 },
+    json!({"reason": "AttemptsFailed", "attempts": 2, "last_outcome": "Timeout", "objective_left_ms": -3.0})
+)]
+#[case::overdue(
+    UnservedReason::Overdue { attempts: 1, overdue_for: 5.0 },
+    json!({"reason": "Overdue", "attempts": 1, "overdue_for_ms": 5.0})
+)]
+#[case::abandoned(UnservedReason::Abandoned, json!({"reason": "Abandoned"}))]
+#[case::unknown_class(UnservedReason::UnknownClass, json!({"reason": "UnknownClass"}))]
+fn unserved_request_is_printed_with_the_inputs_of_its_rule(
+    #[case] reason: UnservedReason, #[case] mut expected: Value,
+) {
+    expected["message"] = "request: no result".into();
+    expected["id"] = 42.into();
+    assert_eq!(fields(|| log_unserved(RequestId(42), &reason)), expected);
+}
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -26,7 +26,12 @@
 /// Requests assumed to be served well: prior for gateways with little traffic.
 const ASSUMED_SERVED_WELL: f64 = 2.0;
 /// Share of the latency objective that answers are assumed to need before the first one arrives.
-pub(crate) const INITIAL_LATENCY_SHARE: f64 = 0.25;
+const INITIAL_LATENCY_SHARE: f64 = 0.25;
+
+/// ms that an answer of a class is assumed to take before the first one arrives.
+pub(crate) fn initial_latency(class: &RequestClass) -> Millis {
+    class.latency_objective * INITIAL_LATENCY_SHARE
+}
 
 /// The probability of rejecting a request on arrival, below 0 without overload. `service_levels`: of all requests, then
 /// of the tenant's; the first is the prior of the second, since a gateway sees few requests of one tenant.
--- a/crates/policy/src/canary.rs
+++ b/crates/policy/src/canary.rs
@@ -22,6 +22,8 @@
 pub(crate) const MIN_OUTCOMES: f64 = 10.0;
 /// Log of the ratio of latencies (1.5) up to which versions and their endpoints count as equal.
 pub(crate) const SPEED_MARGIN: f64 = 0.4;
+/// Log of the ratio of reported latencies to the usual ones below which answers count as fast as usual.
+const FAST_MARGIN: f64 = SPEED_MARGIN / 4.0;
 /// Factor on the baseline's failure rate up to which versions count as equal.
 pub(crate) const FAILURE_MARGIN: f64 = 1.5;
 /// Ratio of the load per endpoint up to which latencies are compared over time.
@@ -44,6 +46,12 @@
 const COLLAPSE_RATE: f64 = 0.2;
 /// Failure rate of all versions above the usual one from which it is attributed to the canary.
 const COMMON_FAILURE_RATE: f64 = 0.1;
+/// ms of the shortest latency and of the least work: bounds on their logarithms.
+const MIN_LATENCY: Millis = 0.1;
+/// ms assumed for reports without a mean latency.
+pub(crate) const DEFAULT_LATENCY: Millis = 1.0;
+/// Pairs of reported latencies that count as one sample.
+const PAIRS_PER_SAMPLE: f64 = 2.0;
 /// Share of the reported attempts from which a canary can affect all endpoints.
 const MIN_HARMFUL_SHARE: f64 = 0.25;
 
@@ -63,8 +71,8 @@
         let is_evidence = is_answer || (outcome == AttemptOutcome::Timeout && answered_others);
         // An endpoint that warms up is no slow version: latencies are scaled to full capacity.
         let warm_latency = elapsed * attempt.warmup_factor;
-        let work = request.expected_work.map_or(1.0, |work| work.max(0.1));
-        let speed = -(warm_latency.max(0.1) / work).ln();
+        let work = request.expected_work.map_or(1.0, |work| work.max(MIN_LATENCY));
+        let speed = -(warm_latency.max(MIN_LATENCY) / work).ln();
         let is_idle = self.is_idle();
         let usual = &mut self.classes[request.class].usual_speed;
         // A cancelled attempt took at least that long: without it, slow attempts that are retried would not count.
@@ -145,14 +153,14 @@
         let expected_failures = expected_rate * canary.attempts;
         self.evidence.expected_failures += expected_failures;
         // With latencies as usual, failures are attributed to a tenant or an endpoint, not to the version.
-        let fast_latency = usual.usual_latency.mean * (SPEED_MARGIN / 4.0).exp();
+        let fast_latency = usual.usual_latency.mean * FAST_MARGIN.exp();
         let is_fast = canary.successes() > 0.0 && canary.mean_latency < fast_latency;
         let max_failures = if is_alone && is_fast { expected_failures } else { f64::INFINITY };
         self.evidence.failures += canary.failures.min(max_failures);
         let (ours, theirs) = (canary.successes(), baseline.successes());
         let is_fully_warm = view.min_canary_warmup >= MIN_COMPARABLE_WARMUP;
         if !is_alone && ours > 0.0 && theirs > 0.0 && is_fully_warm {
-            let count = ours * theirs / (ours + theirs) / 2.0;
+            let count = ours * theirs / (ours + theirs) / PAIRS_PER_SAMPLE;
             let mean = (baseline.mean_latency / (canary.mean_latency * view.min_canary_warmup)).ln();
             self.evidence.speed.merge(&RunningMoments { count, mean, sum_squared_deviations: count });
         }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -2,11 +2,11 @@
 
 use crate::action::{Action, UnservedReason};
 use crate::admission;
+use crate::canary;
 use crate::config::{CostConfig, Permissions, PolicyConfig};
 use crate::discovery_calls;
 use crate::endpoint::{EndpointEntry, UpdateFailure, UpdateKind};
 use crate::event::{EndpointOutcomes, Event, OutcomeReport};
-use crate::exposure::SAFETY_MARGIN;
 use crate::list_lease::ListLease;
 use crate::log_event::EjectionReason;
 use crate::outlier;
@@ -31,6 +31,7 @@
 
 /// The decisions of one gateway.
 pub struct Policy {
+    /// The gateway's zone.
     pub(crate) zone: String,
     /// Number of gateways.
     pub(crate) gateways: u32,
@@ -44,14 +45,10 @@
     pub(crate) requests: RequestTable,
     pub(crate) actions: Vec<Action>,
     pub(crate) timer: TickTimer,
-    /// Attempts sent before then yield no latencies: this process had stalled.
+    /// When this process last resumed after a stall, in ms: latencies of attempts sent before are invalid.
     pub(crate) stalled_until: Millis,
 }
 
-fn initial_latency(class: &RequestClass) -> Millis {
-    class.latency_objective * admission::INITIAL_LATENCY_SHARE
-}
-
 impl Policy {
     /// A policy without an endpoint list yet.
     #[must_use]
@@ -60,7 +57,7 @@
         let rng = Pcg64Mcg::seed_from_u64(config.seed);
         let own_error_rate = verdict::own_error_rate(&identity, &voting);
         let vote_probability = verdict::vote_probability(&identity, &voting);
-        let typical_latency = classes.iter().map(initial_latency).collect();
+        let typical_latency = classes.iter().map(admission::initial_latency).collect();
         Policy {
             registry: EndpointRegistry {
                 next_poll_at: discovery.requires_subscription.then_some(0.0),
@@ -88,6 +85,7 @@
         }
     }
 
+    /// Passes an event to the part that handles it.
     pub(crate) fn on_event(&mut self, event: Event, now: Millis) {
         match event {
             Event::EndpointUpdate { kind, entries, .. } => self.on_endpoint_update(kind, &entries, now),
@@ -193,7 +191,7 @@
         let counts = OutcomeCounts {
             attempts: report.attempts as f64,
             failures: report.failures as f64,
-            mean_latency: report.mean_latency.unwrap_or(1.0),
+            mean_latency: report.mean_latency.unwrap_or(canary::DEFAULT_LATENCY),
         };
         self.analysis.record_reported(report.version, class, counts);
     }
@@ -273,12 +271,11 @@
         let request = &self.requests.requests[&id];
         let class = &self.classes[request.class];
         let (registry, exposure, permissions) = (&self.registry, &self.exposure, &self.permissions);
-        if !(AttemptGate { registry, exposure, permissions, now }).admits(request, class, index) {
+        let gate = AttemptGate { registry, exposure, permissions, now };
+        if !gate.admits(request, class, index) {
             return false;
         }
-        let lease_left = Some(registry.lease_expires_at(index) - now).filter(|left| left.is_finite());
-        let window_left = request.dedup_window_left(class, SAFETY_MARGIN, now);
-        let write_within = [lease_left, window_left].into_iter().flatten().reduce(f64::min);
+        let write_within = gate.write_within(request, class, index);
         let timeout = Some(retry::attempt_timeout(request, now));
         let warmup_factor = registry.warmup_factor(index, now);
         let endpoint = &mut self.registry.endpoints[index];
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -29,6 +29,8 @@
 const MAX_QUEUEING_SHARE: f64 = 0.25;
 /// Gateways that log ejections.
 const MAX_LOGGING_GATEWAYS: u32 = 8;
+/// Factor on the expected work up to which an answer is acceptable in any case.
+const MAX_WORK_RATIO: f64 = 2.0;
 /// Share of attempts without a connection above which idle connections are closed.
 const MAX_CONNECT_FAILURE_RATE: f64 = 0.02;
 
@@ -42,7 +44,7 @@
 pub(crate) fn queueing(
     elapsed: Millis, warmup_factor: f64, objective: Millis, expected_work: Option<Millis>,
 ) -> f64 {
-    let acceptable = (MAX_QUEUEING_SHARE * objective).max(2.0 * expected_work.unwrap_or(0.0));
+    let acceptable = (MAX_QUEUEING_SHARE * objective).max(MAX_WORK_RATIO * expected_work.unwrap_or(0.0));
     elapsed * warmup_factor / acceptable
 }
 
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -87,6 +87,17 @@
         self.admits_attempt(request, class) && self.admits_endpoint(request, class, index)
     }
 
+    /// ms within which an admitted attempt must be written, so that the endpoint's lease and the deduplication window have
+    /// not ended by then; none without such a limit.
+    pub(crate) fn write_within(
+        &self, request: &Request, class: &RequestClass, index: EndpointIndex,
+    ) -> Option<Millis> {
+        let lease_left =
+            Some(self.registry.lease_expires_at(index) - self.now).filter(|left| left.is_finite());
+        let window_left = request.dedup_window_left(class, SAFETY_MARGIN, self.now);
+        [lease_left, window_left].into_iter().flatten().reduce(f64::min)
+    }
+
     /// Whether one more attempt at a request may be sent at all.
     fn admits_attempt(&self, request: &Request, class: &RequestClass) -> bool {
         let dedup_window_left = request.dedup_window_left(class, SAFETY_MARGIN, self.now);
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -18,6 +18,8 @@
 const SUBSET_VISIT_INTERVAL: Millis = 4000.0;
 /// Endpoints of the smallest subset.
 const MIN_SUBSET: f64 = 8.0;
+/// Share of the tokens of one overload window that an endpoint accumulates beyond one token.
+const MAX_TOKENS_SHARE: f64 = 0.5;
 /// ms over which the arrival rate is counted, and in which the usual one follows.
 pub(crate) const RATE_WINDOW: Millis = 2000.0;
 /// ms between a start and its listing as a change beyond which the listed clock time is not used.
@@ -79,7 +81,7 @@
     /// The tokens of an endpoint after the refill, at most one plus those of half the overload window.
     pub(crate) fn refilled(&self, tokens: f64, warmup_factor: f64, config: &SlowStartConfig) -> f64 {
         let gain = self.rate * warmup_factor;
-        let max_tokens = 1.0 + gain * config.overload_window / 2.0;
+        let max_tokens = 1.0 + gain * config.overload_window * MAX_TOKENS_SHARE;
         (tokens + gain * self.elapsed).min(max_tokens)
     }
 }
--- a/crates/policy/src/state/canary.rs
+++ b/crates/policy/src/state/canary.rs
@@ -270,19 +270,8 @@
         });
     }
 
-    /// Whether a vote is due: it is new, or half of its lease has passed, or it did not count and `retry_interval` ms have
-    /// passed.
-    #[must_use]
-    pub fn is_vote_due(&self, vote: CastVote, retry_interval: Millis, now: Millis) -> bool {
-        let lease = if self.vote_is_active { self.voting.vote_lease / 2.0 } else { retry_interval };
-        match self.last_vote_on(vote.version) {
-            None => vote.verdict != Verdict::Abstain,
-            Some(last) if last != vote => vote.verdict != Verdict::Abstain || last.stage == vote.stage,
-            Some(_) => vote.verdict != Verdict::Abstain && now - self.last_vote_at >= lease,
-        }
-    }
-
-    fn last_vote_on(&self, version: Version) -> Option<CastVote> {
+    /// The last vote, if it was on that version.
+    pub(crate) fn last_vote_on(&self, version: Version) -> Option<CastVote> {
         self.last_vote.filter(|last| last.version == version)
     }
 
--- a/crates/policy/src/verdict.rs
+++ b/crates/policy/src/verdict.rs
@@ -46,6 +46,14 @@
 const FULL_TRAFFIC_DURATION: Millis = 6000.0;
 /// Analyses of one version that share δ.
 const ANALYSES_PER_VERSION: f64 = 10.0;
+/// Log of the ratio of latencies above which all endpoints count as slower than before the canary.
+const SLOWDOWN_MARGIN: f64 = SPEED_MARGIN / 2.0;
+/// Samples of the reference with which reported latency ratios are compared: its variance is negligible.
+const REFERENCE_SAMPLES: f64 = 1e6;
+/// Probability that the canary is worse, before any test.
+const PRIOR_PROBABILITY: f64 = 0.5;
+/// Share of a vote's lease after which it is renewed.
+const VOTE_RENEWAL_SHARE: f64 = 0.5;
 /// ms after which a vote that did not count is cast again.
 const VOTE_RETRY_INTERVAL: Millis = 500.0;
 /// Gateways that vote at one analysis on average, for each vote of the quorum: the platform accepts few calls.
@@ -82,13 +90,22 @@
         let verdict = self.verdict(rollout, since_start.unwrap_or(f64::NEG_INFINITY), view.now);
         let vote = CastVote { version: rollout.version, stage: rollout.stage, verdict };
         // The platform accepts few calls: at random, a few of the gateways vote.
-        if self.is_vote_due(vote, VOTE_RETRY_INTERVAL, view.now)
-            && rng.random::<f64>() < self.vote_probability
-        {
+        if self.is_vote_due(vote, view.now) && rng.random::<f64>() < self.vote_probability {
             actions.extend(self.record_vote(vote, view.now));
         }
     }
 
+    /// Whether a vote is due: it is new, or a part of its lease has passed, or it did not count and is cast again.
+    fn is_vote_due(&self, vote: CastVote, now: Millis) -> bool {
+        let renewal = VOTE_RENEWAL_SHARE * self.voting.vote_lease;
+        let interval = if self.vote_is_active { renewal } else { VOTE_RETRY_INTERVAL };
+        match self.last_vote_on(vote.version) {
+            None => vote.verdict != Verdict::Abstain,
+            Some(last) if last != vote => vote.verdict != Verdict::Abstain || last.stage == vote.stage,
+            Some(_) => vote.verdict != Verdict::Abstain && now - self.last_vote_at >= interval,
+        }
+    }
+
     /// The results of all tests that apply; of equal ones the last is logged.
     fn test_results(
         &mut self, rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &AnalysisView, context: CanaryContext,
@@ -96,7 +113,7 @@
         // Own outcomes differ between gateways, which share δ; reports are the same for all.
         let error_rate = self.own_error_rate / ANALYSES_PER_VERSION;
         let own = |probability_worse, reason| TestResult { probability_worse, error_rate, reason };
-        let mut test_results = vec![own(0.5, RejectionReason::Prior)];
+        let mut test_results = vec![own(PRIOR_PROBABILITY, RejectionReason::Prior)];
         // Own errors do not count where reports show no more failures than expected: they are due to single endpoints.
         let is_cleared_by_reports =
             context.is_reported && self.evidence.failures < FAILURE_MARGIN * self.evidence.expected_failures;
@@ -148,8 +165,8 @@
             && view.load <= MAX_LOAD_RATIO * self.load_before_canary;
         let mut slower = |margin| POSTERIOR.probability_first_is_higher(rng, &before, &speed, margin);
         let clearly_slower = slower(SPEED_MARGIN);
-        self.are_all_slower = is_comparable && slower(SPEED_MARGIN / 2.0) > MAX_DOUBT;
-        let reports_deny = context.is_reported && self.latency_ratio_log < SPEED_MARGIN / 2.0;
+        self.are_all_slower = is_comparable && slower(SLOWDOWN_MARGIN) > MAX_DOUBT;
+        let reports_deny = context.is_reported && self.latency_ratio_log < SLOWDOWN_MARGIN;
         (is_comparable && !self.has_preexisting_failures && !reports_deny).then_some(clearly_slower)
     }
 
@@ -162,7 +179,7 @@
         let failures = rare(expected, self.evidence.failures / CLUSTER_SIZE);
         let expected = FAILURE_MARGIN * (self.common_failures.expected / CLUSTER_SIZE);
         let common = rare(expected, self.common_failures.counted / CLUSTER_SIZE);
-        let even = RunningMoments { count: 1e6, ..RunningMoments::default() };
+        let even = RunningMoments { count: REFERENCE_SAMPLES, ..RunningMoments::default() };
         let speed = POSTERIOR.probability_first_is_higher(rng, &even, &self.evidence.speed, SPEED_MARGIN);
         // Wrong answers that any gateway's clients reported, per answer, compared with other versions.
         let baseline_answers = self.reported_answers.baseline.max(MIN_OUTCOMES);
