--- a/crates/gateway/src/policy_log.rs
+++ b/crates/gateway/src/policy_log.rs
@@ -31,7 +31,7 @@
         } => {
             let reason = reason.as_str();
             tracing::info!(
-                endpoint,
+                %endpoint,
                 reason,
                 incarnation,
                 ejected_for_ms = ejected_for,
@@ -49,32 +49,32 @@
     let rule = reason.name();
     match reason {
         UnservedReason::Overload { shed_probability } => {
-            tracing::debug!(id, reason = rule, shed_probability, "request: no result");
+            tracing::debug!(id, reason = %rule, shed_probability, "request: no result");
         }
         UnservedReason::NoEndpoint { ready_endpoints, expected_latency, objective_left } => tracing::debug!(
             id,
-            reason = rule,
+            reason = %rule,
             ready_endpoints,
             expected_latency_ms = expected_latency,
             objective_left_ms = objective_left,
             "request: no result"
         ),
         UnservedReason::ListExpired { expired_for } => {
-            tracing::debug!(id, reason = rule, expired_for_ms = expired_for, "request: no result");
+            tracing::debug!(id, reason = %rule, expired_for_ms = expired_for, "request: no result");
         }
         UnservedReason::AttemptsFailed { attempts, last_outcome, objective_left } => tracing::debug!(
             id,
-            reason = rule,
+            reason = %rule,
             attempts,
             ?last_outcome,
             objective_left_ms = objective_left,
             "request: no result"
         ),
         UnservedReason::Overdue { attempts, overdue_for } => {
-            tracing::debug!(id, reason = rule, attempts, overdue_for_ms = overdue_for, "request: no result");
+            tracing::debug!(id, reason = %rule, attempts, overdue_for_ms = overdue_for, "request: no result");
         }
         UnservedReason::Abandoned | UnservedReason::UnknownClass => {
-            tracing::debug!(id, reason = rule, "request: no result");
+            tracing::debug!(id, reason = %rule, "request: no result");
         }
     }
 }
--- a/crates/gateway/tests/policy_log.rs
+++ b/crates/gateway/tests/policy_log.rs
@@ -22,22 +22,61 @@
     }
 }
 
-/// The fields of the one line that is printed, in the format of the gateway's JSON log.
-fn fields(print: impl FnOnce()) -> Value {
+/// The one line that is printed, in the format of the gateway's JSON log or of its text log.
+fn line(is_json: bool, print: impl FnOnce()) -> String {
     let buffer = LogBuffer::default();
     let writer = buffer.clone();
     let subscriber = tracing_subscriber::fmt()
         .with_writer(move || writer.clone())
         .with_max_level(tracing::Level::DEBUG)
-        .json()
-        .flatten_event(true)
+        .with_ansi(false)
         .with_level(false)
         .with_target(false)
-        .without_time()
-        .finish();
-    tracing::subscriber::with_default(subscriber, print);
-    let line = buffer.0.lock().expect("not poisoned").clone();
-    serde_json::from_slice(&line).expect("one line of JSON")
+        .without_time();
+    if is_json {
+        tracing::subscriber::with_default(subscriber.json().flatten_event(true).finish(), print);
+    } else {
+        tracing::subscriber::with_default(subscriber.finish(), print);
+    }
+    let bytes = buffer.0.lock().expect("not poisoned").clone();
+    String::from_utf8(bytes).expect("UTF-8")
+}
+
+fn fields(print: impl FnOnce()) -> Value {
+    serde_json::from_str(&line(true, print)).expect("one line of JSON")
+}
+
+#[test]
+fn text_lines_begin_as_the_on_call_page_shows_them() {
+    let rejected = LogEvent::CanaryRejected {
+        version: Version(7),
+        stage: 1,
+        reason: RejectionReason::SuccessRate,
+        probability: 0.996,
+        failures: 8.5,
+        expected_failures: 2.0,
+    };
+    let text = line(false, || log_event(&rejected));
+    let start = r#"canary rejected version=7 stage=1 reason="success rate" probability=0.996 "#;
+    assert!(text.starts_with(start), "{text}");
+    let ejected = LogEvent::EndpointEjected {
+        endpoint: "a:1".into(),
+        incarnation: 2,
+        reason: EjectionReason::ConnectFailures,
+        ejected_for: 500.0,
+        error_rate: 0.25,
+        consecutive_timeouts: 2,
+    };
+    let text = line(false, || log_event(&ejected));
+    assert!(text.starts_with(r#"endpoint ejected endpoint=a:1 reason="connect failures" "#), "{text}");
+    let vote = LogEvent::VoteCast {
+        verdict: Verdict::RollBack,
+        version: Version(7),
+        stage: 1,
+        probability_worse: 0.996,
+    };
+    let text = line(false, || log_event(&vote));
+    assert!(text.starts_with("vote cast verdict=RollBack version=7 stage=1 "), "{text}");
 }
 
 #[rstest]
