--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -4,8 +4,8 @@
 //! share of requests that were served well decides which share of its new requests is rejected on arrival; those
 //! admitted are sent newest first, and one that can no longer be on time is answered instead of sent.
 //!
-//! [`Policy`](crate::Policy) calls these rules when a request arrives ([`shed_probability`],
-//! [`rejection_probability`], [`remaining_objective`]), after each batch of events ([`queue_rank`], [`is_too_late`]) and for each final answer
+//! [`Policy`](crate::Policy) calls these rules when a request arrives ([`shed_probability`], [`rejection_probability`],
+//! [`remaining_objective`]), after each batch of events ([`queue_rank`], [`is_too_late`]) and for each final answer
 //! ([`unserved_answer`], [`service_quality`]). All inputs are parameters.
 
 use crate::action::{Action, UnservedReason};
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -13,7 +13,7 @@
 use crate::request::{AttemptOutcome, RequestId};
 use crate::retry::{self, MAX_RETRY_BUDGET, RETRY_BUDGET_PER_REQUEST};
 use crate::routing::{self, AttemptGate, CoinInputs, EndpointLoad};
-use crate::slow_start::RATE_WINDOW;
+use crate::slow_start::{ARRIVAL_RETENTION, RATE_WINDOW};
 use crate::state::canary::AnalysisView;
 use crate::state::endpoint::EndpointIndex;
 use crate::state::registry::Sides;
@@ -84,7 +84,7 @@
             return self.actions.push(Action::Fail { id, reason: UnservedReason::UnknownClass });
         };
         if !incoming.is_retry {
-            self.registry.arrivals.record(now, 2.0 * RATE_WINDOW);
+            self.registry.arrivals.record(now, ARRIVAL_RETENTION);
         }
         self.exposure.record_arrival(class, now - incoming.queued_for);
         self.requests.add_retry_budget(RETRY_BUDGET_PER_REQUEST, MAX_RETRY_BUDGET);
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -22,6 +22,8 @@
 const MAX_TOKENS_SHARE: f64 = 0.5;
 /// ms over which the arrival rate is counted, and in which the usual one follows.
 pub(crate) const RATE_WINDOW: Millis = 2000.0;
+/// ms for which times of arrivals are retained.
+pub(crate) const ARRIVAL_RETENTION: Millis = 2.0 * RATE_WINDOW;
 /// ms between a start and its listing as a change beyond which the listed clock time is not used.
 const MAX_DISCOVERY_DELAY: Millis = 60_000.0;
 
