--- a/crates/control-plane/src/control_plane/publication.rs
+++ b/crates/control-plane/src/control_plane/publication.rs
@@ -10,7 +10,8 @@
 use std::sync::Arc;
 
 impl ControlPlane {
-    /// Builds a configuration; none where none may be published, or none of its resources changed.
+    /// Expires disconnected proxies, records a rejection of the canary by this process, and builds a configuration, which
+    /// becomes the current snapshot; none while none may be published, or where version and resources equal the last one's.
     pub(super) fn publish(&mut self, now: Millis) -> Option<Publication> {
         self.shares.remove_expired(now);
         self.proxies.remove_disconnected_above(limits::max_registered_proxies(self.shares.len()));
--- a/crates/control-plane/src/driver/signals.rs
+++ b/crates/control-plane/src/driver/signals.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// Experiments read the names of the fields.
+/// Logs the counters of sent responses; `apart` are those on incremental streams. Experiments read the names.
 fn log_counters(counters: &SentCounters) {
     let value = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
     tracing::info!(
--- a/crates/control-plane/src/limits.rs
+++ b/crates/control-plane/src/limits.rs
@@ -70,7 +70,7 @@
     pub(crate) due_at: Millis,
     /// Streams are pending admission.
     pub(crate) has_pending_streams: bool,
-    /// Events have not been passed to the decisions.
+    /// Events have not been passed to the policy; they are with the next publication or timer.
     pub(crate) has_pending_events: bool,
 }
 
@@ -101,7 +101,8 @@
     SHARE_ENTRIES_PER_STREAM * max_streams
 }
 
-/// Proxies that may be registered before disconnected ones are removed.
+/// Proxies that may be registered before disconnected ones are removed, where the share ledger has `share_entries` entries
+/// at present.
 pub(crate) fn max_registered_proxies(share_entries: usize) -> usize {
     PROXIES_PER_SHARE_ENTRY * share_entries + MIN_REGISTERED_PROXIES
 }
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,4 +1,4 @@
-//! The gateway's clock, and the conversion between durations and the decisions' milliseconds.
+//! The gateway's clock, and the conversion between durations and the policy's milliseconds.
 
 use latchhaven_policy::Millis;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
--- a/crates/gateway/src/discovery/ordered_client.rs
+++ b/crates/gateway/src/discovery/ordered_client.rs
@@ -23,7 +23,7 @@
     Apply,
     /// The list is not newer, and its call is aborted.
     Discard {
-        /// The call is current: the decisions have to be notified of its failure.
+        /// The call is current: the policy has to be notified of its failure.
         is_current: bool,
     },
 }
@@ -110,7 +110,7 @@
         ListDecision::Discard { is_current: self.is_current(call) }
     }
 
-    /// A call has failed, or a watch has ended. True if the decisions have to be notified.
+    /// A call has failed, or a watch has ended. True if the policy has to be notified.
     #[must_use]
     pub fn on_failure(&self, call: CallId) -> bool {
         self.is_current(call)
--- a/crates/gateway/src/gateway/event_loop.rs
+++ b/crates/gateway/src/gateway/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: passes events of the drivers to the decisions, and executes the resulting actions.
+//! The event loop: passes events of the drivers to the policy, and executes the resulting actions.
 
 use super::Gateway;
 use super::timers::Timer;
@@ -22,6 +22,8 @@
         let mut batch = Vec::new();
         loop {
             self.wait(&mut events, &mut batch).await;
+            // First results of the previous batch's actions, then updates, then all other events, then timers. The
+            // policy routes requests after all of them.
             batch.sort_by_key(|event| !is_update(event));
             let mut policy_events = std::mem::take(&mut self.next_events);
             for event in batch.drain(..) {
@@ -29,7 +31,7 @@
             }
             self.fire_timers(&mut policy_events);
             if !policy_events.is_empty() {
-                self.decide(policy_events);
+                self.run_policy(policy_events);
             }
         }
     }
@@ -41,7 +43,7 @@
         }
         self.discovery.restore(initial_state.list.version);
         events.push(self.apply_cached_list(initial_state.list));
-        self.decide(events);
+        self.run_policy(events);
     }
 
     /// Waits for an event or a timer, then drains the queue into `batch`. Tasks run in the order in which they were woken,
@@ -61,7 +63,7 @@
         }
     }
 
-    fn decide(&mut self, events: Vec<Event>) {
+    fn run_policy(&mut self, events: Vec<Event>) {
         COUNTERS.batches_total.increment();
         let actions = self.policy.handle_events(self.clock.now(), events);
         for action in actions {
@@ -139,6 +141,7 @@
                 self.next_events.append(&mut events);
             }
             Action::SetTimer { after, token } => self.set_policy_timer(after, token),
+            // The present policy requests neither health checks nor single fetches.
             Action::HealthCheck { endpoint } => self.check_health(&endpoint),
             Action::CloseIdleConnections { endpoint } => self.pool.close_idle(&endpoint),
             Action::WatchEndpoints { enabled } => {
--- a/crates/gateway/src/gateway/list_confirmation.rs
+++ b/crates/gateway/src/gateway/list_confirmation.rs
@@ -1,4 +1,4 @@
-//! Logs when a watch confirms the endpoint list, and when requests are rejected because it expired.
+//! Logs when the endpoint list is confirmed by a current call, and when requests are rejected because it expired.
 
 use tokio::time::Instant;
 
@@ -8,7 +8,7 @@
     is_expired_logged: bool,
 }
 
-/// Whether a watch confirms the list. At the start none does.
+/// Whether a current call confirms the list. At the start none does.
 pub(super) struct ListConfirmation(Option<Unconfirmed>);
 
 impl Default for ListConfirmation {
@@ -18,16 +18,16 @@
 }
 
 impl ListConfirmation {
-    /// A watch delivered a list of this version.
-    pub(super) fn confirm(&mut self, version: u64) {
+    /// A current call, a watch or a fetch, delivered a list of this version.
+    pub(super) fn on_list_confirmed(&mut self, version: u64) {
         if let Some(unconfirmed) = self.0.take() {
             let unconfirmed_ms = unconfirmed.since.elapsed().as_millis();
             tracing::info!(list.version = version, unconfirmed_ms, "discovery: list confirmed");
         }
     }
 
-    /// The watch was lost.
-    pub(super) fn lose(&mut self) {
+    /// A current call failed, or discovery moved to another address.
+    pub(super) fn on_confirmation_lost(&mut self) {
         self.0.get_or_insert_with(|| Unconfirmed { since: Instant::now(), is_expired_logged: false });
     }
 
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -1,5 +1,5 @@
-//! The gateway: owns the decisions, the pending requests, the clock and the timers. Events of the drivers are passed to
-//! the decisions, those of one wake-up as one batch; the resulting actions are executed in the order given.
+//! The gateway: owns the policy, the pending requests, the clock and the timers. Events of the drivers are passed to
+//! the policy, those of one wake-up as one batch; the resulting actions are executed in the order given.
 //!
 //! - `event_loop`: waits for events and timers, and dispatches events and actions.
 //! - `requests`: requests from their arrival to their answer.
@@ -35,7 +35,7 @@
 
 /// The parts of a gateway.
 pub struct GatewayParts {
-    /// The decisions.
+    /// The policy.
     pub policy: Policy,
     /// The clock, shared with the drivers.
     pub clock: Clock,
--- a/crates/gateway/src/gateway/timers.rs
+++ b/crates/gateway/src/gateway/timers.rs
@@ -9,7 +9,7 @@
 /// What a timer triggers. Timers of the same microsecond fire in the order of these variants.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// A timer that the decisions set, with its token.
+    /// A timer that the policy set, with its token.
     Policy(String),
     /// The gateway stops waiting for the answer to a call.
     CallTimeout(UpstreamCall),
--- a/crates/gateway/src/gateway/updates.rs
+++ b/crates/gateway/src/gateway/updates.rs
@@ -19,7 +19,7 @@
             Ok(list) => list,
             Err(failure) => {
                 if self.discovery.on_failure(call) {
-                    self.list_confirmation.lose();
+                    self.list_confirmation.on_confirmation_lost();
                     events.push(Event::EndpointUpdateFailed(failure));
                 }
                 return;
@@ -53,7 +53,7 @@
                 );
                 COUNTERS.discovery_failures_total.increment();
                 if is_current {
-                    self.list_confirmation.lose();
+                    self.list_confirmation.on_confirmation_lost();
                     let failure = UpdateFailure { may_have_lost_update: true, ..UpdateFailure::default() };
                     events.push(Event::EndpointUpdateFailed(failure));
                 }
@@ -65,7 +65,7 @@
     pub(super) fn on_discovery_moved(&mut self, address: SocketAddr, events: &mut Vec<Event>) {
         let tasks = &self.discovery_tasks;
         if self.discovery.on_address_changed(address, |call| tasks.is_finished(call)) {
-            self.list_confirmation.lose();
+            self.list_confirmation.on_confirmation_lost();
             events.push(Event::DiscoveryMoved);
         }
         self.run_discovery_commands();
@@ -83,7 +83,7 @@
             return Event::EndpointUpdateFromPreviousAddress { kind, entries };
         }
         self.readiness.set_ready();
-        self.list_confirmation.confirm(list_version);
+        self.list_confirmation.on_list_confirmed(list_version);
         Event::EndpointUpdate { kind, list_version, entries }
     }
 
@@ -94,7 +94,7 @@
         Event::EndpointUpdate { kind, list_version, entries: self.apply_list(kind, list) }
     }
 
-    /// Applies a list. Attempts that were not yet written to a changed endpoint are returned to the decisions.
+    /// Applies a list. Attempts that were not yet written to a changed endpoint are returned to the policy.
     fn apply_list(&mut self, kind: UpdateKind, list: List) -> Vec<EndpointEntry> {
         let mut unsent = Vec::new();
         if kind != UpdateKind::Delta {
--- a/crates/gateway/src/gateway/upstream_calls.rs
+++ b/crates/gateway/src/gateway/upstream_calls.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Ends calls that were never written; the decisions receive the results in the next batch.
+    /// Ends calls that were never written; the policy receives the results in the next batch.
     pub(super) fn return_unsent(&mut self, calls: Vec<UpstreamCall>) {
         let mut events = Vec::new();
         for call in calls {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,4 +1,4 @@
-//! The gateway: connects clients, endpoints, the discovery service and the platform to the decisions of
+//! The gateway: connects clients, endpoints, the discovery service and the platform to the policy of
 //! [`Policy`](latchhaven_policy::Policy).
 //!
 //! - [`serve`]: starts the gateway and shuts it down; [`config`] is its configuration.
@@ -8,7 +8,7 @@
 //! - [`limits`]: time limits and bounds, and the rules that follow from them.
 //! - [`readiness`]: when health checks of the load balancer are answered.
 //! - [`clock`]: the clock of all of these.
-//! - [`policy_log`]: log lines of the decisions.
+//! - [`policy_log`]: log lines of the policy.
 //! - [`counters`]: counters and invariants.
 
 #![warn(clippy::pedantic)]
--- a/crates/gateway/src/limits/clients.rs
+++ b/crates/gateway/src/limits/clients.rs
@@ -13,7 +13,7 @@
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Longest time from the first to the last byte of a message, where the client has sent a request before.
 pub const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time from the accept to the end of the first request.
+/// Longest time from the accept until the first valid query is read; empty queries do not count.
 pub const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2200);
 /// A connection without a request for this long is closed.
 pub const IDLE_TIMEOUT: Duration = Duration::from_millis(2050);
@@ -27,7 +27,8 @@
 pub const MAX_EXCESS_CONNECTIONS: usize = 16;
 /// Interval of accepts after an error of the process, such as a lack of descriptors.
 pub const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// Accept errors after which the final accepts during shutdown end: each may concern a single connection.
+/// Accept errors after which the final accepts during shutdown end. Each is retried without a pause, since it may concern a
+/// single connection.
 pub const MAX_FINAL_ACCEPT_FAILURES: usize = 1000;
 /// After its last message a connection stays open for this long, so that the client can read that message.
 pub const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
@@ -104,7 +105,8 @@
 }
 
 /// The connection to evict, in this order: one that is closing, one that has never sent a request, one that is idle;
-/// of each kind the one that has been so for longest. None: every connection is in use.
+/// of each kind the one that has been so for longest. None: each is busy, or has been silent or idle for less than the
+/// minimum.
 pub fn choose_eviction(
     candidates: &(impl Iterator<Item = EvictionCandidate> + Clone), now: Instant,
 ) -> Option<EvictionCandidate> {
--- a/crates/gateway/src/limits/discovery.rs
+++ b/crates/gateway/src/limits/discovery.rs
@@ -8,13 +8,14 @@
 pub const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(3500);
 /// Longest interval at which the discovery service sends keepalives.
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Longest time of a fetch, and until a watch is answered. The discovery service itself times out after 2 s.
+/// Longest time of a fetch, and from opening a watch to its response head; then [`WATCH_SILENCE_TIMEOUT`] applies, at first
+/// also counted from the opening. The discovery service itself times out after 2 s.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How long in ms the service has been silent when a watch ends; 0 where no keepalive was missed. `silence`: the time
-/// since the last keepalive or update. `is_answered`: there has been one.
+/// since the last keepalive or update. `has_delivered`: there has been one.
 #[must_use]
-pub fn missed_keepalive(is_answered: bool, silence: Duration) -> Millis {
-    let is_silent = is_answered && silence > KEEPALIVE_INTERVAL;
+pub fn silence_beyond_keepalive(has_delivered: bool, silence: Duration) -> Millis {
+    let is_silent = has_delivered && silence > KEEPALIVE_INTERVAL;
     if is_silent { millis(silence) } else { 0.0 }
 }
--- a/crates/gateway/src/limits/mod.rs
+++ b/crates/gateway/src/limits/mod.rs
@@ -1,6 +1,7 @@
-//! Time limits and bounds of the gateway, and the rules that follow from them. Drivers take every limit from here.
+//! Time limits and bounds of the gateway, and the rules that follow from them. Drivers take limits from
+//! here and from the settings (connect, idle and vote timeouts).
 //!
-//! Times are [`Duration`]s; [`millis`](crate::clock::millis) converts them where the decisions need milliseconds.
+//! Constants are [`Duration`]s, except backoffs, which are in ms; [`millis`](crate::clock::millis) converts them where the policy needs milliseconds.
 //!
 //! - [`clients`]: how long a client may take, and which connection is evicted.
 //! - [`shutdown`]: what happens when after SIGTERM.
--- a/crates/gateway/src/limits/shutdown.rs
+++ b/crates/gateway/src/limits/shutdown.rs
@@ -1,5 +1,6 @@
-//! Time limits after SIGTERM. SIGKILL follows no sooner than the longest timeout of a class plus 700 ms, so every
-//! request that was accepted has to be answered by then.
+//! Time limits after SIGTERM. SIGKILL follows no sooner than the longest timeout of a class, of which
+//! [`MAX_COUNTED_TIMEOUT`] counts at most, plus 700 ms: [`DRAIN_MARGIN`] to complete pending requests, [`ANSWER_TIME`] to answer
+//! those queued behind abandoned ones, and the rest to exit.
 
 use crate::clock::{duration, millis};
 use latchhaven_policy::Millis;
@@ -26,6 +27,7 @@
 /// What happens when after the start of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownSchedule {
+    /// From SIGTERM until pending requests are abandoned.
     drain_time: Duration,
 }
 
@@ -49,7 +51,8 @@
         self.drain_time + ANSWER_TIME
     }
 
-    /// A request that arrived at `arrived_at` is rejected. `began_at`: when the shutdown began; both in ms of one
+    /// A request that arrived at `arrived_at` is rejected: it arrived after [`REQUEST_WINDOW`], or its turn is after the
+    /// drain time. `began_at`: when the shutdown began; both in ms of one
     /// clock. `elapsed`: the time since then.
     #[must_use]
     pub fn rejects_request(&self, arrived_at: Millis, began_at: Millis, elapsed: Duration) -> bool {
--- a/crates/gateway/src/limits/start.rs
+++ b/crates/gateway/src/limits/start.rs
@@ -16,9 +16,9 @@
 /// The fewest descriptors that a gateway can run with.
 pub const MIN_DESCRIPTORS: u64 = 64;
 
-/// Descriptors for everything but clients and endpoints: discovery, the platform, the runtime, logs.
+/// Descriptors for discovery, the platform, the runtime, logs, and clients above the limit that are being rejected.
 const RESERVED_DESCRIPTORS: usize = 48;
-/// Eighths of the other descriptors that are for clients.
+/// Eighths of the other descriptors that are for clients: one half.
 const CLIENT_EIGHTHS: usize = 4;
 
 /// How the descriptors of the process are divided.
--- a/crates/gateway/src/limits/upstream.rs
+++ b/crates/gateway/src/limits/upstream.rs
@@ -14,16 +14,16 @@
 /// Part of the endpoint's idle timeout after which a connection is not reused.
 const REUSE_FRACTION: f64 = 0.8;
 
-/// An idle connection is not reused after this. `idle_timeout`: ms after which the endpoint closes it.
+/// The longest time for which an idle connection is reused. `idle_timeout`: ms after which the endpoint closes it.
 #[must_use]
-pub fn reuse_timeout(idle_timeout: Millis) -> Duration {
+pub fn max_idle_for_reuse(idle_timeout: Millis) -> Duration {
     duration(idle_timeout * REUSE_FRACTION)
 }
 
-/// An idle connection is closed after this: midway between [`reuse_timeout`] and `idle_timeout` in ms, after which the
+/// An idle connection is closed after this: midway between [`max_idle_for_reuse`] and `idle_timeout` in ms, after which the
 /// endpoint closes it.
 #[must_use]
-pub fn close_timeout(idle_timeout: Millis) -> Duration {
+pub fn idle_close_after(idle_timeout: Millis) -> Duration {
     Duration::from_secs_f64(idle_timeout * (1.0 + REUSE_FRACTION) / (2.0 * MS_PER_SECOND))
 }
 
--- a/crates/gateway/src/net/clients/requests.rs
+++ b/crates/gateway/src/net/clients/requests.rs
@@ -96,6 +96,7 @@
     pub(super) async fn handle_request(
         &mut self, statement: Rc<Statement>, arrived_at: Millis,
     ) -> io::Result<()> {
+        // Not passed to the policy: it has no `unserved_*` counter and no line.
         if self.clients.shutdown.rejects_request(arrived_at) {
             COUNTERS.requests_total.increment();
             COUNTERS.requests_rejected_total.increment();
--- a/crates/gateway/src/net/discovery_calls.rs
+++ b/crates/gateway/src/net/discovery_calls.rs
@@ -6,7 +6,7 @@
 use crate::counters::COUNTERS;
 use crate::discovery::calls::CallId;
 use crate::limits::SERVICE_CONNECT_TIMEOUT;
-use crate::limits::discovery::{CALL_TIMEOUT, WATCH_SILENCE_TIMEOUT, missed_keepalive};
+use crate::limits::discovery::{CALL_TIMEOUT, WATCH_SILENCE_TIMEOUT, silence_beyond_keepalive};
 use crate::proto::http::{BodyBuffer, ResponsePart};
 use crate::proto::json::{JsonFrame, JsonFramer};
 use latchhaven_policy::UpdateFailure;
@@ -95,7 +95,7 @@
     /// The head of the response was received.
     has_head: bool,
     /// A list or a keepalive was received.
-    is_answered: bool,
+    has_delivered: bool,
     /// When the watch was opened, or last delivered a list or a keepalive.
     last_received_at: Instant,
     silence_timeout: Duration,
@@ -109,7 +109,7 @@
             connection,
             framer: JsonFramer::default(),
             has_head: false,
-            is_answered: false,
+            has_delivered: false,
             last_received_at: Instant::now(),
             silence_timeout: CALL_TIMEOUT,
         })
@@ -127,10 +127,11 @@
 
     /// What the end of this watch means for the current list.
     fn failure(&self, error: &ListCallError) -> UpdateFailure {
-        let is_truncated = self.has_head && (!self.is_answered || self.framer.is_within_object());
+        // A started response without a list, or with a part of one, may have announced a change.
+        let may_hide_update = self.has_head && (!self.has_delivered || self.framer.is_within_object());
         UpdateFailure {
-            silent_for: missed_keepalive(self.is_answered, self.last_received_at.elapsed()),
-            may_have_lost_update: is_truncated
+            silent_for: silence_beyond_keepalive(self.has_delivered, self.last_received_at.elapsed()),
+            may_have_lost_update: may_hide_update
                 || error.is_unreadable()
                 || self.connection.has_unparsed_input(),
         }
@@ -160,12 +161,12 @@
     fn on_frame(&mut self, frame: JsonFrame) -> Result<Option<List>, ListError> {
         self.last_received_at = Instant::now();
         let list = match frame {
-            JsonFrame::LineEnd if self.is_answered => return Ok(None),
+            JsonFrame::LineEnd if self.has_delivered => return Ok(None),
             // The list has not changed since the version `after`: an empty delta confirms it.
             JsonFrame::LineEnd => List { version: self.after, is_snapshot: false, entries: Vec::new() },
             JsonFrame::Object(text) => list::read(&text)?,
         };
-        self.is_answered = true;
+        self.has_delivered = true;
         Ok(Some(list))
     }
 
--- a/crates/gateway/src/net/upstream/connection.rs
+++ b/crates/gateway/src/net/upstream/connection.rs
@@ -19,9 +19,9 @@
 /// One connection to an endpoint.
 pub struct UpstreamConnection {
     pub(super) endpoint: String,
-    pub(super) incarnation: u64,
+    pub(super) generation: u64,
     pub(super) stream: OnceCell<TcpStream>,
-    /// When it was established.
+    /// When TCP connected, before the startup messages: a process that replaced the endpoint later cannot have answered on it.
     pub(super) connected_at: Cell<Option<Instant>>,
     pub(super) is_closed: Cell<bool>,
     /// The last byte of the call was written.
@@ -34,10 +34,10 @@
 }
 
 impl UpstreamConnection {
-    pub(super) fn new(endpoint: &str, incarnation: u64) -> Self {
+    pub(super) fn new(endpoint: &str, generation: u64) -> Self {
         UpstreamConnection {
             endpoint: endpoint.to_string(),
-            incarnation,
+            generation,
             stream: OnceCell::new(),
             connected_at: Cell::new(None),
             is_closed: Cell::new(false),
--- a/crates/gateway/src/net/upstream/connection_task.rs
+++ b/crates/gateway/src/net/upstream/connection_task.rs
@@ -5,7 +5,7 @@
 use super::exchange::{Exchange, NextStep, QueryChannel};
 use crate::clock::duration;
 use crate::counters::COUNTERS;
-use crate::limits::upstream::{READY_TIMEOUT, close_timeout};
+use crate::limits::upstream::{READY_TIMEOUT, idle_close_after};
 use crate::net::{DriverEvent, is_unusable, read_some, write_all};
 use crate::proto::pg::{self, BackendMessage, ParseError};
 use latchhaven_policy::{AttemptOutcome, UpstreamConnectionConfig};
@@ -55,8 +55,8 @@
         COUNTERS.server_connects_failed_total.increment();
         let connected = connection.stream.get().is_some();
         let endpoint = &connection.endpoint;
-        let pool_incarnation = connection.incarnation;
-        tracing::debug!(endpoint, pool_incarnation, reason = %error, connected, "upstream: connection failed");
+        let pool_generation = connection.generation;
+        tracing::debug!(endpoint, pool_generation, reason = %error, connected, "upstream: connection failed");
         task.report(DriverEvent::ConnectFailed { connection }).await;
         return;
     }
@@ -149,7 +149,7 @@
 
     /// Idles until there is a query. None: the connection closes first.
     async fn next_query(&mut self, stream: &TcpStream) -> Option<OutgoingQuery> {
-        let idle_until = Instant::now() + close_timeout(self.config.idle_timeout);
+        let idle_until = Instant::now() + idle_close_after(self.config.idle_timeout);
         let connection = self.connection.clone();
         while !connection.is_closed.get() {
             if let Some(query) = connection.outgoing.take() {
--- a/crates/gateway/src/net/upstream/pool.rs
+++ b/crates/gateway/src/net/upstream/pool.rs
@@ -5,7 +5,7 @@
 use super::connection_task;
 use crate::counters::COUNTERS;
 use crate::invariant;
-use crate::limits::upstream::{MAX_LARGE_ANSWERS, reuse_timeout};
+use crate::limits::upstream::{MAX_LARGE_ANSWERS, max_idle_for_reuse};
 use crate::net::{DriverEvent, is_unusable};
 use crate::proto::pg::{self, Statement};
 use latchhaven_policy::{EndpointEntry, EndpointStatus, LoadReporting, Millis, UpstreamConnectionConfig};
@@ -31,20 +31,21 @@
 /// An endpoint of the list.
 struct UpstreamEndpoint {
     address: SocketAddr,
-    /// Changes with the address, version or start time of the endpoint with this id.
-    incarnation: u64,
+    /// Changes with the address, version or start time of the endpoint with this id, and when it starts to drain. Logged as
+    /// `pool_generation`; the policy counts incarnations of its own.
+    generation: u64,
     entry: EndpointEntry,
     idle: Vec<Rc<UpstreamConnection>>,
-    /// Connections of this incarnation that are being opened.
+    /// Connections of this generation that are being opened.
     connecting: usize,
     queue: VecDeque<QueuedCall>,
 }
 
 impl UpstreamEndpoint {
-    fn new(entry: &EndpointEntry, address: SocketAddr, incarnation: u64) -> Self {
+    fn new(entry: &EndpointEntry, address: SocketAddr, generation: u64) -> Self {
         UpstreamEndpoint {
             address,
-            incarnation,
+            generation,
             entry: entry.clone(),
             idle: Vec::new(),
             connecting: 0,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// The entry describes the same incarnation, and calls that were queued for it can still be sent.
+    /// The entry describes the same generation, and calls that were queued for it can still be sent.
     fn is_continued_by(&self, entry: &EndpointEntry, address: SocketAddr) -> bool {
         let is_same = self.address == address
             && self.entry.version == entry.version
@@ -60,10 +61,10 @@
         is_same && (self.entry.status == entry.status || entry.status == EndpointStatus::Ready)
     }
 
-    /// Closes idle connections; those that are being opened belong to the previous incarnation. Returns the queued
+    /// Closes idle connections; those that are being opened belong to the previous generation. Returns the queued
     /// calls.
-    fn begin_incarnation(&mut self, incarnation: u64) -> Vec<UpstreamCall> {
-        self.incarnation = incarnation;
+    fn begin_generation(&mut self, generation: u64) -> Vec<UpstreamCall> {
+        self.generation = generation;
         self.connecting = 0;
         self.close_idle();
         self.take_queue()
@@ -87,7 +88,7 @@
     active: BTreeMap<UpstreamCall, Rc<UpstreamConnection>>,
     open: usize,
     max_open: usize,
-    last_incarnation: u64,
+    last_generation: u64,
     config: UpstreamConnectionConfig,
     large_answers: Arc<Semaphore>,
     events: mpsc::Sender<DriverEvent>,
@@ -102,14 +103,14 @@
             active: BTreeMap::new(),
             open: 0,
             max_open,
-            last_incarnation: 0,
+            last_generation: 0,
             config,
             large_answers: Arc::new(Semaphore::new(MAX_LARGE_ANSWERS)),
             events,
         }
     }
 
-    /// Applies an entry of the list. Returns the queued calls of the previous incarnation, which have to be routed again.
+    /// Applies an entry of the list. Returns the queued calls of the previous generation, which have to be routed again.
     pub fn update_endpoint(&mut self, entry: &EndpointEntry, address: SocketAddr) -> Vec<UpstreamCall> {
         if entry.status == EndpointStatus::Removed {
             return self.remove_endpoint(&entry.endpoint);
@@ -121,11 +122,11 @@
             if is_continued {
                 return Vec::new();
             }
-            self.last_incarnation += 1;
-            return endpoint.begin_incarnation(self.last_incarnation);
+            self.last_generation += 1;
+            return endpoint.begin_generation(self.last_generation);
         }
-        self.last_incarnation += 1;
-        let endpoint = UpstreamEndpoint::new(entry, address, self.last_incarnation);
+        self.last_generation += 1;
+        let endpoint = UpstreamEndpoint::new(entry, address, self.last_generation);
         self.endpoints.insert(entry.endpoint.clone(), endpoint);
         Vec::new()
     }
@@ -173,7 +174,7 @@
     /// A connection is ready: it carries the call that has waited longest, or idles. `now` in ms.
     pub fn on_connection_ready(&mut self, connection: Rc<UpstreamConnection>, is_first: bool, now: Millis) {
         let Some(endpoint) = self.endpoints.get_mut(&connection.endpoint) else { return connection.close() };
-        if endpoint.incarnation != connection.incarnation || connection.is_closed.get() {
+        if endpoint.generation != connection.generation || connection.is_closed.get() {
             return connection.close();
         }
         endpoint.connecting -= usize::from(is_first);
@@ -189,7 +190,7 @@
     pub fn on_connect_failed(&mut self, connection: &Rc<UpstreamConnection>) -> Option<UpstreamCall> {
         self.open -= 1;
         let endpoint = self.endpoints.get_mut(&connection.endpoint)?;
-        if endpoint.incarnation != connection.incarnation {
+        if endpoint.generation != connection.generation {
             return None;
         }
         endpoint.connecting -= 1;
@@ -253,7 +254,7 @@
 
     /// The usable connection that became idle last; unusable ones are closed.
     fn take_idle(&mut self, endpoint: &str) -> Option<Rc<UpstreamConnection>> {
-        let max_idle = reuse_timeout(self.config.idle_timeout);
+        let max_idle = max_idle_for_reuse(self.config.idle_timeout);
         let endpoint = self.endpoints.get_mut(endpoint)?;
         while let Some(connection) = endpoint.idle.pop() {
             let is_usable = !connection.is_closed.get()
@@ -275,7 +276,7 @@
         let Some(endpoint) = self.endpoints.get_mut(id) else { return false };
         endpoint.queue.push_back(queued);
         endpoint.connecting += 1;
-        let connection = Rc::new(UpstreamConnection::new(id, endpoint.incarnation));
+        let connection = Rc::new(UpstreamConnection::new(id, endpoint.generation));
         let address = endpoint.address;
         let task = connection_task::run(
             connection,
--- a/crates/gateway/src/policy_log.rs
+++ b/crates/gateway/src/policy_log.rs
@@ -1,4 +1,4 @@
-//! Log lines of the decisions: typed events of the policy become tracing events, the event's name as the message and its
+//! Log lines of the policy: typed events of the policy become tracing events, the event's name as the message and its
 //! values as fields. Gateways and control services print them through [`log_event`].
 
 use latchhaven_policy::{LogEvent, RequestId, UnservedReason};
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -8,11 +8,11 @@
     EvictionCandidate, FIRST_REQUEST_TIMEOUT, IDLE_TIMEOUT, InputProgress, MESSAGE_TIMEOUT, SessionState,
     choose_eviction,
 };
-use latchhaven_gateway::limits::discovery::missed_keepalive;
+use latchhaven_gateway::limits::discovery::silence_beyond_keepalive;
 use latchhaven_gateway::limits::platform::{FEED_BACKOFF, MAX_AGE, is_older_state};
 use latchhaven_gateway::limits::shutdown::{CloseTime, ShutdownSchedule, WaitingConnection};
 use latchhaven_gateway::limits::start::DescriptorShares;
-use latchhaven_gateway::limits::upstream::{attempt_deadline, close_timeout, reuse_timeout};
+use latchhaven_gateway::limits::upstream::{attempt_deadline, idle_close_after, max_idle_for_reuse};
 use rstest::rstest;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -113,8 +113,8 @@
 
 #[test]
 fn idle_connection_is_closed_between_reuse_and_the_endpoints_timeout() {
-    assert_eq!(reuse_timeout(1000.0), ms(800));
-    assert_eq!(close_timeout(1000.0), ms(900));
+    assert_eq!(max_idle_for_reuse(1000.0), ms(800));
+    assert_eq!(idle_close_after(1000.0), ms(900));
 }
 
 #[rstest]
@@ -127,9 +127,9 @@
 
 #[test]
 fn watch_silence_counts_after_a_missed_keepalive() {
-    assert_eq!(missed_keepalive(true, ms(2000)), 0.0);
-    assert_eq!(missed_keepalive(true, ms(2500)), 2500.0);
-    assert_eq!(missed_keepalive(false, ms(2500)), 0.0);
+    assert_eq!(silence_beyond_keepalive(true, ms(2000)), 0.0);
+    assert_eq!(silence_beyond_keepalive(true, ms(2500)), 2500.0);
+    assert_eq!(silence_beyond_keepalive(false, ms(2500)), 0.0);
 }
 
 #[test]
--- a/crates/listener/src/lib.rs
+++ b/crates/listener/src/lib.rs
@@ -1,4 +1,4 @@
-//! Accepts connections while single accepts fail.
+//! Retries failed accepts of a listener.
 //!
 //! Problem: accept reports errors of the connection in front of the queue, which the next call does not meet, and errors
 //! of the process, such as a lack of descriptors, which the next call meets as well. Method: the first kind is retried
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -2,10 +2,10 @@
 //!
 //! Problem: during an overload every request waits so long that none meets its latency objective. Method: each tenant's
 //! share of requests that were served well decides which share of its new requests is rejected on arrival; those
-//! admitted are sent newest first, and one that can no longer be on time is answered instead of sent.
+//! admitted are sent newest first, and one that no endpoint accepts is answered as soon as it can no longer be on time.
 //!
 //! [`Policy`](crate::Policy) calls these rules when a request arrives ([`shed_probability`], [`rejection_probability`],
-//! [`remaining_objective`]), after each batch of events ([`queue_rank`], [`is_too_late`]) and for each final answer
+//! [`remaining_objective`]), after each batch of events ([`queue_rank`], [`would_be_late`]) and for each final answer
 //! ([`unserved_answer`], [`service_quality`]). All inputs are parameters.
 
 use crate::action::{Action, UnservedReason};
@@ -83,7 +83,7 @@
 }
 
 /// Whether an answer that takes so long in ms from now on would miss the latency objective.
-pub(crate) fn is_too_late(request: &Request, expected_latency: Millis, now: Millis) -> bool {
+pub(crate) fn would_be_late(request: &Request, expected_latency: Millis, now: Millis) -> bool {
     now + expected_latency > request.objective_deadline
 }
 
--- a/crates/policy/src/canary.rs
+++ b/crates/policy/src/canary.rs
@@ -96,7 +96,7 @@
     ) {
         let elapsed = view.now - self.analysed_at;
         let decay = |half_life: Millis| half_life_decay(elapsed.min(half_life), half_life);
-        for metric in [Metric::Success, Metric::Latency] {
+        for metric in [Metric::Success, Metric::Speed] {
             endpoints.scale_metric(metric, MIN_DECAYING_OUTCOMES, decay(OUTCOME_HALF_LIFE));
         }
         self.evidence.scale(decay(REPORT_HALF_LIFE));
@@ -146,20 +146,20 @@
         let is_warm = view.mean_canary_warmup >= MIN_COMPARABLE_WARMUP;
         let canary = if is_warm { canary } else { OutcomeCounts::default() };
         // A baseline that has left, or is idle while the canary gets nearly all requests, is no comparison.
-        let is_alone = is_uncapped || baseline.attempts < MIN_OUTCOMES.min(canary.attempts);
+        let lacks_baseline = is_uncapped || baseline.attempts < MIN_OUTCOMES.min(canary.attempts);
         let usual = &self.classes[class];
         let collapse_rate = (usual.usual_failure_rate.mean + COLLAPSE_RATE) / FAILURE_MARGIN;
-        let expected_rate = if is_alone { collapse_rate } else { baseline.failure_rate() };
+        let expected_rate = if lacks_baseline { collapse_rate } else { baseline.failure_rate() };
         let expected_failures = expected_rate * canary.attempts;
         self.evidence.expected_failures += expected_failures;
         // With latencies as usual, failures are attributed to a tenant or an endpoint, not to the version.
         let fast_latency = usual.usual_latency.mean * FAST_MARGIN.exp();
         let is_fast = canary.successes() > 0.0 && canary.mean_latency < fast_latency;
-        let max_failures = if is_alone && is_fast { expected_failures } else { f64::INFINITY };
+        let max_failures = if lacks_baseline && is_fast { expected_failures } else { f64::INFINITY };
         self.evidence.failures += canary.failures.min(max_failures);
         let (ours, theirs) = (canary.successes(), baseline.successes());
         let is_fully_warm = view.min_canary_warmup >= MIN_COMPARABLE_WARMUP;
-        if !is_alone && ours > 0.0 && theirs > 0.0 && is_fully_warm {
+        if !lacks_baseline && ours > 0.0 && theirs > 0.0 && is_fully_warm {
             let count = ours * theirs / (ours + theirs) / PAIRS_PER_SAMPLE;
             let mean = (baseline.mean_latency / (canary.mean_latency * view.min_canary_warmup)).ln();
             self.evidence.speed.merge(&RunningMoments { count, mean, sum_squared_deviations: count });
--- a/crates/policy/src/discovery_calls.rs
+++ b/crates/policy/src/discovery_calls.rs
@@ -12,21 +12,21 @@
 use latchhaven_backoff::{ExponentialBackoff, Jitter};
 use rand_pcg::Pcg64Mcg;
 
-/// ms of the interval over which calls are spread, for each other gateway.
+/// ms of the interval over which calls are spread, for each other gateway of the fleet.
 const CALL_SPREAD: Millis = 250.0;
-/// ms within which a new process first calls for the list; until then it accepts no clients.
+/// ms within which a new process with a cached list first calls for the list; without one it calls immediately.
 pub const MAX_FIRST_CALL_DELAY: Millis = 4000.0;
-/// ms of that interval at most: the service scales with the number of gateways.
+/// Upper bound in ms of the interval over which calls are spread: the service scales with the number of gateways.
 const MAX_CALL_SPREAD: Millis = 6000.0;
-/// Share of the interval over which broken watches are reopened, and that passes before a failed call is repeated, so
+/// Share of that interval over which broken watches are reopened. It also passes before a failed call is repeated, so
 /// that an overloaded service can empty its queue.
-const SHORT_SHARE: f64 = 1.0 / 3.0;
-/// Share of the polling interval up to which the interval grows, so that the end of an outage is noticed.
-const MAX_SPREAD_OF_POLLS: f64 = 0.8;
+const RECONNECT_SPREAD_SHARE: f64 = 1.0 / 3.0;
+/// Share of the polling interval up to which the backoff grows, so that the end of an outage is noticed.
+const MAX_BACKOFF_SHARE_OF_POLL_INTERVAL: f64 = 0.8;
 /// ms after which a call without an answer is repeated.
 pub(crate) const CALL_TIMEOUT: Millis = 4000.0;
 
-/// ms until a new process first calls for the list; `gateways`: how many there are.
+/// ms until a new process with a cached list first calls for the list; `gateways`: how many there are.
 pub(crate) fn first_call_delay(gateways: u32, rng: &mut Pcg64Mcg) -> Millis {
     Jitter::Full.draw(call_spread(gateways).min(MAX_FIRST_CALL_DELAY), rng)
 }
@@ -37,11 +37,11 @@
 ) -> Millis {
     let spread = call_spread(gateways).max(CALL_SPREAD);
     if failed_calls == 0 {
-        return Jitter::Full.draw(SHORT_SHARE * spread, rng);
+        return Jitter::Full.draw(RECONNECT_SPREAD_SHARE * spread, rng);
     }
-    let max_spread = MAX_SPREAD_OF_POLLS * discovery.max_poll_interval;
+    let max_spread = MAX_BACKOFF_SHARE_OF_POLL_INTERVAL * discovery.max_poll_interval;
     let backoff = ExponentialBackoff::new(spread, max_spread, Jitter::Full);
-    (SHORT_SHARE * spread).min(max_spread) + backoff.delay(failed_calls - 1, rng)
+    (RECONNECT_SPREAD_SHARE * spread).min(max_spread) + backoff.delay(failed_calls - 1, rng)
 }
 
 /// ms over which the calls of all gateways are spread.
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -1,4 +1,5 @@
-//! The parts of a [`Policy`], and the way of each event to the part that handles it. No rule is defined here.
+//! The parts of a [`Policy`], and the handler of each event. Rules are called here, and defined in the rule modules;
+//! [`Policy::handle_events`] is in `policy`.
 
 use crate::action::{Action, UnservedReason};
 use crate::admission;
@@ -55,22 +56,22 @@
     pub fn new(config: PolicyConfig) -> Self {
         let PolicyConfig { identity, classes, voting, discovery, .. } = config;
         let rng = Pcg64Mcg::seed_from_u64(config.seed);
-        let own_error_rate = verdict::own_error_rate(&identity, &voting);
+        let own_false_rejection_rate = verdict::own_false_rejection_rate(&identity, &voting);
         let vote_probability = verdict::vote_probability(&identity, &voting);
         let typical_latency = classes.iter().map(admission::initial_latency).collect();
         Policy {
             registry: EndpointRegistry {
-                next_poll_at: discovery.requires_subscription.then_some(0.0),
+                next_watch_call_at: discovery.requires_subscription.then_some(0.0),
                 discovery,
                 slow_start: config.slow_start,
                 logs_ejections: outlier::logs_ejections(&identity),
                 ..EndpointRegistry::default()
             },
             exposure: ExposureLimiter::new(config.exposure, classes.len()),
-            analysis: CanaryAnalysis::new(voting, own_error_rate, vote_probability, classes.len()),
+            analysis: CanaryAnalysis::new(voting, own_false_rejection_rate, vote_probability, classes.len()),
             requests: RequestTable::new(
                 typical_latency,
-                retry::MAX_RETRY_BUDGET,
+                retry::MAX_EARLY_RETRY_BUDGET,
                 admission::SERVICE_HALF_LIFE,
             ),
             zone: identity.zone,
@@ -133,13 +134,13 @@
             UpdateKind::CachedSnapshot if registry.discovery.requires_subscription => {
                 registry.lease = ListLease::cached(&registry.discovery, now);
                 let delay = discovery_calls::first_call_delay(self.gateways, &mut self.rng);
-                registry.next_poll_at = Some(now + delay);
+                registry.next_watch_call_at = Some(now + delay);
             }
             UpdateKind::CachedSnapshot => {}
             UpdateKind::Snapshot | UpdateKind::Delta => {
                 registry.lease = ListLease::confirmed();
                 registry.failed_calls = 0;
-                registry.next_poll_at = None;
+                registry.next_watch_call_at = None;
             }
         }
         self.apply_entries(kind, entries, now);
@@ -151,7 +152,8 @@
         self.registry.apply(entries, is_snapshot, concurrency_limit, &mut self.rng, now);
     }
 
-    /// Schedules the next poll for the list, whether or not a watch is still open.
+    /// A call failed or a watch broke: shortens the list's lease, limits proofs where an update may be lost, and schedules
+    /// the next call. The break of a confirmed watch does not count as a failed call.
     fn on_update_failed(&mut self, failure: &UpdateFailure, now: Millis) {
         let registry = &mut self.registry;
         if !registry.lease.is_confirmed() {
@@ -167,7 +169,7 @@
             &registry.discovery,
             &mut self.rng,
         );
-        registry.next_poll_at = Some(now + delay);
+        registry.next_watch_call_at = Some(now + delay);
     }
 
     fn on_wrong_answer(&mut self, endpoint: &str) {
@@ -303,7 +305,7 @@
     /// Closes a request, cancelling its attempts in flight; `quality`: how well it was served, from 0 to 1.
     pub(crate) fn close(&mut self, id: RequestId, quality: f64, now: Millis) {
         let Some(request) = self.requests.requests.get_mut(&id) else { return };
-        let was_answered = std::mem::replace(&mut request.is_answered, true);
+        let was_answered = std::mem::replace(&mut request.is_closed, true);
         let (tenant, attempts) = (request.tenant.clone(), request.attempts.len());
         if !was_answered && request.arrived_at >= self.stalled_until && attempts > 0 {
             for service in self.requests.service_levels(tenant.as_deref()) {
--- a/crates/policy/src/exposure.rs
+++ b/crates/policy/src/exposure.rs
@@ -17,7 +17,8 @@
 
 impl ExposureLimiter {
     /// Whether one more attempt at a version complies with the rule; `lowest_version`: the lowest among the ready
-    /// endpoints, which is no canary.
+    /// endpoints, which is no canary while no rollout is known. The platform may count in a window that is shifted by the
+    /// margin: attempts are counted over a longer one, arrivals over a shorter one.
     pub(crate) fn admits(
         &self, request: &Request, idempotency: Idempotency, version: Version, lowest_version: Version,
         now: Millis,
@@ -26,11 +27,12 @@
             return false;
         }
         let Some(canary) = self.canary(version, lowest_version) else { return true };
-        let is_open = canary.stage >= self.config.closed_stages || idempotency == Idempotency::Idempotent;
+        let is_stage_open =
+            canary.stage >= self.config.closed_stages || idempotency == Idempotency::Idempotent;
         let since = now - self.config.window;
         let attempts = self.attempts_since(version, request.class, since - SAFETY_MARGIN) + 1;
         let arrivals = self.arrivals_since(request.class, since + SAFETY_MARGIN);
         let allowed = self.config.allowance + canary.traffic_cap * arrivals as f64;
-        canary.traffic_cap > 0.0 && is_open && attempts as f64 <= allowed
+        canary.traffic_cap > 0.0 && is_stage_open && attempts as f64 <= allowed
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! [`Policy`] is the entry point: an adapter passes it each [`Event`] with the time and performs the [`Action`]s in the
 //! order returned. The crate is pure: it does no I/O, reads no clock and depends on no protocol. Times are in
-//! milliseconds. docs/another-front.md defines the duties of an adapter.
+//! milliseconds; `now` never goes backwards and has the epoch of [`EndpointEntry::started_at`], Unix time at gateways.
+//! docs/another-front.md defines the duties of an adapter.
 
 #![warn(clippy::pedantic)]
 #![allow(clippy::cast_precision_loss, reason = "counts are far below 2^52")]
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -17,9 +17,11 @@
 pub(crate) const INITIAL_CONCURRENCY_LIMIT: f64 = 2.0;
 /// Attempts by which one answer moves that limit.
 const CONCURRENCY_LIMIT_GAIN: f64 = 0.25;
-/// Error rate above which an endpoint is ejected.
+/// Running mean of errors above which an endpoint is ejected: nine errors in a row from none.
 const MAX_ERROR_RATE: f64 = 0.6;
-/// Attempts in a row without an answer that eject an endpoint: a single connection may be lost by the network.
+/// Attempts in a row that time out, get no connection or lose it, without an answer in between, that eject an endpoint: a
+/// single connection may be lost by the network. A rejection neither counts nor resets. An ejection resets neither this
+/// count nor the error rate: one more failure afterwards ejects again.
 const MAX_CONSECUTIVE_TIMEOUTS: u32 = 2;
 /// ms that an ejection lasts, doubling with each in a row up to a maximum.
 pub(crate) const EJECTION_BACKOFF: ExponentialBackoff = ExponentialBackoff::new(500.0, 4000.0, Jitter::None);
@@ -27,7 +29,7 @@
 pub(crate) const RUNNING_MEAN_WEIGHT: f64 = 0.1;
 /// Share of the latency objective that an answer may take before the concurrency limit falls.
 const MAX_QUEUEING_SHARE: f64 = 0.25;
-/// Gateways that log ejections.
+/// Gateways with a lower index log their ejections, the first one in a row.
 const MAX_LOGGING_GATEWAYS: u32 = 8;
 /// Factor on the expected work up to which an answer is acceptable in any case.
 const MAX_WORK_RATIO: f64 = 2.0;
@@ -39,9 +41,9 @@
     identity.index < MAX_LOGGING_GATEWAYS
 }
 
-/// How long an answer took relative to what is acceptable: above 1 the concurrency limit falls. `elapsed`, `objective` and
+/// The ratio of the time of an answer to the acceptable one: above 1 the concurrency limit falls. `elapsed`, `objective` and
 /// `expected_work` in ms; `warmup_factor`: the share of its capacity that the endpoint had reached.
-pub(crate) fn queueing(
+pub(crate) fn lateness_ratio(
     elapsed: Millis, warmup_factor: f64, objective: Millis, expected_work: Option<Millis>,
 ) -> f64 {
     let acceptable = (MAX_QUEUEING_SHARE * objective).max(MAX_WORK_RATIO * expected_work.unwrap_or(0.0));
@@ -68,9 +70,9 @@
     None
 }
 
-/// Updates an endpoint by the outcome of one attempt; `queueing`: see [`queueing`].
+/// Updates an endpoint by the outcome of one attempt; `lateness_ratio`: see [`lateness_ratio`].
 pub(crate) fn record_outcome(
-    endpoint: &mut Endpoint, outcome: AttemptOutcome, queueing: f64, now: Millis,
+    endpoint: &mut Endpoint, outcome: AttemptOutcome, lateness_ratio: f64, now: Millis,
 ) -> Option<EjectionReason> {
     use AttemptOutcome::{
         Cancelled, ConnectFailed, ConnectionLost, Error, NotSent, Rejected, Success, Timeout,
@@ -87,7 +89,7 @@
         Error if endpoint.error_rate > MAX_ERROR_RATE => return Some(EjectionReason::Errors),
         Success => {
             endpoint.ejection_count = 0;
-            let step = 1.0 - queueing.min(HEAVY_WORK_FACTOR);
+            let step = 1.0 - lateness_ratio.min(HEAVY_WORK_FACTOR);
             endpoint.move_concurrency_limit(CONCURRENCY_LIMIT_GAIN * step);
         }
         Rejected | Timeout => {
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,4 +1,4 @@
-//! The entry point of the decisions: batches of events in, actions out.
+//! The entry point of [`Policy`], whose parts are in `dispatch`: batches of events in, actions out.
 //!
 //! An adapter calls [`Policy::handle_events`] with all events since its last call and performs the returned actions in
 //! order. The policy collects the inputs of each rule, calls it (in the module named by its path) and applies the result.
@@ -11,7 +11,7 @@
 use crate::event::{CompletedAttempt, Event, IncomingRequest};
 use crate::outlier::{self, RUNNING_MEAN_WEIGHT};
 use crate::request::{AttemptOutcome, RequestId};
-use crate::retry::{self, MAX_RETRY_BUDGET, RETRY_BUDGET_PER_REQUEST};
+use crate::retry::{self, EARLY_RETRY_BUDGET_PER_REQUEST, MAX_EARLY_RETRY_BUDGET};
 use crate::routing::{self, AttemptGate, CoinInputs, EndpointLoad};
 use crate::slow_start::{ARRIVAL_RETENTION, RATE_WINDOW};
 use crate::state::canary::AnalysisView;
@@ -30,7 +30,7 @@
 const ANALYSIS_INTERVAL: Millis = 250.0;
 /// ms that a timer may fire early.
 const TIMER_ROUNDING: Millis = 1.0;
-/// ms that a timer may fire late before this process counts as stalled, which invalidates its latencies.
+/// ms that a timer may fire late before this process counts as stalled: outcomes of attempts sent before are no evidence.
 const MAX_TIMER_DELAY: Millis = 150.0;
 
 impl Policy {
@@ -48,7 +48,7 @@
         self.dispatch_queued(now);
         let idle = if self.analysis.is_idle() { IDLE_TICK } else { ANALYSIS_INTERVAL };
         let interval = if self.requests.requests.is_empty() { idle } else { TICK };
-        let poll_at = self.registry.next_poll_at.map(|at| at.max(now + TICK));
+        let poll_at = self.registry.next_watch_call_at.map(|at| at.max(now + TICK));
         self.actions.extend(self.timer.schedule(interval, poll_at, TIMER_ROUNDING, now));
         std::mem::take(&mut self.actions)
     }
@@ -56,8 +56,8 @@
     /// Every tick: the poll for the endpoint list, overdue requests, unresponsive attempts, and the canary.
     fn on_tick(&mut self, now: Millis) {
         self.timer.next_tick_at = f64::INFINITY;
-        if self.registry.next_poll_at.is_some_and(|at| at <= now + TIMER_ROUNDING) {
-            self.registry.next_poll_at = Some(now + CALL_TIMEOUT);
+        if self.registry.next_watch_call_at.is_some_and(|at| at <= now + TIMER_ROUNDING) {
+            self.registry.next_watch_call_at = Some(now + CALL_TIMEOUT);
             self.actions.push(Action::WatchEndpoints { enabled: true });
         }
         let unresponsive = self.unresponsive_attempts(now);
@@ -87,12 +87,12 @@
             self.registry.arrivals.record(now, ARRIVAL_RETENTION);
         }
         self.exposure.record_arrival(class, now - incoming.queued_for);
-        self.requests.add_retry_budget(RETRY_BUDGET_PER_REQUEST, MAX_RETRY_BUDGET);
+        self.requests.add_early_retry_budget(EARLY_RETRY_BUDGET_PER_REQUEST, MAX_EARLY_RETRY_BUDGET);
         let longest_timeout = self.requests.record_timeout(class, incoming.time_remaining);
         let objective = admission::remaining_objective(&incoming, &self.classes[class], longest_timeout);
         let draw = self.rng.random::<f64>();
-        let shed_probability = self.shed_probability(incoming.tenant.as_deref(), now);
-        let shed_probability = admission::rejection_probability(shed_probability, incoming.is_retry);
+        let tenant_shed_probability = self.shed_probability(incoming.tenant.as_deref(), now);
+        let shed_probability = admission::rejection_probability(tenant_shed_probability, incoming.is_retry);
         self.requests.requests.insert(id, Request::new(incoming, class, objective, now));
         if draw < shed_probability {
             self.answer_unserved(id, UnservedReason::Overload { shed_probability }, now);
@@ -134,8 +134,9 @@
         let endpoint = &mut self.registry.endpoints[attempt.endpoint];
         let objective = self.classes[request.class].objective_for(request.expected_work);
         self.analysis.record_outcome(endpoint, attempt, request, outcome, elapsed, objective);
-        let queueing = outlier::queueing(elapsed, attempt.warmup_factor, objective, request.expected_work);
-        if let Some(reason) = outlier::record_outcome(endpoint, outcome, queueing, now) {
+        let lateness_ratio =
+            outlier::lateness_ratio(elapsed, attempt.warmup_factor, objective, request.expected_work);
+        if let Some(reason) = outlier::record_outcome(endpoint, outcome, lateness_ratio, now) {
             self.eject(attempt.endpoint, reason, now);
         }
     }
@@ -187,7 +188,8 @@
     /// A request waits at an unresponsive endpoint: hedged where permitted, else cancelled to be sent again.
     fn hedge_or_retry(&mut self, id: RequestId, attempt: usize, now: Millis) {
         let shed_probability = self.shed_probability(None, now);
-        if !retry::is_early_retry_allowed(shed_probability, self.requests.retry_budget) || !self.can_retry(id)
+        if !retry::is_early_retry_allowed(shed_probability, self.requests.early_retry_budget)
+            || !self.can_retry(id)
         {
             return;
         }
@@ -197,11 +199,11 @@
             self.cancel(id, attempt)
         };
         if is_retried {
-            self.requests.retry_budget -= 1.0;
+            self.requests.early_retry_budget -= 1.0;
         }
     }
 
-    /// Sends what is queued; answers what can no longer be on time.
+    /// Sends what is queued. A request that no endpoint accepts stays queued until it can no longer be on time.
     fn dispatch_queued(&mut self, now: Millis) {
         if self.requests.queue.is_empty() {
             return;
@@ -215,20 +217,21 @@
             }
             return;
         }
-        let sides = [self.partition(true), self.partition(false)];
-        let ready_endpoints = sides[1].canary.len() + sides[1].baseline.len();
+        // First the gateway's subset, then all endpoints; each try draws its own coin.
+        let (subset, all) = (self.partition(true), self.partition(false));
+        let ready_endpoints = all.canary.len() + all.baseline.len();
         let classes = &self.classes;
         for id in self.requests.take_queue(|request| admission::queue_rank(request, classes)) {
             let request = &self.requests.requests[&id];
             let typical_latency = self.requests.typical_latency[request.class];
             let expected_latency = admission::expected_latency(request, typical_latency);
             let objective_left = request.objective_deadline - now;
-            let is_too_late = admission::is_too_late(request, expected_latency, now);
-            let is_in_time = admission::is_within_objective(request, now);
-            if is_in_time && sides.iter().any(|sides| self.route(id, sides, now)) {
+            let would_be_late = admission::would_be_late(request, expected_latency, now);
+            let may_be_sent = admission::is_within_objective(request, now);
+            if may_be_sent && [&subset, &all].into_iter().any(|sides| self.route(id, sides, now)) {
                 continue;
             }
-            if is_too_late {
+            if would_be_late {
                 let reason = UnservedReason::NoEndpoint { ready_endpoints, expected_latency, objective_left };
                 self.answer_unserved(id, reason, now);
             } else {
@@ -254,7 +257,7 @@
 
     fn coin_inputs(&self, sides: &Sides) -> CoinInputs {
         CoinInputs {
-            canary_share: sides.canary_share(),
+            canary_endpoint_share: sides.canary_endpoint_share(),
             canary_load: self.registry.endpoints.mean_in_flight(&sides.canary),
             baseline_load: self.registry.endpoints.mean_in_flight(&sides.baseline),
             has_baseline: !sides.baseline.is_empty(),
@@ -292,12 +295,13 @@
         retry::can_retry(request, idempotency, self.permissions.max_attempts)
     }
 
-    /// The probability of rejecting a new request of a tenant; below 0 without overload.
+    /// The probability of rejecting a new request of a tenant, or of those without a tenant; below 0 without overload.
+    /// Retains that tenant's service level.
     pub(crate) fn shed_probability(&mut self, tenant: Option<&str>, now: Millis) -> f64 {
         admission::shed_probability(self.requests.service_levels(tenant), now)
     }
 
-    /// The gate of all final answers without a result.
+    /// The gate of final answers without a result, to requests of a known class.
     pub(crate) fn answer_unserved(&mut self, id: RequestId, reason: UnservedReason, now: Millis) {
         let Some(request) = self.requests.unanswered(id) else { return };
         let class = &self.classes[request.class];
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,8 +1,9 @@
 //! Retries and hedged requests.
 //!
 //! Problem: retries multiply the load of an overload, and an unresponsive endpoint consumes a request's latency
-//! objective. Method: a retry budget in proportion to the requests admitted, and a patience after which a request at an
-//! endpoint that answers nothing is hedged or, where hedging is not permitted, cancelled and sent again.
+//! objective. Method: a retry after an attempt that has ended is bounded by the attempts permitted and the latency objective.
+//! An early one, for an attempt whose endpoint answers nothing within a patience, is hedged or, where hedging is not
+//! permitted, cancelled and sent again; early retries have a budget in proportion to the requests that arrive.
 //!
 //! [`Policy`](crate::Policy) calls [`unresponsive_attempt`] for each open request on each tick, and [`is_early_retry_allowed`]
 //! before it acts on one. [`can_retry`] also decides on requests whose attempts have all failed.
@@ -13,10 +14,10 @@
 use crate::state::requests::{Attempt, Request};
 use crate::time::Millis;
 
-/// Retries added to the budget by each request: the bound on the load that retries add.
-pub(crate) const RETRY_BUDGET_PER_REQUEST: f64 = 0.15;
-/// Maximum of the retry budget.
-pub(crate) const MAX_RETRY_BUDGET: f64 = 10.0;
+/// Early retries added to the budget by each request that arrives.
+pub(crate) const EARLY_RETRY_BUDGET_PER_REQUEST: f64 = 0.15;
+/// Maximum of the budget of early retries.
+pub(crate) const MAX_EARLY_RETRY_BUDGET: f64 = 10.0;
 /// Share of the latency objective after which an unanswered attempt counts as unresponsive.
 const PATIENCE_SHARE: f64 = 0.5;
 /// Factor on the usual or expected time up to which an attempt counts as heavy work.
@@ -56,7 +57,7 @@
 }
 
 /// Whether a request may be hedged or sent again before its attempt has ended: not in an overload, where it would only
-/// displace another request. `retry_budget`: retries that may be sent.
-pub(crate) fn is_early_retry_allowed(shed_probability: f64, retry_budget: f64) -> bool {
-    shed_probability <= 0.0 && retry_budget >= 1.0
+/// displace another request. `early_retry_budget`: early retries that may be sent.
+pub(crate) fn is_early_retry_allowed(shed_probability: f64, early_retry_budget: f64) -> bool {
+    shed_probability <= 0.0 && early_retry_budget >= 1.0
 }
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -5,8 +5,9 @@
 //! power of two choices (Mitzenmacher, 2001) on attempts in flight per unit of capacity.
 //!
 //! [`Policy`](crate::Policy) calls these rules for each queued request and each hedged request. [`AttemptGate`] is the only
-//! way out for attempts: it applies every rule that an attempt could violate. [`canary_share`] decides the same for
-//! adapters that publish shares instead of routing each request.
+//! way out for attempts: it applies every rule that an attempt could violate. [`canary_share`] decides the corresponding
+//! share, from capacities, for adapters that publish shares instead of routing each request; unlike the coin it gives a
+//! rejected canary nothing.
 
 use crate::config::Permissions;
 use crate::exposure::SAFETY_MARGIN;
@@ -32,7 +33,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CoinInputs {
     /// The share of the ready endpoints that are canaries'.
-    pub(crate) canary_share: f64,
+    pub(crate) canary_endpoint_share: f64,
     /// Mean attempts in flight at a canary endpoint.
     pub(crate) canary_load: f64,
     /// Mean attempts in flight at a baseline endpoint.
@@ -50,7 +51,7 @@
     if !inputs.has_baseline {
         return true;
     }
-    let share = inputs.canary_share;
+    let share = inputs.canary_endpoint_share;
     let is_full_traffic = inputs.has_full_traffic && coin < FULL_TRAFFIC_SHARE;
     // With less than one attempt in flight per endpoint, equal load is too coarse: the coin approaches the share.
     let parity = share + (0.5 - share).max(0.0) * inputs.baseline_load.min(1.0);
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -45,8 +45,8 @@
     pub(crate) arrivals: usize,
     /// Ready endpoints.
     pub(crate) ready_endpoints: usize,
-    /// Sum of the shares of their capacity that they have reached.
-    pub(crate) capacity: f64,
+    /// Sum of their warm-up factors.
+    pub(crate) warm_endpoints: f64,
     /// Running mean of arrivals per ms and unit of capacity before.
     pub(crate) usual_rate: f64,
 }
@@ -57,24 +57,25 @@
     /// Running mean of arrivals per ms and unit of capacity.
     pub(crate) usual_rate: f64,
     /// The share of the endpoints that is this gateway's subset.
-    pub(crate) subset_size: f64,
+    pub(crate) subset_share: f64,
     /// Tokens per ms of an endpoint at full capacity.
-    rate: f64,
+    token_rate: f64,
     /// ms since the last refill.
     elapsed: Millis,
 }
 
 /// The rates that follow from recent arrivals.
 pub(crate) fn refill(inputs: &RefillInputs, config: &SlowStartConfig) -> Refill {
-    let RefillInputs { elapsed, arrivals, ready_endpoints, capacity, .. } = *inputs;
-    let rate = arrivals as f64 / RATE_WINDOW / capacity.max(1.0);
-    let usual_rate = inputs.usual_rate + (elapsed / RATE_WINDOW).min(1.0) * (rate - inputs.usual_rate);
-    let subset = (SUBSET_VISIT_INTERVAL * usual_rate * capacity).max(MIN_SUBSET);
-    let rate = rate.min(MAX_RATE_SURGE * usual_rate);
+    let RefillInputs { elapsed, arrivals, ready_endpoints, warm_endpoints, .. } = *inputs;
+    let arrival_rate = arrivals as f64 / RATE_WINDOW / warm_endpoints.max(1.0);
+    let usual_rate =
+        inputs.usual_rate + (elapsed / RATE_WINDOW).min(1.0) * (arrival_rate - inputs.usual_rate);
+    let subset = (SUBSET_VISIT_INTERVAL * usual_rate * warm_endpoints).max(MIN_SUBSET);
+    let bounded_rate = arrival_rate.min(MAX_RATE_SURGE * usual_rate);
     Refill {
         usual_rate,
-        subset_size: subset / ready_endpoints.max(1) as f64,
-        rate: BUDGET_SHARE * config.overload_multiple * rate,
+        subset_share: subset / ready_endpoints.max(1) as f64,
+        token_rate: BUDGET_SHARE * config.overload_multiple * bounded_rate,
         elapsed,
     }
 }
@@ -82,7 +83,7 @@
 impl Refill {
     /// The tokens of an endpoint after the refill, at most one plus those of half the overload window.
     pub(crate) fn refilled(&self, tokens: f64, warmup_factor: f64, config: &SlowStartConfig) -> f64 {
-        let gain = self.rate * warmup_factor;
+        let gain = self.token_rate * warmup_factor;
         let max_tokens = 1.0 + gain * config.overload_window * MAX_TOKENS_SHARE;
         (tokens + gain * self.elapsed).min(max_tokens)
     }
--- a/crates/policy/src/state/canary.rs
+++ b/crates/policy/src/state/canary.rs
@@ -29,7 +29,7 @@
     /// The probability that the canary is worse.
     pub probability_worse: f64,
     /// The probability of a wrong rejection that the test may accept.
-    pub error_rate: f64,
+    pub false_rejection_rate: f64,
     /// The test, for the log.
     pub reason: RejectionReason,
 }
@@ -84,7 +84,7 @@
     /// How versions are voted on.
     pub voting: VotingConfig,
     /// The probability of a wrong rollback that this gateway may accept.
-    pub own_error_rate: f64,
+    pub own_false_rejection_rate: f64,
     /// The probability of casting a vote that is due, at one analysis.
     pub vote_probability: f64,
     /// The evidence by class.
@@ -142,7 +142,7 @@
     pub last_vote_at: Millis,
     /// It counts, unless the platform has answered otherwise.
     pub vote_is_active: bool,
-    /// The log event of a rejection, until the next vote is cast.
+    /// The log event of a rejection, until the next vote is cast: only gateways that are drawn to vote print it.
     pub rejection_log: Option<LogEvent>,
 }
 
@@ -179,10 +179,12 @@
 impl CanaryAnalysis {
     /// No evidence yet.
     #[must_use]
-    pub fn new(voting: VotingConfig, own_error_rate: f64, vote_probability: f64, class_count: usize) -> Self {
+    pub fn new(
+        voting: VotingConfig, own_false_rejection_rate: f64, vote_probability: f64, class_count: usize,
+    ) -> Self {
         CanaryAnalysis {
             voting,
-            own_error_rate,
+            own_false_rejection_rate,
             vote_probability,
             classes: vec![ClassEvidence::default(); class_count],
             ..CanaryAnalysis::default()
@@ -195,7 +197,9 @@
         self.canary.is_none() && self.promotion.is_none()
     }
 
-    /// Resets the evidence if another version is the canary now, so that earlier faults do not count against it.
+    /// Another version is the canary now, or none is any more: records the metrics and the load of all endpoints as those
+    /// before it, and resets them. A version that was not watched before also starts without reported evidence, so that
+    /// earlier faults do not count against it.
     pub fn begin(&mut self, canary: Option<Version>, endpoints: &mut EndpointTable, load: f64) {
         if canary == self.canary {
             return;
--- a/crates/policy/src/state/endpoint.rs
+++ b/crates/policy/src/state/endpoint.rs
@@ -20,8 +20,8 @@
 pub enum Metric {
     /// 1 for an answer within the latency objective, else 0.
     Success,
-    /// Log of the speed of an answer, relative to what is usual for its class.
-    Latency,
+    /// Log of the speed of an answer (expected work by latency), relative to what is usual for its class: higher is faster.
+    Speed,
     /// 1 for an answer that is neither an error nor reported wrong, else 0.
     Correctness,
 }
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MetricMoments {
     pub(super) success: RunningMoments,
-    pub(super) latency: RunningMoments,
+    pub(super) speed: RunningMoments,
     pub(super) correctness: RunningMoments,
 }
 
@@ -40,7 +40,7 @@
     fn index(&self, metric: Metric) -> &RunningMoments {
         match metric {
             Metric::Success => &self.success,
-            Metric::Latency => &self.latency,
+            Metric::Speed => &self.speed,
             Metric::Correctness => &self.correctness,
         }
     }
@@ -50,7 +50,7 @@
     fn index_mut(&mut self, metric: Metric) -> &mut RunningMoments {
         match metric {
             Metric::Success => &mut self.success,
-            Metric::Latency => &mut self.latency,
+            Metric::Speed => &mut self.speed,
             Metric::Correctness => &mut self.correctness,
         }
     }
@@ -83,7 +83,7 @@
     pub in_flight: u32,
     /// Attempts that may be in flight there.
     pub concurrency_limit: f64,
-    /// When it last answered, in ms.
+    /// When it last answered this gateway, or another sender by its report, in ms.
     pub last_answer_at: Millis,
     /// Until when, in ms, its answers prove that it is neither draining nor replaced.
     pub proof_expires_at: Millis,
@@ -95,15 +95,15 @@
     pub ejection_count: u32,
     /// Its outcomes, as evidence on its version.
     pub metrics: MetricMoments,
-    /// Attempts in a row that got no answer.
+    /// Attempts in a row that timed out, got no connection or lost it; a rejection neither counts nor resets.
     pub consecutive_timeouts: u32,
-    /// Running mean of the log of the ratio of its latencies to the usual ones.
+    /// Running mean of the log of the ratio of its latencies to the usual ones: the negative of its speed.
     pub latency_bias: f64,
     /// When that was updated, in ms.
     pub latency_bias_at: Millis,
     /// Attempts that this gateway may still send while it warms up.
     pub slow_start_tokens: f64,
-    /// A random position from 0 to 1; the gateway's subset consists of those below the subset's size.
+    /// A random position from 0 to 1; the gateway's subset consists of those below the subset's share.
     pub subset_position: f64,
 }
 
@@ -144,7 +144,7 @@
     /// Records the log of the speed of an answer relative to the usual one; `weight`: that of the newest in its latency
     /// bias.
     pub fn record_speed(&mut self, relative_speed: f64, weight: f64, answered_at: Millis) {
-        self.metrics[Metric::Latency].add(relative_speed);
+        self.metrics[Metric::Speed].add(relative_speed);
         self.latency_bias += weight * (-relative_speed - self.latency_bias);
         self.latency_bias_at = answered_at;
     }
@@ -165,7 +165,8 @@
         duration
     }
 
-    /// Moves the concurrency limit by `step` attempts, from one up to twice the attempts in flight plus one, or to itself.
+    /// Moves the concurrency limit by `step` attempts. It never falls below 1, and grows only up to twice (attempts in flight
+    /// plus one); a limit already above that does not grow.
     pub fn move_concurrency_limit(&mut self, step: f64) {
         let max = 2.0 * f64::from(self.in_flight + 1).max(self.concurrency_limit / 2.0);
         self.concurrency_limit = (self.concurrency_limit + step).clamp(1.0, max);
--- a/crates/policy/src/state/evidence.rs
+++ b/crates/policy/src/state/evidence.rs
@@ -17,7 +17,7 @@
 }
 
 impl OutcomeCounts {
-    /// The failure rate, with a prior of one failed attempt.
+    /// The failure rate, with one failed attempt added as a prior.
     #[must_use]
     pub fn failure_rate(&self) -> f64 {
         (self.failures + 1.0) / (self.attempts + 1.0)
--- a/crates/policy/src/state/exposure.rs
+++ b/crates/policy/src/state/exposure.rs
@@ -18,7 +18,7 @@
     /// Requests that arrived, by bucket.
     arrivals: Vec<SlidingWindow>,
     /// Attempts at each version, by bucket.
-    canary_attempts: BTreeMap<(Version, usize), SlidingWindow>,
+    attempts_by_version: BTreeMap<(Version, usize), SlidingWindow>,
     /// Sticky keys that a canary has answered, with its version.
     sticky_versions: BTreeMap<String, Version>,
 }
@@ -31,7 +31,7 @@
             config,
             rollout: None,
             arrivals: vec![SlidingWindow::default(); class_count],
-            canary_attempts: BTreeMap::new(),
+            attempts_by_version: BTreeMap::new(),
             sticky_versions: BTreeMap::new(),
         }
     }
@@ -54,16 +54,16 @@
     /// Records an attempt; versions without attempts within the retention are removed.
     pub fn record_attempt(&mut self, version: Version, class: usize, now: Millis) {
         let (bucket, retention) = (self.bucket(class), self.retention());
-        if !self.canary_attempts.contains_key(&(version, bucket)) {
-            self.canary_attempts.retain(|_, attempts| attempts.count_since(now - retention) > 0);
+        if !self.attempts_by_version.contains_key(&(version, bucket)) {
+            self.attempts_by_version.retain(|_, attempts| attempts.count_since(now - retention) > 0);
         }
-        self.canary_attempts.entry((version, bucket)).or_default().record(now, retention);
+        self.attempts_by_version.entry((version, bucket)).or_default().record(now, retention);
     }
 
     /// Versions whose attempts are retained, once for each bucket.
     #[must_use]
     pub fn retained_versions(&self) -> usize {
-        self.canary_attempts.len()
+        self.attempts_by_version.len()
     }
 
     /// Requests in the bucket of a class since a time in ms.
@@ -75,7 +75,7 @@
     /// Attempts at a version in the bucket of a class since a time in ms.
     #[must_use]
     pub fn attempts_since(&self, version: Version, class: usize, moment: Millis) -> usize {
-        let attempts = self.canary_attempts.get(&(version, self.bucket(class)));
+        let attempts = self.attempts_by_version.get(&(version, self.bucket(class)));
         attempts.map_or(0, |attempts| attempts.count_since(moment))
     }
 
--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -1,7 +1,7 @@
 //! The state of a policy: endpoints, requests, exposure, evidence on a canary, and the tick timer.
 //!
-//! The rule modules and [`Policy`](crate::Policy) read and update it. No rule and no constant of a rule is defined here: what a rule
-//! decides arrives as a parameter.
+//! The rule modules and [`Policy`](crate::Policy) read and update it. Constants of rules arrive as parameters; invariants of
+//! the state itself (which version is the canary, when evidence is reset, the bounds of counts) are here.
 
 pub mod canary;
 pub mod endpoint;
--- a/crates/policy/src/state/registry.rs
+++ b/crates/policy/src/state/registry.rs
@@ -78,7 +78,7 @@
         let pooled = |metric| RunningMoments::pooled(self.iter().map(|endpoint| &endpoint.metrics[metric]));
         MetricMoments {
             success: pooled(Metric::Success),
-            latency: pooled(Metric::Latency),
+            speed: pooled(Metric::Speed),
             correctness: pooled(Metric::Correctness),
         }
     }
@@ -131,7 +131,7 @@
 impl Sides {
     /// The share of the endpoints that are canaries'.
     #[must_use]
-    pub fn canary_share(&self) -> f64 {
+    pub fn canary_endpoint_share(&self) -> f64 {
         self.canary.len() as f64 / (self.canary.len() + self.baseline.len()).max(1) as f64
     }
 }
@@ -145,12 +145,12 @@
     pub slow_start: SlowStartConfig,
     /// All endpoints.
     pub endpoints: EndpointTable,
-    /// The place of each listed endpoint.
+    /// The place of each endpoint that has one, including removed ones until it is reused.
     pub index_by_id: BTreeMap<String, EndpointIndex>,
     /// Until when the list may be used.
     pub(crate) lease: ListLease,
-    /// When the list is polled next, in ms; none where no poll is due.
-    pub next_poll_at: Option<Millis>,
+    /// When the next call for a watch of the list is due, in ms; none while a watch is open.
+    pub next_watch_call_at: Option<Millis>,
     /// Calls for the list that have failed in a row.
     pub failed_calls: u32,
     /// The lowest version among the ready endpoints.
@@ -160,7 +160,7 @@
     /// Running mean of arrivals per ms and unit of capacity.
     pub usual_rate: f64,
     /// The share of the endpoints that is this gateway's subset.
-    pub subset_size: f64,
+    pub subset_share: f64,
     /// When slow start tokens were last added, in ms.
     pub tokens_refilled_at: Millis,
     /// This gateway logs its ejections.
@@ -230,12 +230,12 @@
             elapsed,
             arrivals: self.arrivals.count_since(now - RATE_WINDOW),
             ready_endpoints: self.endpoints.ready().count(),
-            capacity: self.endpoints.ready().map(|index| self.warmup_factor(index, now)).sum(),
+            warm_endpoints: self.endpoints.ready().map(|index| self.warmup_factor(index, now)).sum(),
             usual_rate: self.usual_rate,
         };
         let refill = slow_start::refill(&inputs, &self.slow_start);
         self.usual_rate = refill.usual_rate;
-        self.subset_size = refill.subset_size;
+        self.subset_share = refill.subset_share;
         for index in self.endpoints.indices() {
             let warmup_factor = self.warmup_factor(index, now);
             let tokens = &mut self.endpoints[index].slow_start_tokens;
@@ -268,10 +268,11 @@
         healthy.map(|index| self.capacity(*index, now)).sum()
     }
 
-    /// Ready endpoints by side; `is_subset`: only those of this gateway's subset.
-    pub fn partition(&self, is_subset: bool, is_canary: impl Fn(Version) -> bool) -> Sides {
-        let is_mine =
-            |index: &EndpointIndex| !is_subset || self.endpoints[*index].subset_position < self.subset_size;
+    /// Ready endpoints by side; `only_subset`: only those of this gateway's subset.
+    pub fn partition(&self, only_subset: bool, is_canary: impl Fn(Version) -> bool) -> Sides {
+        let is_mine = |index: &EndpointIndex| {
+            !only_subset || self.endpoints[*index].subset_position < self.subset_share
+        };
         let ready = self.endpoints.ready().filter(is_mine);
         let (canary, baseline) = ready.partition(|index| is_canary(self.endpoints[*index].version));
         Sides { canary, baseline }
--- a/crates/policy/src/state/requests.rs
+++ b/crates/policy/src/state/requests.rs
@@ -97,8 +97,8 @@
     pub attempts: Vec<Attempt>,
     /// Its response is being streamed.
     pub is_streaming: bool,
-    /// It has its final answer.
-    pub is_answered: bool,
+    /// It needs no further answer: it has its final one, or its client has disconnected.
+    pub is_closed: bool,
 }
 
 impl Request {
@@ -115,14 +115,14 @@
             expected_work: incoming.expected_work,
             attempts: Vec::new(),
             is_streaming: false,
-            is_answered: false,
+            is_closed: false,
         }
     }
 
     /// The gateway may give its final answer.
     #[must_use]
     pub fn is_open(&self) -> bool {
-        !self.is_streaming && !self.is_answered
+        !self.is_streaming && !self.is_closed
     }
 
     /// The share of its latency objective that is left; below 0 after it.
@@ -208,7 +208,7 @@
     /// The longest time in ms that clients have left to a request, by class.
     pub longest_timeout: Vec<Millis>,
     /// Retries that may be sent.
-    pub retry_budget: f64,
+    pub early_retry_budget: f64,
     /// Running mean of the share of attempts that got no connection.
     pub connect_failure_rate: f64,
     /// The service level of all requests.
@@ -219,13 +219,13 @@
 impl RequestTable {
     /// No requests yet; `service_half_life` in ms.
     #[must_use]
-    pub fn new(typical_latency: Vec<Millis>, retry_budget: f64, service_half_life: Millis) -> Self {
+    pub fn new(typical_latency: Vec<Millis>, early_retry_budget: f64, service_half_life: Millis) -> Self {
         RequestTable {
             requests: BTreeMap::new(),
             queue: Vec::new(),
             longest_timeout: vec![0.0; typical_latency.len()],
             typical_latency,
-            retry_budget,
+            early_retry_budget,
             connect_failure_rate: 0.0,
             overall_service: ServiceLevel::new(service_half_life),
             tenant_service: BTreeMap::new(),
@@ -259,21 +259,21 @@
     }
 
     /// Adds retries to the budget, up to a maximum.
-    pub fn add_retry_budget(&mut self, retries: f64, max: f64) {
-        self.retry_budget = (self.retry_budget + retries).min(max);
+    pub fn add_early_retry_budget(&mut self, retries: f64, max: f64) {
+        self.early_retry_budget = (self.early_retry_budget + retries).min(max);
     }
 
     /// A request, if it has no final answer yet.
     #[must_use]
     pub fn unanswered(&self, id: RequestId) -> Option<&Request> {
-        self.requests.get(&id).filter(|request| !request.is_answered)
+        self.requests.get(&id).filter(|request| !request.is_closed)
     }
 
     /// Removes and returns the queue without answered requests, highest rank first.
     pub fn take_queue(&mut self, rank: impl Fn(&Request) -> (f64, Millis)) -> Vec<RequestId> {
         let requests = &self.requests;
         let mut queue = std::mem::take(&mut self.queue);
-        queue.retain(|id| requests.get(id).is_some_and(|request| !request.is_answered));
+        queue.retain(|id| requests.get(id).is_some_and(|request| !request.is_closed));
         let rank = |id: &RequestId| rank(&requests[id]);
         queue.sort_by(|a, b| rank(b).partial_cmp(&rank(a)).unwrap_or(a.cmp(b)).then(a.cmp(b)));
         queue
@@ -286,7 +286,7 @@
 
     /// Removes a request that is answered and has no attempt in flight.
     pub fn remove_if_finished(&mut self, id: RequestId) {
-        let is_finished = |request: &Request| request.is_answered && request.attempts_in_flight() == 0;
+        let is_finished = |request: &Request| request.is_closed && request.attempts_in_flight() == 0;
         if self.requests.get(&id).is_some_and(is_finished) {
             self.requests.remove(&id);
         }
--- a/crates/policy/src/verdict.rs
+++ b/crates/policy/src/verdict.rs
@@ -1,9 +1,10 @@
 //! The verdict on a canary, and the votes that follow from it.
 //!
 //! Problem: each gateway sees a part of the outcomes, tests them repeatedly and must not roll back a good version. Method:
-//! several tests of the evidence ([`crate::canary`]), each with a share of one error rate δ: comparisons of means by draws
-//! from Student-t posteriors, and Poisson tail probabilities of failures. A canary is rejected once the probability that it
-//! is worse has exceeded 1 - δ for some time.
+//! several tests of the evidence ([`crate::canary`]): comparisons of means by draws from Student-t posteriors, and Poisson
+//! tail probabilities of failures. A test rejects above 1 - [`TestResult::false_rejection_rate`]: δ is shared among the
+//! analyses of a version and, for a gateway's own outcomes, among all that may roll back alone. A canary is rejected once
+//! tests have done so for some time.
 //!
 //! [`Policy`](crate::Policy) calls [`CanaryAnalysis::analyse`] at intervals while a rollout is known. It returns votes for the
 //! platform and log events as actions.
@@ -28,7 +29,7 @@
 pub(crate) const ROLLBACK_ERROR_RATE: f64 = 0.05;
 /// Probability that the canary is worse above which it is not promoted.
 const MAX_DOUBT: f64 = 0.8;
-/// ms that the probability must exceed 1 - δ before the canary is rejected.
+/// ms for which tests must reject, at each analysis one at least, before the canary is rejected.
 const CONFIDENCE_DURATION: Millis = 1000.0;
 /// ms after the start of the canary's newest endpoint before a promotion.
 const SETTLING_TIME: Millis = 3000.0;
@@ -44,7 +45,7 @@
 const PROMOTION_WATCH: Millis = 15000.0;
 /// ms for which the canary gets nearly all requests before its promotion.
 const FULL_TRAFFIC_DURATION: Millis = 6000.0;
-/// Analyses of one version that share δ.
+/// Analyses of one version that share δ: the effective number of independent ones.
 const ANALYSES_PER_VERSION: f64 = 10.0;
 /// Log of the ratio of latencies above which all endpoints count as slower than before the canary.
 const SLOWDOWN_MARGIN: f64 = SPEED_MARGIN / 2.0;
@@ -61,7 +62,7 @@
 
 /// The probability of a wrong rollback that one gateway may accept: δ shared among all groups of gateways whose votes
 /// suffice.
-pub(crate) fn own_error_rate(identity: &GatewayIdentity, voting: &VotingConfig) -> f64 {
+pub(crate) fn own_false_rejection_rate(identity: &GatewayIdentity, voting: &VotingConfig) -> f64 {
     let deciders = f64::from(identity.gateway_count.max(1)) / f64::from(voting.rollback_quorum.max(1));
     ROLLBACK_ERROR_RATE / deciders.max(1.0)
 }
@@ -111,8 +112,8 @@
         &mut self, rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &AnalysisView, context: CanaryContext,
     ) -> Vec<TestResult> {
         // Own outcomes differ between gateways, which share δ; reports are the same for all.
-        let error_rate = self.own_error_rate / ANALYSES_PER_VERSION;
-        let own = |probability_worse, reason| TestResult { probability_worse, error_rate, reason };
+        let false_rejection_rate = self.own_false_rejection_rate / ANALYSES_PER_VERSION;
+        let own = |probability_worse, reason| TestResult { probability_worse, false_rejection_rate, reason };
         let mut test_results = vec![own(PRIOR_PROBABILITY, RejectionReason::Prior)];
         // Own errors do not count where reports show no more failures than expected: they are due to single endpoints.
         let is_cleared_by_reports =
@@ -126,7 +127,7 @@
         if context.is_canary && !context.is_alone {
             test_results
                 .push(own(compare(rng, endpoints, view, Metric::Success, 0.0), RejectionReason::SuccessRate));
-            let latency = compare(rng, endpoints, view, Metric::Latency, SPEED_MARGIN);
+            let latency = compare(rng, endpoints, view, Metric::Speed, SPEED_MARGIN);
             // A single endpoint may be slow for other reasons than its version.
             test_results.extend((view.canary.len() > 1).then(|| own(latency, RejectionReason::Latency)));
         }
@@ -156,8 +157,8 @@
         &mut self, rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &AnalysisView, context: CanaryContext,
     ) -> Option<f64> {
         let members = if view.baseline.is_empty() { &view.canary } else { &view.baseline };
-        let speed = endpoints.pooled_metric(Metric::Latency, members);
-        let before = self.metrics_before_canary[Metric::Latency];
+        let speed = endpoints.pooled_metric(Metric::Speed, members);
+        let before = self.metrics_before_canary[Metric::Speed];
         // A higher load per endpoint, by a burst or a loss of endpoints, has the same effect.
         let is_comparable = context.is_canary
             && before.mean > -SPEED_MARGIN
@@ -172,8 +173,8 @@
 
     /// The tests of the platform's reports, which are the same for all gateways.
     fn report_test_results(&self, rng: &mut Pcg64Mcg) -> [TestResult; 4] {
-        let error_rate = ROLLBACK_ERROR_RATE / ANALYSES_PER_VERSION;
-        let test = |probability_worse, reason| TestResult { probability_worse, error_rate, reason };
+        let false_rejection_rate = ROLLBACK_ERROR_RATE / ANALYSES_PER_VERSION;
+        let test = |probability_worse, reason| TestResult { probability_worse, false_rejection_rate, reason };
         let rare = |expected, counted| poisson_probability_of_fewer(expected, counted, MAX_FAILURES);
         let expected = FAILURE_MARGIN * self.evidence.expected_failures / CLUSTER_SIZE;
         let failures = rare(expected, self.evidence.failures / CLUSTER_SIZE);
@@ -194,9 +195,11 @@
         ]
     }
 
-    /// Rejects the version once one test has exceeded 1 - δ for [`CONFIDENCE_DURATION`].
+    /// Rejects the version once, at each analysis for [`CONFIDENCE_DURATION`], some test has exceeded its threshold. The
+    /// reason is the test with the largest probability, which need not be the one over its threshold.
     fn conclude(&mut self, test_results: Vec<TestResult>, rollout: &RolloutState, now: Millis) {
-        let is_confident = test_results.iter().any(|test| test.probability_worse > 1.0 - test.error_rate);
+        let is_confident =
+            test_results.iter().any(|test| test.probability_worse > 1.0 - test.false_rejection_rate);
         self.confident_since = is_confident.then(|| self.confident_since.unwrap_or(now));
         let Some(strongest) = TestResult::strongest(test_results) else { return };
         self.probability_worse = strongest.probability_worse;
@@ -229,8 +232,8 @@
         self.full_traffic_since = is_full.then(|| self.full_traffic_since.unwrap_or(now));
     }
 
-    /// Whether there is the evidence required for a promotion: outcomes, after the time of full traffic if that applies; without
-    /// it, also a time in which there were few.
+    /// Whether there is the evidence required for a promotion. With full traffic: enough outcomes, after a time of it.
+    /// Otherwise: enough outcomes, or the patience with few outcomes has passed.
     fn has_evidence(&self, rollout: &RolloutState, since_start: Millis, now: Millis) -> bool {
         let duration = if self.is_without_baseline { SETTLING_TIME } else { FULL_TRAFFIC_DURATION };
         let patience = FEW_OUTCOMES_PATIENCE * f64::from(rollout.stage + 1);
@@ -242,7 +245,7 @@
 
     /// Whether nothing speaks against a promotion.
     fn is_promotable(&self, rollout: &RolloutState, since_start: Millis) -> bool {
-        let before = &self.metrics_before_canary[Metric::Latency];
+        let before = &self.metrics_before_canary[Metric::Speed];
         let was_slow_before = before.count >= MIN_OUTCOMES_BEFORE && before.mean <= -SPEED_MARGIN;
         let has_few_failures = self.evidence.failures <= self.evidence.expected_failures;
         let has_accepted_failures = rollout.traffic_cap < 1.0 || was_slow_before || has_few_failures;
--- a/crates/proxy-config/src/freshness.rs
+++ b/crates/proxy-config/src/freshness.rs
@@ -33,7 +33,8 @@
 pub enum UpdateResult {
     /// It is in use.
     Applied,
-    /// It is older than the list in use, which stays.
+    /// It was not applied: a full list older than the newest known one, a change older than the list in use, or a change
+    /// before any full list.
     Stale,
 }
 
--- a/crates/proxy-config/src/limits.rs
+++ b/crates/proxy-config/src/limits.rs
@@ -7,8 +7,8 @@
 
 // Shares of proxies.
 
-/// ms after which a proxy that has not acknowledged its shares counts as unreachable. A fraction of the drain grace,
-/// whose remainder is needed to update the other proxies.
+/// ms after which a proxy that has not acknowledged its shares counts as unreachable. A quarter of a drain
+/// grace of 2 s, whose remainder is needed to update the other proxies; it does not follow the setting.
 pub const ACKNOWLEDGE_TIMEOUT: Millis = 500.0;
 /// ms for which a disconnected proxy counts as using its shares; then it was shut down, or its site is lost.
 pub const DISCONNECTED_RETENTION: Millis = 600_000.0;
@@ -54,9 +54,9 @@
 const MAX_PROXY_MULTIPLE: f64 = 4.0;
 /// Reporting proxies from which on [`MAX_PROXY_MULTIPLE`] applies.
 const MIN_PROXIES_TO_LIMIT: usize = 4;
-/// Attempts at one endpoint that count at most of one report: the network path from one proxy may be faulty.
+/// The most attempts of one class at one endpoint that count of one proxy's report: the path from a proxy may be faulty.
 pub(crate) const MAX_ENDPOINT_ATTEMPTS: f64 = 20.0;
-/// The largest plausible count of one period.
+/// The largest plausible count of one report.
 pub(crate) const MAX_COUNT: u64 = 1_000_000_000;
 /// ms that a report may cover: 1 ms to 1 h.
 pub(crate) const REPORT_INTERVAL_RANGE: RangeInclusive<Millis> = 1.0..=3_600_000.0;
@@ -74,7 +74,7 @@
 const MAX_CLOCK_SKEW: Millis = 60_000.0;
 /// ms by which the begins of one rollout state may differ: services read it at different moments, on different clocks.
 const BEGIN_TOLERANCE: u64 = 2_000;
-/// The maximum length of a label's prefix in bytes.
+/// The maximum length in bytes of what precedes a label's signature.
 pub const MAX_LABEL_LENGTH: usize = 160;
 
 /// True where a proxy that was sent shares at `sent_at` and has not acknowledged them counts as unreachable at `now`.
@@ -140,7 +140,8 @@
     steps.clamp(*WEIGHT_RANGE.start(), *WEIGHT_RANGE.end()) as u32
 }
 
-/// Attempts in flight that one of `proxies` proxies may have at a version with this capacity. A power of two: one more
+/// Attempts in flight that one of `proxies` proxies may have at a version with this capacity; proxies that disconnected
+/// within [`DISCONNECTED_RETENTION`] count too. A power of two: one more
 /// proxy or endpoint rarely updates all proxies.
 pub(crate) fn max_in_flight(per_endpoint: u32, capacity: f64, proxies: usize) -> u32 {
     let limit = f64::from(per_endpoint) * capacity * UNEVENNESS / proxies.max(1) as f64;
--- a/crates/xds/src/resources/resource_type.rs
+++ b/crates/xds/src/resources/resource_type.rs
@@ -1,7 +1,8 @@
 //! The types of xDS resources that are served.
 
-/// A type of resource. The order of the variants is the order in which responses are sent, so that a proxy has what a
-/// resource references before the resource itself.
+/// A type of resource. The order of the variants is the order in which responses are sent: clusters before the endpoints
+/// that proxies then subscribe to, listeners before routes. That routes follow accepted clusters and endpoints is checked
+/// for each response of routes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ResourceType {
     /// Clusters (CDS).
--- a/crates/xds/src/stream/request_handling.rs
+++ b/crates/xds/src/stream/request_handling.rs
@@ -105,11 +105,12 @@
         let mut versions = InitialVersions::default();
         let mut accepted = Vec::new();
         for initial in &request.initial_versions {
-            if let Some(hash) = versions.parse(&initial.label, &self.signer) {
+            if let Some(hash) = versions.record(&initial.label, &self.signer) {
                 accepted.push((initial.name.clone(), AcceptedResource { hash, resource: None }));
             }
         }
-        versions.parse(&request.version, &self.signer);
+        // The label of the last accepted response counts as well.
+        versions.record(&request.version, &self.signer);
         let newest = versions.newest();
         let state = self.types.entry(resource_type).or_default();
         state.minimum_version = newest;
@@ -173,7 +174,7 @@
 
 impl<'a> InitialVersions<'a> {
     /// Parses a label. Returns its content hash; none if the text is not a label.
-    fn parse(&mut self, label: &'a str, signer: &VersionSigner) -> Option<u64> {
+    fn record(&mut self, label: &'a str, signer: &VersionSigner) -> Option<u64> {
         let LabelParts { prefix, content_hash } = split_label(label)?;
         let version = self.by_prefix.entry(prefix).or_insert_with(|| signer.parse_prefix(prefix));
         version.map(|_| content_hash)
--- a/crates/xds/src/stream/response_selection.rs
+++ b/crates/xds/src/stream/response_selection.rs
@@ -39,7 +39,8 @@
         self.respond(resource_type, snapshot, content)
     }
 
-    /// There is nothing to send. Unchanged routes of a reconnected proxy count as accepted.
+    /// There is nothing to send for these contents. Unchanged routes of a reconnected proxy count as accepted; from then on its
+    /// initial version no longer limits responses of routes.
     fn on_up_to_date(
         &mut self, resource_type: ResourceType, snapshot: &ResourceSnapshot, set: &TypeResources,
     ) {
--- a/crates/xds/src/stream/type_state.rs
+++ b/crates/xds/src/stream/type_state.rs
@@ -51,7 +51,8 @@
     pub(super) pending: Option<PendingResponse>,
     /// The nonce of the last response.
     pub(super) nonce: String,
-    /// Hash of the contents for which there was nothing to send; cleared by every request.
+    /// Hash of the contents for which there was nothing to send; cleared by each request for this type, for endpoints by each
+    /// request of the stream.
     pub(super) up_to_date_with: Option<u64>,
     /// A response is due although no content changed: more names are subscribed to.
     pub(super) response_due: bool,
