--- a/crates/client/src/rules.rs
+++ b/crates/client/src/rules.rs
@@ -12,7 +12,7 @@
 
 /// Time in ms by which a deduplication window is shortened: the network path to an endpoint, and its clock.
 const DEDUP_MARGIN: Millis = 20.0;
-/// The pause between attempts of a call; it doubles with each attempt.
+/// The pause in ms before a retry: the upper bound is 50 for the first one, that is one doubling of 25, and 1000 at most.
 const RETRY_BACKOFF: ExponentialBackoff = ExponentialBackoff::new(25.0, 1_000.0, Jitter::Full);
 /// The largest part of a `retry_after` that is added at random: `retry_after` is a minimum.
 const RETRY_AFTER_JITTER: f64 = 0.5;
--- a/crates/control-plane/src/control_plane/mod.rs
+++ b/crates/control-plane/src/control_plane/mod.rs
@@ -29,7 +29,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The token of all timer events: the control plane has one timer for the decisions.
+/// The token of all timer events: the control plane has one timer for the policy, which ignores the token.
 const TIMER_TOKEN: &str = "look";
 
 /// The settings of a control plane.
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -38,6 +38,7 @@
     /// A vote was answered, or failed.
     pub fn on_vote_completed(&mut self, outcome: VoteOutcome, now: Millis) {
         match outcome {
+            // The answer contains the rollout state, which is ordered like any other; the policy treats both events alike.
             VoteOutcome::Counted(rollout) => self.on_rollout_state(rollout, now),
             VoteOutcome::NotCounted | VoteOutcome::Unknown => {
                 self.pending_events.push(Event::VoteCompleted(outcome));
--- a/crates/control-plane/src/driver/event_loop.rs
+++ b/crates/control-plane/src/driver/event_loop.rs
@@ -103,8 +103,8 @@
                 self.control_plane.on_routes_sent(stream, &canary_shares, now);
             }
             ServerEvent::LoadReport { stream, report, result } => {
-                let result_sent = self.control_plane.on_load_report(stream, &report, now);
-                let _ = result.send(result_sent.map_err(LoadReportRejected::new));
+                let accepted = self.control_plane.on_load_report(stream, &report, now);
+                let _ = result.send(accepted.map_err(LoadReportRejected::new));
             }
             ServerEvent::StreamClosed { stream } => {
                 self.pending_admissions.remove(&stream);
--- a/crates/control-plane/src/limits.rs
+++ b/crates/control-plane/src/limits.rs
@@ -112,8 +112,9 @@
     processors.min(MAX_XDS_THREADS)
 }
 
-/// The canary's share of the requests in a configuration with this status, from 0 to 1. A canary that another control
-/// plane has rejected gets none, whatever share was `decided` here, unless it serves all requests.
+/// The canary's share of the requests in a configuration with this status, from 0 to 1. A rejected canary gets
+/// none, whichever control plane rejected it and whatever share was `decided` here, unless that is all: then it is the only
+/// version.
 pub(crate) fn published_canary_share(decided: f64, status: RolloutStatus) -> f64 {
     if status == RolloutStatus::Rejected && decided < 1.0 { 0.0 } else { decided }
 }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -87,7 +87,8 @@
     Ok(ServiceAddresses { discovery: addresses.discovery, platform: addresses.platform })
 }
 
-/// Which address of the discovery service takes precedence: the variable at the start, the file at a reload.
+/// Which address of the discovery service takes precedence: the variable at the start, the file at a reload, since variables
+/// cannot change while the process runs.
 #[derive(Clone, Copy, PartialEq)]
 enum DiscoverySource {
     VariableFirst,
--- a/crates/gateway/src/discovery/ordered_client.rs
+++ b/crates/gateway/src/discovery/ordered_client.rs
@@ -106,6 +106,7 @@
             // The delta refers to an unknown list: the next watch has to request all endpoints.
             VersionOrder::Gap => self.current_version = 0,
         }
+        // The call stays the current one until the policy, notified of its failure, starts another watch.
         self.starter.abort(call);
         ListDecision::Discard { is_current: self.is_current(call) }
     }
--- a/crates/gateway/src/gateway/event_loop.rs
+++ b/crates/gateway/src/gateway/event_loop.rs
@@ -165,7 +165,9 @@
 
     fn cast_vote(&mut self, version: Version, stage: u32, verdict: Verdict) {
         let vote = Vote { version, stage, verdict, cast_at: Instant::now() };
-        invariant!(self.votes.try_send(vote).is_ok(), "the queue of votes is not full");
+        let is_queued = self.votes.try_send(vote).is_ok();
+        // A vote that is not queued has no outcome; the policy renews votes at intervals far above the time of one.
+        invariant!(is_queued, "the queue of votes is not full");
     }
 }
 
--- a/crates/gateway/src/gateway/requests.rs
+++ b/crates/gateway/src/gateway/requests.rs
@@ -71,8 +71,9 @@
         self.on_answered(id);
     }
 
-    /// A request is answered, or its client has disconnected: attempts that were not written yet are aborted. This needs
-    /// no permission to cancel.
+    /// A request is answered, or its client has disconnected: attempts that were not written yet are aborted, and
+    /// the request is removed once none is left. An unwritten attempt is unknown to its endpoint, so the permission to cancel
+    /// does not apply.
     pub(super) fn on_answered(&mut self, id: RequestId) {
         let mut events = Vec::new();
         for attempt in 0..self.requests.attempt_count(id) {
--- a/crates/gateway/src/gateway/upstream_calls.rs
+++ b/crates/gateway/src/gateway/upstream_calls.rs
@@ -68,7 +68,7 @@
         self.next_events.append(&mut events);
     }
 
-    /// Stops waiting for a call. One that was never written ends with `NotSent` instead of `outcome`.
+    /// Ends a call: closes its connection, or takes it off the queue. One that was never written ends with `NotSent` instead of `outcome`.
     pub(super) fn stop(&mut self, call: UpstreamCall, outcome: AttemptOutcome, events: &mut Vec<Event>) {
         let Some(endpoint) = self.endpoint_of(call) else { return };
         let outcome = match self.pool.cancel(&endpoint, call) {
@@ -82,7 +82,7 @@
         self.on_call_ended(call, CallResult::without_answer(outcome), events);
     }
 
-    /// Ends an attempt if its last byte was not written yet.
+    /// Ends an attempt if its last byte was not written yet; health checks have no write deadline.
     pub(super) fn abort_unsent(&mut self, call: UpstreamCall, events: &mut Vec<Event>) {
         let UpstreamCall::Attempt { .. } = call else { return };
         let Some(endpoint) = self.endpoint_of(call) else { return };
--- a/crates/gateway/src/net/clients/closing.rs
+++ b/crates/gateway/src/net/clients/closing.rs
@@ -17,7 +17,7 @@
 pub(super) enum CloseReason {
     /// No message is on its way to the client: closed immediately.
     Quiet,
-    /// An answer may be on its way. Unread requests remain unanswered; the client may retry them.
+    /// An answer may be on its way, or the client has ended the connection itself. Unread requests remain unanswered; the client may retry them.
     Answered,
     /// An error may be on its way. The rest of the input is discarded.
     Rejected,
--- a/crates/gateway/src/net/clients/read_buffer.rs
+++ b/crates/gateway/src/net/clients/read_buffer.rs
@@ -11,7 +11,7 @@
 pub(super) struct ReadBuffer {
     pub(super) bytes: BytesMut,
     arrivals: ArrivalTimes,
-    /// When input was first noticed that could not be read because the buffer was full.
+    /// When input was first noticed, or may have arrived, that was not read: the buffer was full, or a write was slow.
     pub(super) unread_since: Option<Millis>,
     /// The client sends queries before earlier ones are answered.
     pub(super) is_pipelined: bool,
--- a/crates/gateway/src/net/clients/reading.rs
+++ b/crates/gateway/src/net/clients/reading.rs
@@ -53,7 +53,7 @@
 
     /// Reads the input that arrived before the connection is closed. `buffered`: the bytes before the wait.
     async fn read_before_closing(&mut self, buffered: usize) -> io::Result<ReadOutcome> {
-        // A read of full length yields before it returns: its bytes are in the buffer already.
+        // A read of full length yields before it returns: where it was dropped then, its bytes are in the buffer already.
         let has_read = self.input.bytes.len() > buffered
             || has_unread_bytes(self.stream) && read_some(self.stream, &mut self.input.bytes).await? > 0;
         Ok(if has_read { ReadOutcome::Read } else { ReadOutcome::Closing })
--- a/crates/gateway/src/net/clients/session.rs
+++ b/crates/gateway/src/net/clients/session.rs
@@ -20,7 +20,7 @@
 /// Error text for a client that sends no complete query in time.
 const NO_COMPLETE_QUERY: &str = "nothing whole was asked in time";
 /// Error text for a client whose connection is closed before its first request.
-const NO_CAPACITY: &str = "no room, or stopping: come again";
+const CLOSED_BEFORE_FIRST_QUERY: &str = "no room, or stopping: come again";
 
 /// How an attempt to read more input ended.
 pub(super) enum ReadOutcome {
@@ -120,7 +120,7 @@
     async fn close(&mut self) -> io::Result<CloseReason> {
         if !self.session.has_requested.get() {
             // Without an error the client would not know that a retry is safe.
-            return self.close_with_rejection(NO_CAPACITY).await;
+            return self.close_with_rejection(CLOSED_BEFORE_FIRST_QUERY).await;
         }
         Ok(if self.session.is_evicted() { CloseReason::Quiet } else { CloseReason::Answered })
     }
--- a/crates/gateway/src/net/upstream/exchange.rs
+++ b/crates/gateway/src/net/upstream/exchange.rs
@@ -66,6 +66,7 @@
         self.value = Some([description, row, completion]);
     }
 
+    /// Ends the exchange; `outcome_otherwise` applies where no complete answer was read.
     fn finish(self, outcome_otherwise: AttemptOutcome, next: NextStep) -> Exchange {
         let outcome = self.outcome.unwrap_or(outcome_otherwise);
         let result = CallResult { outcome, value: self.value, load: self.load, connected_at: None };
--- a/crates/gateway/src/net/upstream/pool.rs
+++ b/crates/gateway/src/net/upstream/pool.rs
@@ -35,6 +35,7 @@
     /// `pool_generation`; the policy counts incarnations of its own.
     generation: u64,
     entry: EndpointEntry,
+    /// In the order in which they became idle.
     idle: Vec<Rc<UpstreamConnection>>,
     /// Connections of this generation that are being opened.
     connecting: usize,
@@ -86,6 +87,7 @@
     endpoints: BTreeMap<String, UpstreamEndpoint>,
     /// The calls that were assigned to a connection.
     active: BTreeMap<UpstreamCall, Rc<UpstreamConnection>>,
+    /// Connections being opened, open, or closing until their task reports it: exceeds `max_open` by evicted ones.
     open: usize,
     max_open: usize,
     last_generation: u64,
@@ -186,7 +188,7 @@
         endpoint.idle.push(connection);
     }
 
-    /// A connection could not be opened. Returns the call that cannot be sent because of this.
+    /// A connection could not be opened. Returns the oldest queued call if too few connections are being opened for all.
     pub fn on_connect_failed(&mut self, connection: &Rc<UpstreamConnection>) -> Option<UpstreamCall> {
         self.open -= 1;
         let endpoint = self.endpoints.get_mut(&connection.endpoint)?;
@@ -194,7 +196,7 @@
             return None;
         }
         endpoint.connecting -= 1;
-        // Each queued call still has a connection that is being opened.
+        // None is returned where as many connections are being opened as calls are queued.
         if endpoint.queue.len() <= endpoint.connecting {
             return None;
         }
@@ -269,14 +271,14 @@
     }
 
     /// Opens a connection for a call, which waits in the queue.
-    fn open_connection(&mut self, id: &str, queued: QueuedCall) -> bool {
+    fn open_connection(&mut self, endpoint_id: &str, queued: QueuedCall) -> bool {
         self.open += 1;
         COUNTERS.server_connections_max.record_max(self.open);
         COUNTERS.server_connects_total.increment();
-        let Some(endpoint) = self.endpoints.get_mut(id) else { return false };
+        let Some(endpoint) = self.endpoints.get_mut(endpoint_id) else { return false };
         endpoint.queue.push_back(queued);
         endpoint.connecting += 1;
-        let connection = Rc::new(UpstreamConnection::new(id, endpoint.generation));
+        let connection = Rc::new(UpstreamConnection::new(endpoint_id, endpoint.generation));
         let address = endpoint.address;
         let task = connection_task::run(
             connection,
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -56,6 +56,8 @@
 ) -> Millis {
     let objective = class.objective_for(request.expected_work);
     let left = request.time_remaining;
+    // A retry with less time than clients of the class leave to a first attempt began earlier. Below the objective its client
+    // may simply have a short timeout.
     let began_earlier = request.is_retry && left < longest_timeout - SAFETY_MARGIN && left >= objective;
     if began_earlier { (objective - (class.timeout - left)).max(0.0) } else { objective }
 }
--- a/crates/policy/src/verdict.rs
+++ b/crates/policy/src/verdict.rs
@@ -232,8 +232,8 @@
         self.full_traffic_since = is_full.then(|| self.full_traffic_since.unwrap_or(now));
     }
 
-    /// Whether there is the evidence required for a promotion. With full traffic: enough outcomes, after a time of it.
-    /// Otherwise: enough outcomes, or the patience with few outcomes has passed.
+    /// Whether there is the evidence required for a promotion. With full traffic: the minimum of outcomes, after a time of it.
+    /// Otherwise: the minimum of outcomes, or the patience with few outcomes has passed.
     fn has_evidence(&self, rollout: &RolloutState, since_start: Millis, now: Millis) -> bool {
         let duration = if self.is_without_baseline { SETTLING_TIME } else { FULL_TRAFFIC_DURATION };
         let patience = FEW_OUTCOMES_PATIENCE * f64::from(rollout.stage + 1);
--- a/crates/proxy-config/src/proxy_config/routes.rs
+++ b/crates/proxy-config/src/proxy_config/routes.rs
@@ -113,15 +113,16 @@
 fn fill_with_baselines(mut shares: Vec<RouteShare>, baselines: &[BaselineCapacity]) -> Vec<RouteShare> {
     let canary_share: PartsPerMillion = shares.iter().map(|share| share.share).sum();
     let mut unassigned = PartsPerMillion::FULL.saturating_sub(canary_share);
-    let baseline_share = f64::from(unassigned.get());
+    let baseline_parts = f64::from(unassigned.get());
     let total_capacity: f64 = baselines.iter().map(|baseline| baseline.capacity).sum();
     let Some((last, others)) = baselines.split_last() else {
-        shares.push(RouteShare { target: RouteTarget::Reject, share: unassigned });
-        shares.retain(|share| share.share > PartsPerMillion::ZERO || share.target != RouteTarget::Reject);
+        if unassigned > PartsPerMillion::ZERO {
+            shares.push(RouteShare { target: RouteTarget::Reject, share: unassigned });
+        }
         return shares;
     };
     for baseline in others {
-        let exact_parts = baseline_share * baseline.capacity / total_capacity.max(f64::MIN_POSITIVE);
+        let exact_parts = baseline_parts * baseline.capacity / total_capacity.max(f64::MIN_POSITIVE);
         let share = PartsPerMillion::new(exact_parts as u32).floor_to(SHARE_STEP).min(unassigned);
         unassigned = unassigned.saturating_sub(share);
         shares.push(RouteShare { target: RouteTarget::Version(baseline.version), share });
--- a/crates/proxy-config/src/share_ledger.rs
+++ b/crates/proxy-config/src/share_ledger.rs
@@ -56,7 +56,8 @@
 }
 
 impl ShareLedger {
-    /// An empty ledger. Above `max_proxies` a new proxy replaces the one that has been disconnected the longest.
+    /// An empty ledger. Above `max_proxies` a new proxy replaces the one that has been disconnected the longest, whose share
+    /// no longer counts; with none disconnected the ledger grows.
     #[must_use]
     pub fn new(max_proxies: usize) -> Self {
         ShareLedger { proxies: BTreeMap::new(), max_proxies }
--- a/crates/proxy-config/src/version.rs
+++ b/crates/proxy-config/src/version.rs
@@ -125,7 +125,8 @@
         }
     }
 
-    /// Compares by version, status and stage; within a stage by begin. Where the begins cannot be distinguished, the lower
+    /// Compares two versions by version, status and stage; within a stage by begin. Not a total order, since begins within a
+    /// tolerance are equal. Where the begins cannot be distinguished, the lower
     /// cap counts as newer, since a mistake then exceeds no cap.
     #[must_use]
     pub fn compare(&self, other: &Self) -> Ordering {
@@ -258,7 +259,8 @@
         Some(format!("{leading_bytes:016x}"))
     }
 
-    /// Compares a signature with that of this signer's key, in constant time.
+    /// Compares a signature with that of this signer's key, in constant time. The caller checks its length: a shorter one would
+    /// match.
     fn verify(&self, body: &str, signature: &str) -> bool {
         let Some(expected) = self.sign(body) else { return false };
         let pairs = signature.bytes().zip(expected.bytes());
--- a/crates/simulator-protocol/src/host.rs
+++ b/crates/simulator-protocol/src/host.rs
@@ -47,6 +47,7 @@
     /// # Errors
     /// Malformed input, with its line, or a failure of input or output.
     pub fn serve(&mut self, mut input: impl BufRead, mut output: impl Write) -> Result<(), HostError> {
+        // A panic of a policy is answered on the output; the default hook would also print it.
         let hook = std::panic::take_hook();
         std::panic::set_hook(Box::new(|_| ()));
         let result = self.serve_lines(&mut input, &mut output);
--- a/crates/simulator-protocol/src/settings/mod.rs
+++ b/crates/simulator-protocol/src/settings/mod.rs
@@ -14,7 +14,8 @@
 use schema::SettingsSchema;
 use update_delays::UpdateDelays;
 
-/// The longest polling interval in seconds on sockets, where the simulator pushes lists and sets none.
+/// The longest polling interval in seconds of a gateway on sockets whose settings say that lists are pushed: sockets do not
+/// offer that, so that it subscribes instead.
 const DEFAULT_MAX_POLL_INTERVAL_S: f64 = 10.0;
 
 /// Milliseconds of a time in seconds.
--- a/crates/simulator-protocol/src/settings/update_delays.rs
+++ b/crates/simulator-protocol/src/settings/update_delays.rs
@@ -28,7 +28,7 @@
         UpdateDelays { start: delay, lost_watch: delay, silent_watch: delay, moved: delay }
     }
 
-    /// The delays on sockets. Where the simulator pushes lists, a change counts as reported immediately, unless the
+    /// The delays on sockets. Where the settings say that lists are pushed, a change counts as reported immediately, unless the
     /// watch is open and silent or the gateway has moved.
     pub(super) fn on_sockets(is_pushed: bool) -> Self {
         UpdateDelays {
--- a/crates/xds/src/load_stats.rs
+++ b/crates/xds/src/load_stats.rs
@@ -11,7 +11,7 @@
 
 /// The custom metric of latencies, in ms for one request.
 pub const LATENCY_METRIC: &str = "latency_ms";
-/// The interval of a report without clusters, in ms.
+/// The interval of a report without clusters, in ms: any valid value, since there is nothing to divide by it.
 const DEFAULT_INTERVAL: Millis = 1.0;
 /// Milliseconds in one second.
 const MILLIS_PER_SECOND: f64 = 1000.0;
--- a/crates/xds/src/resources/route.rs
+++ b/crates/xds/src/resources/route.rs
@@ -115,7 +115,7 @@
 }
 
 fn retry_policy(route: &Route, class: &RequestClass) -> xds::RetryPolicy {
-    // A request that is not idempotent is retried only if it was definitely not executed.
+    // A second guard, beside the scope of the route: a non-idempotent request is retried only if it was definitely not executed.
     let retry_on = match route.retry_scope {
         RetryScope::NotExecuted => RETRY_ON_NOT_EXECUTED,
         RetryScope::Any if class.idempotency == Idempotency::NonIdempotent => RETRY_ON_NOT_EXECUTED,
