--- a/crates/control-plane/src/control_plane/mod.rs
+++ b/crates/control-plane/src/control_plane/mod.rs
@@ -17,7 +17,7 @@
 use crate::state_store::PersistedState;
 use address_directory::AddressDirectory;
 use latchhaven_policy::{Action, Event, Millis, Policy};
-use latchhaven_proxy_config::freshness::{KnownState, SnapshotUnavailable};
+use latchhaven_proxy_config::freshness::{KnownState, PublicationBlocked};
 use latchhaven_proxy_config::load_reports::LoadReportAggregator;
 use latchhaven_proxy_config::proxy_config::ProxyConfigSettings;
 use latchhaven_proxy_config::share_ledger::ShareLedger;
@@ -63,7 +63,7 @@
     pending_events: Vec<Event>,
     snapshot: Option<Arc<ResourceSnapshot>>,
     /// The last logged reason why nothing can be published.
-    blocked_by: Option<SnapshotUnavailable>,
+    blocked_by: Option<PublicationBlocked>,
 }
 
 /// A configuration to be published.
@@ -132,14 +132,14 @@
         let mut effects = Effects { admitted_streams: self.admission.poll(now), ..Effects::default() };
         for stream in &effects.admitted_streams {
             if let Some(proxy) = self.proxies.open_discovery_stream(*stream) {
-                self.shares.connected(proxy);
+                self.shares.on_connected(proxy);
             }
         }
         if !self.schedule.is_due(now) {
             return effects;
         }
         effects.actions = self.decide(now);
-        if self.known_state.needs_full_list() && self.schedule.start_snapshot_request(now) {
+        if self.known_state.needs_list_snapshot() && self.schedule.start_snapshot_request(now) {
             effects.actions.push(Action::FetchEndpoints);
         }
         if self.schedule.start_publish(now) {
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -70,7 +70,7 @@
 impl ControlPlane {
     /// A stream of load reports requests admission; false: there are too many streams.
     pub fn open_load_stream(&mut self, stream: u64, node: &str) -> bool {
-        let is_admitted = self.admission.admit_load_reports(stream) == AdmissionResult::Queued;
+        let is_admitted = self.admission.admit_load_reports(stream) == AdmissionResult::Accepted;
         if is_admitted {
             self.proxies.open_load_stream(stream, node);
         }
@@ -79,7 +79,7 @@
 
     /// A discovery stream requests admission; false: there are too many streams.
     pub fn request_stream(&mut self, stream: u64, node: &str, now: Millis) -> bool {
-        let is_queued = self.admission.request_slot(stream, node, now) == AdmissionResult::Queued;
+        let is_queued = self.admission.request_slot(stream, node, now) == AdmissionResult::Accepted;
         if is_queued {
             self.proxies.add_pending_stream(stream, node.to_string());
         }
@@ -90,8 +90,8 @@
     pub fn on_stream_closed(&mut self, stream: u64, now: Millis) {
         self.admission.on_stream_closed(stream);
         if let Some(proxy) = self.proxies.close_stream(stream) {
-            self.shares.disconnected(proxy, now);
-            self.load_reports.disconnected(proxy);
+            self.shares.on_disconnected(proxy, now);
+            self.load_reports.on_disconnected(proxy);
         }
     }
 
@@ -103,7 +103,7 @@
                 StreamEvent::VersionReported { resource_type, version } => {
                     self.on_reported_version(proxy, resource_type, &version, now);
                 }
-                StreamEvent::Acknowledged(shares) => self.shares.acknowledged(proxy, &shares),
+                StreamEvent::Acknowledged(shares) => self.shares.on_acknowledged(proxy, &shares),
                 StreamEvent::Rejected { resource_type, nonce, message } => {
                     let node = self.proxies.node(stream);
                     tracing::warn!(
@@ -115,7 +115,7 @@
                         "xds: proxy rejected a configuration"
                     );
                     if resource_type == ResourceType::Route {
-                        self.shares.rejected(proxy);
+                        self.shares.on_rejected(proxy);
                     }
                 }
             }
@@ -125,7 +125,7 @@
     /// A stream is about to send routes.
     pub fn on_routes_sent(&mut self, stream: u64, canary_shares: &CanaryShares, now: Millis) {
         if let Some(proxy) = self.proxies.proxy_number(stream) {
-            self.shares.sent(proxy, canary_shares, now);
+            self.shares.on_sent(proxy, canary_shares, now);
         }
     }
 
@@ -157,7 +157,7 @@
     ) {
         if resource_type == ResourceType::Route {
             let max_share = limits::max_published_share(&version.version.rollout);
-            self.shares.reported(proxy, vec![max_share; self.settings.classes.len()]);
+            self.shares.on_reported(proxy, vec![max_share; self.settings.classes.len()]);
         }
         if let Some(rollout) = self.known_state.apply_proxy_version(version, now) {
             self.pending_events.push(Event::RolloutUpdate(rollout));
--- a/crates/proxy-config/src/freshness.rs
+++ b/crates/proxy-config/src/freshness.rs
@@ -24,7 +24,7 @@
     /// Since when all full lists were older than [`Self::latest_seen`].
     stale_since: Option<Millis>,
     /// The last received list was a full one, and stale.
-    is_last_full_list_stale: bool,
+    is_last_snapshot_stale: bool,
     rolled_back: BTreeSet<Version>,
 }
 
@@ -40,7 +40,7 @@
 
 /// Why no configuration can be published yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum SnapshotUnavailable {
+pub enum PublicationBlocked {
     /// No full endpoint list was received.
     #[error("no full endpoint list was received yet")]
     NoEndpointList,
@@ -115,15 +115,15 @@
     }
 
     /// Applies an endpoint list of discovery. Changes apply to the list in use; the first list must be a full one.
-    pub fn apply_endpoint_list(&mut self, version: u64, is_full: bool, now: Millis) -> UpdateResult {
-        let result = self.apply_list_version(version, is_full, now);
-        self.is_last_full_list_stale = is_full && result == UpdateResult::Stale;
+    pub fn apply_endpoint_list(&mut self, version: u64, is_snapshot: bool, now: Millis) -> UpdateResult {
+        let result = self.apply_list_version(version, is_snapshot, now);
+        self.is_last_snapshot_stale = is_snapshot && result == UpdateResult::Stale;
         result
     }
 
-    fn apply_list_version(&mut self, version: u64, is_full: bool, now: Millis) -> UpdateResult {
-        if is_full {
-            return self.apply_full_list(version, now);
+    fn apply_list_version(&mut self, version: u64, is_snapshot: bool, now: Millis) -> UpdateResult {
+        if is_snapshot {
+            return self.apply_list_snapshot(version, now);
         }
         let Some(current) = self.endpoint_list else { return UpdateResult::Stale };
         let changed = EndpointListVersion { version, ..current };
@@ -135,14 +135,14 @@
         UpdateResult::Applied
     }
 
-    fn apply_full_list(&mut self, version: u64, now: Millis) -> UpdateResult {
+    fn apply_list_snapshot(&mut self, version: u64, now: Millis) -> UpdateResult {
         let received = EndpointListVersion { epoch: self.latest_seen.epoch, version };
         if received >= self.latest_seen {
-            return self.use_full_list(received);
+            return self.use_list_snapshot(received);
         }
         let stale_since = *self.stale_since.get_or_insert(now);
         if limits::begins_new_epoch(now, stale_since) {
-            return self.use_full_list(EndpointListVersion { epoch: received.epoch + 1, version });
+            return self.use_list_snapshot(EndpointListVersion { epoch: received.epoch + 1, version });
         }
         if self.endpoint_list.is_some() {
             return UpdateResult::Stale;
@@ -152,7 +152,7 @@
         UpdateResult::Applied
     }
 
-    fn use_full_list(&mut self, list: EndpointListVersion) -> UpdateResult {
+    fn use_list_snapshot(&mut self, list: EndpointListVersion) -> UpdateResult {
         self.endpoint_list = Some(list);
         self.latest_seen = list;
         self.stale_since = None;
@@ -179,8 +179,8 @@
     /// True where a full list must be fetched: the list in use is older than the newest known one, or the last full list
     /// was stale.
     #[must_use]
-    pub fn needs_full_list(&self) -> bool {
-        self.is_endpoint_list_stale() || self.is_last_full_list_stale
+    pub fn needs_list_snapshot(&self) -> bool {
+        self.is_endpoint_list_stale() || self.is_last_snapshot_stale
     }
 
     fn is_endpoint_list_stale(&self) -> bool {
@@ -191,12 +191,12 @@
     ///
     /// # Errors
     /// No configuration may be published yet.
-    pub fn config_version(&self) -> Result<ConfigVersion, SnapshotUnavailable> {
-        let endpoints = self.endpoint_list.ok_or(SnapshotUnavailable::NoEndpointList)?;
+    pub fn config_version(&self) -> Result<ConfigVersion, PublicationBlocked> {
+        let endpoints = self.endpoint_list.ok_or(PublicationBlocked::NoEndpointList)?;
         let confirmed = self.rollout.filter(|_| self.confirmed_by_platform);
-        let rollout = confirmed.ok_or(SnapshotUnavailable::RolloutUnconfirmed)?;
+        let rollout = confirmed.ok_or(PublicationBlocked::RolloutUnconfirmed)?;
         if self.is_endpoint_list_stale() {
-            return Err(SnapshotUnavailable::StaleEndpointList);
+            return Err(PublicationBlocked::StaleEndpointList);
         }
         Ok(ConfigVersion { rollout, endpoints })
     }
--- a/crates/proxy-config/src/load_reports.rs
+++ b/crates/proxy-config/src/load_reports.rs
@@ -113,7 +113,7 @@
     }
 
     /// A proxy disconnected.
-    pub fn disconnected(&mut self, proxy: u64) {
+    pub fn on_disconnected(&mut self, proxy: u64) {
         self.proxies.remove(&proxy);
     }
 
--- a/crates/proxy-config/src/share_ledger.rs
+++ b/crates/proxy-config/src/share_ledger.rs
@@ -64,7 +64,7 @@
     }
 
     /// A proxy connected, again or for the first time.
-    pub fn connected(&mut self, proxy: u64) {
+    pub fn on_connected(&mut self, proxy: u64) {
         if self.proxies.len() >= self.max_proxies && !self.proxies.contains_key(&proxy) {
             self.remove_longest_disconnected();
         }
@@ -82,12 +82,12 @@
     }
 
     /// A proxy reported shares that it uses and that this process did not send.
-    pub fn reported(&mut self, proxy: u64, shares: CanaryShares) {
+    pub fn on_reported(&mut self, proxy: u64, shares: CanaryShares) {
         self.proxies.entry(proxy).or_default().acknowledged = shares;
     }
 
     /// Shares were sent; until they are acknowledged the proxy may use these or earlier ones.
-    pub fn sent(&mut self, proxy: u64, shares: &[PartsPerMillion], now: Millis) {
+    pub fn on_sent(&mut self, proxy: u64, shares: &[PartsPerMillion], now: Millis) {
         let Some(proxy_shares) = self.proxies.get_mut(&proxy) else { return };
         match &mut proxy_shares.pending {
             Some(PendingShares { highest, .. }) => {
@@ -101,7 +101,7 @@
     }
 
     /// A proxy acknowledged the last sent shares: it uses no others.
-    pub fn acknowledged(&mut self, proxy: u64, shares: &[PartsPerMillion]) {
+    pub fn on_acknowledged(&mut self, proxy: u64, shares: &[PartsPerMillion]) {
         if let Some(proxy_shares) = self.proxies.get_mut(&proxy) {
             proxy_shares.acknowledged = shares.to_vec();
             proxy_shares.pending = None;
@@ -109,7 +109,7 @@
     }
 
     /// A proxy rejected the last sent shares: it continues to use the ones before.
-    pub fn rejected(&mut self, proxy: u64) {
+    pub fn on_rejected(&mut self, proxy: u64) {
         if let Some(proxy_shares) = self.proxies.get_mut(&proxy) {
             // Overdue from the start: the proxy counts as unreachable immediately.
             proxy_shares.pending =
@@ -118,7 +118,7 @@
     }
 
     /// A proxy disconnected; it continues to use its shares.
-    pub fn disconnected(&mut self, proxy: u64, now: Millis) {
+    pub fn on_disconnected(&mut self, proxy: u64, now: Millis) {
         if let Some(proxy_shares) = self.proxies.get_mut(&proxy) {
             proxy_shares.disconnected_at = Some(now);
         }
--- a/crates/proxy-config/tests/proxy_config.rs
+++ b/crates/proxy-config/tests/proxy_config.rs
@@ -88,7 +88,7 @@
 /// A connected proxy with this rate of each class, in requests per ms.
 fn connected_proxy(request_rate: f64) -> ShareLedger {
     let mut proxies = ShareLedger::new(10);
-    proxies.connected(1);
+    proxies.on_connected(1);
     proxies.set_request_rate(1, vec![request_rate; 4]);
     proxies
 }
--- a/crates/proxy-config/tests/share_ledger.rs
+++ b/crates/proxy-config/tests/share_ledger.rs
@@ -14,17 +14,17 @@
 fn reachable_proxies_get_less_while_others_use_more() {
     let mut proxies = ShareLedger::new(100);
     for proxy in 0..10 {
-        proxies.connected(proxy);
-        proxies.sent(proxy, &share(400_000), 0.0);
-        proxies.acknowledged(proxy, &share(400_000));
+        proxies.on_connected(proxy);
+        proxies.on_sent(proxy, &share(400_000), 0.0);
+        proxies.on_acknowledged(proxy, &share(400_000));
     }
-    proxies.disconnected(3, 100.0);
+    proxies.on_disconnected(3, 100.0);
     assert!((proxies.remaining_share(0, 0.1, 200.0) - 0.06 / 0.9).abs() < 1e-9);
     assert_eq!(proxies.remaining_share(0, 0.4, 200.0), 0.4);
     assert_eq!(proxies.remaining_share(0, 0.02, 200.0), 0.0, "the disconnected one uses more than the cap");
     // Nine were sent less; one of them does not acknowledge it.
-    (0..10).filter(|proxy| *proxy != 3).for_each(|proxy| proxies.sent(proxy, &share(66_000), 300.0));
-    (0..9).filter(|proxy| *proxy != 3).for_each(|proxy| proxies.acknowledged(proxy, &share(66_000)));
+    (0..10).filter(|proxy| *proxy != 3).for_each(|proxy| proxies.on_sent(proxy, &share(66_000), 300.0));
+    (0..9).filter(|proxy| *proxy != 3).for_each(|proxy| proxies.on_acknowledged(proxy, &share(66_000)));
     assert!((proxies.remaining_share(0, 0.1, 300.0) - 0.06 / 0.9).abs() < 1e-9);
     assert!((proxies.remaining_share(0, 0.1, 300.0 + ACKNOWLEDGE_TIMEOUT) - 0.02 / 0.8).abs() < 1e-9);
     proxies.remove_expired(100.0 + DISCONNECTED_RETENTION);
@@ -77,29 +77,29 @@
         let mut proxies = ShareLedger::new(10);
         let mut model = [ModelProxy::default(); 6];
         let mut now = 0.0;
-        (0..6).for_each(|proxy| proxies.connected(proxy));
+        (0..6).for_each(|proxy| proxies.on_connected(proxy));
         for (proxy, kind, parts) in steps {
             now += 100.0;
             let expected = &mut model[proxy as usize];
             match kind {
                 0 => {
-                    proxies.sent(proxy, &share(parts), now);
+                    proxies.on_sent(proxy, &share(parts), now);
                     expected.sent(parts, now);
                 }
                 1 => {
-                    proxies.acknowledged(proxy, &share(parts));
+                    proxies.on_acknowledged(proxy, &share(parts));
                     expected.acknowledged(parts);
                 }
                 2 => {
-                    proxies.rejected(proxy);
+                    proxies.on_rejected(proxy);
                     expected.rejected();
                 }
                 3 => {
-                    proxies.disconnected(proxy, now);
+                    proxies.on_disconnected(proxy, now);
                     expected.is_disconnected = true;
                 }
                 _ => {
-                    proxies.connected(proxy);
+                    proxies.on_connected(proxy);
                     expected.is_disconnected = false;
                 }
             }
--- a/crates/xds/src/admission.rs
+++ b/crates/xds/src/admission.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionResult {
     /// The stream is admitted, or pending until [`Admission::poll`] admits it.
-    Queued,
+    Accepted,
     /// There are too many streams: the proxy should retry later.
     Full,
 }
@@ -56,7 +56,7 @@
         let queue = if is_frequent { &mut self.low_priority } else { &mut self.pending };
         queue.push_back(stream);
         self.record_request(proxy, now);
-        AdmissionResult::Queued
+        AdmissionResult::Accepted
     }
 
     fn record_request(&mut self, proxy: &str, now: Millis) {
@@ -75,7 +75,7 @@
             return AdmissionResult::Full;
         }
         self.open.insert(stream);
-        AdmissionResult::Queued
+        AdmissionResult::Accepted
     }
 
     fn is_full(&self) -> bool {
--- a/crates/xds/tests/admission.rs
+++ b/crates/xds/tests/admission.rs
@@ -13,7 +13,7 @@
     let mut admission = Admission::new(10_000);
     for stream in 0..1000 {
         let proxy = if stream < 500 { "noisy".to_string() } else { format!("p{stream}") };
-        assert_eq!(admission.request_slot(stream, &proxy, 0.0), AdmissionResult::Queued);
+        assert_eq!(admission.request_slot(stream, &proxy, 0.0), AdmissionResult::Accepted);
     }
     let admitted: Vec<u64> = (0..=230).flat_map(|ms| admission.poll(f64::from(ms))).collect();
     assert!(admitted.len() >= 505 && admitted.len() <= 512, "{}", admitted.len());
@@ -23,8 +23,8 @@
 #[test]
 fn closing_a_stream_without_a_slot_frees_none() {
     let mut admission = Admission::new(2);
-    assert_eq!(admission.admit_load_reports(1), AdmissionResult::Queued);
-    assert_eq!(admission.admit_load_reports(2), AdmissionResult::Queued);
+    assert_eq!(admission.admit_load_reports(1), AdmissionResult::Accepted);
+    assert_eq!(admission.admit_load_reports(2), AdmissionResult::Accepted);
     assert_eq!(admission.admit_load_reports(3), AdmissionResult::Full);
     for stream in [3, 4, 5] {
         admission.on_stream_closed(stream);
@@ -33,7 +33,7 @@
     for _ in 0..2 {
         admission.on_stream_closed(1);
     }
-    assert_eq!(admission.request_slot(6, "p", 0.0), AdmissionResult::Queued);
+    assert_eq!(admission.request_slot(6, "p", 0.0), AdmissionResult::Accepted);
     assert_eq!(admission.admit_load_reports(7), AdmissionResult::Full);
 }
 
@@ -41,7 +41,8 @@
 fn occupied_slots(admission: &Admission, max_streams: usize) -> usize {
     let mut copy = admission.clone();
     let mut probes = u64::MAX - max_streams as u64..u64::MAX;
-    let free = probes.by_ref().take_while(|probe| copy.admit_load_reports(*probe) == AdmissionResult::Queued);
+    let free =
+        probes.by_ref().take_while(|probe| copy.admit_load_reports(*probe) == AdmissionResult::Accepted);
     max_streams - free.count()
 }
 
--- a/crates/xds/tests/convergence/control_service.rs
+++ b/crates/xds/tests/convergence/control_service.rs
@@ -104,7 +104,7 @@
         let addresses: BTreeMap<_, _> =
             (0..platform.hosts.len()).map(|index| (host_name(index), host_address(index))).collect();
         let mut proxies = ShareLedger::new(10);
-        proxies.connected(1);
+        proxies.on_connected(1);
         proxies.set_request_rate(1, vec![1.0, 1.0]);
         let rolled_back = self.known.rolled_back_versions();
         proxy_config::build_proxy_config(policy, &settings(), rolled_back, &addresses, &proxies, platform.now)
