--- a/crates/proptest-config/src/lib.rs
+++ b/crates/proptest-config/src/lib.rs
@@ -1,5 +1,7 @@
 //! How property tests are seeded: for tests only.
 
+#![warn(clippy::pedantic)]
+
 use proptest::test_runner::{Config, RngSeed};
 
 /// The same cases each run, and no files left behind.
