--- a/crates/gateway/src/gateway/requests.rs
+++ b/crates/gateway/src/gateway/requests.rs
@@ -20,8 +20,12 @@
     ) {
         COUNTERS.requests_total.increment();
         let now = self.clock.now();
-        let client_id = String::from_utf8_lossy(&statement.id);
-        tracing::debug!(id = id.0, %client_id, class = statement.class, "request: received");
+        tracing::debug!(
+            id = id.0,
+            client_id = %String::from_utf8_lossy(&statement.id),
+            class = statement.class,
+            "request: received"
+        );
         let deadline = arrived_at + statement.timeout;
         events.push(Event::RequestReceived(IncomingRequest {
             id,
