--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -10,7 +10,7 @@
 
 use crate::action::{Action, UnservedReason};
 use crate::event::IncomingRequest;
-use crate::exposure::SAFETY_MARGIN;
+use crate::exposure::TIME_LIMIT_SAFETY_MARGIN;
 use crate::request::{DedupScope, Idempotency, RequestClass, RequestId};
 use crate::state::requests::{Request, ServiceLevel};
 use crate::time::Millis;
@@ -58,7 +58,8 @@
     let left = request.time_remaining;
     // A retry with less time than clients of the class leave to a first attempt began earlier. Below the objective its client
     // may simply have a short timeout.
-    let began_earlier = request.is_retry && left < longest_timeout - SAFETY_MARGIN && left >= objective;
+    let began_earlier =
+        request.is_retry && left < longest_timeout - TIME_LIMIT_SAFETY_MARGIN && left >= objective;
     if began_earlier { (objective - (class.timeout - left)).max(0.0) } else { objective }
 }
 
@@ -91,7 +92,7 @@
 
 /// Whether an attempt may still be sent within the latency objective.
 pub(crate) fn is_within_objective(request: &Request, now: Millis) -> bool {
-    now < request.objective_deadline - SAFETY_MARGIN
+    now < request.objective_deadline - TIME_LIMIT_SAFETY_MARGIN
 }
 
 /// The final answer without a result: rejected where a retry is harmless, failed otherwise. `max_retry_after`: the
--- a/crates/policy/src/canary.rs
+++ b/crates/policy/src/canary.rs
@@ -7,7 +7,7 @@
 //! [`Policy`](crate::Policy) calls [`CanaryAnalysis::record_outcome`] for each attempt that ended; each analysis
 //! ([`CanaryAnalysis::analyse`]) first calls [`CanaryAnalysis::refresh`]. The verdict is in [`crate::verdict`].
 
-use crate::outlier::RUNNING_MEAN_WEIGHT;
+use crate::outlier::NEWEST_SAMPLE_WEIGHT;
 use crate::request::AttemptOutcome;
 use crate::rollout::RolloutState;
 use crate::state::canary::{AnalysisView, CanaryAnalysis};
@@ -115,7 +115,7 @@
             let evidence = &mut self.classes[class];
             let reported = std::mem::take(&mut evidence.reported);
             if is_idle && reported.baseline.attempts > 0.0 {
-                evidence.record_usual(&reported.baseline, ready, 1.0 - RUNNING_MEAN_WEIGHT);
+                evidence.record_usual(&reported.baseline, ready, 1.0 - NEWEST_SAMPLE_WEIGHT);
             }
             if reported.total().attempts / ready <= MAX_LOAD_RATIO * evidence.usual_load.mean {
                 comparable.add(&reported, evidence, COMMON_FAILURE_RATE);
--- a/crates/policy/src/exposure.rs
+++ b/crates/policy/src/exposure.rs
@@ -13,7 +13,7 @@
 use crate::time::Millis;
 
 /// ms of margin to each time limit that a rule sets.
-pub(crate) const SAFETY_MARGIN: Millis = 20.0;
+pub(crate) const TIME_LIMIT_SAFETY_MARGIN: Millis = 20.0;
 
 impl ExposureLimiter {
     /// Whether one more attempt at a version complies with the rule; `lowest_version`: the lowest among the ready
@@ -30,8 +30,8 @@
         let is_stage_open =
             canary.stage >= self.config.closed_stages || idempotency == Idempotency::Idempotent;
         let since = now - self.config.window;
-        let attempts = self.attempts_since(version, request.class, since - SAFETY_MARGIN) + 1;
-        let arrivals = self.arrivals_since(request.class, since + SAFETY_MARGIN);
+        let attempts = self.attempts_since(version, request.class, since - TIME_LIMIT_SAFETY_MARGIN) + 1;
+        let arrivals = self.arrivals_since(request.class, since + TIME_LIMIT_SAFETY_MARGIN);
         let allowed = self.config.allowance + canary.traffic_cap * arrivals as f64;
         canary.traffic_cap > 0.0 && is_stage_open && attempts as f64 <= allowed
     }
--- a/crates/policy/src/list_lease.rs
+++ b/crates/policy/src/list_lease.rs
@@ -92,7 +92,7 @@
     /// Until when attempts may be sent to an endpoint that has answered one; none if the answer proves nothing. It proves
     /// that the endpoint was not draining when the attempt was sent, if its connection was established while the list was
     /// up to date (so the process is the listed one) and no update has been lost since.
-    pub(crate) fn proof_expires_at(
+    pub(crate) fn evidence_expires_at(
         &self, connected_at: Option<Millis>, sent_at: Millis, discovery: &DiscoveryConfig,
     ) -> Option<Millis> {
         let is_same_process = connected_at.is_some_and(|connected_at| connected_at <= self.confirmed_at);
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -26,7 +26,7 @@
 /// ms that an ejection lasts, doubling with each in a row up to a maximum.
 pub(crate) const EJECTION_BACKOFF: ExponentialBackoff = ExponentialBackoff::new(500.0, 4000.0, Jitter::None);
 /// Weight of the newest value in running means.
-pub(crate) const RUNNING_MEAN_WEIGHT: f64 = 0.1;
+pub(crate) const NEWEST_SAMPLE_WEIGHT: f64 = 0.1;
 /// Share of the latency objective that an answer may take before the concurrency limit falls.
 const MAX_QUEUEING_SHARE: f64 = 0.25;
 /// Gateways with a lower index log their ejections, the first one in a row.
@@ -60,7 +60,7 @@
 pub(crate) fn record_reported_errors(
     endpoint: &mut Endpoint, attempts: f64, error_rate: f64, now: Millis,
 ) -> Option<EjectionReason> {
-    endpoint.record_answers(attempts, error_rate, RUNNING_MEAN_WEIGHT, now);
+    endpoint.record_answers(attempts, error_rate, NEWEST_SAMPLE_WEIGHT, now);
     if endpoint.error_rate > MAX_ERROR_RATE {
         return Some(EjectionReason::ReportedErrors);
     }
@@ -78,7 +78,7 @@
         Cancelled, ConnectFailed, ConnectionLost, Error, NotSent, Rejected, Success, Timeout,
     };
     if matches!(outcome, Success | Error) {
-        endpoint.record_answer(outcome == Error, RUNNING_MEAN_WEIGHT, now);
+        endpoint.record_answer(outcome == Error, NEWEST_SAMPLE_WEIGHT, now);
     }
     endpoint.consecutive_timeouts += u32::from(matches!(outcome, Timeout | ConnectFailed | ConnectionLost));
     let is_unresponsive = endpoint.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS;
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -9,11 +9,11 @@
 use crate::discovery_calls::CALL_TIMEOUT;
 use crate::dispatch::Policy;
 use crate::event::{CompletedAttempt, Event, IncomingRequest};
-use crate::outlier::{self, RUNNING_MEAN_WEIGHT};
+use crate::outlier::{self, NEWEST_SAMPLE_WEIGHT};
 use crate::request::{AttemptOutcome, RequestId};
 use crate::retry::{self, EARLY_RETRY_BUDGET_PER_REQUEST, MAX_EARLY_RETRY_BUDGET};
 use crate::routing::{self, AttemptGate, CoinInputs, EndpointLoad};
-use crate::slow_start::{ARRIVAL_RETENTION, RATE_WINDOW};
+use crate::slow_start::{ARRIVAL_RATE_WINDOW, ARRIVAL_RETENTION};
 use crate::state::canary::AnalysisView;
 use crate::state::endpoint::EndpointIndex;
 use crate::state::registry::Sides;
@@ -71,7 +71,7 @@
         if let Some(rollout) = self.exposure.rollout
             && now - self.analysis.analysed_at >= ANALYSIS_INTERVAL - TIMER_ROUNDING
         {
-            let view = AnalysisView::new(&self.registry, self.partition(false), RATE_WINDOW, now);
+            let view = AnalysisView::new(&self.registry, self.partition(false), ARRIVAL_RATE_WINDOW, now);
             let endpoints = &mut self.registry.endpoints;
             self.analysis.analyse(&mut self.rng, endpoints, &view, &rollout, &mut self.actions);
         }
@@ -111,7 +111,7 @@
         }
         let failure_rate = &mut self.requests.connect_failure_rate;
         let failed = indicator(outcome == AttemptOutcome::ConnectFailed);
-        *failure_rate += RUNNING_MEAN_WEIGHT * (failed - *failure_rate);
+        *failure_rate += NEWEST_SAMPLE_WEIGHT * (failed - *failure_rate);
         let endpoint = &self.registry.endpoints[attempt.endpoint];
         if outlier::closes_idle_connections(*failure_rate, endpoint.in_flight) {
             self.actions.push(Action::CloseIdleConnections { endpoint: endpoint.id.clone() });
@@ -120,7 +120,7 @@
             self.record_outcome(id, &attempt, outcome, elapsed, now);
         }
         if outcome == AttemptOutcome::Success {
-            self.record_success(id, attempt.version, elapsed, RUNNING_MEAN_WEIGHT);
+            self.record_success(id, attempt.version, elapsed, NEWEST_SAMPLE_WEIGHT);
         }
         self.conclude_attempt(completed, now);
         self.requests.remove_if_finished(id);
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -8,7 +8,7 @@
 //! [`Policy`](crate::Policy) calls [`unresponsive_attempt`] for each open request on each tick, and [`is_early_retry_allowed`]
 //! before it acts on one. [`can_retry`] also decides on requests whose attempts have all failed.
 
-use crate::exposure::SAFETY_MARGIN;
+use crate::exposure::TIME_LIMIT_SAFETY_MARGIN;
 use crate::request::{Idempotency, RequestClass};
 use crate::state::registry::EndpointTable;
 use crate::state::requests::{Attempt, Request};
@@ -53,7 +53,7 @@
 
 /// ms that an attempt may take: until the latency objective, so that the endpoint drops late work unexecuted.
 pub(crate) fn attempt_timeout(request: &Request, now: Millis) -> Millis {
-    (request.objective_deadline - now).max(SAFETY_MARGIN)
+    (request.objective_deadline - now).max(TIME_LIMIT_SAFETY_MARGIN)
 }
 
 /// Whether a request may be hedged or sent again before its attempt has ended: not in an overload, where it would only
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -10,7 +10,7 @@
 //! rejected canary nothing.
 
 use crate::config::Permissions;
-use crate::exposure::SAFETY_MARGIN;
+use crate::exposure::TIME_LIMIT_SAFETY_MARGIN;
 use crate::request::{Idempotency, RequestClass};
 use crate::rollout::RolloutPhase;
 use crate::state::endpoint::EndpointIndex;
@@ -95,13 +95,13 @@
     ) -> Option<Millis> {
         let lease_left =
             Some(self.registry.lease_expires_at(index) - self.now).filter(|left| left.is_finite());
-        let window_left = request.dedup_window_left(class, SAFETY_MARGIN, self.now);
+        let window_left = request.dedup_window_left(class, TIME_LIMIT_SAFETY_MARGIN, self.now);
         [lease_left, window_left].into_iter().flatten().reduce(f64::min)
     }
 
     /// Whether one more attempt at a request may be sent at all.
     fn admits_attempt(&self, request: &Request, class: &RequestClass) -> bool {
-        let dedup_window_left = request.dedup_window_left(class, SAFETY_MARGIN, self.now);
+        let dedup_window_left = request.dedup_window_left(class, TIME_LIMIT_SAFETY_MARGIN, self.now);
         request.is_open()
             && self.now < request.deadline
             && request.attempts.len() < self.permissions.max_attempts
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -21,9 +21,9 @@
 /// Share of the tokens of one overload window that an endpoint accumulates beyond one token.
 const MAX_TOKENS_SHARE: f64 = 0.5;
 /// ms over which the arrival rate is counted, and in which the usual one follows.
-pub(crate) const RATE_WINDOW: Millis = 2000.0;
+pub(crate) const ARRIVAL_RATE_WINDOW: Millis = 2000.0;
 /// ms for which times of arrivals are retained.
-pub(crate) const ARRIVAL_RETENTION: Millis = 2.0 * RATE_WINDOW;
+pub(crate) const ARRIVAL_RETENTION: Millis = 2.0 * ARRIVAL_RATE_WINDOW;
 /// ms between a start and its listing as a change beyond which the listed clock time is not used.
 const MAX_DISCOVERY_DELAY: Millis = 60_000.0;
 
@@ -41,12 +41,12 @@
 pub(crate) struct RefillInputs {
     /// ms since the last refill.
     pub(crate) elapsed: Millis,
-    /// Requests that arrived within [`RATE_WINDOW`], without retries.
+    /// Requests that arrived within [`ARRIVAL_RATE_WINDOW`], without retries.
     pub(crate) arrivals: usize,
     /// Ready endpoints.
     pub(crate) ready_endpoints: usize,
     /// Sum of their warm-up factors.
-    pub(crate) warm_endpoints: f64,
+    pub(crate) total_warmup_factor: f64,
     /// Running mean of arrivals per ms and unit of capacity before.
     pub(crate) usual_rate: f64,
 }
@@ -66,11 +66,11 @@
 
 /// The rates that follow from recent arrivals.
 pub(crate) fn refill(inputs: &RefillInputs, config: &SlowStartConfig) -> Refill {
-    let RefillInputs { elapsed, arrivals, ready_endpoints, warm_endpoints, .. } = *inputs;
-    let arrival_rate = arrivals as f64 / RATE_WINDOW / warm_endpoints.max(1.0);
+    let RefillInputs { elapsed, arrivals, ready_endpoints, total_warmup_factor, .. } = *inputs;
+    let arrival_rate = arrivals as f64 / ARRIVAL_RATE_WINDOW / total_warmup_factor.max(1.0);
     let usual_rate =
-        inputs.usual_rate + (elapsed / RATE_WINDOW).min(1.0) * (arrival_rate - inputs.usual_rate);
-    let subset = (SUBSET_VISIT_INTERVAL * usual_rate * warm_endpoints).max(MIN_SUBSET);
+        inputs.usual_rate + (elapsed / ARRIVAL_RATE_WINDOW).min(1.0) * (arrival_rate - inputs.usual_rate);
+    let subset = (SUBSET_VISIT_INTERVAL * usual_rate * total_warmup_factor).max(MIN_SUBSET);
     let bounded_rate = arrival_rate.min(MAX_RATE_SURGE * usual_rate);
     Refill {
         usual_rate,
--- a/crates/policy/src/state/registry.rs
+++ b/crates/policy/src/state/registry.rs
@@ -7,7 +7,7 @@
 use crate::list_lease::ListLease;
 use crate::log_event::{EjectionReason, LogEvent};
 use crate::rollout::Version;
-use crate::slow_start::{self, RATE_WINDOW, RefillInputs, start_by_own_clock};
+use crate::slow_start::{self, ARRIVAL_RATE_WINDOW, RefillInputs, start_by_own_clock};
 use crate::snapshot::EndpointSnapshot;
 use crate::state::endpoint::{Endpoint, EndpointIndex, Metric, MetricMoments};
 use crate::state::window::SlidingWindow;
@@ -183,7 +183,7 @@
     pub(crate) fn record_proof(
         &mut self, index: EndpointIndex, connected_at: Option<Millis>, sent_at: Millis,
     ) {
-        let Some(expires_at) = self.lease.proof_expires_at(connected_at, sent_at, &self.discovery) else {
+        let Some(expires_at) = self.lease.evidence_expires_at(connected_at, sent_at, &self.discovery) else {
             return;
         };
         let endpoint = &mut self.endpoints[index];
@@ -228,9 +228,9 @@
         let elapsed = now - std::mem::replace(&mut self.tokens_refilled_at, now);
         let inputs = RefillInputs {
             elapsed,
-            arrivals: self.arrivals.count_since(now - RATE_WINDOW),
+            arrivals: self.arrivals.count_since(now - ARRIVAL_RATE_WINDOW),
             ready_endpoints: self.endpoints.ready().count(),
-            warm_endpoints: self.endpoints.ready().map(|index| self.warmup_factor(index, now)).sum(),
+            total_warmup_factor: self.endpoints.ready().map(|index| self.warmup_factor(index, now)).sum(),
             usual_rate: self.usual_rate,
         };
         let refill = slow_start::refill(&inputs, &self.slow_start);
