--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! The parts of a [`Policy`], and the handler of each event. Rules are called here, and defined in the rule modules;
+//! The state of a [`Policy`] and the handlers of its events. The rules that they call are in the rule modules,
 //! [`Policy::handle_events`] is in `policy`.
 
 use crate::action::{Action, UnservedReason};
@@ -14,7 +14,7 @@
 use crate::request::{RequestClass, RequestId};
 use crate::retry;
 use crate::rollout::{RolloutPhase, Version, VoteOutcome};
-use crate::routing::{self, AttemptGate, ShareInputs};
+use crate::routing::{self, AttemptRules, CanaryShareInputs};
 use crate::snapshot::PolicySnapshot;
 use crate::state::canary::{CanaryAnalysis, decode_wrong_answer, encode_wrong_answer};
 use crate::state::endpoint::{EndpointIndex, Metric};
@@ -30,11 +30,11 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
 
-/// The decisions of one gateway.
+/// Decides on the attempts, final statuses and votes of one gateway. An adapter passes events to
+/// [`Policy::handle_events`] and performs the actions returned.
 pub struct Policy {
-    /// The gateway's zone.
     pub(crate) zone: String,
-    /// Number of gateways.
+    /// Number of gateways in the fleet, this one included.
     pub(crate) gateways: u32,
     pub(crate) classes: Vec<RequestClass>,
     pub(crate) permissions: Permissions,
@@ -46,12 +46,13 @@
     pub(crate) requests: RequestTable,
     pub(crate) actions: Vec<Action>,
     pub(crate) timer: TickTimer,
-    /// When this process last resumed after a stall, in ms: latencies of attempts sent before are invalid.
-    pub(crate) stalled_until: Millis,
+    /// When this process last resumed after a stall: latencies of attempts sent earlier are invalid. `None` before any
+    /// stall.
+    pub(crate) resumed_at: Option<Millis>,
 }
 
 impl Policy {
-    /// A policy without an endpoint list yet.
+    /// Returns a policy without endpoints: it sends no attempt before the first update of the endpoint list.
     #[must_use]
     pub fn new(config: PolicyConfig) -> Self {
         let PolicyConfig { identity, classes, voting, discovery, .. } = config;
@@ -72,7 +73,7 @@
             requests: RequestTable::new(
                 typical_latency,
                 retry::MAX_EARLY_RETRY_BUDGET,
-                admission::SERVICE_HALF_LIFE,
+                admission::SERVICE_LEVEL_HALF_LIFE,
             ),
             zone: identity.zone,
             gateways: identity.gateway_count,
@@ -82,11 +83,10 @@
             rng,
             actions: Vec::new(),
             timer: TickTimer::default(),
-            stalled_until: f64::NEG_INFINITY,
+            resumed_at: None,
         }
     }
 
-    /// Passes an event to the part that handles it.
     pub(crate) fn on_event(&mut self, event: Event, now: Millis) {
         match event {
             Event::EndpointUpdate { kind, entries, .. } => self.on_endpoint_update(kind, &entries, now),
@@ -94,7 +94,7 @@
             Event::EndpointUpdateFromPreviousAddress { kind, entries } => {
                 self.apply_entries(kind, &entries, now);
             }
-            Event::DiscoveryMoved => self.registry.lease.move_discovery(&self.registry.discovery, now),
+            Event::DiscoveryMoved => self.registry.lease.on_discovery_moved(&self.registry.discovery, now),
             Event::RequestReceived(request) => self.on_request(request, now),
             Event::ResponseStarted { id, .. } => {
                 if let Some(request) = self.requests.requests.get_mut(&id) {
@@ -102,13 +102,13 @@
                 }
             }
             Event::AttemptCompleted(attempt) => self.on_attempt_completed(&attempt, now),
-            Event::Abandon { id } => self.answer_unserved(id, UnservedReason::Abandoned, now),
+            Event::Abandon { id } => self.finish_unserved(id, UnservedReason::Abandoned, now),
             Event::ClientDisconnected { id } => self.close(id, 0.0, now),
             Event::RolloutUpdate(rollout) | Event::VoteCompleted(VoteOutcome::Counted(rollout)) => {
                 self.exposure.apply_rollout(rollout);
             }
             Event::VoteCompleted(VoteOutcome::NotCounted) => self.analysis.vote_is_active = false,
-            Event::WrongAnswerReported { endpoint, .. } => self.on_wrong_answer(&endpoint),
+            Event::WrongAnswerReported { endpoint, .. } => self.on_wrong_response(&endpoint),
             Event::PeerMessage { data, .. } => {
                 if let Some(version) = decode_wrong_answer(&data) {
                     self.analysis.record_wrong_answer(version);
@@ -123,8 +123,7 @@
         }
     }
 
-    /// The number of the class of that name.
-    pub(crate) fn class_named(&self, name: &str) -> Option<usize> {
+    pub(crate) fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class.name == name)
     }
 
@@ -138,7 +137,7 @@
             }
             UpdateKind::CachedSnapshot => {}
             UpdateKind::Snapshot | UpdateKind::Delta => {
-                registry.lease = ListLease::confirmed();
+                registry.lease = ListLease::Confirmed;
                 registry.failed_calls = 0;
                 registry.next_watch_call_at = None;
             }
@@ -152,16 +151,17 @@
         self.registry.apply(entries, is_snapshot, concurrency_limit, &mut self.rng, now);
     }
 
-    /// A call failed or a watch broke: shortens the list's lease, limits proofs where an update may be lost, and schedules
-    /// the next call. The break of a confirmed watch does not count as a failed call.
+    /// Shortens the list's lease after a call failed or a watch broke, and schedules the next call. If an update may
+    /// have been lost, evidence of readiness expires earlier. The loss of an open watch does not count as a failed
+    /// call.
     fn on_update_failed(&mut self, failure: &UpdateFailure, now: Millis) {
         let registry = &mut self.registry;
         if !registry.lease.is_confirmed() {
             registry.failed_calls += 1;
         }
-        registry.lease.fail(failure, &registry.discovery, now);
+        registry.lease.on_failure(failure, &registry.discovery, now);
         if failure.may_have_lost_update {
-            registry.limit_proofs(ListLease::proof_limit(&registry.discovery, now));
+            registry.limit_proofs(ListLease::expiration(now, &registry.discovery));
         }
         let delay = discovery_calls::retry_delay(
             registry.failed_calls,
@@ -172,13 +172,13 @@
         registry.next_watch_call_at = Some(now + delay);
     }
 
-    fn on_wrong_answer(&mut self, endpoint: &str) {
+    fn on_wrong_response(&mut self, endpoint: &str) {
         let Some(index) = self.registry.index_of(endpoint) else { return };
         let endpoint = &mut self.registry.endpoints[index];
         endpoint.metrics[Metric::Success].replace_one_by_zero();
         endpoint.metrics[Metric::Correctness].replace_one_by_zero();
         self.analysis.record_wrong_answer(endpoint.version);
-        // One gateway gets few reports: all of them together are evidence on a version.
+        // One gateway receives too few reports for a verdict on a version: gateways share theirs.
         if self.permissions.peer_messages {
             let data = encode_wrong_answer(endpoint.version);
             self.actions.push(Action::SendPeerMessage { to: None, data });
@@ -186,7 +186,7 @@
     }
 
     fn on_outcomes_reported(&mut self, report: &OutcomeReport) {
-        let Some(class) = self.class_named(&report.class) else { return };
+        let Some(class) = self.class_index(&report.class) else { return };
         if report.failures > report.attempts {
             return;
         }
@@ -200,7 +200,7 @@
 
     fn on_endpoint_outcomes(&mut self, outcomes: &EndpointOutcomes, now: Millis) {
         let index = self.registry.index_of(&outcomes.endpoint);
-        let (Some(index), Some(class)) = (index, self.class_named(&outcomes.class)) else { return };
+        let (Some(index), Some(class)) = (index, self.class_index(&outcomes.class)) else { return };
         if outcomes.attempts == 0 || outcomes.failures > outcomes.attempts {
             return;
         }
@@ -216,22 +216,23 @@
         self.requests.overall_service.record(now, attempts, quality);
     }
 
-    /// The policy's view at `now` in ms, for adapters that publish decisions instead of routing each request.
+    /// Returns the policy's view at `now` in milliseconds, for adapters that publish decisions instead of routing each
+    /// request.
     pub fn snapshot(&mut self, now: Millis) -> PolicySnapshot {
-        let sides = self.partition(false);
+        let groups = self.partition(false);
         let newest = self.exposure.rollout.map(|rollout| rollout.version);
         let rejected = self.analysis.rejected_version;
         let is_canary_rejected = rejected.is_some() && rejected == newest;
         let endpoints = &self.registry.endpoints;
-        let versions: BTreeSet<_> = sides.canary.iter().map(|index| endpoints[*index].version).collect();
+        let versions: BTreeSet<_> = groups.canary.iter().map(|index| endpoints[*index].version).collect();
         let lowest_version = self.registry.lowest_version;
         let canaries =
             versions.into_iter().filter_map(|version| self.exposure.canary(version, lowest_version));
-        let share_inputs = ShareInputs {
-            has_canary: !sides.canary.is_empty(),
-            has_baseline: !sides.baseline.is_empty(),
-            canary_capacity: self.registry.healthy_capacity(&sides.canary, now),
-            baseline_capacity: self.registry.healthy_capacity(&sides.baseline, now),
+        let share_inputs = CanaryShareInputs {
+            has_canary: !groups.canary.is_empty(),
+            has_baseline: !groups.baseline.is_empty(),
+            canary_capacity: self.registry.healthy_capacity(&groups.canary, now),
+            baseline_capacity: self.registry.healthy_capacity(&groups.baseline, now),
             phase: self.exposure.rollout.map_or(RolloutPhase::Canary, |rollout| rollout.phase),
             is_canary_rejected,
             has_full_traffic: self.analysis.full_traffic_since.is_some(),
@@ -245,14 +246,20 @@
         }
     }
 
-    /// Ready endpoints by side; `is_subset`: only those of this gateway's subset.
-    pub(crate) fn partition(&self, is_subset: bool) -> Sides {
+    /// Ready endpoints by version group; `only_subset`: only those of this gateway's subset.
+    pub(crate) fn partition(&self, only_subset: bool) -> Sides {
         let lowest_version = self.registry.lowest_version;
-        self.registry.partition(is_subset, |version| self.exposure.canary(version, lowest_version).is_some())
+        self.registry
+            .partition(only_subset, |version| self.exposure.canary(version, lowest_version).is_some())
     }
 
-    /// Updates the typical latency of the class of a request that was served, and the version of its sticky key;
-    /// `weight`: that of the newest latency, `elapsed`: ms.
+    /// Returns `true` if this process has resumed after a stall later than `at`.
+    pub(crate) fn has_stalled_since(&self, at: Millis) -> bool {
+        self.resumed_at.is_some_and(|resumed_at| at < resumed_at)
+    }
+
+    /// Updates the typical latency of the class of a successful request, and the version of its sticky key; `elapsed`:
+    /// the latency, `weight`: its weight in the running mean.
     pub(crate) fn record_success(&mut self, id: RequestId, version: Version, elapsed: Millis, weight: f64) {
         let request = &self.requests.requests[&id];
         let typical = &mut self.requests.typical_latency[request.class];
@@ -262,22 +269,22 @@
         }
     }
 
-    /// Ejects an endpoint, if it is not ejected already.
+    /// Ejects an endpoint unless it is already ejected.
     pub(crate) fn eject(&mut self, index: EndpointIndex, reason: EjectionReason, now: Millis) {
-        let event = self.registry.eject(index, reason, &outlier::EJECTION_BACKOFF, now);
+        let event = self.registry.eject(index, reason, &outlier::EJECTION_DURATION, now);
         self.actions.extend(event.map(Action::Log));
     }
 
-    /// Sends an attempt, if the gate admits it.
+    /// Sends an attempt if the rules allow it. Returns `true` if it was sent.
     pub(crate) fn send_attempt(&mut self, id: RequestId, index: EndpointIndex, now: Millis) -> bool {
         let request = &self.requests.requests[&id];
         let class = &self.classes[request.class];
         let (registry, exposure, permissions) = (&self.registry, &self.exposure, &self.permissions);
-        let gate = AttemptGate { registry, exposure, permissions, now };
-        if !gate.admits(request, class, index) {
+        let rules = AttemptRules { registry, exposure, permissions, now };
+        if !rules.allows(request, class, index) {
             return false;
         }
-        let write_within = gate.write_within(request, class, index);
+        let write_within = rules.write_timeout(request, class, index);
         let timeout = Some(retry::attempt_timeout(request, now));
         let warmup_factor = registry.warmup_factor(index, now);
         let endpoint = &mut self.registry.endpoints[index];
@@ -291,7 +298,8 @@
         true
     }
 
-    /// Cancels an attempt that is in flight; false where that is not permitted or was done before.
+    /// Cancels an attempt that is in flight. Returns `false` if that is not permitted or the attempt was cancelled
+    /// before.
     pub(crate) fn cancel(&mut self, id: RequestId, number: usize) -> bool {
         let Some(attempt) = self.requests.attempt_mut(id, number) else { return false };
         if !self.permissions.cancel || attempt.outcome.is_some() || attempt.is_cancelled {
@@ -302,12 +310,13 @@
         true
     }
 
-    /// Closes a request, cancelling its attempts in flight; `quality`: how well it was served, from 0 to 1.
+    /// Closes a request and cancels its attempts in flight; `quality`: its service quality, from 0 to 1.
     pub(crate) fn close(&mut self, id: RequestId, quality: f64, now: Millis) {
         let Some(request) = self.requests.requests.get_mut(&id) else { return };
-        let was_answered = std::mem::replace(&mut request.is_closed, true);
+        let was_closed = std::mem::replace(&mut request.is_closed, true);
         let (tenant, attempts) = (request.tenant.clone(), request.attempts.len());
-        if !was_answered && request.arrived_at >= self.stalled_until && attempts > 0 {
+        let arrived_at = request.arrived_at;
+        if !was_closed && !self.has_stalled_since(arrived_at) && attempts > 0 {
             for service in self.requests.service_levels(tenant.as_deref()) {
                 service.record(now, 1.0, quality);
             }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -12,7 +12,7 @@
     clippy::cast_sign_loss,
     reason = "casts follow a clamp or a bounded count"
 )]
-#![allow(clippy::float_cmp, reason = "equal draws count half; infinity marks a confirmed list")]
+#![allow(clippy::float_cmp, reason = "equal draws count half")]
 #![allow(clippy::struct_excessive_bools, reason = "inputs of rules are independent conditions")]
 
 mod admission;
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -1,13 +1,13 @@
-//! Routing of an attempt: a coin between baseline and canary, then a choice between two endpoints.
+//! Routing of an attempt: a random draw between canary and baseline, then a choice between two endpoints.
 //!
-//! Problem: a gateway sees only its own attempts in flight, and must compare a canary with the baseline under equal load.
-//! Method: a top-two coin that equalises the attempts in flight per endpoint of both sides (top-two sampling), then the
-//! power of two choices (Mitzenmacher, 2001) on attempts in flight per unit of capacity.
+//! Problem: a gateway sees only its own attempts in flight, and must compare a canary with the baseline under equal
+//! load. Method: a draw that equalises the attempts in flight per endpoint of both version groups (top-two sampling),
+//! then the power of two choices (Mitzenmacher, 2001) on attempts in flight per unit of capacity.
 //!
-//! [`Policy`](crate::Policy) calls these rules for each queued request and each hedged request. [`AttemptGate`] is the only
-//! way out for attempts: it applies every rule that an attempt could violate. [`canary_share`] decides the corresponding
-//! share, from capacities, for adapters that publish shares instead of routing each request; unlike the coin it gives a
-//! rejected canary nothing.
+//! [`Policy`](crate::Policy) calls these rules for each queued request and each hedged request. No attempt is sent
+//! unless [`AttemptRules`] allows it: it checks every rule that an attempt could violate. For adapters that publish
+//! shares instead of routing each request, [`canary_share`] computes the canaries' share from capacities. It is 0 for a
+//! rejected canary, whereas the draw still selects one.
 
 use crate::config::Permissions;
 use crate::exposure::TIME_LIMIT_SAFETY_MARGIN;
@@ -22,75 +22,75 @@
 use rand::seq::IndexedRandom;
 use rand_pcg::Pcg64Mcg;
 
-/// Share of requests for the canary at the end of its last stage; the rest remains a comparison.
+/// Share of requests for the canary at the end of its last stage; the baseline gets the rest, for comparison.
 const FULL_TRAFFIC_SHARE: f64 = 0.9;
-/// Attempts in flight that an endpoint in another zone counts extra, where crossing zones has a cost.
+/// Additional attempts in flight that an endpoint in another zone counts as having, if crossing zones has a cost.
 const CROSS_ZONE_BIAS: f64 = 0.25;
-/// ms in which the weight of an endpoint's latency in its load halves.
+/// Time after which the weight of an endpoint's latency in its load has halved.
 const LATENCY_BIAS_HALF_LIFE: Millis = 5000.0;
 
-/// What the coin between baseline and canary depends on.
+/// Inputs of the draw between canary and baseline.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct CoinInputs {
-    /// The share of the ready endpoints that are canaries'.
+pub(crate) struct GroupDrawInputs {
+    /// The share of the ready endpoints that run a canary.
     pub(crate) canary_endpoint_share: f64,
     /// Mean attempts in flight at a canary endpoint.
     pub(crate) canary_load: f64,
     /// Mean attempts in flight at a baseline endpoint.
     pub(crate) baseline_load: f64,
-    /// There are ready baseline endpoints.
+    /// Set when there are ready baseline endpoints.
     pub(crate) has_baseline: bool,
-    /// The newest version is being rolled back.
+    /// Set while the newest version is being rolled back.
     pub(crate) is_rolling_back: bool,
-    /// The canary gets nearly all requests before its promotion.
+    /// Set when the canary gets nearly all requests before its promotion.
     pub(crate) has_full_traffic: bool,
 }
 
-/// The top-two coin: true where canary endpoints are tried first; `coin`: uniform between 0 and 1.
-pub(crate) fn is_canary_first(coin: f64, inputs: &CoinInputs) -> bool {
+/// Whether canary endpoints are tried before baseline endpoints; `draw`: uniform between 0 and 1.
+pub(crate) fn is_canary_first(draw: f64, inputs: &GroupDrawInputs) -> bool {
     if !inputs.has_baseline {
         return true;
     }
     let share = inputs.canary_endpoint_share;
-    let is_full_traffic = inputs.has_full_traffic && coin < FULL_TRAFFIC_SHARE;
-    // With less than one attempt in flight per endpoint, equal load is too coarse: the coin approaches the share.
-    let parity = share + (0.5 - share).max(0.0) * inputs.baseline_load.min(1.0);
-    let is_picked = coin < parity && inputs.canary_load <= inputs.baseline_load;
+    let is_full_traffic = inputs.has_full_traffic && draw < FULL_TRAFFIC_SHARE;
+    // With less than one attempt in flight per endpoint, the comparison of loads is too coarse: the lower the load, the
+    // closer the probability of the canary is to its share of the endpoints.
+    let canary_probability = share + (0.5 - share).max(0.0) * inputs.baseline_load.min(1.0);
+    let is_picked = draw < canary_probability && inputs.canary_load <= inputs.baseline_load;
     !inputs.is_rolling_back && (is_full_traffic || is_picked)
 }
 
-/// Endpoints that are warming up, of both sides; none of a canary that is being rolled back. They are tried before either
-/// side: their slow start budget is small and randomly distributed over gateways.
+/// Endpoints of both version groups that are warming up, without those of a canary that is being rolled back. These are
+/// tried before all others, since their slow start budget is small and randomly distributed over gateways.
 pub(crate) fn warming_endpoints(
-    sides: &Sides, registry: &EndpointRegistry, is_rolling_back: bool, now: Millis,
+    groups: &Sides, registry: &EndpointRegistry, is_rolling_back: bool, now: Millis,
 ) -> Vec<EndpointIndex> {
-    let canary = if is_rolling_back { &[] } else { sides.canary.as_slice() };
-    let eligible = sides.baseline.iter().chain(canary).copied();
+    let canary = if is_rolling_back { &[] } else { groups.canary.as_slice() };
+    let eligible = groups.baseline.iter().chain(canary).copied();
     eligible.filter(|index| registry.warmup_factor(*index, now) < 1.0).collect()
 }
 
-/// The gate of all attempts: every rule that one could violate.
+/// Every rule that an attempt could violate, with the state that it depends on.
 #[derive(Clone, Copy)]
-pub(crate) struct AttemptGate<'a> {
-    /// Readiness, leases and slow start of the endpoints.
+pub(crate) struct AttemptRules<'a> {
+    /// The endpoints with their readiness, leases and slow start tokens.
     pub(crate) registry: &'a EndpointRegistry,
-    /// What canaries have received, and the rule on exposure.
+    /// The rule on exposure, with the attempts that canaries have received.
     pub(crate) exposure: &'a ExposureLimiter,
-    /// What the gateway may do.
+    /// Whether attempts may be repeated or hedged.
     pub(crate) permissions: &'a Permissions,
-    /// The time in ms.
     pub(crate) now: Millis,
 }
 
-impl AttemptGate<'_> {
+impl AttemptRules<'_> {
     /// Whether an attempt at a request of a class may be sent to an endpoint now.
-    pub(crate) fn admits(&self, request: &Request, class: &RequestClass, index: EndpointIndex) -> bool {
-        self.admits_attempt(request, class) && self.admits_endpoint(request, class, index)
+    pub(crate) fn allows(&self, request: &Request, class: &RequestClass, index: EndpointIndex) -> bool {
+        self.allows_another_attempt(request, class) && self.allows_endpoint(request, class, index)
     }
 
-    /// ms within which an admitted attempt must be written, so that the endpoint's lease and the deduplication window have
-    /// not ended by then; none without such a limit.
-    pub(crate) fn write_within(
+    /// The time within which an allowed attempt must be written, so that by then neither the endpoint's lease nor the
+    /// deduplication window has expired; `None` if neither applies.
+    pub(crate) fn write_timeout(
         &self, request: &Request, class: &RequestClass, index: EndpointIndex,
     ) -> Option<Millis> {
         let lease_left =
@@ -99,8 +99,8 @@
         [lease_left, window_left].into_iter().flatten().reduce(f64::min)
     }
 
-    /// Whether one more attempt at a request may be sent at all.
-    fn admits_attempt(&self, request: &Request, class: &RequestClass) -> bool {
+    /// Whether one more attempt at a request may be sent to any endpoint.
+    fn allows_another_attempt(&self, request: &Request, class: &RequestClass) -> bool {
         let dedup_window_left = request.dedup_window_left(class, TIME_LIMIT_SAFETY_MARGIN, self.now);
         request.is_open()
             && self.now < request.deadline
@@ -109,8 +109,8 @@
             && dedup_window_left.is_none_or(|left| left > 0.0)
     }
 
-    /// Whether an endpoint may get one more attempt at a request.
-    fn admits_endpoint(&self, request: &Request, class: &RequestClass, index: EndpointIndex) -> bool {
+    /// Whether one more attempt at a request may be sent to this endpoint.
+    fn allows_endpoint(&self, request: &Request, class: &RequestClass, index: EndpointIndex) -> bool {
         let endpoint = &self.registry.endpoints[index];
         let is_repeatable = |attempt: &Attempt| match class.idempotency {
             Idempotency::Idempotent => true,
@@ -122,23 +122,23 @@
             && endpoint.is_ready
             && self.now < self.registry.lease_expires_at(index)
             && (endpoint.slow_start_tokens >= 1.0 || self.registry.warmup_factor(index, self.now) >= 1.0)
-            && self.exposure.admits(request, class.idempotency, version, lowest_version, self.now)
+            && self.exposure.allows(request, class.idempotency, version, lowest_version, self.now)
     }
 }
 
-/// Those of some endpoints that may get an attempt at a request now and are below their concurrency limit; among them
-/// those that the request has not tried, if there are any.
+/// Those of the candidates that may get an attempt at a request now and are below their concurrency limit. If the request
+/// has not been sent to some of them yet, only those.
 pub(crate) fn available_endpoints(
-    candidates: &[EndpointIndex], request: &Request, class: &RequestClass, gate: &AttemptGate,
+    candidates: &[EndpointIndex], request: &Request, class: &RequestClass, rules: &AttemptRules,
 ) -> Vec<EndpointIndex> {
-    let endpoints = &gate.registry.endpoints;
-    // An ejected endpoint is used only where all are: waiting costs a request less than a failed attempt.
-    let all_ejected = !endpoints.ready().any(|index| endpoints[index].is_healthy(gate.now));
+    let endpoints = &rules.registry.endpoints;
+    // An ejected endpoint is used only if all are: waiting costs a request less than a failed attempt.
+    let all_ejected = !endpoints.ready().any(|index| endpoints[index].is_healthy(rules.now));
     let is_available = |index: &EndpointIndex| {
         let endpoint = &endpoints[*index];
         f64::from(endpoint.in_flight) < endpoint.concurrency_limit
-            && (endpoint.is_healthy(gate.now) || all_ejected)
-            && gate.admits(request, class, *index)
+            && (endpoint.is_healthy(rules.now) || all_ejected)
+            && rules.allows(request, class, *index)
     };
     let available: Vec<EndpointIndex> = candidates.iter().copied().filter(is_available).collect();
     let is_untried =
@@ -147,7 +147,7 @@
     if untried.is_empty() { available } else { untried }
 }
 
-/// Power of two choices: the less loaded of two endpoints drawn at random; none where none is available.
+/// Power of two choices: the less loaded of two endpoints drawn at random; `None` if no endpoint is available.
 pub(crate) fn choose_of_two(
     available: &[EndpointIndex], load: impl Fn(EndpointIndex) -> f64, rng: &mut Pcg64Mcg,
 ) -> Option<EndpointIndex> {
@@ -156,24 +156,24 @@
     Some(if load(second) < load(first) { second } else { first })
 }
 
-/// What the load of an endpoint is computed from.
+/// Inputs of an endpoint's load.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndpointLoad {
-    /// This gateway's attempts in flight there.
+    /// This gateway's attempts in flight at the endpoint.
     pub(crate) in_flight: u32,
-    /// It is in another zone, and crossing zones has a cost.
+    /// Set when the endpoint is in another zone and crossing zones has a cost.
     pub(crate) crosses_zones: bool,
-    /// Log of the ratio of its recent latencies to the usual ones.
+    /// Logarithm of the ratio of the endpoint's recent latencies to the usual ones.
     pub(crate) latency_bias: f64,
-    /// ms since that was updated.
+    /// Time since the last update of the latency bias.
     pub(crate) latency_bias_age: Millis,
-    /// Its weight, times the least share of its capacity that it has reached.
+    /// The endpoint's weight times its warm-up factor.
     pub(crate) capacity: f64,
 }
 
 impl EndpointLoad {
-    /// Expected attempts in flight per unit of capacity, were one more sent. A gateway with few attempts of its own in
-    /// flight infers the load of others from latencies.
+    /// Expected attempts in flight per unit of capacity after one more is sent. A gateway with few attempts of its own
+    /// in flight infers the load from other gateways from latencies.
     pub(crate) fn value(&self) -> f64 {
         let bias = if self.crosses_zones { CROSS_ZONE_BIAS } else { 0.0 };
         let decay = half_life_decay(self.latency_bias_age, LATENCY_BIAS_HALF_LIFE);
@@ -182,28 +182,28 @@
     }
 }
 
-/// What the published share of the canaries depends on.
+/// Inputs of the published share of the canaries.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ShareInputs {
-    /// There are ready canary endpoints.
+pub(crate) struct CanaryShareInputs {
+    /// Set when there are ready canary endpoints.
     pub(crate) has_canary: bool,
-    /// There are ready baseline endpoints.
+    /// Set when there are ready baseline endpoints.
     pub(crate) has_baseline: bool,
     /// Capacity of the canary endpoints that are not ejected.
     pub(crate) canary_capacity: f64,
     /// Capacity of the baseline endpoints that are not ejected.
     pub(crate) baseline_capacity: f64,
-    /// The phase of the newest version's rollout.
+    /// Phase of the newest version's rollout.
     pub(crate) phase: RolloutPhase,
-    /// The newest version was rejected here.
+    /// Set when this gateway has rejected the newest version.
     pub(crate) is_canary_rejected: bool,
-    /// The canary gets nearly all requests before its promotion.
+    /// Set when the canary gets nearly all requests before its promotion.
     pub(crate) has_full_traffic: bool,
 }
 
-/// The share of all requests, from 0 to 1, that canaries are to get. Over all traffic, equal attempts in flight per
-/// endpoint amount to the canaries' share of the capacity.
-pub(crate) fn canary_share(inputs: &ShareInputs) -> f64 {
+/// The share of all requests, from 0 to 1, that canaries are to get. With equally many attempts in flight at every
+/// endpoint, canaries get their share of the capacity.
+pub(crate) fn canary_share(inputs: &CanaryShareInputs) -> f64 {
     if !inputs.has_baseline {
         return indicator(inputs.has_canary);
     }
