--- a/crates/policy/tests/policy/admission.rs
+++ b/crates/policy/tests/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Load shedding and the queue.
+//! Load shedding, and the latency of admitted requests.
 
 use crate::support::{SentAttempt, TestConfig, TestGateway, succeed};
 use latchhaven_policy::{Action, AttemptOutcome, Millis};
@@ -11,18 +11,22 @@
     };
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, slow);
     let mut ids = Vec::new();
-    for k in 0..2000 {
-        let tenant = if (k + 1) % 2 == 0 { "waits" } else { "well" };
+    for number in 0..2000 {
+        let tenant = if (number + 1) % 2 == 0 { "slow" } else { "fast" };
         ids.push((gateway.request_from(Some(tenant), "look", false, 2000.0), tenant));
         gateway.step();
     }
-    let rejected = |of: &str| {
+    let count_rejected = |of: &str| {
         ids[1000..]
             .iter()
             .filter(|(id, tenant)| *tenant == of && gateway.endpoints_tried(*id).is_empty())
             .count()
     };
-    assert!(rejected("waits") > 250 && rejected("well") < 250, "{} {}", rejected("waits"), rejected("well"));
+    let (of_slow, of_fast) = (count_rejected("slow"), count_rejected("fast"));
+    assert!(
+        of_slow > 250 && of_fast < 250,
+        "rejected of 500 each: {of_slow} of the slow tenant, {of_fast} of the fast one"
+    );
 }
 
 #[rstest]
@@ -37,9 +41,12 @@
     let id = gateway.request_from(None, "look", is_retry, time_remaining);
     gateway.run_for(30.0);
     assert_eq!((gateway.endpoints_tried(id).is_empty(), gateway.answers.contains_key(&id)), (!sent, !sent));
-    // Attempts time out at the latency objective, so that endpoints may drop them before they begin.
-    let beyond = |action: &Action| matches!(action, Action::SendAttempt { timeout: limit, .. } if limit.is_none_or(|l| l > 500.0));
-    assert!(!gateway.actions.iter().any(|(_, action)| beyond(action)));
+    // Attempts time out at the latency objective, so that endpoints may drop late ones unexecuted.
+    let exceeds_objective = |action: &Action| match action {
+        Action::SendAttempt { timeout, .. } => timeout.is_none_or(|timeout| timeout > 500.0),
+        _ => false,
+    };
+    assert!(!gateway.actions.iter().any(|(_, action)| exceeds_objective(action)));
 }
 
 #[rstest]
@@ -50,12 +57,12 @@
     });
     gateway.serve_for(8000.0, 1);
     let mut rejected = 0;
-    for (id, answers) in &gateway.answers {
+    for (id, statuses) in &gateway.answers {
         rejected += 1;
-        assert_eq!(answers.len(), 1);
+        assert_eq!(statuses.len(), 1, "final statuses of request {id}");
         assert!(!gateway.succeeded.contains_key(id));
     }
-    assert!(rejected > 100, "requests are twice the capacity, rejected: {rejected}");
+    assert!(rejected > 100, "requests arrive at twice the capacity, but only {rejected} are rejected");
     let slow = gateway
         .sent
         .iter()
@@ -63,7 +70,7 @@
         .count();
     assert!(
         gateway.succeeded.len() > 250 && slow * 10 < gateway.succeeded.len(),
-        "{slow} of {}",
+        "{slow} of {} successes are later than the latency objective",
         gateway.succeeded.len()
     );
 }
@@ -72,7 +79,7 @@
 #[case::little_traffic(10)]
 #[case::much_traffic(2)]
 fn load_shedding_ends_soon_after_an_overload(#[case] every: usize) {
-    // For four seconds no attempt is answered within the latency objective, then all succeed as before.
+    // For four seconds all attempts time out, then all succeed as before.
     let is_overloaded = |sent: &SentAttempt| (103_000.0..107_000.0).contains(&sent.at);
     let behavior = move |sent: &SentAttempt| {
         if is_overloaded(sent) { (AttemptOutcome::Timeout, 500.0) } else { succeed(sent) }
@@ -82,12 +89,12 @@
     assert!(gateway.answers.is_empty(), "rejected without an overload");
     gateway.serve_for(4000.0, every);
     let rejected = |gateway: &TestGateway, from: Millis| {
-        gateway.answers.values().filter(|answers| answers[0].0 >= from).count()
+        gateway.answers.values().filter(|statuses| statuses[0].0 >= from).count()
     };
-    assert!(rejected(&gateway, 105_000.0) * 2 * every > 100, "an overload is shed");
+    assert!(rejected(&gateway, 105_000.0) * 2 * every > 100, "few requests are rejected during the overload");
     gateway.serve_for(5000.0, every);
-    let still = rejected(&gateway, 109_500.0) * every;
-    assert!(still <= 10, "{still} of 250 are rejected 2.5 to 5 s after the overload");
+    let rejected_late = rejected(&gateway, 109_500.0) * every;
+    assert!(rejected_late <= 10, "{rejected_late} of 250 are rejected 2.5 to 5 s after the overload");
 }
 
 #[test]
@@ -105,5 +112,5 @@
         received += gateway.request("look", None).0 - before.0 - 1;
         sent += gateway.sent.iter().filter(|sent| sent.id > before && sent.number == 0).count() as u32;
     }
-    assert!(sent * 4 < received, "{sent} of {received} are sent to endpoints that serve none");
+    assert!(sent * 4 < received, "{sent} of {received} requests are sent to endpoints where all time out");
 }
--- a/crates/policy/tests/policy/discovery.rs
+++ b/crates/policy/tests/policy/discovery.rs
@@ -1,4 +1,4 @@
-//! When the endpoint list is requested.
+//! When a gateway calls the discovery service for the endpoint list.
 
 use crate::support::{STEP, TestConfig, TestGateway, succeed};
 use latchhaven_policy::{
@@ -18,7 +18,7 @@
     gateway.run_for(1000.0);
     assert_eq!(watches(&gateway), 2);
     gateway.run_for(5000.0);
-    assert_eq!(watches(&gateway), 3, "the call is not answered");
+    assert_eq!(watches(&gateway), 3, "the second call got no reply within its timeout");
 }
 
 #[rstest]
@@ -27,7 +27,11 @@
     gateway.run_for(3000.0);
     let before = gateway.actions.len();
     gateway.run_for(20_000.0);
-    assert!(gateway.actions.len() - before <= 30, "one tick a second: {}", gateway.actions.len() - before);
+    assert!(
+        gateway.actions.len() - before <= 30,
+        "at most one tick a second: {} actions in 20 s",
+        gateway.actions.len() - before
+    );
     let watches = |gateway: &TestGateway| {
         gateway.actions.iter().filter(|(_, a)| matches!(a, Action::WatchEndpoints { enabled: true })).count()
     };
@@ -40,7 +44,7 @@
         gateway.step();
     }
     let calls = watches(&gateway) - before;
-    assert!((6..=16).contains(&calls), "backs off to half of the polling interval: {calls}");
+    assert!((6..=16).contains(&calls), "{calls} calls in 40 s, where the backoff grows to its maximum");
 }
 
 #[rstest]
@@ -58,9 +62,9 @@
     );
 }
 
-/// Gateways of the fleet that starts during an outage.
+/// Size of the fleet that starts during an outage of the discovery service.
 const GATEWAYS: u32 = 300;
-/// ms until the discovery service of that fleet answers.
+/// Time from the start of the fleet to the end of the outage.
 const OUTAGE: Millis = 8000.0;
 
 /// The calls of a fleet that starts while the discovery service is down.
@@ -72,7 +76,7 @@
 }
 
 impl OutageCalls {
-    /// The calls within the first `duration` ms after the start.
+    /// Runs the fleet for `duration` after its start.
     fn simulate(duration: Millis) -> Self {
         let config = |seed| TestConfig { seed, gateway_count: GATEWAYS, ..TestConfig::default() };
         let mut gateways: Vec<TestGateway> =
@@ -100,14 +104,14 @@
         outage
     }
 
-    /// The largest number of calls within a second that starts in the 12 s after `from`.
+    /// The largest number of calls within one second, over the seconds that begin in the 12 s after `from`.
     fn max_in_a_second(&self, from: Millis) -> usize {
         let within =
             |start: Millis| self.calls.iter().filter(|at| (start..start + 1000.0).contains(*at)).count();
         (0..120).map(|k| within(from + 100.0 * f64::from(k))).max().unwrap_or(0)
     }
 
-    /// How many gateways received their list within this time after the end of the outage.
+    /// Number of gateways that received their list by `duration` after the end of the outage.
     fn delivered_within(&self, duration: Millis) -> usize {
         self.delivered.iter().filter(|at| **at < OUTAGE + duration).count()
     }
@@ -120,18 +124,22 @@
 #[test]
 fn hundreds_starting_while_discovery_is_down_back_off_and_all_get_a_list() {
     let outage = OutageCalls::simulate(36_000.0);
-    assert_eq!(outage.delivered.len(), 300, "each calls until it has a list, and no more");
+    assert_eq!(outage.delivered.len(), 300, "each gateway calls until it has a list, and not again");
     let delivered_soon = outage.delivered_within(12_000.0);
-    assert!(delivered_soon >= 270, "{delivered_soon} have a list within 12 s");
+    assert!(delivered_soon >= 270, "only {delivered_soon} of 300 gateways have a list 12 s after the outage");
     let max_at_start = outage.max_in_a_second(10.0);
-    assert!(max_at_start <= 80, "{max_at_start} calls in one second");
+    assert!(max_at_start <= 80, "{max_at_start} calls within one second soon after the start");
     let max_later = outage.max_in_a_second(4000.0);
-    assert!(max_later <= 80, "{max_later} calls in one second, long after the start");
-    assert!(outage.calls.len() <= 300 * 4, "{} calls", outage.calls.len());
+    assert!(max_later <= 80, "{max_later} calls within one second, 4 s or more after the start");
+    assert!(outage.calls.len() <= 300 * 4, "{} calls by 300 gateways", outage.calls.len());
 }
 
 #[test]
 fn hundreds_starting_while_discovery_is_down_have_a_list_within_16_seconds() {
     let outage = OutageCalls::simulate(16_000.0);
-    assert_eq!(outage.delivered.len(), 300, "each has a list 16 s after the start, 8 s after the outage");
+    assert_eq!(
+        outage.delivered.len(),
+        300,
+        "each gateway has a list 16 s after the start, 8 s after the outage"
+    );
 }
--- a/crates/policy/tests/policy/discovery_overload.rs
+++ b/crates/policy/tests/policy/discovery_overload.rs
@@ -1,55 +1,63 @@
-//! Hundreds of gateways and a discovery service of limited rate, on an injected clock.
+//! Hundreds of gateways that restart after an outage of a slow discovery service, on an injected clock. The service
+//! also processes calls that have timed out: if gateways call too often, none gets its list.
 
 use crate::support::TestConfig;
 use latchhaven_policy::{Action, Event, Millis, Policy, UpdateFailure, UpdateKind};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
+use std::ops::Range;
 
-/// Unix time in ms at which the simulation starts, as the clock of a gateway in service is not near 0.
+/// Unix time at which the simulation starts, in milliseconds: gateways in production have clocks that are not near 0.
 const START: Millis = 1_700_000_000_000.0;
-/// ms after which the service fails a queued call.
+/// Time after which a queued call fails.
 const SERVICE_TIMEOUT: Millis = 2000.0;
-/// ms of work that may be queued; further calls are rejected immediately.
+/// Work that the service may have queued; it rejects further calls immediately.
 const MAX_BACKLOG: Millis = 6000.0;
-/// ms in which the service answers one call of each gateway: the slowest service that operators specify.
-const ALL_CALLS: Millis = 8000.0;
-/// Number of gateways.
+/// Time in which the service processes one call of each gateway: the slowest service that operators specify.
+const ALL_CALLS_DURATION: Millis = 8000.0;
 const GATEWAYS: usize = 300;
-/// ms between the end of a process and its restart.
-const RESTART: Millis = 1500.0;
+/// Time between the exit of a process and its restart.
+const RESTART_DELAY: Millis = 1500.0;
 
-/// An event of one gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Kind {
+enum GatewayEvent {
     Timer,
     WatchLost,
     CallFailed,
-    CallAnswered,
+    CallCompleted,
     Killed,
     Started,
 }
 
-/// Time in µs since [`START`], gateway, number of its process, event.
-type Entry = Reverse<(u64, usize, u32, Kind)>;
+/// An event at the time when it happens. Events are ordered by the fields in their order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ScheduledEvent {
+    /// Time since [`START`] in microseconds.
+    at_micros: u64,
+    gateway: usize,
+    /// Number of the gateway's process that the event is for.
+    process: u32,
+    event: GatewayEvent,
+}
 
 struct SimulatedGateway {
     policy: Policy,
-    /// Number of its process; events of earlier ones are dropped.
+    /// Number of the gateway's current process; events for earlier ones are dropped.
     process: u32,
-    /// When its present process received a list.
+    /// When the current process received its list; `None` before that, and after the loss of the watch.
     listed_at: Option<Millis>,
 }
 
-/// A service that processes calls in order, abandoned ones included, and its callers.
+/// A discovery service that processes calls in order, including those that have timed out, and the gateways that call
+/// it.
 struct Simulation {
     gateways: Vec<SimulatedGateway>,
-    entries: BinaryHeap<Entry>,
+    events: BinaryHeap<Reverse<ScheduledEvent>>,
     /// When the service will have processed its queue.
-    free_at: Millis,
-    /// Start and end of the outage of the service.
-    outage: (Millis, Millis),
+    queue_empty_at: Millis,
+    /// Period in which the service is down.
+    outage: Range<Millis>,
     calls: usize,
-    answered: usize,
 }
 
 fn policy(gateway: usize, process: u32) -> Policy {
@@ -58,72 +66,72 @@
 }
 
 impl Simulation {
-    fn new(outage: (Millis, Millis)) -> Self {
+    fn new(outage: Range<Millis>) -> Self {
         let gateways = (0..GATEWAYS).map(|gateway| SimulatedGateway {
             policy: policy(gateway, 0),
             process: 0,
             listed_at: None,
         });
+        let watches_lost_at = outage.start;
         let mut simulation = Simulation {
             gateways: gateways.collect(),
-            entries: BinaryHeap::new(),
-            free_at: START,
+            events: BinaryHeap::new(),
+            queue_empty_at: START,
             outage,
             calls: 0,
-            answered: 0,
         };
         for gateway in 0..GATEWAYS {
-            simulation.schedule(START, gateway, Kind::Started);
-            simulation.schedule(outage.0, gateway, Kind::WatchLost);
+            simulation.schedule(START, gateway, GatewayEvent::Started);
+            simulation.schedule(watches_lost_at, gateway, GatewayEvent::WatchLost);
         }
         simulation
     }
 
-    fn schedule(&mut self, at: Millis, gateway: usize, kind: Kind) {
+    /// Schedules an event for the current process of a gateway.
+    fn schedule(&mut self, at: Millis, gateway: usize, event: GatewayEvent) {
         let process = self.gateways[gateway].process;
-        self.schedule_for(process, at, gateway, kind);
+        let at_micros = ((at - START) * 1000.0).ceil() as u64;
+        self.events.push(Reverse(ScheduledEvent { at_micros, gateway, process, event }));
     }
 
-    fn schedule_for(&mut self, process: u32, at: Millis, gateway: usize, kind: Kind) {
-        self.entries.push(Reverse((((at - START) * 1000.0).ceil() as u64, gateway, process, kind)));
-    }
-
-    /// Kills seven in ten gateways simultaneously; each restarts after [`RESTART`].
+    /// Kills seven in ten gateways simultaneously; each restarts after [`RESTART_DELAY`].
     fn kill_seven_in_ten(&mut self, at: Millis) {
         for gateway in (0..GATEWAYS).filter(|gateway| gateway % 10 < 7) {
-            self.schedule(at, gateway, Kind::Killed);
+            self.schedule(at, gateway, GatewayEvent::Killed);
         }
     }
 
     fn run_until(&mut self, end: Millis) {
-        while let Some(Reverse((micros, gateway, process, kind))) = self.entries.pop() {
-            let now = START + micros as f64 / 1000.0;
+        while let Some(Reverse(ScheduledEvent { at_micros, gateway, process, event })) = self.events.pop() {
+            let now = START + at_micros as f64 / 1000.0;
             if now > end {
                 return;
             }
-            let is_lifecycle = matches!(kind, Kind::Killed | Kind::Started);
+            let is_lifecycle = matches!(event, GatewayEvent::Killed | GatewayEvent::Started);
             if is_lifecycle || process == self.gateways[gateway].process {
-                self.on_entry(gateway, kind, now);
+                self.on_event(gateway, event, now);
             }
         }
     }
 
-    fn on_entry(&mut self, gateway: usize, kind: Kind, now: Millis) {
-        let event = match kind {
-            Kind::Timer => Event::TimerFired { token: "look".to_string() },
-            Kind::WatchLost | Kind::CallFailed => Event::EndpointUpdateFailed(UpdateFailure::default()),
-            Kind::CallAnswered => endpoint_update(UpdateKind::Snapshot),
-            Kind::Started => endpoint_update(UpdateKind::CachedSnapshot),
-            Kind::Killed => return self.kill(gateway, now),
+    fn on_event(&mut self, gateway: usize, event: GatewayEvent, now: Millis) {
+        let policy_event = match event {
+            GatewayEvent::Timer => Event::TimerFired { token: "look".to_string() },
+            GatewayEvent::WatchLost | GatewayEvent::CallFailed => {
+                Event::EndpointUpdateFailed(UpdateFailure::default())
+            }
+            GatewayEvent::CallCompleted => endpoint_update(UpdateKind::Snapshot),
+            GatewayEvent::Started => endpoint_update(UpdateKind::CachedSnapshot),
+            GatewayEvent::Killed => return self.kill(gateway, now),
         };
-        match kind {
-            Kind::WatchLost => self.gateways[gateway].listed_at = None,
-            Kind::CallAnswered => self.gateways[gateway].listed_at = Some(now),
+        match event {
+            GatewayEvent::WatchLost => self.gateways[gateway].listed_at = None,
+            GatewayEvent::CallCompleted => self.gateways[gateway].listed_at = Some(now),
             _ => {}
         }
-        for action in self.gateways[gateway].policy.handle_events(now, vec![event]) {
+        for action in self.gateways[gateway].policy.handle_events(now, vec![policy_event]) {
             match action {
-                Action::SetTimer { after, .. } => self.schedule(now + after, gateway, Kind::Timer),
+                Action::SetTimer { after, .. } => self.schedule(now + after, gateway, GatewayEvent::Timer),
                 Action::WatchEndpoints { enabled: true } => self.call(gateway, now),
                 _ => {}
             }
@@ -135,23 +143,22 @@
         killed.process += 1;
         killed.listed_at = None;
         killed.policy = policy(gateway, killed.process);
-        self.schedule(now + RESTART, gateway, Kind::Started);
+        self.schedule(now + RESTART_DELAY, gateway, GatewayEvent::Started);
     }
 
     fn call(&mut self, gateway: usize, now: Millis) {
         self.calls += 1;
-        if (self.outage.0..self.outage.1).contains(&now) {
-            return self.schedule(now + SERVICE_TIMEOUT, gateway, Kind::CallFailed);
+        if self.outage.contains(&now) {
+            return self.schedule(now + SERVICE_TIMEOUT, gateway, GatewayEvent::CallFailed);
         }
-        if self.free_at - now > MAX_BACKLOG {
-            return self.schedule(now, gateway, Kind::CallFailed);
+        if self.queue_empty_at - now > MAX_BACKLOG {
+            return self.schedule(now, gateway, GatewayEvent::CallFailed);
         }
-        self.free_at = self.free_at.max(now) + ALL_CALLS / GATEWAYS as f64;
-        if self.free_at - now > SERVICE_TIMEOUT {
-            return self.schedule(now + SERVICE_TIMEOUT, gateway, Kind::CallFailed);
+        self.queue_empty_at = self.queue_empty_at.max(now) + ALL_CALLS_DURATION / GATEWAYS as f64;
+        if self.queue_empty_at - now > SERVICE_TIMEOUT {
+            return self.schedule(now + SERVICE_TIMEOUT, gateway, GatewayEvent::CallFailed);
         }
-        self.answered += 1;
-        self.schedule(self.free_at, gateway, Kind::CallAnswered);
+        self.schedule(self.queue_empty_at, gateway, GatewayEvent::CallCompleted);
     }
 
     /// The number of gateways that have a list.
@@ -165,22 +172,22 @@
 }
 
 #[test]
-fn gateways_restarted_behind_an_outage_get_their_lists_from_a_slow_service() {
-    let outage = (START + 20_000.0, START + 28_000.0);
+fn gateways_restarted_after_an_outage_get_their_lists_from_a_slow_service() {
+    let outage = START + 20_000.0..START + 28_000.0;
     let mut simulation = Simulation::new(outage);
     simulation.run_until(START + 19_000.0);
-    assert_eq!(simulation.listed(), GATEWAYS, "all gateways that start together have a list");
+    assert_eq!(simulation.listed(), GATEWAYS, "gateways with a list after all started together");
     simulation.kill_seven_in_ten(START + 31_000.0);
     let calls_before = simulation.calls;
-    let restarted_at = START + 31_000.0 + RESTART;
-    simulation.run_until(restarted_at + 1.5 * ALL_CALLS);
+    let restarted_at = START + 31_000.0 + RESTART_DELAY;
+    simulation.run_until(restarted_at + 1.5 * ALL_CALLS_DURATION);
     let listed_soon = simulation.listed();
-    simulation.run_until(restarted_at + 5.0 * ALL_CALLS);
+    simulation.run_until(restarted_at + 5.0 * ALL_CALLS_DURATION);
     let calls = simulation.calls - calls_before;
-    assert_eq!(simulation.listed(), GATEWAYS, "all gateways have a list again");
+    assert_eq!(simulation.listed(), GATEWAYS, "gateways with a list after the restart");
     assert!(
         10 * listed_soon >= 5 * GATEWAYS,
-        "{listed_soon} have a list within 1.5 times the service's time for all calls"
+        "only {listed_soon} gateways have a list when the service could have processed 1.5 calls of each"
     );
-    assert!(calls <= 5 * GATEWAYS, "{calls} calls");
+    assert!(calls <= 5 * GATEWAYS, "{calls} calls after the restart");
 }
--- a/crates/policy/tests/policy/exposure.rs
+++ b/crates/policy/tests/policy/exposure.rs
@@ -1,4 +1,4 @@
-//! The traffic cap of canaries.
+//! Limits on the attempts at canaries: traffic caps, closed stages and sticky keys.
 
 use crate::support::{SentAttempt, TestConfig, class, succeed, with_canary};
 use latchhaven_policy::{DedupScope, Idempotency, Millis, RequestId, RolloutPhase, Version};
@@ -13,13 +13,13 @@
     config.classes.push(class("rare", Idempotency::Idempotent, DedupScope::All));
     let mut gateway = with_canary(config, 0, 0.1, succeed);
     let mut received: Vec<(Millis, RequestId, bool)> = Vec::new();
-    for k in 0..600 {
-        let rare = k % 10 == 0;
+    for number in 0..600 {
+        let rare = number % 10 == 0;
         received.push((gateway.now, gateway.request(if rare { "rare" } else { "look" }, None), rare));
         gateway.step();
     }
     let exposed: Vec<&SentAttempt> = gateway.sent.iter().filter(|sent| sent.version == Version(2)).collect();
-    assert!(exposed.len() > 20, "the canary gets its share: {}", exposed.len());
+    assert!(exposed.len() > 20, "the canary gets only {} attempts", exposed.len());
     let is_rare = |id: RequestId| received.iter().any(|(_, other, rare)| *other == id && *rare);
     for class_counted in if per_class { vec![Some(true), Some(false)] } else { vec![None] } {
         let counts = |rare: bool| class_counted.is_none_or(|counted| counted == rare);
@@ -29,7 +29,10 @@
             let received_within =
                 gateway.sent.iter().filter(|sent| sent.id < received[0].1 && within(sent.at)).count()
                     + received.iter().filter(|(at, _, rare)| within(*at) && counts(*rare)).count();
-            assert!(sent as f64 <= 2.0 + 0.1 * received_within as f64 + 1e-9, "{sent} of {received_within}");
+            assert!(
+                sent as f64 <= 2.0 + 0.1 * received_within as f64 + 1e-9,
+                "{sent} canary attempts for {received_within} requests"
+            );
         }
     }
 }
@@ -37,7 +40,7 @@
 #[test]
 fn requests_queued_longer_than_the_window_allow_no_exposure() {
     let mut gateway = with_canary(TestConfig::default(), 0, 0.1, succeed);
-    // Requests are queued on their connections longer than the window of 2 s.
+    // Requests are queued on their connections for longer than the window of 2 s, so none of them arrived within it.
     gateway.queued_for = 3000.0;
     let from = gateway.now + 2000.0;
     (0..800).for_each(|_| {
@@ -49,7 +52,7 @@
     assert!(!exposed.is_empty());
     for last in &exposed {
         let sent = exposed.iter().filter(|sent| sent.at > last.at - 2000.0 && sent.at <= last.at).count();
-        assert!(sent <= 2, "{sent} where only the allowance may be sent");
+        assert!(sent <= 2, "{sent} canary attempts, where only the allowance of 2 permits any");
     }
 }
 
@@ -65,7 +68,7 @@
         gateway.step();
     });
     assert!(gateway.sent.iter().all(|sent| sent.version == Version(1)));
-    // Versions later than the announced one count as in the first stage.
+    // A version later than that of the reported rollout counts as in the first stage.
     gateway.start_endpoints(&["b5"], Version(3));
     (0..200).for_each(|_| {
         gateway.request("pay", None);
@@ -79,11 +82,11 @@
     let mut config = TestConfig::default();
     config.exposure.sticky_keys = true;
     let mut gateway = with_canary(config, 1, 0.5, succeed);
-    for k in 0..400 {
-        gateway.request("look", Some(&format!("k{}", k % 40)));
+    for number in 0..400 {
+        gateway.request("look", Some(&format!("k{}", number % 40)));
         gateway.run_for(20.0);
     }
-    // Ids are consecutive, so the key follows from the id.
+    // Ids are consecutive, so the number of the key follows from the id.
     let first =
         gateway.sent.iter().find(|sent| sent.version == Version(2)).expect("an attempt at the canary").id;
     let start = gateway.sent.iter().map(|s| s.id.0).max().unwrap_or(0) - 399;
@@ -93,11 +96,11 @@
             gateway
                 .sent
                 .iter()
-                .all(|s| s.id <= new.id || key(s.id) != key(new.id) || s.version == Version(2))
+                .all(|sent| sent.id <= new.id || key(sent.id) != key(new.id) || sent.version == Version(2))
         );
     }
     gateway.update_rollout(Version(2), 1, RolloutPhase::RollingBack, 0.0);
-    let freed = gateway.request("look", Some(&format!("k{}", key(first))));
+    let released = gateway.request("look", Some(&format!("k{}", key(first))));
     gateway.run_for(100.0);
-    assert!(gateway.succeeded.contains_key(&freed));
+    assert!(gateway.succeeded.contains_key(&released));
 }
--- a/crates/policy/tests/policy/list_lease.rs
+++ b/crates/policy/tests/policy/list_lease.rs
@@ -1,4 +1,6 @@
-//! How long an endpoint list without a confirming watch is used. Here the drain grace is 1 s, the delay of updates 6 s.
+//! How long the endpoint list is used while no watch confirms it. If an endpoint drains meanwhile, it must get no
+//! attempt after its drain grace period. Here that period is 1 s, and updates that do not arrive count as delivered
+//! after 6 s.
 
 use crate::support::{SentAttempt, TestConfig, TestGateway, succeed};
 use latchhaven_policy::{
@@ -6,16 +8,17 @@
 };
 use rstest::rstest;
 
-/// The watch is lost; every update on it was received.
-const BROKEN: UpdateFailure = UpdateFailure { silent_for: 0.0, may_have_lost_update: false };
-/// The watch has been silent for 3.5 s.
+/// The connection of the watch is lost; every update sent over it was received.
+const CONNECTION_LOST: UpdateFailure = UpdateFailure { silent_for: 0.0, may_have_lost_update: false };
+/// The watch has sent no message for 3.5 s.
 const SILENT: UpdateFailure = UpdateFailure { silent_for: 3500.0, may_have_lost_update: false };
-/// The watch was truncated within a list.
-const CUT_OFF: UpdateFailure = UpdateFailure { silent_for: 0.0, may_have_lost_update: true };
-/// ms between two requests, beyond all timers and retries.
-const PAUSE: Millis = 50.0;
+/// The watch broke off within a message: an update may be lost.
+const TRUNCATED: UpdateFailure = UpdateFailure { silent_for: 0.0, may_have_lost_update: true };
+/// Delay between two requests, longer than all timers and retries of the first.
+const REQUEST_INTERVAL: Millis = 50.0;
 
-fn pushed() -> TestConfig {
+/// Updates are pushed on the watch: when it is lost, earlier ones count as delivered immediately.
+fn pushed_updates() -> TestConfig {
     TestConfig { update_delay_after_loss: 0.0, ..TestConfig::default() }
 }
 
@@ -23,13 +26,13 @@
     Event::EndpointUpdateFailed(failure)
 }
 
-/// True if a request received now is sent; otherwise it must be rejected immediately.
+/// Returns `true` if a request received now is sent; otherwise it must be rejected immediately.
 fn is_sent(gateway: &mut TestGateway) -> bool {
     let id = gateway.request("look", None);
     gateway.step();
     let is_sent = !gateway.endpoints_tried(id).is_empty();
     assert_ne!(is_sent, gateway.answers.contains_key(&id), "sent, or rejected immediately");
-    gateway.run_for(PAUSE);
+    gateway.run_for(REQUEST_INTERVAL);
     is_sent
 }
 
@@ -38,14 +41,14 @@
 }
 
 #[rstest]
-#[case::broken(TestConfig::default(), failed(BROKEN), 6750.0)]
+#[case::connection_lost(TestConfig::default(), failed(CONNECTION_LOST), 6750.0)]
 #[case::silent(TestConfig::default(), failed(SILENT), 3250.0)]
-#[case::cut_off(TestConfig::default(), failed(CUT_OFF), 750.0)]
+#[case::truncated(TestConfig::default(), failed(TRUNCATED), 750.0)]
 #[case::moved(TestConfig::default(), Event::DiscoveryMoved, 4750.0)]
-#[case::pushed_and_broken(pushed(), failed(BROKEN), 750.0)]
-#[case::pushed_and_silent(pushed(), failed(SILENT), 3250.0)]
-#[case::pushed_and_moved(pushed(), Event::DiscoveryMoved, 4750.0)]
-fn unconfirmed_list_is_used_until_its_lease_ends(
+#[case::pushed_and_connection_lost(pushed_updates(), failed(CONNECTION_LOST), 750.0)]
+#[case::pushed_and_silent(pushed_updates(), failed(SILENT), 3250.0)]
+#[case::pushed_and_moved(pushed_updates(), Event::DiscoveryMoved, 4750.0)]
+fn unconfirmed_list_is_used_until_its_lease_expires(
     #[case] config: TestConfig, #[case] event: Event, #[case] lease: Millis,
 ) {
     let mut gateway = TestGateway::with_endpoints(config, 4, succeed);
@@ -55,8 +58,8 @@
     run_until(&mut gateway, lost_at + lease - 100.0);
     assert!(is_sent(&mut gateway));
     run_until(&mut gateway, lost_at + lease + 10.0);
-    // Further failed calls change nothing.
-    gateway.deliver(failed(BROKEN));
+    // Further failed calls do not extend the lease.
+    gateway.deliver(failed(CONNECTION_LOST));
     assert!(!is_sent(&mut gateway));
     gateway.update_endpoint("a0", Version(1), EndpointStatus::Ready, 0.0);
     assert!(is_sent(&mut gateway), "a new list is used immediately");
@@ -66,16 +69,16 @@
 #[case::connected_before(Some(0.0), true)]
 #[case::connected_since(Some(f64::MAX), false)]
 #[case::unknown(None, false)]
-fn endpoint_is_used_while_it_answers_on_connections_from_before_the_loss(
+fn endpoint_is_used_while_it_responds_on_connections_older_than_the_loss(
     #[case] connected_at: Option<Millis>, #[case] is_used: bool,
 ) {
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 2, succeed);
     gateway.connected_at = connected_at;
-    gateway.deliver(failed(BROKEN));
+    gateway.deliver(failed(CONNECTION_LOST));
     gateway.serve_for(30_000.0, 10);
     assert_eq!(is_sent(&mut gateway), is_used);
     let rejected = gateway.answers.len();
-    assert_eq!(rejected == 0, is_used, "{rejected} rejected");
+    assert_eq!(rejected == 0, is_used, "{rejected} requests rejected");
 }
 
 #[rstest]
@@ -83,69 +86,73 @@
 #[case::fails(AttemptOutcome::Error)]
 #[case::resets(AttemptOutcome::ConnectionLost)]
 #[case::is_silent(AttemptOutcome::Timeout)]
-fn endpoint_without_successful_answers_is_used_no_longer(#[case] outcome: AttemptOutcome) {
+fn endpoint_without_successful_responses_gets_no_attempts_after_its_lease(#[case] outcome: AttemptOutcome) {
     let behavior = move |sent: &SentAttempt| {
         if sent.endpoint == "a0" && sent.at > 100_500.0 { (outcome, 50.0) } else { succeed(sent) }
     };
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 2, behavior);
     gateway.connected_at = Some(0.0);
-    gateway.deliver(failed(BROKEN));
+    gateway.deliver(failed(CONNECTION_LOST));
     gateway.serve_for(10_000.0, 5);
     let sent_since = |endpoint: &str, at: Millis| {
         gateway.sent.iter().filter(|sent| sent.endpoint == endpoint && sent.at > at).count()
     };
-    assert_eq!(sent_since("a0", 107_100.0), 0, "its last proof is from 100.5 s, its lease ends at 107 s");
+    assert_eq!(
+        sent_since("a0", 107_100.0),
+        0,
+        "last successful response at 100.5 s, so evidence of readiness expires at 107 s"
+    );
     assert!(sent_since("b1", 107_100.0) > 50);
 }
 
 #[rstest]
-fn proof_from_before_a_lost_update_holds_for_the_grace_only() {
+fn evidence_older_than_a_lost_update_expires_within_the_grace_period() {
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 2, succeed);
     gateway.connected_at = Some(0.0);
-    gateway.deliver(failed(BROKEN));
+    gateway.deliver(failed(CONNECTION_LOST));
     gateway.serve_for(9000.0, 5);
     let lost_at = gateway.now;
-    gateway.deliver(failed(CUT_OFF));
+    gateway.deliver(failed(TRUNCATED));
     gateway.step();
     run_until(&mut gateway, lost_at + 760.0);
-    assert!(!is_sent(&mut gateway), "no attempt since the update was lost");
+    assert!(!is_sent(&mut gateway), "evidence has expired 760 ms after the loss");
 }
 
 #[rstest]
-fn repeatedly_lost_updates_extend_no_proof() {
+fn repeatedly_lost_updates_do_not_extend_evidence() {
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 2, succeed);
     gateway.connected_at = Some(0.0);
-    gateway.deliver(failed(BROKEN));
+    gateway.deliver(failed(CONNECTION_LOST));
     gateway.serve_for(9000.0, 5);
     let lost_at = gateway.now;
-    for lost in 0..3 {
-        run_until(&mut gateway, lost_at + 250.0 * f64::from(lost));
-        gateway.deliver(failed(CUT_OFF));
+    for loss in 0..3 {
+        run_until(&mut gateway, lost_at + 250.0 * f64::from(loss));
+        gateway.deliver(failed(TRUNCATED));
         gateway.step();
     }
     run_until(&mut gateway, lost_at + 760.0);
-    assert!(!is_sent(&mut gateway), "proofs from before the first loss have ended");
+    assert!(!is_sent(&mut gateway), "evidence older than the first loss has expired");
 }
 
 #[rstest]
 #[case::immediately(0.0, false)]
-#[case::after_half_of_the_grace(520.0, true)]
-fn answer_behind_a_lost_update_is_a_proof_only_once_draining_endpoints_reject(
-    #[case] after: Millis, #[case] is_proof: bool,
+#[case::after_half_of_the_grace_period(520.0, true)]
+fn response_after_a_lost_update_is_evidence_only_once_draining_endpoints_reject(
+    #[case] delay: Millis, #[case] is_evidence: bool,
 ) {
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 2, succeed);
     gateway.connected_at = Some(0.0);
     let lost_at = gateway.now;
-    gateway.deliver(failed(CUT_OFF));
+    gateway.deliver(failed(TRUNCATED));
     gateway.step();
-    run_until(&mut gateway, lost_at + after);
+    run_until(&mut gateway, lost_at + delay);
     assert!(is_sent(&mut gateway));
     run_until(&mut gateway, lost_at + 1000.0);
-    assert_eq!(is_sent(&mut gateway), is_proof);
+    assert_eq!(is_sent(&mut gateway), is_evidence);
 }
 
 #[rstest]
-fn list_from_the_previous_address_is_applied_and_confirms_nothing() {
+fn list_from_the_previous_address_is_applied_but_not_confirmed() {
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 2, succeed);
     let entry = gateway.update_endpoint("a0", Version(1), EndpointStatus::Draining, 0.0);
     gateway.step();
@@ -162,21 +169,21 @@
 }
 
 #[rstest]
-fn attempt_may_not_be_written_past_the_lease() {
+fn attempt_is_not_written_after_the_lease_expires() {
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 2, succeed);
-    gateway.deliver(failed(BROKEN));
+    gateway.deliver(failed(CONNECTION_LOST));
     gateway.run_for(6000.0);
     assert!(is_sent(&mut gateway));
-    let limits = gateway.actions.iter().filter_map(|(_, action)| match action {
+    let write_timeouts = gateway.actions.iter().filter_map(|(_, action)| match action {
         Action::SendAttempt { write_within, .. } => *write_within,
         _ => None,
     });
-    let limits: Vec<Millis> = limits.collect();
-    assert!(limits.len() == 1 && (700.0..=750.0).contains(&limits[0]), "{limits:?}");
+    let write_timeouts: Vec<Millis> = write_timeouts.collect();
+    assert!(write_timeouts.len() == 1 && (700.0..=750.0).contains(&write_timeouts[0]), "{write_timeouts:?}");
 }
 
 #[rstest]
-fn cached_list_is_used_for_the_grace_only() {
+fn cached_list_is_used_for_the_grace_period_only() {
     let mut gateway = TestGateway::new(TestConfig::default());
     let entries = vec![gateway.update_endpoint("a0", Version(1), EndpointStatus::Ready, 0.0)];
     gateway.step();
--- a/crates/policy/tests/policy/main.rs
+++ b/crates/policy/tests/policy/main.rs
@@ -1,4 +1,5 @@
-//! The policy as an adapter uses it: events in, actions out, on an injected clock.
+//! Tests of the policy through its public interface, as an adapter uses it: events in, actions out, on an injected
+//! clock.
 
 #![warn(clippy::pedantic)]
 #![allow(clippy::unwrap_used, reason = "an unwrap that panics fails its test")]
--- a/crates/policy/tests/policy/many_gateways.rs
+++ b/crates/policy/tests/policy/many_gateways.rs
@@ -1,16 +1,17 @@
-//! Many gateways in one simulated run, over random sizes: the sum of their actions stays within bounds.
+//! Fleets of random size in one simulated run. Gateways do not coordinate, so only the sum of their actions shows
+//! whether each stays within its part of a common limit.
 
 use crate::support::{STEP, TestConfig, TestGateway};
 use latchhaven_policy::{Action, EndpointStatus, Millis, RolloutPhase, Verdict, Version};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// Mean time in ms between two requests over all gateways, whatever their number.
-const REQUEST_INTERVAL: f64 = 4.0;
+/// Mean time between two requests over all gateways, whatever their number.
+const REQUEST_INTERVAL: Millis = 4.0;
 
-/// The number of gateways and of endpoints.
+/// The random inputs of one run.
 #[derive(Clone, Copy, Debug)]
-struct Size {
+struct SimulationSize {
     gateways: u32,
     endpoints: usize,
     zones: usize,
@@ -19,10 +20,10 @@
     seed: u64,
 }
 
-fn sizes() -> impl Strategy<Value = Size> {
-    let log = |max: f64| (0.0..max.ln()).prop_map(|size: f64| size.exp().round());
-    (log(500.0), log(200.0), 1usize..4, 1.0..5.0f64, any::<u64>()).prop_map(
-        |(gateways, endpoints, zones, first_share, seed)| Size {
+fn sizes() -> impl Strategy<Value = SimulationSize> {
+    let log_uniform = |max: f64| (0.0..max.ln()).prop_map(|size: f64| size.exp().round());
+    (log_uniform(500.0), log_uniform(200.0), 1usize..4, 1.0..5.0f64, any::<u64>()).prop_map(
+        |(gateways, endpoints, zones, first_share, seed)| SimulationSize {
             gateways: gateways as u32,
             endpoints: endpoints as usize,
             zones,
@@ -34,26 +35,27 @@
 
 struct Simulation {
     gateways: Vec<TestGateway>,
-    /// Each gateway's share of all requests, and its fraction of the next request.
+    /// Each gateway's share of all requests.
     shares: Vec<f64>,
-    pending: Vec<f64>,
+    /// Each gateway's fraction of its next request, from 0 to 1.
+    next_request: Vec<f64>,
 }
 
 impl Simulation {
-    /// Gateways of this size, all with the same warm endpoints of version 1, named by zone.
-    fn new(size: Size) -> Self {
+    /// Gateways that all have the same warm endpoints of version 1, named by zone.
+    fn new(size: SimulationSize) -> Self {
         let count = f64::from(size.gateways);
         let others = (count - size.first_share) / f64::from(size.gateways - 1).max(1.0);
         let times_mean = |index| if index == 0 { size.first_share } else { others };
         let share = |index| times_mean(index) / count;
         let shares = (0..size.gateways).map(share).collect();
         let gateways = (0..size.gateways).map(|index| Simulation::gateway(size, index)).collect();
-        // Each starts at another fraction, so that gateways do not send simultaneously.
-        let pending = (0..size.gateways).map(|index| f64::from(index) * 0.618 % 1.0).collect();
-        Simulation { gateways, shares, pending }
+        // Fractions differ, so that gateways do not send simultaneously. Multiples of the golden ratio spread evenly.
+        let next_request = (0..size.gateways).map(|index| f64::from(index) * 0.618 % 1.0).collect();
+        Simulation { gateways, shares, next_request }
     }
 
-    fn gateway(size: Size, index: u32) -> TestGateway {
+    fn gateway(size: SimulationSize, index: u32) -> TestGateway {
         let mut gateway = TestGateway::new(TestConfig {
             seed: size.seed ^ u64::from(index),
             gateway_count: size.gateways,
@@ -70,13 +72,13 @@
 
     fn serve_for(&mut self, duration: Millis) {
         for _ in 0..(duration / STEP) as usize {
-            for ((gateway, share), pending) in
-                self.gateways.iter_mut().zip(&self.shares).zip(&mut self.pending)
+            for ((gateway, share), next_request) in
+                self.gateways.iter_mut().zip(&self.shares).zip(&mut self.next_request)
             {
-                *pending += share * STEP / REQUEST_INTERVAL;
-                while *pending >= 1.0 {
+                *next_request += share * STEP / REQUEST_INTERVAL;
+                while *next_request >= 1.0 {
                     gateway.request("look", None);
-                    *pending -= 1.0;
+                    *next_request -= 1.0;
                 }
                 gateway.step();
             }
@@ -87,7 +89,7 @@
         self.gateways[0].now
     }
 
-    /// Times of all attempts at an endpoint since `since`.
+    /// Times of all attempts at an endpoint from `since` on.
     fn sent_to(&self, endpoint: &str, since: Millis) -> Vec<Millis> {
         let all = self.gateways.iter().flat_map(|gateway| &gateway.sent);
         all.filter(|sent| sent.endpoint == endpoint && sent.at >= since).map(|sent| sent.at).collect()
@@ -105,7 +107,7 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// An endpoint is warming up: all gateways together stay within its budget at every size, however uneven their rates.
+    /// All gateways together stay within the budget of a warming endpoint at every size, however uneven their rates.
     #[test]
     fn warming_endpoint_gets_no_more_than_its_budget_from_all_gateways(size in sizes()) {
         let mut simulation = Simulation::new(size);
@@ -113,15 +115,17 @@
         let start = simulation.now();
         simulation.for_each(|gateway| gateway.start_endpoints(&["a999"], Version(1)));
         simulation.serve_for(2000.0);
-        // Budget: twice its capacity's part of all requests within 1 s. Its capacity grows from 0.4 to 1 in 4 s.
+        // The budget is twice the endpoint's share, by capacity, of all requests within 1 s. The capacity grows from
+        // 0.4 to 1 in 4 s.
         let times = simulation.sent_to("a999", start);
-        let capacity = size.endpoints as f64 + 0.4;
+        let total_capacity = size.endpoints as f64 + 0.4;
         for from in [start, start + 500.0, start + 1000.0] {
-            let got = times.iter().filter(|at| (from..from + 1000.0).contains(*at)).count() as f64;
-            let warm = 0.4 + 0.6 * (from - start) / 4000.0;
-            let budget = 2.0 * warm / capacity * 1000.0 / REQUEST_INTERVAL;
+            let attempts = times.iter().filter(|at| (from..from + 1000.0).contains(*at)).count() as f64;
+            let capacity = 0.4 + 0.6 * (from - start) / 4000.0;
+            let budget = 2.0 * capacity / total_capacity * 1000.0 / REQUEST_INTERVAL;
             let max = budget + 3.0 * budget.sqrt() + 3.0;
-            prop_assert!(got <= max, "{got} of {max} from {} on, {size:?}", from - start);
+            let after = from - start;
+            prop_assert!(attempts <= max, "{attempts} attempts of {max} from {after} ms on, {size:?}");
         }
     }
 
@@ -155,18 +159,17 @@
             }
         }
         let max = votes_by_interval.values().max().copied().unwrap_or(0);
-        // Eight on the mean, each gateway drawing independently.
+        // Each gateway draws independently, with a mean of eight votes in all.
         prop_assert!(max <= 24, "{max} votes within 250 ms, {size:?}");
         prop_assert!(rollback_votes > 0, "no rollback vote, {size:?}");
     }
 
-    /// The same events and seeds give the same actions, whatever the size.
     #[test]
     fn same_events_and_seeds_give_same_actions_at_any_size(size in sizes()) {
         let run = || {
             let gateways = size.gateways.min(40);
             let first_share = size.first_share.min(f64::from(gateways));
-            let mut simulation = Simulation::new(Size { gateways, first_share, ..size });
+            let mut simulation = Simulation::new(SimulationSize { gateways, first_share, ..size });
             simulation.serve_for(1000.0);
             simulation.for_each(|gateway| gateway.start_endpoints(&["a999"], Version(2)));
             simulation.for_each(|gateway| gateway.update_rollout(Version(2), 1, RolloutPhase::Canary, 0.5));
@@ -181,7 +184,7 @@
     fn subsets_of_all_gateways_cover_every_endpoint(size in sizes()) {
         let mut simulation = Simulation::new(size);
         simulation.serve_for(8000.0);
-        let mut users: BTreeMap<&str, usize> = BTreeMap::new();
+        let mut gateways_by_endpoint: BTreeMap<&str, usize> = BTreeMap::new();
         let mut subsets = Vec::new();
         for gateway in &simulation.gateways {
             let mut names: Vec<&str> = gateway.sent.iter().map(|sent| sent.endpoint.as_str()).collect();
@@ -189,15 +192,17 @@
             names.dedup();
             subsets.push((names.len(), gateway.sent.len()));
             for name in names {
-                *users.entry(name).or_default() += 1;
+                *gateways_by_endpoint.entry(name).or_default() += 1;
             }
         }
-        // 2,000 requests over 200 endpoints at most: ten per endpoint.
-        prop_assert!(users.len() == size.endpoints, "{} of {} are used, {size:?}", users.len(), size.endpoints);
-        // A subset has eight endpoints at least, or as many as the gateway reaches in 4 s, drawn at random.
+        // 2,000 requests over at most 200 endpoints: at least ten per endpoint.
+        let used = gateways_by_endpoint.len();
+        prop_assert!(used == size.endpoints, "{used} of {} endpoints are used, {size:?}", size.endpoints);
+        // A subset has at least eight endpoints, or as many as the gateway sends requests in 4 s, drawn at random.
         for (names, requests) in subsets {
             let subset = (requests as f64 / 2.0).max(8.0);
-            prop_assert!(names as f64 <= subset + 2.0 * subset.sqrt() + 4.0, "{names} used, {requests} requests, {size:?}");
+            let max = subset + 2.0 * subset.sqrt() + 4.0;
+            prop_assert!(names as f64 <= max, "{names} endpoints used by {requests} requests, {size:?}");
         }
     }
 }
--- a/crates/policy/tests/policy/outliers.rs
+++ b/crates/policy/tests/policy/outliers.rs
@@ -1,4 +1,4 @@
-//! Ejection and connections.
+//! Ejection of endpoints, and idle connections to them.
 
 use crate::support::{SentAttempt, TestConfig, TestGateway, succeed};
 use latchhaven_policy::{Action, AttemptOutcome, LogEvent, Millis};
@@ -6,26 +6,29 @@
 use std::collections::BTreeMap;
 
 #[rstest]
-#[case::everywhere(|sent: &SentAttempt| if sent.id.0.is_multiple_of(3) { (AttemptOutcome::ConnectFailed, 1.0) } else { succeed(sent) }, true)]
-#[case::at_one_endpoint(|sent: &SentAttempt| if sent.endpoint == "a0" { (AttemptOutcome::ConnectFailed, 1.0) } else { succeed(sent) }, false)]
-fn idle_connections_are_closed_where_connects_fail_everywhere(
-    #[case] behavior: fn(&SentAttempt) -> (AttemptOutcome, Millis), #[case] closes: bool,
+#[case::at_all_endpoints(|sent: &SentAttempt| sent.id.0.is_multiple_of(3), true)]
+#[case::at_one_endpoint(|sent: &SentAttempt| sent.endpoint == "a0", false)]
+fn idle_connections_are_closed_when_connects_fail_at_all_endpoints(
+    #[case] connect_fails: fn(&SentAttempt) -> bool, #[case] closes: bool,
 ) {
+    let behavior = move |sent: &SentAttempt| {
+        if connect_fails(sent) { (AttemptOutcome::ConnectFailed, 1.0) } else { succeed(sent) }
+    };
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 12, behavior);
     gateway.serve_for(8000.0, 2);
     let closed =
         gateway.actions.iter().filter(|(_, a)| matches!(a, Action::CloseIdleConnections { .. })).count();
-    assert!(if closes { closed > 100 } else { closed < 200 }, "{closed}");
+    assert!(if closes { closed > 100 } else { closed < 200 }, "idle connections closed {closed} times");
 }
 
 #[rstest]
 #[case::isolated(|sent: &SentAttempt| sent.id.0.is_multiple_of(20) && sent.number == 0, false)]
-#[case::in_a_row(|sent: &SentAttempt| sent.endpoint == "a0", true)]
-fn endpoint_is_ejected_after_two_lost_connections_in_a_row(
-    #[case] loses: fn(&SentAttempt) -> bool, #[case] is_ejected: bool,
-    #[values(AttemptOutcome::ConnectionLost, AttemptOutcome::ConnectFailed)] how: AttemptOutcome,
+#[case::consecutive(|sent: &SentAttempt| sent.endpoint == "a0", true)]
+fn endpoint_is_ejected_after_two_consecutive_lost_connections(
+    #[case] fails: fn(&SentAttempt) -> bool, #[case] is_ejected: bool,
+    #[values(AttemptOutcome::ConnectionLost, AttemptOutcome::ConnectFailed)] outcome: AttemptOutcome,
 ) {
-    let behavior = move |sent: &SentAttempt| if loses(sent) { (how, 5.0) } else { succeed(sent) };
+    let behavior = move |sent: &SentAttempt| if fails(sent) { (outcome, 5.0) } else { succeed(sent) };
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, behavior);
     gateway.serve_for(3000.0, 5);
     let is_logged = |action: &Action| matches!(action, Action::Log(LogEvent::EndpointEjected { .. }));
@@ -36,13 +39,13 @@
 #[rstest]
 #[case::little_traffic(5, 4500.0)]
 #[case::much_traffic(1, 1500.0)]
-fn healthy_endpoints_stay_in_use_while_others_pause(#[case] every: usize, #[case] longest: Millis) {
-    // Four endpoints pause for one second in every two; attempts received then are answered after the pause.
+fn healthy_endpoints_stay_in_use_while_others_pause(#[case] every: usize, #[case] max_gap: Millis) {
+    // Four endpoints pause for one second in every two; attempts that they receive meanwhile complete after the pause.
     let pauses = |sent: &SentAttempt| ["a0", "a1", "b5", "b6"].contains(&sent.endpoint.as_str());
     let behavior = move |sent: &SentAttempt| {
-        let into = sent.at % 2000.0;
-        let rest = if pauses(sent) && into < 1000.0 { 1000.0 - into } else { 0.0 };
-        (AttemptOutcome::Success, 50.0 + rest)
+        let since_pause = sent.at % 2000.0;
+        let pause_left = if pauses(sent) && since_pause < 1000.0 { 1000.0 - since_pause } else { 0.0 };
+        (AttemptOutcome::Success, 50.0 + pause_left)
     };
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 10, behavior);
     gateway.serve_for(12_000.0, every);
@@ -53,10 +56,10 @@
     assert_eq!(sent_to.len(), 10);
     for (name, sent) in sent_to.iter().filter(|(_, sent)| !pauses(sent[0])) {
         let gap = sent.windows(2).map(|two| two[1].at - two[0].at).fold(0.0, f64::max);
-        assert!(gap <= longest, "{name} is ejected for {gap} ms");
+        assert!(gap <= max_gap, "{name} gets no attempt for {gap} ms");
         let max = sent.iter().map(|sent| sent.in_flight).max().unwrap_or(0);
-        assert!(max <= 6, "{name} has {max} in flight");
+        assert!(max <= 6, "{name} has {max} attempts in flight");
     }
-    let served = gateway.succeeded.len() as f64 / (1200 / every) as f64;
-    assert!(served >= 0.85, "{served} served");
+    let success_rate = gateway.succeeded.len() as f64 / (1200 / every) as f64;
+    assert!(success_rate >= 0.85, "{success_rate} of the requests succeed");
 }
--- a/crates/policy/tests/policy/retries.rs
+++ b/crates/policy/tests/policy/retries.rs
@@ -1,4 +1,4 @@
-//! Retries, hedging and final answers.
+//! Retries, hedging, and the final status of requests.
 
 use crate::support::{SentAttempt, TestConfig, TestGateway};
 use latchhaven_policy::{Action, AttemptOutcome, RequestId};
@@ -23,7 +23,7 @@
     assert_eq!(gateway.endpoints_tried(id).len(), if is_retried { 2 } else { 1 });
     assert_eq!(gateway.succeeded.contains_key(&id), is_retried);
     assert_eq!(
-        matches!(gateway.answers.get(&id).map(|a| &a[..]), Some([(_, Action::Fail { .. })])),
+        matches!(gateway.answers.get(&id).map(|statuses| &statuses[..]), Some([(_, Action::Fail { .. })])),
         is_failed
     );
 }
@@ -47,7 +47,7 @@
 #[case("look", true)]
 #[case("book", false)]
 #[case("pay", false)]
-fn unresponsive_endpoints_leave_one_final_answer_before_deadline(
+fn request_to_unresponsive_endpoints_gets_one_final_status_before_its_deadline(
     #[case] class: &str, #[case] rejected: bool,
 ) {
     let mut gateway =
@@ -56,12 +56,12 @@
     let received_at = gateway.now;
     gateway.run_for(3000.0);
     for id in ids {
-        let [(at, answer)] = &gateway.answers[&id][..] else {
-            panic!("not exactly one final answer: {:?}", gateway.answers[&id])
+        let [(at, status)] = &gateway.answers[&id][..] else {
+            panic!("expected exactly one final status, found {:?}", gateway.answers[&id])
         };
         assert!(*at <= received_at + 2000.0 + 10.0);
         assert!(
-            rejected == matches!(answer, Action::Reject { .. }) || gateway.endpoints_tried(id).is_empty()
+            rejected == matches!(status, Action::Reject { .. }) || gateway.endpoints_tried(id).is_empty()
         );
         assert!(gateway.sent.iter().filter(|sent| sent.id == id).all(|sent| sent.at <= *at));
     }
@@ -80,7 +80,11 @@
     gateway.serve_for(3000.0, 2);
     let unresponsive: Vec<RequestId> =
         gateway.sent.iter().filter(|s| s.endpoint == "a0").map(|s| s.id).collect();
-    assert!((1..30).contains(&unresponsive.len()), "ejected after few attempts: {}", unresponsive.len());
+    assert!(
+        (1..30).contains(&unresponsive.len()),
+        "attempts at the unresponsive endpoint until it is ejected: {}",
+        unresponsive.len()
+    );
     assert!(
         unresponsive.iter().filter(|id| gateway.succeeded.contains_key(id)).count() * 10
             >= unresponsive.len() * 8
--- a/crates/policy/tests/policy/robustness.rs
+++ b/crates/policy/tests/policy/robustness.rs
@@ -1,4 +1,4 @@
-//! Stalls, invalid events, determinism and bounds of state.
+//! Stalls of the process, invalid events, determinism, and bounds of the retained state.
 
 use crate::support::{TestConfig, TestGateway, fail_every, succeed, with_canary};
 use latchhaven_policy::state::{EndpointRegistry, ExposureLimiter, RequestTable};
@@ -11,7 +11,7 @@
 use rstest::rstest;
 
 #[rstest]
-fn stalled_gateway_ignores_latencies_of_its_own_stall() {
+fn gateway_ignores_latencies_of_its_own_stall() {
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, succeed);
     gateway.serve_for(2000.0, 2);
     (0..20).for_each(|_| {
@@ -21,9 +21,9 @@
     gateway.now += 900.0;
     gateway.serve_for(1000.0, 2);
     assert!(!gateway.actions.iter().any(|(_, action)| matches!(action, Action::Log(_))));
-    let after = gateway.now - 1000.0;
-    let late = gateway.answers.values().flatten().filter(|(at, _)| *at > after + 50.0).count();
-    assert_eq!(late, 0, "no rejection for its own stall");
+    let resumed_at = gateway.now - 1000.0;
+    let rejected = gateway.answers.values().flatten().filter(|(at, _)| *at > resumed_at + 50.0).count();
+    assert_eq!(rejected, 0, "requests rejected because of the stall");
 }
 
 #[rstest]
@@ -44,7 +44,7 @@
 #[rstest]
 fn invalid_events_stall_no_request() {
     let mut gateway = with_canary(TestConfig::default(), 1, 0.5, succeed);
-    let endpoint = "nobody".to_string();
+    let endpoint = "unknown".to_string();
     let (outcome, elapsed) = (AttemptOutcome::Success, -5.0);
     gateway.deliver(Event::AttemptCompleted(CompletedAttempt {
         id: RequestId(9999),
@@ -58,7 +58,7 @@
     }));
     gateway.deliver(Event::ClientDisconnected { id: RequestId(4242) });
     gateway.deliver(Event::WrongAnswerReported {
-        endpoint: "nobody".into(),
+        endpoint: "unknown".into(),
         class: "none".into(),
         age: -1.0,
     });
@@ -77,7 +77,7 @@
     gateway.update_rollout(Version(9), 40, RolloutPhase::Canary, -3.0);
     gateway.update_rollout(Version(2), 40, RolloutPhase::Canary, 7.0);
     gateway.update_endpoint("a0", Version(1), EndpointStatus::Ready, 1e12);
-    let unknown = gateway.request("unheard-of", None);
+    let unknown = gateway.request("unknown", None);
     let id = gateway.request("pay", None);
     gateway.run_for(300.0);
     assert!(matches!(gateway.answers[&unknown][..], [(_, Action::Fail { .. })]));
@@ -96,25 +96,25 @@
         TestGateway::new(TestConfig::default()).update_endpoint("a", Version(1), EndpointStatus::Ready, 0.0);
     registry.apply(std::slice::from_ref(&entry), false, 2.0, &mut rng, 0.0);
     let first = registry.index_of("a").unwrap();
-    for n in 0..5000 {
-        entry.endpoint = format!("s{n}");
-        entry.version = Version(n);
+    for number in 0..5000 {
+        entry.endpoint = format!("s{number}");
+        entry.version = Version(number);
         entry.status = EndpointStatus::Ready;
         registry.apply(std::slice::from_ref(&entry), false, 2.0, &mut rng, 0.0);
         let index = registry.index_of(&entry.endpoint).unwrap();
         assert_ne!(index, first);
-        assert_eq!(registry.endpoints[index].version, Version(n));
+        assert_eq!(registry.endpoints[index].version, Version(number));
         assert_eq!(registry.endpoints[first].version, Version(1));
         entry.status = EndpointStatus::Removed;
         registry.apply(std::slice::from_ref(&entry), false, 2.0, &mut rng, 0.0);
-        for service in requests.service_levels(Some(&format!("t{n}"))) {
-            service.record(f64::from(n), 1.0, 1.0);
+        for service in requests.service_levels(Some(&format!("t{number}"))) {
+            service.record(f64::from(number), 1.0, 1.0);
         }
-        exposure.record_attempt(Version(n), 0, 100.0 * f64::from(n));
+        exposure.record_attempt(Version(number), 0, 100.0 * f64::from(number));
     }
     assert_eq!((registry.endpoints.iter().count(), registry.index_by_id.len()), (2, 2));
     assert!(requests.retained_tenants() <= MAX_TENANTS && exposure.retained_versions() <= MAX_VERSIONS);
-    // The index of an endpoint with an attempt in flight is not reused.
+    // The index of a removed endpoint is not reused while an attempt is in flight there.
     let in_use = registry.index_of(&entry.endpoint).unwrap();
     registry.endpoints[in_use].in_flight = 1;
     entry.endpoint = "another".to_string();
--- a/crates/policy/tests/policy/routing.rs
+++ b/crates/policy/tests/policy/routing.rs
@@ -1,4 +1,4 @@
-//! The choice of endpoints.
+//! Which endpoints get attempts: by status, version group and subset.
 
 use crate::support::{SentAttempt, TestConfig, TestGateway, among_300_gateways, succeed};
 use latchhaven_policy::{Action, EndpointStatus, Event, RolloutPhase, UpdateKind, Version};
@@ -15,7 +15,7 @@
     gateway.serve_for(1000.0, 1);
     assert!(gateway.sent.iter().any(|sent| sent.endpoint == "a0"));
     assert!(gateway.sent.iter().all(|sent| sent.endpoint != "a0" || sent.at < updated_at));
-    // The id returns with another version: it counts as an endpoint of that version, and as warming up.
+    // The id is listed again with another version: it counts as a new endpoint of that version, which is warming up.
     gateway.update_rollout(Version(2), 0, RolloutPhase::Canary, 0.0);
     gateway.start_endpoints(&["a0"], Version(2));
     gateway.serve_for(1000.0, 1);
@@ -34,19 +34,19 @@
 
 #[rstest]
 fn canary_gets_its_share_with_little_in_flight() {
-    let (mut new, mut all) = (0, 0);
+    let (mut canary, mut all) = (0, 0);
     for seed in 0..20 {
         let mut gateway = among_300_gateways(seed, 1.0, succeed);
         gateway.update_rollout(Version(2), 1, RolloutPhase::Canary, 0.5);
         gateway.serve_for(5000.0, 40);
-        let from = gateway.now;
+        let measured_from = gateway.now;
         gateway.serve_for(10_000.0, 40);
-        let late = |sent: &&SentAttempt| sent.at >= from;
-        new += gateway.sent.iter().filter(late).filter(|sent| sent.version == Version(2)).count();
-        all += gateway.sent.iter().filter(late).count();
+        let is_measured = |sent: &&SentAttempt| sent.at >= measured_from;
+        canary += gateway.sent.iter().filter(is_measured).filter(|sent| sent.version == Version(2)).count();
+        all += gateway.sent.iter().filter(is_measured).count();
     }
-    // The canary has two of 22 endpoints.
-    assert!((0.05..0.14).contains(&(new as f64 / all as f64)), "{new} of {all}");
+    // The canary has two of 22 endpoints: a share of 0.09.
+    assert!((0.05..0.14).contains(&(canary as f64 / all as f64)), "{canary} of {all} attempts at the canary");
 }
 
 #[rstest]
@@ -60,6 +60,7 @@
         names.dedup();
         names
     };
-    assert!(used(1, 40).len() < 20 && used(1, 1).len() > 40, "{} {}", used(1, 40).len(), used(1, 1).len());
+    let (few, many) = (used(1, 40).len(), used(1, 1).len());
+    assert!(few < 20 && many > 40, "endpoints used: {few} with little traffic, {many} with much");
     assert_ne!(used(1, 40), used(2, 40), "gateways have different subsets");
 }
