--- a/crates/policy/src/list_lease.rs
+++ b/crates/policy/src/list_lease.rs
@@ -107,8 +107,9 @@
     }
 
     /// Until when a successful response to an attempt sent at `sent_at` is evidence that its endpoint is ready; `None`
-    /// if it is no evidence. To be evidence, the connection must have been established at a time when the list was up
-    /// to date, since the process that responds is then the listed one, and no update may have been lost since.
+    /// if it is no evidence. For evidence, the connection must not be newer than the last confirmation of the list, so
+    /// that the process that responds is the listed one. Nor may the attempt have been sent too soon after the loss of
+    /// an update.
     pub(crate) fn evidence_expires_at(
         &self, connected_at: Option<Millis>, sent_at: Millis, discovery: &DiscoveryConfig,
     ) -> Option<Millis> {
