--- a/crates/policy/src/canary.rs
+++ b/crates/policy/src/canary.rs
@@ -12,7 +12,7 @@
 use crate::rollout::RolloutState;
 use crate::state::canary::{AnalysisView, CanaryAnalysis};
 use crate::state::endpoint::{Endpoint, Metric};
-use crate::state::evidence::{BySide, CommonFailures, ComparableCounts, OutcomeCounts};
+use crate::state::evidence::{ByVersionGroup, CommonFailures, ComparableCounts, OutcomeCounts};
 use crate::state::registry::EndpointTable;
 use crate::state::requests::{Attempt, Request};
 use crate::statistics::{RunningMoments, half_life_decay, indicator};
@@ -139,9 +139,10 @@
 
     /// Adds the reports of one class to the evidence; `is_uncapped`: the canary may get all requests.
     fn weigh_class(
-        &mut self, class: usize, reported: BySide<OutcomeCounts>, view: &AnalysisView, is_uncapped: bool,
+        &mut self, class: usize, reported: ByVersionGroup<OutcomeCounts>, view: &AnalysisView,
+        is_uncapped: bool,
     ) {
-        let BySide { baseline, canary } = reported;
+        let ByVersionGroup { baseline, canary } = reported;
         // Failures are compared once most of the canary's endpoints have warmed up, latencies once all have.
         let is_warm = view.mean_canary_warmup >= MIN_COMPARABLE_WARMUP;
         let canary = if is_warm { canary } else { OutcomeCounts::default() };
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -16,7 +16,7 @@
 use crate::rollout::{RolloutPhase, Version, VoteOutcome};
 use crate::routing::{self, AttemptGate, ShareInputs};
 use crate::snapshot::PolicySnapshot;
-use crate::state::canary::{CanaryAnalysis, decode_wrong_answer, encode_wrong_answer};
+use crate::state::canary::{CanaryAnalysis, decode_wrong_response, encode_wrong_response};
 use crate::state::endpoint::{EndpointIndex, Metric};
 use crate::state::evidence::OutcomeCounts;
 use crate::state::exposure::ExposureLimiter;
@@ -107,11 +107,11 @@
             Event::RolloutUpdate(rollout) | Event::VoteCompleted(VoteOutcome::Counted(rollout)) => {
                 self.exposure.apply_rollout(rollout);
             }
-            Event::VoteCompleted(VoteOutcome::NotCounted) => self.analysis.vote_is_active = false,
+            Event::VoteCompleted(VoteOutcome::NotCounted) => self.analysis.is_last_vote_counted = false,
             Event::WrongAnswerReported { endpoint, .. } => self.on_wrong_answer(&endpoint),
             Event::PeerMessage { data, .. } => {
-                if let Some(version) = decode_wrong_answer(&data) {
-                    self.analysis.record_wrong_answer(version);
+                if let Some(version) = decode_wrong_response(&data) {
+                    self.analysis.record_wrong_response(version);
                 }
             }
             Event::OutcomesReported(report) => self.on_outcomes_reported(&report),
@@ -177,10 +177,10 @@
         let endpoint = &mut self.registry.endpoints[index];
         endpoint.metrics[Metric::Success].replace_one_by_zero();
         endpoint.metrics[Metric::Correctness].replace_one_by_zero();
-        self.analysis.record_wrong_answer(endpoint.version);
+        self.analysis.record_wrong_response(endpoint.version);
         // One gateway gets few reports: all of them together are evidence on a version.
         if self.permissions.peer_messages {
-            let data = encode_wrong_answer(endpoint.version);
+            let data = encode_wrong_response(endpoint.version);
             self.actions.push(Action::SendPeerMessage { to: None, data });
         }
     }
@@ -195,7 +195,7 @@
             failures: report.failures as f64,
             mean_latency: report.mean_latency.unwrap_or(canary::DEFAULT_LATENCY),
         };
-        self.analysis.record_reported(report.version, class, counts);
+        self.analysis.record_outcome_report(report.version, class, counts);
     }
 
     fn on_endpoint_outcomes(&mut self, outcomes: &EndpointOutcomes, now: Millis) {
--- a/crates/policy/src/log_event.rs
+++ b/crates/policy/src/log_event.rs
@@ -54,7 +54,7 @@
     /// Reported latencies of the canary exceed the baseline's.
     ReportedLatency,
     /// Clients report more wrong answers of the canary than of other versions.
-    WrongAnswers,
+    WrongResponses,
 }
 
 impl RejectionReason {
@@ -70,7 +70,7 @@
             RejectionReason::ReportedFailures => "reported failures",
             RejectionReason::CommonFailures => "common failures",
             RejectionReason::ReportedLatency => "reported latency",
-            RejectionReason::WrongAnswers => "wrong answers",
+            RejectionReason::WrongResponses => "wrong answers",
         }
     }
 }
--- a/crates/policy/src/state/canary.rs
+++ b/crates/policy/src/state/canary.rs
@@ -8,7 +8,9 @@
 use crate::log_event::{LogEvent, RejectionReason};
 use crate::rollout::{RolloutPhase, RolloutState, Verdict, Version};
 use crate::state::endpoint::{EndpointIndex, MetricMoments};
-use crate::state::evidence::{BySide, ClassEvidence, CommonFailures, OutcomeCounts, WeightedEvidence};
+use crate::state::evidence::{
+    ByVersionGroup, ClassEvidence, CommonFailures, OutcomeCounts, WeightedEvidence,
+};
 use crate::state::registry::{EndpointRegistry, EndpointTable, Sides};
 use crate::time::Millis;
 
@@ -126,9 +128,9 @@
     /// The canary's reported outcomes compared with the baseline's.
     pub evidence: WeightedEvidence,
     /// Reported answers.
-    pub reported_answers: BySide<f64>,
+    pub reported_answers: ByVersionGroup<f64>,
     /// Answers that clients reported wrong, at any gateway.
-    pub wrong_answers: BySide<f64>,
+    pub wrong_answers: ByVersionGroup<f64>,
     /// Failures common to all versions, in the newest reports, that are attributed to the canary.
     pub common_failures: CommonFailures,
     /// Failures common to all versions preceded the canary's traffic.
@@ -141,7 +143,7 @@
     /// When it was cast, in ms.
     pub last_vote_at: Millis,
     /// It counts, unless the platform has answered otherwise.
-    pub vote_is_active: bool,
+    pub is_last_vote_counted: bool,
     /// The log event of a rejection, until the next vote is cast: only gateways that are drawn to vote print it.
     pub rejection_log: Option<LogEvent>,
 }
@@ -209,8 +211,8 @@
         self.full_traffic_since = None;
         if canary.is_some() && canary != self.watched_version {
             self.watched_version = canary;
-            self.wrong_answers = BySide::default();
-            self.reported_answers = BySide::default();
+            self.wrong_answers = ByVersionGroup::default();
+            self.reported_answers = ByVersionGroup::default();
             self.evidence = WeightedEvidence::default();
             self.common_failures = CommonFailures::default();
         }
@@ -220,7 +222,7 @@
     }
 
     /// Counts reported attempts and answers.
-    pub fn count_reported(&mut self, reported: &BySide<OutcomeCounts>) {
+    pub fn count_reported(&mut self, reported: &ByVersionGroup<OutcomeCounts>) {
         self.reported_attempts += reported.canary.attempts;
         self.reported_answers.baseline += reported.baseline.successes();
         self.reported_answers.canary += reported.canary.successes();
@@ -285,7 +287,7 @@
         let is_new = self.last_vote_on(version) != Some(vote);
         self.last_vote = Some(vote);
         self.last_vote_at = now;
-        self.vote_is_active = true;
+        self.is_last_vote_counted = true;
         let mut actions = vec![Action::CastVote { version, stage, verdict }];
         actions.extend(self.rejection_log.take().map(Action::Log));
         if is_new && verdict != Verdict::Abstain {
@@ -296,7 +298,7 @@
     }
 
     /// Counts a wrong answer of the watched version, or of an earlier one.
-    pub fn record_wrong_answer(&mut self, version: Version) {
+    pub fn record_wrong_response(&mut self, version: Version) {
         match self.watched_version {
             Some(watched) if version == watched => self.wrong_answers.canary += 1.0,
             Some(watched) if version < watched => self.wrong_answers.baseline += 1.0,
@@ -305,7 +307,7 @@
     }
 
     /// Adds reported counts of a version and class.
-    pub fn record_reported(&mut self, version: Version, class: usize, counts: OutcomeCounts) {
+    pub fn record_outcome_report(&mut self, version: Version, class: usize, counts: OutcomeCounts) {
         let reported = &mut self.classes[class].reported;
         let is_watched = self.watched_version == Some(version);
         let side = if is_watched { &mut reported.canary } else { &mut reported.baseline };
@@ -315,12 +317,12 @@
 
 /// Encodes the message by which gateways notify each other of a wrong answer: its version, as four bytes.
 #[must_use]
-pub fn encode_wrong_answer(version: Version) -> Vec<u8> {
+pub fn encode_wrong_response(version: Version) -> Vec<u8> {
     version.0.to_be_bytes().to_vec()
 }
 
 /// Decodes such a message; none if it is malformed.
 #[must_use]
-pub fn decode_wrong_answer(message: &[u8]) -> Option<Version> {
+pub fn decode_wrong_response(message: &[u8]) -> Option<Version> {
     <[u8; 4]>::try_from(message).ok().map(|bytes| Version(u32::from_be_bytes(bytes)))
 }
--- a/crates/policy/src/state/evidence.rs
+++ b/crates/policy/src/state/evidence.rs
@@ -42,14 +42,14 @@
 
 /// One value for the baseline, and one for the canary.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct BySide<T> {
+pub struct ByVersionGroup<T> {
     /// All other versions.
     pub baseline: T,
     /// The watched version.
     pub canary: T,
 }
 
-impl BySide<OutcomeCounts> {
+impl ByVersionGroup<OutcomeCounts> {
     /// Both sides as one.
     #[must_use]
     pub fn total(&self) -> OutcomeCounts {
@@ -65,7 +65,7 @@
     /// Log of the speed of this gateway's own answers, while there was no canary.
     pub usual_speed: RunningMoments,
     /// Reported counts since the last analysis.
-    pub reported: BySide<OutcomeCounts>,
+    pub reported: ByVersionGroup<OutcomeCounts>,
     /// Reported failure rate while there was no canary.
     pub usual_failure_rate: RunningMoments,
     /// Reported mean latency in ms while there was no canary.
@@ -125,7 +125,7 @@
 
 impl ComparableCounts {
     /// Adds the counts of one class; `excess_rate`: the failure rate above the usual one that is still expected.
-    pub fn add(&mut self, reported: &BySide<OutcomeCounts>, class: &ClassEvidence, excess_rate: f64) {
+    pub fn add(&mut self, reported: &ByVersionGroup<OutcomeCounts>, class: &ClassEvidence, excess_rate: f64) {
         let total = reported.total();
         let mean_latency = total.mean_latency / class.usual_latency.mean.max(1.0);
         self.total.add(OutcomeCounts { mean_latency, ..total });
--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -15,7 +15,7 @@
 pub use canary::{AnalysisView, CanaryAnalysis, CanaryContext, CastVote, Promotion, TestResult};
 pub use endpoint::{Endpoint, EndpointIndex, Metric, MetricMoments};
 pub use evidence::{
-    BySide, ClassEvidence, CommonFailures, ComparableCounts, OutcomeCounts, WeightedEvidence,
+    ByVersionGroup, ClassEvidence, CommonFailures, ComparableCounts, OutcomeCounts, WeightedEvidence,
 };
 pub use exposure::ExposureLimiter;
 pub use registry::{EndpointRegistry, EndpointTable, Sides};
--- a/crates/policy/src/verdict.rs
+++ b/crates/policy/src/verdict.rs
@@ -99,7 +99,7 @@
     /// Whether a vote is due: it is new, or a part of its lease has passed, or it did not count and is cast again.
     fn is_vote_due(&self, vote: CastVote, now: Millis) -> bool {
         let renewal = VOTE_RENEWAL_SHARE * self.voting.vote_lease;
-        let interval = if self.vote_is_active { renewal } else { VOTE_RETRY_INTERVAL };
+        let interval = if self.is_last_vote_counted { renewal } else { VOTE_RETRY_INTERVAL };
         match self.last_vote_on(vote.version) {
             None => vote.verdict != Verdict::Abstain,
             Some(last) if last != vote => vote.verdict != Verdict::Abstain || last.stage == vote.stage,
@@ -191,7 +191,7 @@
             test(failures, RejectionReason::ReportedFailures),
             test(common, RejectionReason::CommonFailures),
             test(speed, RejectionReason::ReportedLatency),
-            test(wrong, RejectionReason::WrongAnswers),
+            test(wrong, RejectionReason::WrongResponses),
         ]
     }
 
