--- a/crates/policy/src/log_event.rs
+++ b/crates/policy/src/log_event.rs
@@ -1,27 +1,27 @@
-//! Events for the operators' log, with typed fields. Adapters print them; [`Display`](fmt::Display) gives one line of
-//! text for adapters without structured logs.
+//! Events for the operators' log, with typed fields. Adapters print the fields; [`Display`](fmt::Display) formats one
+//! line of text for adapters without structured logs.
 
 use crate::rollout::{Verdict, Version};
 use crate::time::Millis;
 use std::fmt;
 
-/// Why an endpoint was ejected.
+/// Why outlier detection ejected an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionReason {
-    /// Several attempts in a row timed out without any answer in between; the last one by timeout.
+    /// Consecutive attempts without a response reached the limit; the last of them timed out.
     Timeouts,
-    /// Several attempts in a row got no answer; the last one no connection.
+    /// Consecutive attempts without a response reached the limit; the last of them failed to connect.
     ConnectFailures,
-    /// Several attempts in a row got no answer; the last one's connection was lost.
+    /// Consecutive attempts without a response reached the limit; the last of them lost its connection.
     ConnectionsLost,
-    /// Its error rate exceeded the maximum.
+    /// The running mean of the endpoint's error rate exceeded the limit after an error of this gateway's own attempt.
     Errors,
-    /// Its error rate, as other senders report it, exceeded the maximum.
+    /// The running mean of the endpoint's error rate exceeded the limit after a report of other senders.
     ReportedErrors,
 }
 
 impl EjectionReason {
-    /// The reason as log lines show it.
+    /// Returns the text that log lines show, which operators' searches name.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -34,31 +34,33 @@
     }
 }
 
-/// Which test rejected a canary.
+/// The statistical test with the highest probability when a canary was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// No test: the prior probability.
+    /// No test: the prior probability, which applies while there is no evidence.
     Prior,
-    /// Errors and wrong answers of this gateway's own attempts.
+    /// Errors of this gateway's own attempts and responses reported wrong, compared with the baseline's.
     OwnFailures,
-    /// All endpoints are slower than before the canary.
+    /// Latencies at the baseline's endpoints, or at the canary's if there is no baseline, compared with those before
+    /// the canary.
     AllEndpointsSlower,
-    /// The canary's share of answers within the latency objective is below the baseline's.
+    /// Shares of this gateway's own attempts that succeeded within the latency objective, canary and baseline.
     SuccessRate,
-    /// The canary is slower than the baseline.
+    /// Latencies of this gateway's own attempts, canary and baseline.
     Latency,
-    /// Reported failures of the canary exceed those expected of the baseline.
+    /// Failures of the canary in the platform's reports, compared with the number expected at the baseline's failure
+    /// rate.
     ReportedFailures,
-    /// Reported failures of all versions exceed those before the canary.
+    /// Failures of all versions in the platform's reports, compared with those before the canary.
     CommonFailures,
-    /// Reported latencies of the canary exceed the baseline's.
+    /// Latencies in the platform's reports, canary and baseline.
     ReportedLatency,
-    /// Clients report more wrong answers of the canary than of other versions.
+    /// Responses that clients of all gateways reported wrong, canary and baseline.
     WrongResponses,
 }
 
 impl RejectionReason {
-    /// The reason as log lines show it.
+    /// Returns the text that log lines show, which operators' searches name.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -78,51 +80,51 @@
 /// An event for the operators' log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
-    /// A canary was rejected; logged with the first vote on it afterwards.
+    /// This gateway rejected a version; logged with the gateway's next vote.
     CanaryRejected {
-        /// The version.
+        /// The rejected version.
         version: Version,
-        /// The stage of its rollout, from 0.
+        /// The stage of the version's rollout at the rejection, from 0.
         stage: u32,
-        /// The test that rejected it.
+        /// The test with the highest probability, which need not be one that exceeded its threshold.
         reason: RejectionReason,
-        /// The probability, by that test, that the canary is worse.
+        /// The probability of that test that the canary is worse, from 0 to 1.
         probability: f64,
-        /// Its reported failures, weighted by age.
+        /// Number of the canary's failures in the platform's reports, weighted by age.
         failures: f64,
-        /// Failures that were expected of the baseline in their place.
+        /// Number of failures expected of the canary at the baseline's failure rate, weighted by age.
         expected_failures: f64,
     },
-    /// A vote was cast that differs from the previous one.
+    /// This gateway cast a vote that differs from its previous one.
     VoteCast {
-        /// The vote.
+        /// The vote; never [`Verdict::Abstain`].
         verdict: Verdict,
         /// The version voted on.
         version: Version,
-        /// The stage of its rollout, from 0.
+        /// The stage of the version's rollout, from 0.
         stage: u32,
-        /// The largest probability over all tests that the canary is worse.
+        /// The highest probability of all tests that the version is worse, from 0 to 1.
         probability_worse: f64,
     },
-    /// An endpoint was ejected, for the first time in a row.
+    /// An endpoint was ejected after a time of health; further ejections in a row are not logged.
     EndpointEjected {
         /// The endpoint's id.
         endpoint: String,
-        /// Counts the endpoints and restarts that had its place in the table.
+        /// Number of endpoints and restarts so far that occupied this place in the endpoint table.
         incarnation: u32,
-        /// Why.
+        /// The condition that led to the ejection.
         reason: EjectionReason,
-        /// For how long, in ms.
+        /// Duration of the ejection.
         ejected_for: Millis,
-        /// The running mean of its error rate.
+        /// Running mean of the share of the endpoint's responses that are errors, from 0 to 1.
         error_rate: f64,
-        /// Attempts in a row that got no answer.
+        /// Number of consecutive attempts that timed out, did not connect or lost their connection.
         consecutive_timeouts: u32,
     },
 }
 
 impl LogEvent {
-    /// The event's name, without its fields.
+    /// Returns the event's name, which begins the log line; the fields follow.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -1,50 +1,49 @@
-//! The policy's decisions at one time, for adapters that publish them instead of routing each request.
+//! The policy's decisions at a moment, for adapters that publish routing tables instead of routing each request.
 
 use crate::rollout::Version;
 
-/// The policy's decisions at one time.
-///
-/// The crate `latchhaven-proxy-config` applies the limits of the rules, such as the cap, to what is published from it.
+/// The policy's decisions at a moment, before limits such as the traffic cap: the crate `latchhaven-proxy-config`
+/// applies them to each configuration that it builds from a snapshot.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PolicySnapshot {
-    /// Canaries among the ready endpoints, lowest version first.
+    /// Canaries that run on ready endpoints, lowest version first.
     pub canaries: Vec<Canary>,
-    /// The share of requests that the canaries are to get, before the cap.
+    /// The share of requests that all canaries together are to receive, from 0 to 1, before the cap.
     pub canary_share: f64,
-    /// The newest version was rejected here, even if the platform does not show it yet.
+    /// Set when this policy's analysis has rejected the newest version, possibly before the platform rolls it back.
     pub is_canary_rejected: bool,
-    /// The probability of rejecting a request on arrival, from 0 to 1.
+    /// The probability with which load shedding rejects a request without a tenant on arrival, from 0 to 1.
     pub shed_probability: f64,
-    /// All endpoints on the list.
+    /// All listed endpoints, ready or not.
     pub endpoints: Vec<EndpointSnapshot>,
 }
 
-/// A canary, with its cap and stage as the rule on exposure counts them.
+/// A canary, with the cap and stage that the exposure rule applies to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Canary {
-    /// Its version.
+    /// The version under rollout.
     pub version: Version,
-    /// The share of requests that it may get.
+    /// The share of requests that may be sent to the version, from 0 to 1.
     pub traffic_cap: f64,
-    /// Its stage, from 0.
+    /// The stage of the rollout, from 0; 0 until the platform reports the rollout.
     pub stage: u32,
 }
 
-/// One endpoint at one time.
+/// The state of one endpoint at the time of the snapshot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointSnapshot {
-    /// The endpoint's id.
+    /// The endpoint's id on the endpoint list.
     pub endpoint: String,
-    /// The version that it runs.
+    /// The version that the endpoint runs.
     pub version: Version,
-    /// Its zone.
+    /// The zone in which the endpoint is listed.
     pub zone: String,
-    /// It accepts new requests, according to the list.
+    /// Set when the endpoint list allows new requests to the endpoint: it is neither draining nor removed.
     pub is_ready: bool,
-    /// It is ejected.
+    /// Set when outlier detection has ejected the endpoint: it receives no requests for now.
     pub is_ejected: bool,
-    /// Its weight times its warm-up factor.
+    /// The endpoint's weight times its warm-up factor, in the unit of the listed weights.
     pub capacity: f64,
-    /// It is still warming up.
+    /// Set when the endpoint has not reached its full capacity since its start.
     pub is_warming_up: bool,
 }
