--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Versions of the endpoints' software, the state of a rollout, and votes on it.
+//! Software versions of endpoints, the state of a rollout, and votes on the rollout.
 
 use crate::time::Millis;
 use serde::{Deserialize, Serialize};
@@ -6,13 +6,13 @@
 use std::num::ParseIntError;
 use std::str::FromStr;
 
-/// A software version of the endpoints; a later one has a higher number.
+/// A software version of endpoints, as discovery lists it; a later version has a higher number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Version(pub u32);
 
 impl Version {
-    /// A number that no version has.
+    /// A value that no version has: marks a reused place of the endpoint table until its entry is applied.
     pub const INVALID: Version = Version(u32::MAX);
 }
 
@@ -30,54 +30,62 @@
     }
 }
 
-/// The phase of a version's rollout.
+/// The phase of a version's rollout, as the platform reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutPhase {
-    /// It is a canary: its traffic is capped and it is analysed.
+    /// The version is a canary: its traffic is capped, and gateways analyse its outcomes and vote on it.
     Canary,
-    /// It is being removed from the endpoints.
+    /// The platform is removing the version from the endpoints.
     RollingBack,
-    /// It is the new baseline.
+    /// The version is the new baseline.
     Promoted,
-    /// It was removed.
+    /// The version was removed from the endpoints.
     RolledBack,
 }
 
-/// The state of the newest version's rollout.
+/// The state of the newest version's rollout, as the platform reports it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutState {
-    /// The newest version.
+    /// The newest version that the platform knows.
     pub version: Version,
-    /// The rollout's stage, from 0.
+    /// The stage of the rollout, from 0.
     pub stage: u32,
-    /// Its phase.
+    /// The phase, which determines whether the version is analysed.
     pub phase: RolloutPhase,
-    /// The share of requests that the version may get, from 0 to 1.
+    /// The share of requests that may be sent to the version, from 0 to 1; at 1 there is no cap.
     pub traffic_cap: f64,
-    /// Time in ms since the state last changed.
+    /// Time since the platform last changed the state.
     pub age: Millis,
 }
 
-/// What a gateway votes for.
+impl RolloutState {
+    /// Returns `true` if all requests may be sent to the version, so that little or no traffic is left for the
+    /// baseline.
+    pub(crate) fn is_uncapped(&self) -> bool {
+        self.traffic_cap >= 1.0
+    }
+}
+
+/// A gateway's vote on the newest version; the platform acts once a quorum casts the same one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// No vote; withdraws an earlier one.
+    /// No opinion; withdraws an earlier vote.
     Abstain,
-    /// On to the next stage.
+    /// The rollout is to enter its next stage.
     Promote,
-    /// No next stage for now.
+    /// The rollout is not to enter its next stage for now.
     Pause,
-    /// Back to the baseline.
+    /// The version is to be removed from the endpoints, which return to the baseline.
     RollBack,
 }
 
-/// The result of a vote.
+/// The platform's reply to a vote.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum VoteOutcome {
-    /// It counts; this is the state of the rollout now.
+    /// The vote counts; the reply has the resulting state of the rollout.
     Counted(RolloutState),
-    /// The platform did not accept it.
+    /// The platform did not accept the vote; the policy casts it again.
     NotCounted,
-    /// No answer: it may have counted, or may still.
+    /// No reply arrived in time: the vote may have been counted, or may still be.
     Unknown,
 }
--- a/crates/policy/src/state/canary.rs
+++ b/crates/policy/src/state/canary.rs
@@ -1,6 +1,6 @@
-//! The state of the analysis of a canary: evidence, results of the tests, and the votes cast.
+//! The state of the canary analysis: evidence, results of the statistical tests, and votes cast.
 //!
-//! `crate::canary` and `crate::verdict` update it. A rejection is final: it remains in
+//! `crate::canary` and `crate::verdict` update it. A rejection is final: the version remains in
 //! [`CanaryAnalysis::rejected_version`] until a later version is rejected.
 
 use crate::action::Action;
@@ -14,142 +14,147 @@
 use crate::state::registry::{EndpointRegistry, EndpointTable, Sides};
 use crate::time::Millis;
 
-/// A vote that was cast.
+/// A vote of this gateway, with the version and stage that it applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CastVote {
-    /// The version voted on.
+    /// The newest version when the vote was cast.
     pub version: Version,
-    /// The stage of its rollout when it was cast, from 0.
+    /// The stage of the version's rollout when the vote was cast, from 0.
     pub stage: u32,
-    /// The vote.
+    /// The verdict that the platform receives.
     pub verdict: Verdict,
 }
 
-/// The result of one test of a canary.
+/// The result of one statistical test of a canary.
 #[derive(Clone, Copy, Debug)]
 pub struct TestResult {
-    /// The probability that the canary is worse.
+    /// The probability that the canary is worse than what the test compares it with, from 0 to 1.
     pub probability_worse: f64,
-    /// The probability of a wrong rejection that the test may accept.
+    /// The accepted probability of rejecting a canary that is not worse, from 0 to 1: the test rejects above 1 minus
+    /// it.
     pub false_rejection_rate: f64,
-    /// The test, for the log.
+    /// The test's name for the log.
     pub reason: RejectionReason,
 }
 
 impl TestResult {
-    /// The result with the largest probability; of equal ones the last.
+    /// Returns the result with the largest probability, of equal ones the last; `None` without results.
     #[must_use]
     pub fn strongest(results: Vec<TestResult>) -> Option<TestResult> {
         results.into_iter().max_by(|a, b| a.probability_worse.total_cmp(&b.probability_worse))
     }
 }
 
-/// Which tests of a canary apply.
+/// The conditions that decide which tests of the newest version apply.
 #[derive(Clone, Copy, Debug)]
 pub struct CanaryContext {
-    /// The newest version is the canary, by the endpoint list and by the platform.
+    /// Set when the newest version is a canary by the endpoint list as well as by the platform.
     pub is_canary: bool,
-    /// It may get all requests, or has no baseline: there is no comparison.
-    pub is_alone: bool,
-    /// The platform has reported the minimum of its answers.
-    pub is_reported: bool,
+    /// Set when the canary may receive all requests or no baseline endpoint is ready, so that this gateway's own
+    /// outcomes of the two version groups cannot be compared.
+    pub lacks_baseline_traffic: bool,
+    /// Set when the platform has reported the minimum of successes of the canary, from which reports outweigh this
+    /// gateway's own outcomes.
+    pub has_min_reports: bool,
 }
 
-/// A version that was promoted recently.
+/// A version that was a canary and was promoted recently: still analysed, since a fault may show only under full
+/// traffic.
 #[derive(Clone, Copy, Debug)]
 pub struct Promotion {
-    /// The version.
+    /// The promoted version.
     pub version: Version,
-    /// When this gateway was notified of the promotion, in ms.
-    pub seen_at: Millis,
+    /// Time of the first analysis after this gateway learned of the promotion, in milliseconds.
+    pub observed_at: Millis,
 }
 
-/// The endpoints at the time of an analysis.
+/// The ready endpoints by version group, with their warm-up and load, at the time of an analysis.
 pub struct AnalysisView {
     /// Ready endpoints of canaries.
     pub canary: Vec<EndpointIndex>,
     /// Ready endpoints of the baseline.
     pub baseline: Vec<EndpointIndex>,
-    /// The least warm-up factor among the canary's endpoints.
+    /// Least warm-up factor among the canary's ready endpoints, from 0 to 1; 1 without any.
     pub min_canary_warmup: f64,
-    /// Their mean warm-up factor.
+    /// Mean warm-up factor of the canary's ready endpoints, from 0 to 1; 0 without any.
     pub mean_canary_warmup: f64,
-    /// Arrivals within the load window per endpoint that has answered within it.
+    /// Requests that arrived at this gateway within the load window, per endpoint that responded within the window.
     pub load: f64,
-    /// The time in ms.
+    /// Time of the analysis.
     pub now: Millis,
 }
 
-/// The evidence on a canary, the results of the last analysis, and the votes cast.
+/// Evidence on the canary, results of the last analysis, and votes cast.
 #[derive(Default)]
 pub struct CanaryAnalysis {
-    /// How versions are voted on.
+    /// The voting rules of the platform.
     pub voting: VotingConfig,
-    /// The probability of a wrong rollback that this gateway may accept.
+    /// The accepted probability, from 0 to 1, that this gateway wrongly rejects one version by its own outcomes.
     pub own_false_rejection_rate: f64,
-    /// The probability of casting a vote that is due, at one analysis.
+    /// The probability with which one analysis casts a vote that is due; above 1, every vote that is due is cast.
     pub vote_probability: f64,
-    /// The evidence by class.
+    /// Reported counts and reference values, by the index of the request class.
     pub classes: Vec<ClassEvidence>,
 
-    /// When the last analysis was, in ms.
+    /// Time of the last analysis.
     pub analysed_at: Millis,
-    /// The version that is a canary.
+    /// The version of the first ready endpoint that runs a canary; `None` without one.
     pub canary: Option<Version>,
-    /// The version that is or was last a canary.
-    pub watched_version: Option<Version>,
-    /// The promotion of the watched version, if it was recent.
+    /// The version in `canary`, or the last one there: reports of it still count as the canary's.
+    pub last_canary: Option<Version>,
+    /// The promotion of `last_canary`; `None` unless it was recent.
     pub promotion: Option<Promotion>,
-    /// The last version that was rejected.
+    /// The last version that this gateway rejected.
     pub rejected_version: Option<Version>,
-    /// The version and stage that `reported_attempts` belongs to.
+    /// The version and stage in which `reported_attempts` were counted.
     pub stage: (Version, u32),
 
-    /// The metrics of all endpoints before the canary.
-    pub metrics_before_canary: MetricMoments,
-    /// The load per endpoint before the canary.
-    pub load_before_canary: f64,
-    /// No baseline endpoint is ready.
+    /// Metrics of all endpoints, pooled when `canary` last changed: the reference for slowdowns of all endpoints, and
+    /// for a canary without a baseline.
+    pub pre_canary_metrics: MetricMoments,
+    /// [`AnalysisView::load`] when `canary` last changed.
+    pub pre_canary_load: f64,
+    /// Set when no baseline endpoint was ready at the last analysis.
     pub is_without_baseline: bool,
 
-    /// The largest probability over all tests that the canary is worse.
+    /// The highest probability of all tests at the last analysis that the canary is worse, from 0 to 1.
     pub probability_worse: f64,
-    /// Since when a test has exceeded its threshold, in ms.
-    pub confident_since: Option<Millis>,
-    /// The minimum of outcomes for a verdict is reached.
+    /// Time since which some test has exceeded its threshold at every analysis, in milliseconds.
+    pub above_threshold_since: Option<Millis>,
+    /// Set when own or reported outcomes of the canary suffice for a verdict.
     pub has_min_samples: bool,
-    /// All endpoints are probably slower than before the canary.
-    pub are_all_slower: bool,
-    /// Since when the canary gets nearly all requests before its promotion, in ms.
+    /// Set when all endpoints are probably slower than before the canary; prevents a promotion.
+    pub are_all_endpoints_slower: bool,
+    /// Time since which the canary has received nearly all requests before its promotion, in milliseconds.
     pub full_traffic_since: Option<Millis>,
 
-    /// Reported attempts at the canary in the present stage.
+    /// Number of attempts at the canary that the platform has reported in the present stage.
     pub reported_attempts: f64,
-    /// The canary's reported outcomes compared with the baseline's.
+    /// Reported outcomes of the canary compared with the baseline's.
     pub evidence: WeightedEvidence,
-    /// Reported answers.
-    pub reported_answers: ByVersionGroup<f64>,
-    /// Answers that clients reported wrong, at any gateway.
-    pub wrong_answers: ByVersionGroup<f64>,
-    /// Failures common to all versions, in the newest reports, that are attributed to the canary.
+    /// Number of successful attempts that the platform has reported, since `last_canary` last changed.
+    pub reported_successes: ByVersionGroup<f64>,
+    /// Number of responses that clients of all gateways have reported wrong, since `last_canary` last changed.
+    pub wrong_responses: ByVersionGroup<f64>,
+    /// Failures common to all versions in the newest reports that are attributed to the canary; 0 if they are not.
     pub common_failures: CommonFailures,
-    /// Failures common to all versions preceded the canary's traffic.
+    /// Set when failures common to all versions began while the canary received little traffic; cleared when they end.
     pub has_preexisting_failures: bool,
-    /// Log of the ratio of latencies in the newest reports to those before the canary.
-    pub latency_ratio_log: f64,
+    /// Natural logarithm of the latency of all versions in the newest reports divided by the reference latency.
+    pub log_latency_ratio: f64,
 
-    /// The last vote.
+    /// The vote that this gateway cast last.
     pub last_vote: Option<CastVote>,
-    /// When it was cast, in ms.
+    /// Time at which the last vote was cast.
     pub last_vote_at: Millis,
-    /// It counts, unless the platform has answered otherwise.
+    /// Cleared when the platform replies that the last vote does not count, so that it is cast again.
     pub is_last_vote_counted: bool,
-    /// The log event of a rejection, until the next vote is cast: only gateways that are drawn to vote print it.
-    pub rejection_log: Option<LogEvent>,
+    /// The log event of a rejection until the next vote is cast: only gateways that are drawn to vote print it.
+    pub pending_rejection_log: Option<LogEvent>,
 }
 
 impl AnalysisView {
-    /// The endpoints at `now`; `load_window`: ms over which load is counted.
+    /// Collects the endpoints' state at `now`; arrivals are counted over the last `load_window` milliseconds.
     #[must_use]
     pub fn new(registry: &EndpointRegistry, sides: Sides, load_window: Millis, now: Millis) -> Self {
         let warmup = |index: &EndpointIndex| registry.warmup_factor(*index, now);
@@ -164,22 +169,23 @@
         }
     }
 
-    /// The number of endpoints on both sides, at least one.
+    /// Returns the number of ready endpoints of both version groups, at least 1 so that it can be a divisor.
     #[must_use]
     pub fn ready_count(&self) -> f64 {
         (self.canary.len() + self.baseline.len()).max(1) as f64
     }
 
-    /// ms since the start of the canary's newest endpoint; none without any.
+    /// Returns the time since the start of the canary's newest endpoint; `None` without one. An unknown start counts as
+    /// long ago.
     #[must_use]
-    pub fn since_newest_start(&self, endpoints: &EndpointTable) -> Option<Millis> {
+    pub fn newest_endpoint_age(&self, endpoints: &EndpointTable) -> Option<Millis> {
         let starts = self.canary.iter().map(|index| endpoints[*index].started_at);
         (!self.canary.is_empty()).then(|| self.now - starts.fold(0.0, f64::max))
     }
 }
 
 impl CanaryAnalysis {
-    /// No evidence yet.
+    /// Returns an analysis without evidence, for request classes with the indices below `class_count`.
     #[must_use]
     pub fn new(
         voting: VotingConfig, own_false_rejection_rate: f64, vote_probability: f64, class_count: usize,
@@ -193,80 +199,83 @@
         }
     }
 
-    /// No version is a canary, and none was promoted recently.
+    /// Returns `true` if no version is a canary and none was promoted recently: reference values are recorded then.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.canary.is_none() && self.promotion.is_none()
     }
 
-    /// Another version is the canary now, or none is any more: records the metrics and the load of all endpoints as those
-    /// before it, and resets them. A version that was not watched before also starts without reported evidence, so that
-    /// earlier faults do not count against it.
-    pub fn begin(&mut self, canary: Option<Version>, endpoints: &mut EndpointTable, load: f64) {
+    /// Applies a change of the canary: another version, or none. The metrics and load of all endpoints so far become
+    /// the reference, and the endpoints' metrics are reset. A version that was not the last canary also starts without
+    /// reported evidence, so that earlier faults do not count against it.
+    pub fn on_canary_change(&mut self, canary: Option<Version>, endpoints: &mut EndpointTable, load: f64) {
         if canary == self.canary {
             return;
         }
         self.canary = canary;
-        self.confident_since = None;
+        self.above_threshold_since = None;
         self.full_traffic_since = None;
-        if canary.is_some() && canary != self.watched_version {
-            self.watched_version = canary;
-            self.wrong_answers = ByVersionGroup::default();
-            self.reported_answers = ByVersionGroup::default();
+        if canary.is_some() && canary != self.last_canary {
+            self.last_canary = canary;
+            self.wrong_responses = ByVersionGroup::default();
+            self.reported_successes = ByVersionGroup::default();
             self.evidence = WeightedEvidence::default();
             self.common_failures = CommonFailures::default();
         }
-        self.metrics_before_canary = endpoints.pooled_metrics();
-        self.load_before_canary = load;
+        self.pre_canary_metrics = endpoints.pooled_metrics();
+        self.pre_canary_load = load;
         endpoints.iter_mut().for_each(|endpoint| endpoint.metrics = MetricMoments::default());
     }
 
-    /// Counts reported attempts and answers.
+    /// Adds one class's newest reports to the total numbers of attempts and successes.
     pub fn count_reported(&mut self, reported: &ByVersionGroup<OutcomeCounts>) {
         self.reported_attempts += reported.canary.attempts;
-        self.reported_answers.baseline += reported.baseline.successes();
-        self.reported_answers.canary += reported.canary.successes();
+        self.reported_successes.baseline += reported.baseline.successes();
+        self.reported_successes.canary += reported.canary.successes();
     }
 
-    /// Counts reports by stage; `carry_over`: the weight of the previous stage's.
-    pub fn enter_stage(&mut self, rollout: &RolloutState, carry_over: f64) {
+    /// Starts a new count of reported attempts if the version or the stage changed; the weight of earlier reported
+    /// evidence is multiplied by `retained_weight`, from 0 to 1.
+    pub fn enter_stage(&mut self, rollout: &RolloutState, retained_weight: f64) {
         let stage = (rollout.version, rollout.stage);
         if stage != self.stage {
             self.stage = stage;
             self.reported_attempts = 0.0;
-            self.evidence.scale(carry_over);
+            self.evidence.scale(retained_weight);
         }
     }
 
-    /// Which tests of the newest version apply; `min_answers`: its minimum of reported answers.
+    /// Returns the conditions that decide which tests apply; `min_successes` is the number of reported successes of the
+    /// canary from which reports can contradict own outcomes.
     #[must_use]
-    pub fn context(&self, rollout: &RolloutState, min_answers: f64) -> CanaryContext {
+    pub fn context(&self, rollout: &RolloutState, min_successes: f64) -> CanaryContext {
         let is_canary = self.canary == Some(rollout.version) && rollout.phase == RolloutPhase::Canary;
         CanaryContext {
             is_canary,
-            is_alone: is_canary && (rollout.traffic_cap >= 1.0 || self.is_without_baseline),
-            is_reported: self.reported_answers.canary >= min_answers,
+            lacks_baseline_traffic: is_canary && (rollout.is_uncapped() || self.is_without_baseline),
+            has_min_reports: self.reported_successes.canary >= min_successes,
         }
     }
 
-    /// Records the time of an analysis, and retains the promotion of the watched version for `duration` ms.
-    pub fn watch_promotion(&mut self, rollout: &RolloutState, view: &AnalysisView, duration: Millis) {
+    /// Records the time of an analysis and whether there is a baseline. A promotion of the last canary is retained for
+    /// `duration` milliseconds from its first analysis, then dropped for one analysis and observed again.
+    pub fn update_promotion(&mut self, rollout: &RolloutState, view: &AnalysisView, duration: Millis) {
         self.analysed_at = view.now;
         self.is_without_baseline = view.baseline.is_empty();
         let (version, now) = (rollout.version, view.now);
         let known = self.promotion.filter(|promotion| promotion.version == version);
-        let seen_at = known.map_or(now, |promotion| promotion.seen_at);
-        let is_promoted = rollout.phase == RolloutPhase::Promoted && self.watched_version == Some(version);
-        let is_recent = is_promoted && now - seen_at < duration;
-        self.promotion = is_recent.then_some(Promotion { version, seen_at });
+        let observed_at = known.map_or(now, |promotion| promotion.observed_at);
+        let is_promoted = rollout.phase == RolloutPhase::Promoted && self.last_canary == Some(version);
+        let is_recent = is_promoted && now - observed_at < duration;
+        self.promotion = is_recent.then_some(Promotion { version, observed_at });
     }
 
-    /// Rejects the newest version; the reason is logged with the next vote.
+    /// Marks the newest version as rejected, and prepares the log event that the next vote prints.
     pub fn reject(&mut self, rollout: &RolloutState, reason: RejectionReason) {
         let RolloutState { version, stage, .. } = *rollout;
         let WeightedEvidence { failures, expected_failures, .. } = self.evidence;
         self.rejected_version = Some(version);
-        self.rejection_log = Some(LogEvent::CanaryRejected {
+        self.pending_rejection_log = Some(LogEvent::CanaryRejected {
             version,
             stage,
             reason,
@@ -276,12 +285,13 @@
         });
     }
 
-    /// The last vote, if it was on that version.
+    /// Returns the last vote if it was on `version`, whatever the stage.
     pub(crate) fn last_vote_on(&self, version: Version) -> Option<CastVote> {
         self.last_vote.filter(|last| last.version == version)
     }
 
-    /// Records a vote and returns the actions that cast and log it.
+    /// Records a vote and returns the actions that cast it and log a pending rejection. The vote is logged if it
+    /// differs from the last one and is not [`Verdict::Abstain`].
     pub fn record_vote(&mut self, vote: CastVote, now: Millis) -> Vec<Action> {
         let CastVote { version, stage, verdict } = vote;
         let is_new = self.last_vote_on(version) != Some(vote);
@@ -289,7 +299,7 @@
         self.last_vote_at = now;
         self.is_last_vote_counted = true;
         let mut actions = vec![Action::CastVote { version, stage, verdict }];
-        actions.extend(self.rejection_log.take().map(Action::Log));
+        actions.extend(self.pending_rejection_log.take().map(Action::Log));
         if is_new && verdict != Verdict::Abstain {
             let probability_worse = self.probability_worse;
             actions.push(Action::Log(LogEvent::VoteCast { verdict, version, stage, probability_worse }));
@@ -297,31 +307,32 @@
         actions
     }
 
-    /// Counts a wrong answer of the watched version, or of an earlier one.
+    /// Counts a response of `version` that a client reported wrong; ignored for versions later than the last canary.
     pub fn record_wrong_response(&mut self, version: Version) {
-        match self.watched_version {
-            Some(watched) if version == watched => self.wrong_answers.canary += 1.0,
-            Some(watched) if version < watched => self.wrong_answers.baseline += 1.0,
+        match self.last_canary {
+            Some(canary) if version == canary => self.wrong_responses.canary += 1.0,
+            Some(canary) if version < canary => self.wrong_responses.baseline += 1.0,
             _ => {}
         }
     }
 
-    /// Adds reported counts of a version and class.
+    /// Adds the platform's counts for a version and a class; the next analysis evaluates them.
     pub fn record_outcome_report(&mut self, version: Version, class: usize, counts: OutcomeCounts) {
         let reported = &mut self.classes[class].reported;
-        let is_watched = self.watched_version == Some(version);
-        let side = if is_watched { &mut reported.canary } else { &mut reported.baseline };
-        side.add(counts);
+        let is_canary = self.last_canary == Some(version);
+        let group = if is_canary { &mut reported.canary } else { &mut reported.baseline };
+        group.add(counts);
     }
 }
 
-/// Encodes the message by which gateways notify each other of a wrong answer: its version, as four bytes.
+/// Returns the message by which a gateway notifies its peers of a response reported wrong: the number of the version
+/// that sent the response, as 4 bytes in big-endian order.
 #[must_use]
 pub fn encode_wrong_response(version: Version) -> Vec<u8> {
     version.0.to_be_bytes().to_vec()
 }
 
-/// Decodes such a message; none if it is malformed.
+/// Returns the version in a message of [`encode_wrong_response`]; `None` if the message does not have 4 bytes.
 #[must_use]
 pub fn decode_wrong_response(message: &[u8]) -> Option<Version> {
     <[u8; 4]>::try_from(message).ok().map(|bytes| Version(u32::from_be_bytes(bytes)))
--- a/crates/policy/src/state/evidence.rs
+++ b/crates/policy/src/state/evidence.rs
@@ -1,56 +1,68 @@
-//! Counts and moments that are the evidence on a canary.
+//! Counts and moments that are the evidence on a canary, and the reference values recorded without a canary.
 //!
-//! `crate::canary` fills and compares them, `crate::verdict` tests them; thresholds are parameters.
+//! `crate::canary` records and compares them, `crate::verdict` tests them; thresholds are parameters.
 
 use crate::statistics::RunningMoments;
 use crate::time::Millis;
 
-/// Reported attempts of one version and class.
+/// Failures assumed in addition to those counted, so that no failure rate is estimated as 0.
+pub(crate) const PRIOR_FAILURES: f64 = 1.0;
+/// Attempts in which the assumed failures occur.
+const PRIOR_ATTEMPTS: f64 = 1.0;
+/// Lower bound on a reported mean latency, relative latencies included, so that its logarithm is finite.
+const MIN_MEAN_LATENCY: Millis = 0.001;
+/// Lower bound on the reference latency by which latencies are divided.
+const MIN_REFERENCE_LATENCY: Millis = 1.0;
+/// Lower bound on the number of successes by which a sum of latencies is divided.
+const MIN_SUCCESSES: f64 = 1.0;
+
+/// The platform's counts of attempts at one version group in one class.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutcomeCounts {
-    /// All attempts.
+    /// Number of attempts, failed ones included.
     pub attempts: f64,
-    /// Those that failed.
+    /// Number of attempts that failed, at most `attempts`.
     pub failures: f64,
-    /// Mean latency of the others, in ms.
+    /// Mean latency of the attempts that succeeded.
     pub mean_latency: Millis,
 }
 
 impl OutcomeCounts {
-    /// The failure rate, with one failed attempt added as a prior.
+    /// Returns the failure rate, from 0 to 1, with one failed attempt added as a prior.
     #[must_use]
     pub fn failure_rate(&self) -> f64 {
-        (self.failures + 1.0) / (self.attempts + 1.0)
+        (self.failures + PRIOR_FAILURES) / (self.attempts + PRIOR_ATTEMPTS)
     }
 
-    /// Attempts that succeeded.
+    /// Returns the number of attempts that succeeded.
     #[must_use]
     pub fn successes(&self) -> f64 {
         self.attempts - self.failures
     }
 
-    /// Adds the counts of another period or side.
+    /// Adds the counts of another period or version group; the mean latency is weighted by successes.
     pub fn add(&mut self, other: OutcomeCounts) {
-        let latency = other.mean_latency.max(0.001);
+        let latency = other.mean_latency.max(MIN_MEAN_LATENCY);
         let before = self.successes();
         let added = other.successes();
-        self.mean_latency = (self.mean_latency * before + latency * added) / (before + added).max(1.0);
+        self.mean_latency =
+            (self.mean_latency * before + latency * added) / (before + added).max(MIN_SUCCESSES);
         self.attempts += other.attempts;
         self.failures += other.failures;
     }
 }
 
-/// One value for the baseline, and one for the canary.
+/// One value for each version group.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ByVersionGroup<T> {
-    /// All other versions.
+    /// Value of the other versions.
     pub baseline: T,
-    /// The watched version.
+    /// Value of the version that is a canary, or of the last one that was.
     pub canary: T,
 }
 
 impl ByVersionGroup<OutcomeCounts> {
-    /// Both sides as one.
+    /// Returns the counts of both groups together.
     #[must_use]
     pub fn total(&self) -> OutcomeCounts {
         let mut total = self.baseline;
@@ -59,43 +71,45 @@
     }
 }
 
-/// The evidence of one class of requests, and what is usual for it.
+/// The reported counts of one request class, and its reference values: running means while no version was a canary,
+/// with which later values are compared.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClassEvidence {
-    /// Log of the speed of this gateway's own answers, while there was no canary.
-    pub usual_speed: RunningMoments,
-    /// Reported counts since the last analysis.
+    /// Reference for this gateway's own attempts: natural logarithm of expected work divided by latency.
+    pub reference_speed: RunningMoments,
+    /// The platform's counts since the last analysis.
     pub reported: ByVersionGroup<OutcomeCounts>,
-    /// Reported failure rate while there was no canary.
-    pub usual_failure_rate: RunningMoments,
-    /// Reported mean latency in ms while there was no canary.
-    pub usual_latency: RunningMoments,
-    /// Reported attempts per endpoint and period while there was no canary.
-    pub usual_load: RunningMoments,
+    /// Reference for the reported failure rate, from 0 to 1.
+    pub reference_failure_rate: RunningMoments,
+    /// Reference for the reported mean latency, in milliseconds.
+    pub reference_latency: RunningMoments,
+    /// Reference for the reported attempts per ready endpoint and analysis that has reports.
+    pub reference_load: RunningMoments,
 }
 
 impl ClassEvidence {
-    /// Updates what is usual by a period without a canary; `decay`: the weight of earlier periods.
-    pub fn record_usual(&mut self, counts: &OutcomeCounts, ready_endpoints: f64, decay: f64) {
-        self.usual_failure_rate.follow(decay, counts.attempts, counts.failures / counts.attempts);
-        self.usual_latency.follow(decay, counts.successes(), counts.mean_latency);
-        self.usual_load.follow(decay, 1.0, counts.attempts / ready_endpoints);
+    /// Updates the reference values by reports from a time without a canary. `counts` has at least one attempt;
+    /// `decay`, from 0 to 1, is the factor on the weight of earlier reports.
+    pub fn update_reference(&mut self, counts: &OutcomeCounts, ready_endpoints: f64, decay: f64) {
+        self.reference_failure_rate.decay_and_add(decay, counts.attempts, counts.failures / counts.attempts);
+        self.reference_latency.decay_and_add(decay, counts.successes(), counts.mean_latency);
+        self.reference_load.decay_and_add(decay, 1.0, counts.attempts / ready_endpoints);
     }
 }
 
-/// The canary's reported outcomes compared with the baseline's, weighted by age.
+/// The canary's reported outcomes compared with the baseline's. The weight of a report decays with its age.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WeightedEvidence {
-    /// Log of its speed relative to the baseline's.
+    /// Natural logarithm of the baseline's mean latency divided by the canary's; below 0 if the canary is slower.
     pub speed: RunningMoments,
-    /// Its failures.
+    /// Number of the canary's failures.
     pub failures: f64,
-    /// Failures expected of the baseline in its place.
+    /// Number of failures expected of the canary at the baseline's failure rate.
     pub expected_failures: f64,
 }
 
 impl WeightedEvidence {
-    /// Scales the weight of the evidence so far.
+    /// Multiplies the weight of the evidence so far by `factor`, from 0 to 1.
     pub fn scale(&mut self, factor: f64) {
         self.speed.scale(factor);
         self.failures *= factor;
@@ -103,34 +117,36 @@
     }
 }
 
-/// Failures common to all versions.
+/// Numbers of failures of all versions together, in the newest reports.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CommonFailures {
-    /// Those expected.
+    /// Failures expected at the reference failure rates plus the tolerated excess.
     pub expected: f64,
-    /// Those reported.
-    pub counted: f64,
+    /// Failures of all versions that the platform counted.
+    pub reported: f64,
 }
 
-/// Reported counts of all classes in which the load was the usual one.
+/// Sum of the newest reported counts, over the request classes whose load per endpoint was not far above the reference
+/// load.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ComparableCounts {
-    /// Attempts at all versions; the latency is relative to the usual one.
+    /// Counts of all versions; the mean latency is a ratio to each class's reference latency, not a time.
     pub total: OutcomeCounts,
-    /// Attempts at the canary.
+    /// Number of attempts at the canary, included in `total`.
     pub canary_attempts: f64,
-    /// Failures of all versions.
+    /// Failures of all versions, expected and reported.
     pub failures: CommonFailures,
 }
 
 impl ComparableCounts {
-    /// Adds the counts of one class; `excess_rate`: the failure rate above the usual one that is still expected.
+    /// Adds the counts of one class. `excess_rate`, from 0 to 1, is added to the reference failure rate to obtain the
+    /// expected failures.
     pub fn add(&mut self, reported: &ByVersionGroup<OutcomeCounts>, class: &ClassEvidence, excess_rate: f64) {
         let total = reported.total();
-        let mean_latency = total.mean_latency / class.usual_latency.mean.max(1.0);
+        let mean_latency = total.mean_latency / class.reference_latency.mean.max(MIN_REFERENCE_LATENCY);
         self.total.add(OutcomeCounts { mean_latency, ..total });
         self.canary_attempts += reported.canary.attempts;
-        self.failures.expected += (class.usual_failure_rate.mean + excess_rate) * total.attempts;
-        self.failures.counted = self.total.failures;
+        self.failures.expected += (class.reference_failure_rate.mean + excess_rate) * total.attempts;
+        self.failures.reported = self.total.failures;
     }
 }
