--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The policy's decisions at a moment, for adapters that publish routing tables instead of routing each request.
+//! The policy's decisions at a moment, for adapters that publish them instead of routing each request.
 
 use crate::rollout::Version;
 
@@ -23,7 +23,8 @@
 pub struct Canary {
     /// The version under rollout.
     pub version: Version,
-    /// The share of requests that may be sent to the version, from 0 to 1.
+    /// The share of requests that may be sent to the version, from 0 to 1; that of the first stage until the platform
+    /// reports the rollout.
     pub traffic_cap: f64,
     /// The stage of the rollout, from 0; 0 until the platform reports the rollout.
     pub stage: u32,
@@ -40,7 +41,7 @@
     pub zone: String,
     /// Set when the endpoint list allows new requests to the endpoint: it is neither draining nor removed.
     pub is_ready: bool,
-    /// Set when outlier detection has ejected the endpoint: it receives no requests for now.
+    /// Set when outlier detection has ejected the endpoint and the ejection has not expired.
     pub is_ejected: bool,
     /// The endpoint's weight times its warm-up factor, in the unit of the listed weights.
     pub capacity: f64,
--- a/crates/policy/src/state/canary.rs
+++ b/crates/policy/src/state/canary.rs
@@ -30,8 +30,8 @@
 pub struct TestResult {
     /// The probability that the canary is worse than what the test compares it with, from 0 to 1.
     pub probability_worse: f64,
-    /// The accepted probability of rejecting a canary that is not worse, from 0 to 1: the test rejects above 1 minus
-    /// it.
+    /// The accepted probability of rejecting a canary that is not worse, from 0 to 1. The threshold of
+    /// `probability_worse` is 1 minus this rate.
     pub false_rejection_rate: f64,
     /// The test's name for the log.
     pub reason: RejectionReason,
@@ -58,8 +58,7 @@
     pub has_min_reports: bool,
 }
 
-/// A version that was a canary and was promoted recently: still analysed, since a fault may show only under full
-/// traffic.
+/// A version that was a canary and was promoted recently: reports on the version are still tested.
 #[derive(Clone, Copy, Debug)]
 pub struct Promotion {
     /// The promoted version.
--- a/crates/policy/tests/policy/reports.rs
+++ b/crates/policy/tests/policy/reports.rs
@@ -39,7 +39,7 @@
 }
 
 /// Two endpoints of the canary are warm and receive its requests, a third has just started. Failures are compared,
-/// since the endpoints are warm on average; latencies are not, since the third may raise their mean.
+/// since the endpoints are warm on average; latencies are not, since the third is not warm yet.
 #[rstest]
 #[case::failures_compare((60, 30, 60.0), true)]
 #[case::latencies_do_not((60, 0, 150.0), false)]
--- a/crates/policy/tests/policy/voting.rs
+++ b/crates/policy/tests/policy/voting.rs
@@ -22,7 +22,7 @@
     assert!((1..20).contains(&voters), "expected 1 to 19 of 60 gateways to vote, found {voters}");
 }
 
-/// A fault that shows only under full traffic must show before the promotion.
+/// Before its promotion, a canary without a cap receives nearly all requests for a while.
 #[rstest]
 fn canary_carries_nearly_all_traffic_before_promotion() {
     let mut gateway = with_canary(TestConfig::default(), 2, 1.0, succeed);
