--- a/crates/gateway/src/gateway/event_loop.rs
+++ b/crates/gateway/src/gateway/event_loop.rs
@@ -130,8 +130,8 @@
 
     fn perform(&mut self, action: Action) {
         match action {
-            Action::SendAttempt { id, endpoint, timeout, write_within } => {
-                self.send_attempt(id, &endpoint, timeout, write_within);
+            Action::SendAttempt { id, endpoint, timeout, write_timeout } => {
+                self.send_attempt(id, &endpoint, timeout, write_timeout);
             }
             Action::Reject { id, retry_after, reason } => self.reject(id, retry_after, reason),
             Action::Fail { id, reason } => self.fail(id, reason),
--- a/crates/gateway/src/gateway/upstream_calls.rs
+++ b/crates/gateway/src/gateway/upstream_calls.rs
@@ -12,12 +12,12 @@
 use latchhaven_policy::{AttemptOutcome, CompletedAttempt, Event, LoadReporting, Millis, RequestId};
 
 impl Gateway {
-    /// Starts an attempt. One that cannot be sent ends with `NotSent`. `timeout`, `write_within`: ms from now.
+    /// Starts an attempt. One that cannot be sent ends with `NotSent`. `timeout`, `write_timeout`: ms from now.
     pub(super) fn send_attempt(
-        &mut self, id: RequestId, endpoint: &str, timeout: Option<Millis>, write_within: Option<Millis>,
+        &mut self, id: RequestId, endpoint: &str, timeout: Option<Millis>, write_timeout: Option<Millis>,
     ) {
         let now = self.clock.now();
-        let write_by = write_within.map(|within| now + within);
+        let write_by = write_timeout.map(|timeout| now + timeout);
         let Some(request) = self.requests.get_mut(id) else {
             invariant!(false, "an attempt belongs to a pending request");
             return;
--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -78,7 +78,7 @@
         timeout: Option<Millis>,
         /// ms within which the attempt must be written completely, else it is not sent: after that the endpoint may be
         /// draining, or no longer recognise the idempotency key.
-        write_within: Option<Millis>,
+        write_timeout: Option<Millis>,
     },
     /// Final answer: a retry is harmless.
     Reject {
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -277,7 +277,7 @@
         if !gate.admits(request, class, index) {
             return false;
         }
-        let write_within = gate.write_within(request, class, index);
+        let write_timeout = gate.write_within(request, class, index);
         let timeout = Some(retry::attempt_timeout(request, now));
         let warmup_factor = registry.warmup_factor(index, now);
         let endpoint = &mut self.registry.endpoints[index];
@@ -286,7 +286,7 @@
         let attempt = Attempt::new(index, endpoint, warmup_factor, now);
         self.exposure.record_attempt(attempt.version, request.class, now);
         let endpoint = endpoint.id.clone();
-        self.actions.push(Action::SendAttempt { id, endpoint, timeout, write_within });
+        self.actions.push(Action::SendAttempt { id, endpoint, timeout, write_timeout });
         self.requests.requests.entry(id).and_modify(|request| request.attempts.push(attempt));
         true
     }
--- a/crates/policy/tests/policy/list_lease.rs
+++ b/crates/policy/tests/policy/list_lease.rs
@@ -168,7 +168,7 @@
     gateway.run_for(6000.0);
     assert!(is_sent(&mut gateway));
     let limits = gateway.actions.iter().filter_map(|(_, action)| match action {
-        Action::SendAttempt { write_within, .. } => *write_within,
+        Action::SendAttempt { write_timeout, .. } => *write_timeout,
         _ => None,
     });
     let limits: Vec<Millis> = limits.collect();
--- a/crates/simulator-protocol/tests/lines.rs
+++ b/crates/simulator-protocol/tests/lines.rs
@@ -57,7 +57,7 @@
 }
 
 #[rstest]
-#[case(Action::SendAttempt { id: RequestId(7), endpoint: "a:1".into(), timeout: Some(80.0), write_within: None }, "PASS_ON handle=7 instance=a:1 max-wait-s=0.08")]
+#[case(Action::SendAttempt { id: RequestId(7), endpoint: "a:1".into(), timeout: Some(80.0), write_timeout: None }, "PASS_ON handle=7 instance=a:1 max-wait-s=0.08")]
 #[case(Action::Reject { id: RequestId(7), retry_after: Some(500.0), reason: UnservedReason::Overload { shed_probability: 0.5 } }, "DENY handle=7 retry-after-s=0.5")]
 #[case(Action::Reject { id: RequestId(7), retry_after: None, reason: UnservedReason::Overload { shed_probability: 0.5 } }, "DENY handle=7")]
 #[case(Action::Fail { id: RequestId(7), reason: UnservedReason::Overload { shed_probability: 0.5 } }, "FAIL handle=7")]
