--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -108,7 +108,7 @@
                 self.exposure.apply_rollout(rollout);
             }
             Event::VoteCompleted(VoteOutcome::NotCounted) => self.analysis.vote_is_active = false,
-            Event::WrongAnswerReported { endpoint, .. } => self.on_wrong_answer(&endpoint),
+            Event::WrongResponseReported { endpoint, .. } => self.on_wrong_answer(&endpoint),
             Event::PeerMessage { data, .. } => {
                 if let Some(version) = decode_wrong_answer(&data) {
                     self.analysis.record_wrong_answer(version);
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -163,7 +163,7 @@
     /// Other senders' counts at one endpoint over a period.
     EndpointOutcomesReported(EndpointOutcomes),
     /// A client reported a wrong answer.
-    WrongAnswerReported {
+    WrongResponseReported {
         /// The endpoint that sent it.
         endpoint: String,
         /// The name of the request's class.
--- a/crates/policy/tests/policy/reports.rs
+++ b/crates/policy/tests/policy/reports.rs
@@ -114,7 +114,7 @@
         let (endpoint, class) = ("a30".to_string(), "look".to_string());
         let relayed = Event::PeerMessage { from: k, data: version.0.to_be_bytes().to_vec() };
         gateway.deliver(if own {
-            Event::WrongAnswerReported { endpoint, class, age: 1000.0 }
+            Event::WrongResponseReported { endpoint, class, age: 1000.0 }
         } else {
             relayed
         });
--- a/crates/policy/tests/policy/robustness.rs
+++ b/crates/policy/tests/policy/robustness.rs
@@ -57,7 +57,7 @@
         connected_at: None,
     }));
     gateway.deliver(Event::ClientDisconnected { id: RequestId(4242) });
-    gateway.deliver(Event::WrongAnswerReported {
+    gateway.deliver(Event::WrongResponseReported {
         endpoint: "nobody".into(),
         class: "none".into(),
         age: -1.0,
--- a/crates/simulator-protocol/src/messages.rs
+++ b/crates/simulator-protocol/src/messages.rs
@@ -83,7 +83,7 @@
         "PEER_DATA" => Event::PeerMessage { from: fields.number("by")?, data: fields.bytes("payload")? },
         "SHIP_STATE" => rollout_event(fields)?,
         "DIGEST" => Event::OutcomesReported(outcome_report(fields)?),
-        "REPORTED_WRONG" => Event::WrongAnswerReported {
+        "REPORTED_WRONG" => Event::WrongResponseReported {
             endpoint: fields.owned("instance")?,
             class: fields.owned("profile")?,
             age: fields.ms("age-s")?,
--- a/crates/simulator-protocol/tests/lines.rs
+++ b/crates/simulator-protocol/tests/lines.rs
@@ -38,7 +38,7 @@
 #[case("DIGEST rel=4 profile=pay count=8 errors=2 duration-s=0.5 age-s=1",
     Event::OutcomesReported(OutcomeReport { version: Version(4), class: "pay".into(), attempts: 8, failures: 2, mean_latency: Some(500.0), age: 1000.0 }))]
 #[case("REPORTED_WRONG instance=a:1 profile=pay age-s=2",
-    Event::WrongAnswerReported { endpoint: "a:1".into(), class: "pay".into(), age: 2000.0 })]
+    Event::WrongResponseReported { endpoint: "a:1".into(), class: "pay".into(), age: 2000.0 })]
 #[case("JOB_IN handle=7 profile=pay ttl-s=0.5 again-by-client=1 target-key=k:1 mutates=0 realm=0",
     Event::RequestReceived(IncomingRequest { id: RequestId(7), class: "pay".into(), tenant: None, sticky_key: Some("k:1".into()), time_remaining: 500.0, queued_for: 0.0, expected_work: None,
         is_retry: true, is_write: false }))]
