--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -133,7 +133,7 @@
     /// Time after which a stage passes without votes, in [`VoteMode::Clocked`].
     pub auto_promote_after: Millis,
     /// Timeout of a vote's answer.
-    pub answer_timeout: Millis,
+    pub reply_timeout: Millis,
     /// Baseline endpoints remain until the version is promoted.
     pub keeps_baseline: bool,
 }
--- a/crates/simulator-protocol/src/settings/mod.rs
+++ b/crates/simulator-protocol/src/settings/mod.rs
@@ -181,7 +181,7 @@
             vote_lease: ms(rollout.vote_lease),
             min_stage_duration: ms(rollout.min_stage_duration),
             auto_promote_after: ms(rollout.auto_promote_after),
-            answer_timeout: ms(rollout.answer_timeout),
+            reply_timeout: ms(rollout.answer_timeout),
             keeps_baseline: rollout.style == schema::RolloutStyle::SideBySide,
         }
     }
