--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -20,7 +20,7 @@
 use crate::state::endpoint::{EndpointIndex, Metric};
 use crate::state::evidence::OutcomeCounts;
 use crate::state::exposure::ExposureLimiter;
-use crate::state::registry::{EndpointRegistry, Sides};
+use crate::state::registry::{EndpointRegistry, VersionGroups};
 use crate::state::requests::{Attempt, RequestTable};
 use crate::state::timer::TickTimer;
 use crate::statistics::indicator;
@@ -246,7 +246,7 @@
     }
 
     /// Ready endpoints by side; `is_subset`: only those of this gateway's subset.
-    pub(crate) fn partition(&self, is_subset: bool) -> Sides {
+    pub(crate) fn partition(&self, is_subset: bool) -> VersionGroups {
         let lowest_version = self.registry.lowest_version;
         self.registry.partition(is_subset, |version| self.exposure.canary(version, lowest_version).is_some())
     }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -16,7 +16,7 @@
 use crate::slow_start::{ARRIVAL_RETENTION, RATE_WINDOW};
 use crate::state::canary::AnalysisView;
 use crate::state::endpoint::EndpointIndex;
-use crate::state::registry::Sides;
+use crate::state::registry::VersionGroups;
 use crate::state::requests::{Attempt, Request};
 use crate::statistics::indicator;
 use crate::time::Millis;
@@ -241,7 +241,7 @@
     }
 
     /// Sends a request to one of some endpoints; false where none is available to it.
-    fn route(&mut self, id: RequestId, sides: &Sides, now: Millis) -> bool {
+    fn route(&mut self, id: RequestId, sides: &VersionGroups, now: Millis) -> bool {
         let coin = self.rng.random::<f64>();
         let is_canary_first = routing::is_canary_first(coin, &self.coin_inputs(sides));
         let is_rolling_back = self.exposure.is_rolling_back();
@@ -255,7 +255,7 @@
         chosen.is_some_and(|index| self.send_attempt(id, index, now))
     }
 
-    fn coin_inputs(&self, sides: &Sides) -> CoinInputs {
+    fn coin_inputs(&self, sides: &VersionGroups) -> CoinInputs {
         CoinInputs {
             canary_endpoint_share: sides.canary_endpoint_share(),
             canary_load: self.registry.endpoints.mean_in_flight(&sides.canary),
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -15,7 +15,7 @@
 use crate::rollout::RolloutPhase;
 use crate::state::endpoint::EndpointIndex;
 use crate::state::exposure::ExposureLimiter;
-use crate::state::registry::{EndpointRegistry, Sides};
+use crate::state::registry::{EndpointRegistry, VersionGroups};
 use crate::state::requests::{Attempt, Request};
 use crate::statistics::{half_life_decay, indicator};
 use crate::time::Millis;
@@ -62,7 +62,7 @@
 /// Endpoints that are warming up, of both sides; none of a canary that is being rolled back. They are tried before either
 /// side: their slow start budget is small and randomly distributed over gateways.
 pub(crate) fn warming_endpoints(
-    sides: &Sides, registry: &EndpointRegistry, is_rolling_back: bool, now: Millis,
+    sides: &VersionGroups, registry: &EndpointRegistry, is_rolling_back: bool, now: Millis,
 ) -> Vec<EndpointIndex> {
     let canary = if is_rolling_back { &[] } else { sides.canary.as_slice() };
     let eligible = sides.baseline.iter().chain(canary).copied();
--- a/crates/policy/src/state/canary.rs
+++ b/crates/policy/src/state/canary.rs
@@ -9,7 +9,7 @@
 use crate::rollout::{RolloutPhase, RolloutState, Verdict, Version};
 use crate::state::endpoint::{EndpointIndex, MetricMoments};
 use crate::state::evidence::{BySide, ClassEvidence, CommonFailures, OutcomeCounts, WeightedEvidence};
-use crate::state::registry::{EndpointRegistry, EndpointTable, Sides};
+use crate::state::registry::{EndpointRegistry, EndpointTable, VersionGroups};
 use crate::time::Millis;
 
 /// A vote that was cast.
@@ -149,7 +149,7 @@
 impl AnalysisView {
     /// The endpoints at `now`; `load_window`: ms over which load is counted.
     #[must_use]
-    pub fn new(registry: &EndpointRegistry, sides: Sides, load_window: Millis, now: Millis) -> Self {
+    pub fn new(registry: &EndpointRegistry, sides: VersionGroups, load_window: Millis, now: Millis) -> Self {
         let warmup = |index: &EndpointIndex| registry.warmup_factor(*index, now);
         let warmup: Vec<f64> = sides.canary.iter().map(warmup).collect();
         AnalysisView {
--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -18,5 +18,5 @@
     BySide, ClassEvidence, CommonFailures, ComparableCounts, OutcomeCounts, WeightedEvidence,
 };
 pub use exposure::ExposureLimiter;
-pub use registry::{EndpointRegistry, EndpointTable, Sides};
+pub use registry::{EndpointRegistry, EndpointTable, VersionGroups};
 pub use requests::{Attempt, Request, RequestTable, ServiceLevel};
--- a/crates/policy/src/state/registry.rs
+++ b/crates/policy/src/state/registry.rs
@@ -121,14 +121,14 @@
 }
 
 /// Ready endpoints, by whether their version is a canary.
-pub struct Sides {
+pub struct VersionGroups {
     /// Those of canaries.
     pub canary: Vec<EndpointIndex>,
     /// All others.
     pub baseline: Vec<EndpointIndex>,
 }
 
-impl Sides {
+impl VersionGroups {
     /// The share of the endpoints that are canaries'.
     #[must_use]
     pub fn canary_endpoint_share(&self) -> f64 {
@@ -269,13 +269,13 @@
     }
 
     /// Ready endpoints by side; `only_subset`: only those of this gateway's subset.
-    pub fn partition(&self, only_subset: bool, is_canary: impl Fn(Version) -> bool) -> Sides {
+    pub fn partition(&self, only_subset: bool, is_canary: impl Fn(Version) -> bool) -> VersionGroups {
         let is_mine = |index: &EndpointIndex| {
             !only_subset || self.endpoints[*index].subset_position < self.subset_share
         };
         let ready = self.endpoints.ready().filter(is_mine);
         let (canary, baseline) = ready.partition(|index| is_canary(self.endpoints[*index].version));
-        Sides { canary, baseline }
+        VersionGroups { canary, baseline }
     }
 
     /// All listed endpoints at `now` in ms.
