--- a/crates/policy/src/canary.rs
+++ b/crates/policy/src/canary.rs
@@ -67,7 +67,7 @@
         if is_answer {
             endpoint.metrics[Metric::Correctness].add(indicator(is_success));
         }
-        let answered_others = endpoint.last_answer_at >= attempt.sent_at;
+        let answered_others = endpoint.last_response_at >= attempt.sent_at;
         let is_evidence = is_answer || (outcome == AttemptOutcome::Timeout && answered_others);
         // An endpoint that warms up is no slow version: latencies are scaled to full capacity.
         let warm_latency = elapsed * attempt.warmup_factor;
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -161,7 +161,7 @@
         }
         registry.lease.fail(failure, &registry.discovery, now);
         if failure.may_have_lost_update {
-            registry.limit_proofs(ListLease::proof_limit(&registry.discovery, now));
+            registry.limit_readiness_evidence(ListLease::proof_limit(&registry.discovery, now));
         }
         let delay = discovery_calls::retry_delay(
             registry.failed_calls,
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -60,7 +60,7 @@
 pub(crate) fn record_reported_errors(
     endpoint: &mut Endpoint, attempts: f64, error_rate: f64, now: Millis,
 ) -> Option<EjectionReason> {
-    endpoint.record_answers(attempts, error_rate, RUNNING_MEAN_WEIGHT, now);
+    endpoint.record_reported_outcomes(attempts, error_rate, RUNNING_MEAN_WEIGHT, now);
     if endpoint.error_rate > MAX_ERROR_RATE {
         return Some(EjectionReason::ReportedErrors);
     }
@@ -78,7 +78,7 @@
         Cancelled, ConnectFailed, ConnectionLost, Error, NotSent, Rejected, Success, Timeout,
     };
     if matches!(outcome, Success | Error) {
-        endpoint.record_answer(outcome == Error, RUNNING_MEAN_WEIGHT, now);
+        endpoint.record_response(outcome == Error, RUNNING_MEAN_WEIGHT, now);
     }
     endpoint.consecutive_timeouts += u32::from(matches!(outcome, Timeout | ConnectFailed | ConnectionLost));
     let is_unresponsive = endpoint.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS;
@@ -90,10 +90,10 @@
         Success => {
             endpoint.ejection_count = 0;
             let step = 1.0 - lateness_ratio.min(HEAVY_WORK_FACTOR);
-            endpoint.move_concurrency_limit(CONCURRENCY_LIMIT_GAIN * step);
+            endpoint.adjust_concurrency_limit(CONCURRENCY_LIMIT_GAIN * step);
         }
         Rejected | Timeout => {
-            endpoint.move_concurrency_limit(CONCURRENCY_LIMIT_GAIN * (1.0 - HEAVY_WORK_FACTOR));
+            endpoint.adjust_concurrency_limit(CONCURRENCY_LIMIT_GAIN * (1.0 - HEAVY_WORK_FACTOR));
         }
         Error | Cancelled | ConnectFailed | ConnectionLost | NotSent => {}
     }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -107,7 +107,7 @@
         let Some(attempt) = self.requests.complete_attempt(completed) else { return };
         let is_same_incarnation = self.registry.endpoints[attempt.endpoint].release(attempt.incarnation);
         if is_same_incarnation && outcome == AttemptOutcome::Success {
-            self.registry.record_proof(attempt.endpoint, connected_at, attempt.sent_at);
+            self.registry.record_readiness_evidence(attempt.endpoint, connected_at, attempt.sent_at);
         }
         let failure_rate = &mut self.requests.connect_failure_rate;
         let failed = indicator(outcome == AttemptOutcome::ConnectFailed);
@@ -281,7 +281,7 @@
                 in_flight: endpoint.in_flight,
                 crosses_zones: has_zone_cost && endpoint.zone != self.zone,
                 latency_bias: endpoint.latency_bias,
-                latency_bias_age: now - endpoint.latency_bias_at,
+                latency_bias_age: now - endpoint.latency_bias_updated_at,
                 capacity: registry.capacity(index, now),
             };
             load.value()
--- a/crates/policy/src/state/canary.rs
+++ b/crates/policy/src/state/canary.rs
@@ -155,7 +155,7 @@
         AnalysisView {
             mean_canary_warmup: warmup.iter().sum::<f64>() / warmup.len().max(1) as f64,
             min_canary_warmup: warmup.into_iter().fold(1.0, f64::min),
-            load: registry.arrivals_per_answering_endpoint(now - load_window),
+            load: registry.arrivals_per_responding_endpoint(now - load_window),
             canary: sides.canary,
             baseline: sides.baseline,
             now,
--- a/crates/policy/src/state/endpoint.rs
+++ b/crates/policy/src/state/endpoint.rs
@@ -84,9 +84,9 @@
     /// Attempts that may be in flight there.
     pub concurrency_limit: f64,
     /// When it last answered this gateway, or another sender by its report, in ms.
-    pub last_answer_at: Millis,
+    pub last_response_at: Millis,
     /// Until when, in ms, its answers prove that it is neither draining nor replaced.
-    pub proof_expires_at: Millis,
+    pub readiness_evidence_expires_at: Millis,
     /// Running mean of the share of its answers that are errors.
     pub error_rate: f64,
     /// Until when it is ejected, in ms.
@@ -100,7 +100,7 @@
     /// Running mean of the log of the ratio of its latencies to the usual ones: the negative of its speed.
     pub latency_bias: f64,
     /// When that was updated, in ms.
-    pub latency_bias_at: Millis,
+    pub latency_bias_updated_at: Millis,
     /// Attempts that this gateway may still send while it warms up.
     pub slow_start_tokens: f64,
     /// A random position from 0 to 1; the gateway's subset consists of those below the subset's share.
@@ -125,19 +125,19 @@
     }
 
     /// Records an answer; `weight`: that of the newest answer in its error rate.
-    pub fn record_answer(&mut self, is_error: bool, weight: f64, now: Millis) {
-        self.last_answer_at = now;
+    pub fn record_response(&mut self, is_error: bool, weight: f64, now: Millis) {
+        self.last_response_at = now;
         self.consecutive_timeouts = 0;
         self.error_rate += weight * (indicator(is_error) - self.error_rate);
     }
 
     /// Records answers to other senders, and the share of them that were errors; `weight` as in
-    /// [`Endpoint::record_answer`].
-    pub fn record_answers(&mut self, attempts: f64, error_rate: f64, weight: f64, now: Millis) {
+    /// [`Endpoint::record_response`].
+    pub fn record_reported_outcomes(&mut self, attempts: f64, error_rate: f64, weight: f64, now: Millis) {
         let decay = (1.0 - weight).powf(attempts);
         self.error_rate = decay * self.error_rate + (1.0 - decay) * error_rate;
         if error_rate < 1.0 {
-            self.last_answer_at = now;
+            self.last_response_at = now;
         }
     }
 
@@ -146,7 +146,7 @@
     pub fn record_speed(&mut self, relative_speed: f64, weight: f64, answered_at: Millis) {
         self.metrics[Metric::Speed].add(relative_speed);
         self.latency_bias += weight * (-relative_speed - self.latency_bias);
-        self.latency_bias_at = answered_at;
+        self.latency_bias_updated_at = answered_at;
     }
 
     /// Counts an attempt as ended; false where it was sent to an earlier incarnation.
@@ -167,7 +167,7 @@
 
     /// Moves the concurrency limit by `step` attempts. It never falls below 1, and grows only up to twice (attempts in flight
     /// plus one); a limit already above that does not grow.
-    pub fn move_concurrency_limit(&mut self, step: f64) {
+    pub fn adjust_concurrency_limit(&mut self, step: f64) {
         let max = 2.0 * f64::from(self.in_flight + 1).max(self.concurrency_limit / 2.0);
         self.concurrency_limit = (self.concurrency_limit + step).clamp(1.0, max);
     }
@@ -177,7 +177,7 @@
         self.incarnation += 1;
         self.in_flight = 0;
         self.concurrency_limit = concurrency_limit;
-        self.proof_expires_at = f64::NEG_INFINITY;
+        self.readiness_evidence_expires_at = f64::NEG_INFINITY;
         self.error_rate = 0.0;
         self.ejected_until = 0.0;
         self.ejection_count = 0;
--- a/crates/policy/src/state/registry.rs
+++ b/crates/policy/src/state/registry.rs
@@ -176,24 +176,24 @@
 
     /// Until when attempts may be sent to a ready endpoint, in ms: by the list's lease or by its own proof.
     pub(crate) fn lease_expires_at(&self, index: EndpointIndex) -> Millis {
-        self.lease.expires_at().max(self.endpoints[index].proof_expires_at)
+        self.lease.expires_at().max(self.endpoints[index].readiness_evidence_expires_at)
     }
 
     /// Records that an endpoint has answered an attempt; `connected_at`: when its connection was established, in ms.
-    pub(crate) fn record_proof(
+    pub(crate) fn record_readiness_evidence(
         &mut self, index: EndpointIndex, connected_at: Option<Millis>, sent_at: Millis,
     ) {
         let Some(expires_at) = self.lease.proof_expires_at(connected_at, sent_at, &self.discovery) else {
             return;
         };
         let endpoint = &mut self.endpoints[index];
-        endpoint.proof_expires_at = endpoint.proof_expires_at.max(expires_at);
+        endpoint.readiness_evidence_expires_at = endpoint.readiness_evidence_expires_at.max(expires_at);
     }
 
     /// An update may have been lost: earlier proofs expire at `limit` at the latest, in ms.
-    pub(crate) fn limit_proofs(&mut self, limit: Millis) {
+    pub(crate) fn limit_readiness_evidence(&mut self, limit: Millis) {
         for endpoint in self.endpoints.iter_mut() {
-            endpoint.proof_expires_at = endpoint.proof_expires_at.min(limit);
+            endpoint.readiness_evidence_expires_at = endpoint.readiness_evidence_expires_at.min(limit);
         }
     }
 
@@ -349,8 +349,8 @@
 
     /// Arrivals since a time in ms per ready endpoint that has answered since.
     #[must_use]
-    pub fn arrivals_per_answering_endpoint(&self, since: Millis) -> f64 {
-        let answers = |index: &EndpointIndex| self.endpoints[*index].last_answer_at > since;
+    pub fn arrivals_per_responding_endpoint(&self, since: Millis) -> f64 {
+        let answers = |index: &EndpointIndex| self.endpoints[*index].last_response_at > since;
         let answering = self.endpoints.ready().filter(answers).count();
         self.arrivals.count_since(since) as f64 / answering.max(1) as f64
     }
--- a/crates/policy/src/state/requests.rs
+++ b/crates/policy/src/state/requests.rs
@@ -72,7 +72,7 @@
     /// Its endpoint has answered something, in the same incarnation, since it was sent.
     #[must_use]
     pub fn is_followed_by_answer(&self, endpoint: &Endpoint) -> bool {
-        endpoint.incarnation == self.incarnation && endpoint.last_answer_at >= self.sent_at
+        endpoint.incarnation == self.incarnation && endpoint.last_response_at >= self.sent_at
     }
 }
 
