--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -88,7 +88,7 @@
         }
         self.exposure.record_arrival(class, now - incoming.queued_for);
         self.requests.add_early_retry_budget(EARLY_RETRY_BUDGET_PER_REQUEST, MAX_EARLY_RETRY_BUDGET);
-        let longest_timeout = self.requests.record_timeout(class, incoming.time_remaining);
+        let longest_timeout = self.requests.record_client_timeout(class, incoming.time_remaining);
         let objective = admission::remaining_objective(&incoming, &self.classes[class], longest_timeout);
         let draw = self.rng.random::<f64>();
         let tenant_shed_probability = self.shed_probability(incoming.tenant.as_deref(), now);
@@ -151,7 +151,7 @@
             let quality = if is_success { admission::service_quality(time_left) } else { 0.0 };
             return self.close(id, quality, now);
         }
-        if !request.is_open() || request.attempts_in_flight() > 0 {
+        if !request.awaits_response() || request.attempts_in_flight() > 0 {
             return;
         }
         if !admission::is_within_objective(request, now) || !self.can_retry(id) {
@@ -182,7 +182,12 @@
             let attempt = retry::unresponsive_attempt(request, class, typical_latency, endpoints, now)?;
             Some((*id, attempt))
         };
-        self.requests.requests.iter().filter(|(_, request)| request.is_open()).filter_map(find).collect()
+        self.requests
+            .requests
+            .iter()
+            .filter(|(_, request)| request.awaits_response())
+            .filter_map(find)
+            .collect()
     }
 
     /// A request waits at an unresponsive endpoint: hedged where permitted, else cancelled to be sent again.
@@ -303,7 +308,7 @@
 
     /// The gate of final answers without a result, to requests of a known class.
     pub(crate) fn answer_unserved(&mut self, id: RequestId, reason: UnservedReason, now: Millis) {
-        let Some(request) = self.requests.unanswered(id) else { return };
+        let Some(request) = self.requests.pending(id) else { return };
         let class = &self.classes[request.class];
         let max_retry_after = self.permissions.max_retry_after;
         self.actions.push(admission::unserved_answer(id, request, class, max_retry_after, reason));
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -40,7 +40,7 @@
     let patience = patience(class, typical_latency, request.expected_work);
     let is_unresponsive = |attempt: &Attempt| {
         let is_late = attempt.outcome.is_none() && now - attempt.sent_at >= patience;
-        is_late && !attempt.is_followed_by_answer(&endpoints[attempt.endpoint])
+        is_late && !attempt.is_followed_by_response(&endpoints[attempt.endpoint])
     };
     request.attempts.iter().position(is_unresponsive)
 }
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -102,7 +102,7 @@
     /// Whether one more attempt at a request may be sent at all.
     fn admits_attempt(&self, request: &Request, class: &RequestClass) -> bool {
         let dedup_window_left = request.dedup_window_left(class, SAFETY_MARGIN, self.now);
-        request.is_open()
+        request.awaits_response()
             && self.now < request.deadline
             && request.attempts.len() < self.permissions.max_attempts
             && (request.attempts_in_flight() == 0 || self.permissions.hedging)
--- a/crates/policy/src/state/requests.rs
+++ b/crates/policy/src/state/requests.rs
@@ -71,7 +71,7 @@
 
     /// Its endpoint has answered something, in the same incarnation, since it was sent.
     #[must_use]
-    pub fn is_followed_by_answer(&self, endpoint: &Endpoint) -> bool {
+    pub fn is_followed_by_response(&self, endpoint: &Endpoint) -> bool {
         endpoint.incarnation == self.incarnation && endpoint.last_response_at >= self.sent_at
     }
 }
@@ -121,7 +121,7 @@
 
     /// The gateway may give its final answer.
     #[must_use]
-    pub fn is_open(&self) -> bool {
+    pub fn awaits_response(&self) -> bool {
         !self.is_streaming && !self.is_closed
     }
 
@@ -235,7 +235,7 @@
     /// Open requests whose deadline has passed.
     #[must_use]
     pub fn overdue(&self, now: Millis) -> Vec<RequestId> {
-        let is_overdue = |request: &Request| request.is_open() && now >= request.deadline;
+        let is_overdue = |request: &Request| request.awaits_response() && now >= request.deadline;
         let overdue = self.requests.iter().filter(|(_, request)| is_overdue(request));
         overdue.map(|(id, _)| *id).collect()
     }
@@ -252,7 +252,7 @@
     }
 
     /// Records the time in ms that a client left to a request of a class; returns the longest so far.
-    pub fn record_timeout(&mut self, class: usize, time_remaining: Millis) -> Millis {
+    pub fn record_client_timeout(&mut self, class: usize, time_remaining: Millis) -> Millis {
         let longest = &mut self.longest_timeout[class];
         *longest = longest.max(time_remaining);
         *longest
@@ -265,7 +265,7 @@
 
     /// A request, if it has no final answer yet.
     #[must_use]
-    pub fn unanswered(&self, id: RequestId) -> Option<&Request> {
+    pub fn pending(&self, id: RequestId) -> Option<&Request> {
         self.requests.get(&id).filter(|request| !request.is_closed)
     }
 
