--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -98,7 +98,7 @@
     /// Each class is counted separately.
     pub per_class: bool,
     /// Stages, from the first, in which only idempotent requests may go to a canary.
-    pub closed_stages: u32,
+    pub idempotent_only_stages: u32,
     /// A key that a canary has answered may not return to an earlier version.
     pub sticky_keys: bool,
 }
--- a/crates/policy/src/exposure.rs
+++ b/crates/policy/src/exposure.rs
@@ -28,7 +28,7 @@
         }
         let Some(canary) = self.canary(version, lowest_version) else { return true };
         let is_stage_open =
-            canary.stage >= self.config.closed_stages || idempotency == Idempotency::Idempotent;
+            canary.stage >= self.config.idempotent_only_stages || idempotency == Idempotency::Idempotent;
         let since = now - self.config.window;
         let attempts = self.attempts_since(version, request.class, since - SAFETY_MARGIN) + 1;
         let arrivals = self.arrivals_since(request.class, since + SAFETY_MARGIN);
--- a/crates/policy/tests/policy/exposure.rs
+++ b/crates/policy/tests/policy/exposure.rs
@@ -58,7 +58,7 @@
 #[case::closed_stage(0, 0.5, "pay")]
 fn closed_stage_or_zero_cap_gets_no_attempt(#[case] stage: u32, #[case] cap: f64, #[case] class: &str) {
     let mut config = TestConfig::default();
-    config.exposure.closed_stages = 1;
+    config.exposure.idempotent_only_stages = 1;
     let mut gateway = with_canary(config, stage, cap, succeed);
     (0..200).for_each(|_| {
         gateway.request(class, None);
--- a/crates/proxy-config/src/proxy_config/routes.rs
+++ b/crates/proxy-config/src/proxy_config/routes.rs
@@ -102,7 +102,7 @@
     fn max_canary_share(&self, canary: &Canary, class: usize, min_requests: f64) -> f64 {
         let exposure = &self.settings.exposure;
         let is_idempotent = self.settings.classes[class].idempotency == Idempotency::Idempotent;
-        let is_open = canary.stage >= exposure.closed_stages || is_idempotent;
+        let is_open = canary.stage >= exposure.idempotent_only_stages || is_idempotent;
         let safe_share =
             if is_open { max_safe_share(canary.traffic_cap, exposure.allowance, min_requests) } else { 0.0 };
         self.proxy_shares.remaining_share(class, safe_share, self.now)
--- a/crates/proxy-config/tests/proxy_config.rs
+++ b/crates/proxy-config/tests/proxy_config.rs
@@ -41,7 +41,7 @@
             stage_caps: vec![0.1, 1.0],
             window: 2000.0,
             per_class: false,
-            closed_stages: 1,
+            idempotent_only_stages: 1,
             sticky_keys: true,
         },
         slow_start: SlowStartConfig {
--- a/crates/simulator-protocol/src/settings/mod.rs
+++ b/crates/simulator-protocol/src/settings/mod.rs
@@ -162,7 +162,7 @@
             stage_caps: rollout.stage_caps.clone(),
             window: ms(rollout.window),
             per_class: rollout.exposure_scope == schema::ExposureScope::PerClass,
-            closed_stages: rollout.closed_stages,
+            idempotent_only_stages: rollout.closed_stages,
             sticky_keys: rollout.sticky_keys,
         }
     }
