--- a/crates/policy/tests/policy/admission.rs
+++ b/crates/policy/tests/policy/admission.rs
@@ -36,7 +36,7 @@
     gateway.serve_for(100.0, 1);
     let id = gateway.request_from(None, "look", is_retry, time_remaining);
     gateway.run_for(30.0);
-    assert_eq!((gateway.endpoints_tried(id).is_empty(), gateway.answers.contains_key(&id)), (!sent, !sent));
+    assert_eq!((gateway.endpoints_tried(id).is_empty(), gateway.unserved.contains_key(&id)), (!sent, !sent));
     // Attempts time out at the latency objective, so that endpoints may drop them before they begin.
     let beyond = |action: &Action| matches!(action, Action::SendAttempt { timeout: limit, .. } if limit.is_none_or(|l| l > 500.0));
     assert!(!gateway.actions.iter().any(|(_, action)| beyond(action)));
@@ -50,7 +50,7 @@
     });
     gateway.serve_for(8000.0, 1);
     let mut rejected = 0;
-    for (id, answers) in &gateway.answers {
+    for (id, answers) in &gateway.unserved {
         rejected += 1;
         assert_eq!(answers.len(), 1);
         assert!(!gateway.succeeded.contains_key(id));
@@ -79,10 +79,10 @@
     };
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, behavior);
     gateway.serve_for(3000.0, every);
-    assert!(gateway.answers.is_empty(), "rejected without an overload");
+    assert!(gateway.unserved.is_empty(), "rejected without an overload");
     gateway.serve_for(4000.0, every);
     let rejected = |gateway: &TestGateway, from: Millis| {
-        gateway.answers.values().filter(|answers| answers[0].0 >= from).count()
+        gateway.unserved.values().filter(|answers| answers[0].0 >= from).count()
     };
     assert!(rejected(&gateway, 105_000.0) * 2 * every > 100, "an overload is shed");
     gateway.serve_for(5000.0, every);
--- a/crates/policy/tests/policy/list_lease.rs
+++ b/crates/policy/tests/policy/list_lease.rs
@@ -28,7 +28,7 @@
     let id = gateway.request("look", None);
     gateway.step();
     let is_sent = !gateway.endpoints_tried(id).is_empty();
-    assert_ne!(is_sent, gateway.answers.contains_key(&id), "sent, or rejected immediately");
+    assert_ne!(is_sent, gateway.unserved.contains_key(&id), "sent, or rejected immediately");
     gateway.run_for(PAUSE);
     is_sent
 }
@@ -74,7 +74,7 @@
     gateway.deliver(failed(BROKEN));
     gateway.serve_for(30_000.0, 10);
     assert_eq!(is_sent(&mut gateway), is_used);
-    let rejected = gateway.answers.len();
+    let rejected = gateway.unserved.len();
     assert_eq!(rejected == 0, is_used, "{rejected} rejected");
 }
 
--- a/crates/policy/tests/policy/retries.rs
+++ b/crates/policy/tests/policy/retries.rs
@@ -23,7 +23,7 @@
     assert_eq!(gateway.endpoints_tried(id).len(), if is_retried { 2 } else { 1 });
     assert_eq!(gateway.succeeded.contains_key(&id), is_retried);
     assert_eq!(
-        matches!(gateway.answers.get(&id).map(|a| &a[..]), Some([(_, Action::Fail { .. })])),
+        matches!(gateway.unserved.get(&id).map(|a| &a[..]), Some([(_, Action::Fail { .. })])),
         is_failed
     );
 }
@@ -39,7 +39,7 @@
             gateway.endpoints_tried(id).iter().map(|name| name[..1].to_string()).collect();
         assert_eq!(zones.len(), 3);
         assert!(zones.iter().all(|zone| *zone == zones[0]), "{zones:?}");
-        assert!(matches!(gateway.answers[&id][..], [(_, Action::Fail { .. })]));
+        assert!(matches!(gateway.unserved[&id][..], [(_, Action::Fail { .. })]));
     }
 }
 
@@ -56,8 +56,8 @@
     let received_at = gateway.now;
     gateway.run_for(3000.0);
     for id in ids {
-        let [(at, answer)] = &gateway.answers[&id][..] else {
-            panic!("not exactly one final answer: {:?}", gateway.answers[&id])
+        let [(at, answer)] = &gateway.unserved[&id][..] else {
+            panic!("not exactly one final answer: {:?}", gateway.unserved[&id])
         };
         assert!(*at <= received_at + 2000.0 + 10.0);
         assert!(
--- a/crates/policy/tests/policy/robustness.rs
+++ b/crates/policy/tests/policy/robustness.rs
@@ -22,7 +22,7 @@
     gateway.serve_for(1000.0, 2);
     assert!(!gateway.actions.iter().any(|(_, action)| matches!(action, Action::Log(_))));
     let after = gateway.now - 1000.0;
-    let late = gateway.answers.values().flatten().filter(|(at, _)| *at > after + 50.0).count();
+    let late = gateway.unserved.values().flatten().filter(|(at, _)| *at > after + 50.0).count();
     assert_eq!(late, 0, "no rejection for its own stall");
 }
 
@@ -80,7 +80,7 @@
     let unknown = gateway.request("unheard-of", None);
     let id = gateway.request("pay", None);
     gateway.run_for(300.0);
-    assert!(matches!(gateway.answers[&unknown][..], [(_, Action::Fail { .. })]));
+    assert!(matches!(gateway.unserved[&unknown][..], [(_, Action::Fail { .. })]));
     assert!(gateway.succeeded.contains_key(&id));
 }
 
--- a/crates/policy/tests/policy/routing.rs
+++ b/crates/policy/tests/policy/routing.rs
@@ -29,7 +29,7 @@
     let id = gateway.request("pay", None);
     gateway.run_for(2000.0);
     assert!(gateway.endpoints_tried(id).is_empty());
-    assert!(matches!(gateway.answers[&id][..], [(_, Action::Reject { .. })]));
+    assert!(matches!(gateway.unserved[&id][..], [(_, Action::Reject { .. })]));
 }
 
 #[rstest]
--- a/crates/policy/tests/policy/support/mod.rs
+++ b/crates/policy/tests/policy/support/mod.rs
@@ -61,7 +61,7 @@
     events: Vec<Event>,
     pub(crate) sent: Vec<SentAttempt>,
     /// Final answers without a result, with their time.
-    pub(crate) answers: BTreeMap<RequestId, Vec<(Millis, Action)>>,
+    pub(crate) unserved: BTreeMap<RequestId, Vec<(Millis, Action)>>,
     /// When each request got its result.
     pub(crate) succeeded: BTreeMap<RequestId, Millis>,
     /// All actions, with their time.
@@ -83,7 +83,7 @@
             deadlines: BTreeMap::new(),
             events: Vec::new(),
             sent: Vec::new(),
-            answers: BTreeMap::new(),
+            unserved: BTreeMap::new(),
             succeeded: BTreeMap::new(),
             actions: Vec::new(),
             last_id: RequestId(0),
@@ -223,7 +223,7 @@
 
     fn complete(&mut self, attempt: SentAttempt, outcome: AttemptOutcome) -> Event {
         let id = attempt.id;
-        if outcome == AttemptOutcome::Success && !self.answers.contains_key(&id) {
+        if outcome == AttemptOutcome::Success && !self.unserved.contains_key(&id) {
             self.succeeded.entry(id).or_insert(self.now);
         }
         Event::AttemptCompleted(CompletedAttempt {
@@ -231,7 +231,7 @@
             attempt: attempt.number,
             endpoint: attempt.endpoint,
             outcome,
-            is_final: self.succeeded.contains_key(&id) || self.answers.contains_key(&id),
+            is_final: self.succeeded.contains_key(&id) || self.unserved.contains_key(&id),
             elapsed: self.now - attempt.at,
             load: LoadReport::default(),
             connected_at: self.connected_at,
@@ -251,7 +251,7 @@
                 }
             }
             Action::Reject { id, .. } | Action::Fail { id, .. } => {
-                self.answers.entry(*id).or_default().push((self.now, action.clone()));
+                self.unserved.entry(*id).or_default().push((self.now, action.clone()));
             }
             _ => {}
         }
