--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -1,56 +1,56 @@
-//! What a policy requires its adapter to do, and why requests get no result.
+//! The actions that a policy returns to its adapter, and the reasons for which requests end without a result.
 
 use crate::log_event::LogEvent;
 use crate::request::{AttemptOutcome, RequestId};
 use crate::rollout::{Verdict, Version};
 use crate::time::Millis;
 
-/// Why a request gets a final answer without a result, with the inputs of the rule that decided.
+/// Why a request ends without a result, with the inputs of the rule that decided.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum UnservedReason {
-    /// Load shedding: too few requests are served well.
+    /// Load shedding rejected the request on arrival, because too few recent requests met their latency objective.
     Overload {
-        /// The probability with which the request was rejected; above 1 it was certain.
+        /// The probability with which the request was rejected; from 1 on, every request is.
         shed_probability: f64,
     },
-    /// No endpoint was available to it in time.
+    /// No endpoint could take the request in time for its latency objective.
     NoEndpoint {
-        /// Endpoints that the list shows as ready.
+        /// The number of endpoints that the list shows as ready, ejected ones included.
         ready_endpoints: usize,
-        /// ms that an answer was expected to take.
+        /// The expected time from an attempt to its response.
         expected_latency: Millis,
-        /// ms left of the latency objective; below 0 after it.
+        /// Time left of the latency objective; negative once the objective has passed.
         objective_left: Millis,
     },
-    /// The endpoint list has not been confirmed for too long, and no endpoint has proven itself since.
+    /// The endpoint list was not confirmed within its lease, and no endpoint has given evidence of readiness since.
     ListExpired {
-        /// ms since the list's lease expired.
+        /// Time since the lease expired.
         expired_for: Millis,
     },
-    /// Its attempts failed, and another one is not permitted or would be late.
+    /// All attempts failed, and another one is not permitted or would miss the latency objective.
     AttemptsFailed {
-        /// Attempts sent.
+        /// The number of attempts that were sent.
         attempts: usize,
-        /// How the last attempt to end did so.
+        /// The outcome of the attempt that completed last.
         last_outcome: AttemptOutcome,
-        /// ms left of the latency objective; below 0 after it.
+        /// Time left of the latency objective; negative once the objective has passed.
         objective_left: Millis,
     },
-    /// Its deadline has passed.
+    /// The client's timeout expired before a response began.
     Overdue {
-        /// Attempts sent.
+        /// The number of attempts that were sent.
         attempts: usize,
-        /// ms since the deadline.
+        /// Time since the request's deadline.
         overdue_for: Millis,
     },
-    /// The adapter required the answer, as in a graceful shutdown.
+    /// The adapter demanded a final status, for example during a graceful shutdown.
     Abandoned,
-    /// The settings have no class of that name.
+    /// The settings define no class of the request's class name.
     UnknownClass,
 }
 
 impl UnservedReason {
-    /// The reason's name in logs, without its inputs.
+    /// The name of the variant as log lines print it, without the rule's inputs.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
@@ -65,84 +65,85 @@
     }
 }
 
-/// One thing to do; an adapter performs actions in the order returned.
+/// One instruction to the adapter, which performs actions in the order returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to an endpoint.
+    /// Send an attempt at a request. [`Event::AttemptCompleted`](crate::Event::AttemptCompleted) follows exactly once.
     SendAttempt {
-        /// The request.
+        /// The id from the request's [`IncomingRequest`](crate::IncomingRequest).
         id: RequestId,
-        /// The endpoint.
+        /// The id of the endpoint on the endpoint list.
         endpoint: String,
-        /// ms to wait for the answer; none: for as long as the client does.
+        /// How long to wait for the response; `None`: until the client's own timeout.
         timeout: Option<Millis>,
-        /// ms within which the attempt must be written completely, else it is not sent: after that the endpoint may be
-        /// draining, or no longer recognise the idempotency key.
+        /// Time within which the attempt must be written completely, or else must not be sent: afterwards the endpoint
+        /// may be draining, or may no longer recognise the idempotency key. `None` without such a limit.
         write_timeout: Option<Millis>,
     },
-    /// Final answer: a retry is harmless.
+    /// End a request with the final status "rejected": a retry by the client is harmless.
     Reject {
-        /// The request.
+        /// The id from the request's [`IncomingRequest`](crate::IncomingRequest).
         id: RequestId,
-        /// Retry-After in ms, where clients honour one.
+        /// How long the client should wait before a retry; `None` if clients honour no Retry-After.
         retry_after: Option<Millis>,
-        /// Why, for logs and counters.
+        /// The deciding rule and its inputs, for logs and counters; clients do not receive it.
         reason: UnservedReason,
     },
-    /// Final answer: failed; it may have been executed.
+    /// End a request with the final status "failed": it may have been executed.
     Fail {
-        /// The request.
+        /// The id from the request's [`IncomingRequest`](crate::IncomingRequest).
         id: RequestId,
-        /// Why, for logs and counters.
+        /// The deciding rule and its inputs, for logs and counters; clients do not receive it.
         reason: UnservedReason,
     },
-    /// Cancel one attempt.
+    /// Cancel an attempt in flight, which then completes with [`AttemptOutcome::Cancelled`] unless another outcome was
+    /// faster.
     CancelAttempt {
-        /// The request.
+        /// The id from the request's [`IncomingRequest`](crate::IncomingRequest).
         id: RequestId,
-        /// The attempt's number, from 0.
+        /// The position of the attempt among those of the request, from 0.
         attempt: u32,
     },
-    /// Set a timer.
+    /// Set a timer that fires once.
     SetTimer {
-        /// ms until it fires.
+        /// Time from the action until the timer fires.
         after: Millis,
-        /// What [`Event::TimerFired`](crate::Event::TimerFired) is to carry.
+        /// Identifies the timer; returned in [`Event::TimerFired`](crate::Event::TimerFired).
         token: String,
     },
-    /// Check an endpoint's health.
+    /// Send a health check. [`Event::HealthCheckCompleted`](crate::Event::HealthCheckCompleted) follows.
     HealthCheck {
-        /// The endpoint.
+        /// The id of the endpoint on the endpoint list.
         endpoint: String,
     },
-    /// Close idle connections to an endpoint.
+    /// Close connections to an endpoint that have no attempt in flight, so that other gateways can connect.
     CloseIdleConnections {
-        /// The endpoint.
+        /// The id of the endpoint on the endpoint list.
         endpoint: String,
     },
-    /// Send a message to another gateway.
+    /// Send a message to other gateways, which receive it as [`Event::PeerMessage`](crate::Event::PeerMessage).
     SendPeerMessage {
-        /// The receiver's index; none: all gateways.
+        /// The index of the receiving gateway; `None` sends the message to all gateways.
         to: Option<u32>,
-        /// The content.
+        /// The content, encoded by the policy and opaque to the adapter.
         data: Vec<u8>,
     },
-    /// Open a watch on the endpoint list, or end it.
+    /// Open or close the watch that delivers changes of the endpoint list.
     WatchEndpoints {
-        /// False: end it.
+        /// `true` opens the watch, `false` closes it.
         enabled: bool,
     },
-    /// Fetch the complete endpoint list once.
+    /// Fetch a snapshot of the endpoint list, without a watch.
     FetchEndpoints,
-    /// Vote on a version.
+    /// Vote on the rollout of a version. [`Event::VoteCompleted`](crate::Event::VoteCompleted) follows.
     CastVote {
-        /// The version.
+        /// The version that is voted on.
         version: Version,
-        /// The stage of its rollout, from 0.
+        /// The stage of the version's rollout for which the vote counts, from 0.
         stage: u32,
-        /// The vote.
+        /// The decision that the gateway votes for.
         verdict: Verdict,
     },
-    /// Print an event for the operators.
+    /// Write an event to the operators' log.
     Log(LogEvent),
 }
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -1,174 +1,183 @@
-//! Events that an adapter passes to the policy. Times are in ms.
+//! Events that an adapter passes to the policy.
+//!
+//! Requests are identified by the id of their [`IncomingRequest`], endpoints by their id on the endpoint list, classes
+//! by their name in the settings. An event that names an unknown one is ignored, but a request of an unknown class is
+//! failed.
 
 use crate::endpoint::{EndpointEntry, UpdateFailure, UpdateKind};
 use crate::request::{AttemptOutcome, LoadReport, RequestId};
 use crate::rollout::{RolloutState, Version, VoteOutcome};
 use crate::time::Millis;
 
-/// A client's request on arrival.
+/// A request that a client sent, at the time when the adapter received it completely.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IncomingRequest {
-    /// Its id.
+    /// Assigned by the adapter; unique among the requests that it has not completed.
     pub id: RequestId,
-    /// The name of its class.
+    /// The name of the request's class; a request of a class that the settings do not define is failed.
     pub class: String,
-    /// The tenant that sent it, where requests have tenants.
+    /// The tenant that sent the request, whose overload does not affect other tenants; `None` if the client names none.
     pub tenant: Option<String>,
-    /// Its sticky key: one that a canary has answered may not go to an earlier version.
+    /// Once a canary has served a request with this key, later ones with the same key may not go to an earlier version.
     pub sticky_key: Option<String>,
-    /// Time left of the client's timeout.
+    /// Time until the client's timeout expires.
     pub time_remaining: Millis,
-    /// Time that it was queued before this event.
+    /// Time from the request's arrival until this event, for example behind others on its connection.
     pub queued_for: Millis,
-    /// The client's estimate of its work.
+    /// The client's estimate of the time that an endpoint without other load needs; `None` if it gives none.
     pub expected_work: Option<Millis>,
-    /// The client has sent it before.
+    /// Set when the client has sent the request before; load shedding rejects retries first.
     pub is_retry: bool,
-    /// It writes data.
+    /// Set when the request changes data. Whether it may be sent again is decided by its class alone.
     pub is_write: bool,
 }
 
-/// An attempt that ended.
+/// The outcome of an attempt. One event follows for each [`Action::SendAttempt`](crate::Action::SendAttempt).
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompletedAttempt {
-    /// The request.
+    /// The id of the request that the attempt belongs to.
     pub id: RequestId,
-    /// The attempt's number, from 0.
+    /// The position of the attempt among those of the request, from 0.
     pub attempt: u32,
-    /// The endpoint that it was sent to.
+    /// The id of the endpoint that the attempt was sent to.
     pub endpoint: String,
-    /// Its outcome.
+    /// How the attempt ended, which decides whether the request may be executed again.
     pub outcome: AttemptOutcome,
-    /// The request has its final answer.
+    /// Set when the request now has its final status, or needs none because its client has disconnected.
     pub is_final: bool,
-    /// Time since the attempt was sent.
+    /// Time from the action that sent the attempt until its outcome.
     pub elapsed: Millis,
-    /// The endpoint's load, where answers contain reports.
+    /// The load that the response reported; empty unless the settings have load reports in responses.
     pub load: LoadReport,
-    /// When its connection was established; none where unknown.
+    /// When the connection to the endpoint was established; `None` if unknown. A success on a connection older than the
+    /// last confirmation of the list is evidence that the listed process is ready.
     pub connected_at: Option<Millis>,
 }
 
-/// The platform's counts for one version and class over the past period.
+/// Counts of all gateways' attempts at one version, in one class, over a reporting period.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutcomeReport {
-    /// The version.
+    /// The version that the attempts were sent to.
     pub version: Version,
-    /// The name of the class.
+    /// The name of the class that the requests belong to.
     pub class: String,
-    /// Attempts in the sample.
+    /// The number of completed attempts in the platform's sample.
     pub attempts: u64,
-    /// Attempts that failed.
+    /// The number of them that failed; a report with more failures than attempts is ignored.
     pub failures: u64,
-    /// Mean latency of the others.
+    /// Mean latency of the attempts that did not fail; `None` if unknown.
     pub mean_latency: Option<Millis>,
-    /// Time since the end of the period.
+    /// How long ago the counted attempts completed, as the sender of the report states it.
     pub age: Millis,
 }
 
-/// Other senders' counts at one endpoint over a period.
+/// Counts of other senders' attempts at one endpoint, in one class, over a reporting period.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointOutcomes {
-    /// The endpoint.
+    /// The id of the endpoint that the attempts were sent to.
     pub endpoint: String,
-    /// The name of the class.
+    /// The name of the class that the requests belong to.
     pub class: String,
-    /// Attempts.
+    /// The number of completed attempts; a report of none is ignored.
     pub attempts: u64,
-    /// Attempts that failed.
+    /// The number of them that failed; a report with more failures than attempts is ignored.
     pub failures: u64,
-    /// Mean latency of those that succeeded.
+    /// Mean latency of the attempts that succeeded; `None` if none did.
     pub mean_latency: Option<Millis>,
 }
 
-/// One event.
+/// What has happened since the last batch of events, one variant for each kind.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The endpoint list, or changes to it.
+    /// The discovery service delivered the endpoint list, or changes to it. A [`UpdateKind::Delta`] or
+    /// [`UpdateKind::Snapshot`] confirms the list.
     EndpointUpdate {
-        /// How it relates to the current list.
+        /// Whether the entries replace the current list or only change it.
         kind: UpdateKind,
-        /// The list's version.
+        /// Assigned by the discovery service; a newer list has a higher version.
         list_version: u64,
-        /// Its entries.
+        /// The entries of the list, or of the change; in any order.
         entries: Vec<EndpointEntry>,
     },
-    /// A call for the endpoint list failed, or the watch broke.
+    /// A call for the endpoint list failed, or the watch was closed.
     EndpointUpdateFailed(UpdateFailure),
-    /// The discovery service has moved to another address.
+    /// The adapter now calls the discovery service at another address.
     DiscoveryMoved,
-    /// An update from the previous address of the discovery service: it is applied, but does not confirm the list.
+    /// The discovery service at its previous address delivered an update, which is applied but does not confirm the
+    /// list.
     EndpointUpdateFromPreviousAddress {
-        /// How it relates to the current list.
+        /// Whether the entries replace the current list or only change it.
         kind: UpdateKind,
-        /// Its entries.
+        /// The entries of the list, or of the change; in any order.
         entries: Vec<EndpointEntry>,
     },
-    /// A client's request arrived.
+    /// A client sent a request. Exactly one final status follows, unless the client disconnects before.
     RequestReceived(IncomingRequest),
-    /// A streamed response has begun: the attempt now belongs to the client.
+    /// The adapter began to forward a streamed response: the request is no longer retried, and not failed at
+    /// its deadline.
     ResponseStarted {
-        /// The request.
+        /// The id of the request whose response began.
         id: RequestId,
-        /// The attempt's number, from 0.
+        /// The position of the attempt among those of the request, from 0.
         attempt: u32,
-        /// The endpoint that answers.
+        /// The id of the endpoint that sends the response.
         endpoint: String,
-        /// Time since the attempt was sent.
+        /// Time from the action that sent the attempt until the first part of the response.
         elapsed: Millis,
     },
-    /// An attempt ended.
+    /// An attempt completed, however it ended.
     AttemptCompleted(CompletedAttempt),
-    /// The client has disconnected: the request needs no answer.
+    /// The client of a pending request has disconnected: the request needs no final status.
     ClientDisconnected {
-        /// The request.
+        /// The id that the adapter assigned on the request's arrival.
         id: RequestId,
     },
-    /// The adapter requires the final answer immediately.
+    /// The adapter demands the final status of a pending request, for example because it shuts down; the request is
+    /// rejected or failed in the same batch.
     Abandon {
-        /// The request.
+        /// The id that the adapter assigned on the request's arrival.
         id: RequestId,
     },
-    /// A timer fired.
+    /// A timer set by [`Action::SetTimer`](crate::Action::SetTimer) fired.
     TimerFired {
-        /// Its token.
+        /// The token of the action that set the timer.
         token: String,
     },
-    /// A health check ended.
+    /// A health check completed, however it ended.
     HealthCheckCompleted {
-        /// The endpoint.
+        /// The id of the endpoint that was checked.
         endpoint: String,
-        /// Its outcome.
+        /// How the check ended, in the terms of an attempt.
         outcome: AttemptOutcome,
-        /// Its duration.
+        /// Time from the action that sent the check until its outcome.
         elapsed: Millis,
-        /// The endpoint's load, where health checks report it.
+        /// The load that the check reported; empty unless the settings have load reports in health checks.
         load: LoadReport,
     },
-    /// A message from another gateway.
+    /// Another gateway sent a message by [`Action::SendPeerMessage`](crate::Action::SendPeerMessage).
     PeerMessage {
-        /// The sender's index.
+        /// The index of the sending gateway.
         from: u32,
-        /// Its content.
+        /// The content as its policy encoded it; a malformed message is ignored.
         data: Vec<u8>,
     },
-    /// The state of the newest version's rollout.
+    /// The platform reported the state of the newest version's rollout.
     RolloutUpdate(RolloutState),
     /// The platform could not determine the state of the rollout.
     RolloutUnavailable,
-    /// A vote was answered, or its answer will not arrive.
+    /// The platform replied to a vote, or no reply arrived within its timeout.
     VoteCompleted(VoteOutcome),
-    /// The platform's counts for one version and class over the past period.
+    /// A reporting period ended: counts of all gateways' attempts at one version.
     OutcomesReported(OutcomeReport),
-    /// Other senders' counts at one endpoint over a period.
+    /// A reporting period ended: counts of other senders' attempts at one endpoint.
     EndpointOutcomesReported(EndpointOutcomes),
-    /// A client reported a wrong answer.
+    /// A client reported that a response, although successful, was wrong.
     WrongResponseReported {
-        /// The endpoint that sent it.
+        /// The id of the endpoint that sent the response.
         endpoint: String,
-        /// The name of the request's class.
+        /// The name of the class that the request belongs to.
         class: String,
-        /// Time since the answer.
+        /// Time from the response until the report.
         age: Millis,
     },
 }
