--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -1,172 +1,175 @@
-//! The configuration of a policy, as an adapter reads it from its settings. Times are in ms.
+//! The configuration of a policy, as an adapter reads it from its settings.
 
 use crate::request::RequestClass;
 use crate::time::Millis;
 
-/// Everything that a policy is configured with.
+/// The complete configuration of a policy, which does not change while the policy exists.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PolicyConfig {
-    /// Seed of the policy's random generator.
+    /// Seed of the random number generator: the same seed and events give the same actions.
     pub seed: u64,
-    /// The gateway's identity.
+    /// Which gateway of the fleet the policy decides for.
     pub identity: GatewayIdentity,
-    /// The classes of requests.
+    /// The classes that a request may belong to.
     pub classes: Vec<RequestClass>,
-    /// What the gateway is permitted to do.
+    /// What the settings permit the gateway to do.
     pub permissions: Permissions,
-    /// How the endpoint list is obtained, and how drains are timed.
+    /// How the endpoint list arrives, and when missed updates count as delivered.
     pub discovery: DiscoveryConfig,
-    /// How endpoints warm up.
+    /// How the capacity of a started endpoint grows.
     pub slow_start: SlowStartConfig,
-    /// The rule on exposure.
+    /// Limits of the attempts that a canary may get.
     pub exposure: ExposureConfig,
-    /// How versions are voted on.
+    /// How the platform counts votes on a version.
     pub voting: VotingConfig,
-    /// What routing costs.
+    /// Costs that routing avoids.
     pub costs: CostConfig,
 }
 
-/// Identifies a gateway among all.
+/// Identifies a gateway within the fleet that serves the same endpoints.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GatewayIdentity {
-    /// Its index, from 0.
+    /// Assigned by the settings; unique within the fleet, from 0 to `gateway_count - 1`.
     pub index: u32,
-    /// Number of gateways.
+    /// The number of gateways in the fleet, this one included.
     pub gateway_count: u32,
-    /// Its zone.
+    /// The zone that the gateway runs in; empty if there are no zones.
     pub zone: String,
 }
 
-/// What a gateway is permitted to do.
+/// What the settings permit a gateway to do.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Permissions {
-    /// Attempts at one request at most, the first included.
+    /// Limit of the attempts at one request, the first included.
     pub max_attempts: usize,
-    /// Hedged requests: an attempt may be sent while an earlier one is in flight.
+    /// Set when an attempt may be sent while an earlier one at the same request is in flight (hedged requests).
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Set when attempts in flight may be cancelled.
     pub cancel: bool,
-    /// Endpoints may be health checked.
+    /// Set when health checks may be sent to endpoints. The rules send none.
     pub health_checks: bool,
-    /// Gateways may send messages to each other.
+    /// Set when gateways may send messages to each other; they share reports of wrong responses.
     pub peer_messages: bool,
-    /// The longest Retry-After that clients honour; none where they get none.
+    /// The longest Retry-After that clients honour; `None` if rejections contain no Retry-After.
     pub max_retry_after: Option<Millis>,
 }
 
-/// How the endpoint list is obtained, and how drains are timed.
+/// How the endpoint list arrives, and when an update that a gateway misses counts as delivered.
+///
+/// A draining endpoint accepts attempts of a gateway until `drain_grace` after the update counts as delivered to that
+/// gateway. While updates may be missing, these delays therefore limit how long the list may be used.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DiscoveryConfig {
-    /// The list requires a watch or polls; otherwise it is pushed.
+    /// Set when the gateway has to open a watch or poll; otherwise the list is pushed.
     pub requires_subscription: bool,
-    /// A gateway without a watch polls within this time.
+    /// The longest interval between calls of a gateway without a watch.
     pub max_poll_interval: Millis,
-    /// Time from the loss of a watch after which updates count as delivered.
+    /// Time from the loss of a watch until an update counts as delivered.
     pub update_delay_after_loss: Millis,
-    /// Time from the start of a process after which earlier updates count as delivered to it.
+    /// Time from the start of the gateway until an update from before its start counts as delivered.
     pub update_delay_after_start: Millis,
-    /// Time from the last message of a silent watch after which updates count as delivered.
+    /// Time from the last message of a watch that missed a keepalive until an update counts as delivered.
     pub update_delay_after_silence: Millis,
-    /// Time from a move of the discovery service to another address after which updates count as delivered.
+    /// Time from a change of the discovery service's address until an update at the new one counts as delivered.
     pub update_delay_after_move: Millis,
-    /// Time for which attempts may still be sent to an endpoint after its draining counts as delivered.
+    /// How long a draining endpoint still accepts attempts after its drain counts as delivered.
     pub drain_grace: Millis,
 }
 
-/// How endpoints warm up, and what overloads one meanwhile.
+/// How the capacity of a started endpoint grows, and which load overloads it meanwhile.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SlowStartConfig {
-    /// The share of its capacity that an endpoint starts with.
+    /// Share of its full capacity, above 0 and up to 1, that an endpoint has when it starts.
     pub initial_capacity: f64,
-    /// How long it takes to reach full capacity.
+    /// Time from the start of an endpoint until it has its full capacity; the growth is linear.
     pub duration: Millis,
-    /// Ratio of attempts to its current capacity that overloads it.
+    /// Ratio of attempts within `overload_window` to the current capacity that overloads an endpoint.
     pub overload_multiple: f64,
-    /// The time over which attempts are counted.
+    /// Length of the window over which these attempts are counted.
     pub overload_window: Millis,
 }
 
-/// The rule on exposure: how many attempts a canary may get.
+/// Limits of the attempts that a canary may get within a sliding window.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ExposureConfig {
-    /// Attempts that are permitted in each window regardless of the cap.
+    /// Attempts allowed in each window in addition to the cap, so that a canary gets some at a low traffic.
     pub allowance: f64,
-    /// The cap of each stage, as a share of requests.
+    /// Cap of canary traffic in each stage, the first stage first, as a share of requests from 0 to 1.
     pub stage_caps: Vec<f64>,
-    /// The time over which attempts and requests are counted.
+    /// Length of the sliding window over which attempts and requests are counted.
     pub window: Millis,
-    /// Each class is counted separately.
+    /// Set when the limits apply to each class separately; otherwise they apply to all requests together.
     pub per_class: bool,
-    /// Stages, from the first, in which only idempotent requests may go to a canary.
+    /// The number of stages, from the first on, in which a canary gets only idempotent requests.
     pub idempotent_only_stages: u32,
-    /// A key that a canary has answered may not return to an earlier version.
+    /// Set when requests with a sticky key that a canary has served may not go to an earlier version.
     pub sticky_keys: bool,
 }
 
-/// How votes make a decision.
+/// How the platform turns votes into a decision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum VoteMode {
-    /// One vote, or a few, decide.
+    /// The quorums are a small number of votes.
     #[default]
     Single,
-    /// A majority decides.
+    /// The quorums are a majority of the gateways.
     Majority,
-    /// Stages pass after a time unless votes pause them.
+    /// A stage passes after `auto_promote_after` unless a quorum of votes pauses it.
     Clocked,
 }
 
-/// How versions are voted on.
+/// How the platform counts votes on a version. Each quorum is a number of gateways.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VotingConfig {
-    /// How votes make a decision.
+    /// Decides which of the quorums apply.
     pub mode: VoteMode,
-    /// Votes that it takes to promote.
+    /// Votes required to promote a version to the next stage; not used in [`VoteMode::Clocked`].
     pub promote_quorum: u32,
-    /// Votes that it takes to pause.
+    /// Votes required to pause a stage; used in [`VoteMode::Clocked`] only.
     pub pause_quorum: u32,
-    /// Votes that it takes to roll back.
+    /// Votes required to roll back a version.
     pub rollback_quorum: u32,
-    /// How long a vote counts.
+    /// How long a vote counts unless the gateway casts it again.
     pub vote_lease: Millis,
-    /// The shortest time of a stage.
+    /// The shortest duration of a stage, whatever the votes.
     pub min_stage_duration: Millis,
-    /// Time after which a stage passes without votes, in [`VoteMode::Clocked`].
+    /// The duration after which a stage passes without votes; used in [`VoteMode::Clocked`] only.
     pub auto_promote_after: Millis,
-    /// Timeout of a vote's answer.
+    /// Time from a vote until its outcome counts as unknown because the platform has not replied.
     pub reply_timeout: Millis,
-    /// Baseline endpoints remain until the version is promoted.
+    /// Set when all baseline endpoints remain until the version is promoted.
     pub keeps_baseline: bool,
 }
 
-/// What routing costs.
+/// Costs of requests, in the unit of the settings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CostConfig {
-    /// Cost of one request that crosses zones.
+    /// Cost of one request that crosses zones; above 0, routing prefers endpoints in the gateway's zone.
     pub cross_zone: f64,
 }
 
-/// Where endpoints report their load.
+/// Where endpoints report their own load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReporting {
-    /// Nowhere.
+    /// Endpoints do not report their load.
     Disabled,
-    /// With each answer.
+    /// Each response to an attempt contains a report.
     InResponses,
-    /// In answers to health checks.
+    /// Each response to a health check contains a report.
     InHealthChecks,
 }
 
-/// How an adapter on sockets connects to endpoints.
+/// Connections of an adapter on sockets to endpoints and to the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamConnectionConfig {
-    /// Endpoints close connections that have been idle for this long.
+    /// Time after which endpoints close an idle connection.
     pub idle_timeout: Millis,
-    /// Timeout of establishing a connection.
+    /// Time within which a connection must be established; also the timeout of a health check.
     pub connect_timeout: Millis,
-    /// Timeout of a vote's answer.
+    /// Time from a vote until its outcome counts as unknown because the platform has not replied.
     pub vote_timeout: Millis,
-    /// Endpoints may be health checked.
+    /// Set when health checks may be sent to endpoints.
     pub health_checks: bool,
-    /// Where endpoints report their load.
+    /// Which responses of endpoints contain load reports.
     pub load_reporting: LoadReporting,
 }
--- a/crates/policy/src/time.rs
+++ b/crates/policy/src/time.rs
@@ -1,4 +1,5 @@
-//! The unit of time of all decisions.
+//! The type of all times and durations in this crate.
 
-/// Milliseconds, with fractions.
+/// A duration in milliseconds, or a time in milliseconds since the epoch of the adapter's clock; fractions are
+/// significant.
 pub type Millis = f64;
