--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -24,7 +24,7 @@
     pub time_remaining: Millis,
     /// Time from the request's arrival until this event, for example behind others on its connection.
     pub queued_for: Millis,
-    /// The client's estimate of the time that an endpoint without other load needs; `None` if it gives none.
+    /// The client's estimate of the execution time that the request requires; `None` if the client gives none.
     pub expected_work: Option<Millis>,
     /// Set when the client has sent the request before; load shedding rejects retries first.
     pub is_retry: bool,
--- a/crates/policy/src/state/exposure.rs
+++ b/crates/policy/src/state/exposure.rs
@@ -1,6 +1,6 @@
-//! Counts of the attempts at each canary and of the requests that arrived, and the versions of sticky keys.
+//! What limits the exposure of requests to a canary: counts of attempts and arrivals, and versions of sticky keys.
 //!
-//! The rule on exposure (`crate::exposure`) reads them; each arrival and each attempt is recorded here.
+//! [`Policy`](crate::Policy) records each arrival and each attempt; the rule in `crate::exposure` reads the counts.
 
 use crate::config::ExposureConfig;
 use crate::rollout::{RolloutPhase, RolloutState, Version};
@@ -9,22 +9,31 @@
 use crate::time::Millis;
 use std::collections::BTreeMap;
 
-/// The state of the rule on exposure.
+/// Windows for which arrivals and attempts are retained: the rule counts over one window and its safety margin.
+const RETAINED_WINDOWS: f64 = 2.0;
+/// The bucket of all requests, if the limits do not apply to each class separately.
+const COMMON_BUCKET: usize = 0;
+/// The stage of a version until the platform reports its rollout.
+const FIRST_STAGE: u32 = 0;
+
+/// Counts the attempts at each version within the sliding window, and stores which version a sticky key requires.
+///
+/// Each count has a bucket for each class, or one for all classes, by [`ExposureConfig::per_class`].
 pub struct ExposureLimiter {
-    /// The rule's limits.
+    /// The limits that the settings define.
     pub config: ExposureConfig,
-    /// The state of the newest version's rollout, if it was reported.
+    /// The state of the newest version's rollout; `None` until the platform reports one.
     pub rollout: Option<RolloutState>,
-    /// Requests that arrived, by bucket.
+    /// Times at which requests arrived, by bucket.
     arrivals: Vec<SlidingWindow>,
-    /// Attempts at each version, by bucket.
+    /// Times at which attempts were sent, by version and bucket.
     attempts_by_version: BTreeMap<(Version, usize), SlidingWindow>,
-    /// Sticky keys that a canary has answered, with its version.
+    /// The highest version that has served each sticky key, for keys that a canary has served.
     sticky_versions: BTreeMap<String, Version>,
 }
 
 impl ExposureLimiter {
-    /// No arrivals yet; `class_count`: how many classes there are.
+    /// State without arrivals or attempts; `class_count` is the number of classes that the settings define.
     #[must_use]
     pub fn new(config: ExposureConfig, class_count: usize) -> Self {
         ExposureLimiter {
@@ -36,22 +45,22 @@
         }
     }
 
-    /// The bucket in which a class is counted.
     fn bucket(&self, class: usize) -> usize {
-        if self.config.per_class { class } else { 0 }
+        if self.config.per_class { class } else { COMMON_BUCKET }
     }
 
     fn retention(&self) -> Millis {
-        2.0 * self.config.window
+        RETAINED_WINDOWS * self.config.window
     }
 
-    /// Records a request that arrived at a time in ms.
+    /// Records a request of the class with index `class`.
     pub fn record_arrival(&mut self, class: usize, arrived_at: Millis) {
         let (bucket, retention) = (self.bucket(class), self.retention());
         self.arrivals[bucket].record(arrived_at, retention);
     }
 
-    /// Records an attempt; versions without attempts within the retention are removed.
+    /// Records an attempt at a request of the class with index `class`. Removes versions without recent attempts, which
+    /// limits memory.
     pub fn record_attempt(&mut self, version: Version, class: usize, now: Millis) {
         let (bucket, retention) = (self.bucket(class), self.retention());
         if !self.attempts_by_version.contains_key(&(version, bucket)) {
@@ -60,72 +69,75 @@
         self.attempts_by_version.entry((version, bucket)).or_default().record(now, retention);
     }
 
-    /// Versions whose attempts are retained, once for each bucket.
+    /// The number of retained counts of attempts, one for each version and bucket.
     #[must_use]
     pub fn retained_versions(&self) -> usize {
         self.attempts_by_version.len()
     }
 
-    /// Requests in the bucket of a class since a time in ms.
+    /// The number of requests after `start` that are counted together with the class with index `class`.
     #[must_use]
-    pub fn arrivals_since(&self, class: usize, moment: Millis) -> usize {
-        self.arrivals[self.bucket(class)].count_since(moment)
+    pub fn arrivals_since(&self, class: usize, start: Millis) -> usize {
+        self.arrivals[self.bucket(class)].count_since(start)
     }
 
-    /// Attempts at a version in the bucket of a class since a time in ms.
+    /// The number of attempts at a version after `start` that are counted together with the class with index `class`.
     #[must_use]
-    pub fn attempts_since(&self, version: Version, class: usize, moment: Millis) -> usize {
+    pub fn attempts_since(&self, version: Version, class: usize, start: Millis) -> usize {
         let attempts = self.attempts_by_version.get(&(version, self.bucket(class)));
-        attempts.map_or(0, |attempts| attempts.count_since(moment))
+        attempts.map_or(0, |attempts| attempts.count_since(start))
     }
 
-    /// The version that a sticky key must not go below.
+    /// The lowest version that requests with a sticky key may go to; `None` if the key may go to every version.
     #[must_use]
     pub fn sticky_version(&self, key: Option<&String>) -> Option<Version> {
         self.sticky_versions.get(key?).copied()
     }
 
-    /// Records that a version has answered a key: while that version is not rolled back, the key goes to no earlier one.
+    /// Records that `version` has served a request with a sticky key, which then goes to no earlier version until
+    /// `version` is rolled back. `lowest_version` is the lowest among the ready endpoints and needs no record.
     pub fn record_sticky_key(&mut self, key: &str, version: Version, lowest_version: Version) {
-        let is_in_use = self.rollout.is_none_or(|rollout| {
-            if is_in_use(&rollout) { version >= rollout.version } else { version > rollout.version }
+        let is_serving = self.rollout.is_none_or(|rollout| {
+            if is_serving(&rollout) { version >= rollout.version } else { version > rollout.version }
         });
-        if self.config.sticky_keys && version > lowest_version && is_in_use {
+        if self.config.sticky_keys && version > lowest_version && is_serving {
             let sticky = self.sticky_versions.entry(key.to_string()).or_insert(version);
             *sticky = version.max(*sticky);
         }
     }
 
-    /// Applies the state of the rollout; keys of versions that are rolled back are released.
+    /// Applies a state of the rollout that the platform reported. Sticky keys of versions that are rolled back may go
+    /// to every version again.
     pub fn apply_rollout(&mut self, rollout: RolloutState) {
         let newest = rollout.version;
-        let is_newest_in_use = is_in_use(&rollout);
-        let is_retained = |version: Version| version > newest || (version == newest && is_newest_in_use);
+        let is_newest_serving = is_serving(&rollout);
+        let is_retained = |version: Version| version > newest || (version == newest && is_newest_serving);
         self.sticky_versions.retain(|_, version| is_retained(*version));
         self.rollout = Some(rollout);
     }
 
-    /// Cap and stage of a version if it is a canary; one whose rollout is not reported yet counts as in the first stage.
+    /// The cap and stage of a version, or `None` if the version is not a canary. A version whose rollout is not
+    /// reported yet has the first stage and its cap, or a cap of 0 if the settings define no stage.
     #[must_use]
     pub fn canary(&self, version: Version, lowest_version: Version) -> Option<Canary> {
         let first_cap = self.config.stage_caps.first().copied().unwrap_or(0.0);
-        let unannounced = Canary { version, traffic_cap: first_cap, stage: 0 };
+        let unreported = Canary { version, traffic_cap: first_cap, stage: FIRST_STAGE };
         match self.rollout {
-            None => (version > lowest_version).then_some(unannounced),
-            Some(rollout) if version > rollout.version => Some(unannounced),
+            None => (version > lowest_version).then_some(unreported),
+            Some(rollout) if version > rollout.version => Some(unreported),
             Some(rollout) if version < rollout.version || rollout.phase == RolloutPhase::Promoted => None,
             Some(rollout) => Some(Canary { version, traffic_cap: rollout.traffic_cap, stage: rollout.stage }),
         }
     }
 
-    /// The newest version is being rolled back.
+    /// Returns `true` if the platform is rolling back the newest version.
     #[must_use]
     pub fn is_rolling_back(&self) -> bool {
         self.rollout.is_some_and(|rollout| rollout.phase == RolloutPhase::RollingBack)
     }
 }
 
-/// The version is a canary or promoted, and not rolled back.
-fn is_in_use(rollout: &RolloutState) -> bool {
+/// Returns `true` if the version of the rollout serves requests, as a canary or as the new baseline.
+fn is_serving(rollout: &RolloutState) -> bool {
     matches!(rollout.phase, RolloutPhase::Canary | RolloutPhase::Promoted)
 }
--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -1,7 +1,8 @@
 //! The state of a policy: endpoints, requests, exposure, evidence on a canary, and the tick timer.
 //!
-//! The rule modules and [`Policy`](crate::Policy) read and update it. Constants of rules arrive as parameters; invariants of
-//! the state itself (which version is the canary, when evidence is reset, the bounds of counts) are here.
+//! The rule modules and [`Policy`](crate::Policy) read and update this state. Constants of rules arrive as parameters.
+//! Invariants of the state itself (which version is the canary, when evidence is reset, the limits of counts) are
+//! maintained in these modules.
 
 pub mod canary;
 pub mod endpoint;
--- a/crates/policy/src/state/registry.rs
+++ b/crates/policy/src/state/registry.rs
@@ -1,6 +1,6 @@
-//! The endpoint registry: the endpoints of the list by place, the list's lease, and the gateway's arrival rate.
+//! The endpoint registry: the endpoints of the list by slot, the list's lease, and the gateway's arrival rate.
 //!
-//! [`Policy`](crate::Policy) applies updates of the list; the rule modules read it.
+//! [`Policy`](crate::Policy) applies updates of the list to the registry; the rule modules read it.
 
 use crate::config::{DiscoveryConfig, SlowStartConfig};
 use crate::endpoint::EndpointEntry;
@@ -9,7 +9,7 @@
 use crate::rollout::Version;
 use crate::slow_start::{self, RATE_WINDOW, RefillInputs, start_by_own_clock};
 use crate::snapshot::EndpointSnapshot;
-use crate::state::endpoint::{Endpoint, EndpointIndex, Metric, MetricMoments};
+use crate::state::endpoint::{DEFAULT_WEIGHT, Endpoint, EndpointIndex, Metric, MetricMoments};
 use crate::state::window::SlidingWindow;
 use crate::statistics::RunningMoments;
 use crate::time::Millis;
@@ -18,10 +18,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
 
-/// ms by which the listed clock time of one start may vary between updates.
-const START_ROUNDING: Millis = 1.0;
+/// Difference up to which two listed start times denote the same start: updates may round the time differently.
+const START_TIME_TOLERANCE: Millis = 1.0;
 
-/// All endpoints, by their place.
+/// All endpoints by slot, including removed ones whose slots are not reused yet.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointTable(Vec<Endpoint>);
 
@@ -40,39 +40,39 @@
 }
 
 impl EndpointTable {
-    /// All places, lowest first.
+    /// All slots, lowest first.
     pub fn indices(&self) -> impl Iterator<Item = EndpointIndex> + use<> {
         (0..self.0.len()).map(EndpointIndex)
     }
 
-    /// All endpoints, by their place.
+    /// All endpoints, by slot.
     pub fn iter(&self) -> impl Iterator<Item = &Endpoint> {
         self.0.iter()
     }
 
-    /// All endpoints, by their place.
+    /// All endpoints to be changed, by slot.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Endpoint> {
         self.0.iter_mut()
     }
 
-    /// The places of endpoints that accept new requests.
+    /// The slots of endpoints that the list shows as ready, including ejected ones.
     pub fn ready(&self) -> impl Iterator<Item = EndpointIndex> + '_ {
         self.indices().filter(|index| self[*index].is_ready)
     }
 
-    /// One metric of each of some endpoints.
+    /// One metric of each endpoint in `members`, in their order.
     #[must_use]
     pub fn metric_of(&self, metric: Metric, members: &[EndpointIndex]) -> Vec<&RunningMoments> {
         members.iter().map(|index| &self[*index].metrics[metric]).collect()
     }
 
-    /// One metric pooled over some endpoints.
+    /// One metric pooled over the endpoints in `members`.
     #[must_use]
     pub fn pooled_metric(&self, metric: Metric, members: &[EndpointIndex]) -> RunningMoments {
         RunningMoments::pooled(self.metric_of(metric, members))
     }
 
-    /// All metrics pooled over all endpoints.
+    /// Each metric pooled over all endpoints.
     #[must_use]
     pub fn pooled_metrics(&self) -> MetricMoments {
         let pooled = |metric| RunningMoments::pooled(self.iter().map(|endpoint| &endpoint.metrics[metric]));
@@ -83,20 +83,20 @@
         }
     }
 
-    /// Scales the weight of one metric at endpoints with more than `min_samples` samples.
+    /// Multiplies the weight of one metric's samples by `factor` at endpoints with more than `min_samples` samples.
     pub fn scale_metric(&mut self, metric: Metric, min_samples: f64, factor: f64) {
         let moments = self.0.iter_mut().map(|endpoint| &mut endpoint.metrics[metric]);
         moments.filter(|moments| moments.count > min_samples).for_each(|moments| moments.scale(factor));
     }
 
-    /// The mean of this gateway's attempts in flight at each of some endpoints.
+    /// The mean of this gateway's attempts in flight per endpoint of `members`; 0 if there is none.
     #[must_use]
     pub fn mean_in_flight(&self, members: &[EndpointIndex]) -> f64 {
         let in_flight = members.iter().map(|index| f64::from(self[*index].in_flight));
         in_flight.sum::<f64>() / members.len().max(1) as f64
     }
 
-    /// A place for a new entry: one of a removed endpoint without attempts in flight, else a new one.
+    /// Returns the slot for a new entry: one of a removed endpoint without attempts in flight, or else a new one.
     fn allocate(&mut self, entry: &EndpointEntry) -> EndpointIndex {
         let is_free = |endpoint: &Endpoint| endpoint.is_removed && endpoint.in_flight == 0;
         if let Some(free) = self.0.iter().position(is_free) {
@@ -113,73 +113,77 @@
             zone: entry.zone.clone(),
             cell: entry.cell,
             version: entry.version,
-            weight: 1.0,
+            weight: DEFAULT_WEIGHT,
             ..Endpoint::default()
         });
         EndpointIndex(self.0.len() - 1)
     }
 }
 
-/// Ready endpoints, by whether their version is a canary.
+/// Ready endpoints by version group.
 pub struct VersionGroups {
-    /// Those of canaries.
+    /// Endpoints whose version is a canary.
     pub canary: Vec<EndpointIndex>,
-    /// All others.
+    /// Endpoints of all other versions.
     pub baseline: Vec<EndpointIndex>,
 }
 
 impl VersionGroups {
-    /// The share of the endpoints that are canaries'.
+    /// Share of the endpoints that belong to canaries, from 0 to 1; 0 without endpoints.
     #[must_use]
     pub fn canary_endpoint_share(&self) -> f64 {
         self.canary.len() as f64 / (self.canary.len() + self.baseline.len()).max(1) as f64
     }
 }
 
-/// The endpoint list, its lease, and the arrival rate.
+/// The endpoints of the list, the lease of the list, and the arrival rate from which the slow-start budget follows.
 #[derive(Default)]
 pub struct EndpointRegistry {
-    /// How the list is obtained, and the delays of its lease.
+    /// How the list arrives, and the delays from which its lease follows.
     pub discovery: DiscoveryConfig,
-    /// How endpoints warm up.
+    /// How the capacity of a started endpoint grows.
     pub slow_start: SlowStartConfig,
-    /// All endpoints.
+    /// Endpoints of the list, and removed ones with attempts in flight.
     pub endpoints: EndpointTable,
-    /// The place of each endpoint that has one, including removed ones until it is reused.
+    /// The slot of each endpoint by id; a removed endpoint has one until it is reused.
     pub index_by_id: BTreeMap<String, EndpointIndex>,
-    /// Until when the list may be used.
+    /// Decides until when attempts may be sent to every ready endpoint.
     pub(crate) lease: ListLease,
-    /// When the next call for a watch of the list is due, in ms; none while a watch is open.
+    /// When the next call for a watch of the list is due; `None` while a watch is open or if the list is pushed.
     pub next_watch_call_at: Option<Millis>,
-    /// Calls for the list that have failed in a row.
+    /// Calls for the list that have failed in a row; determines the backoff of the next call.
     pub failed_calls: u32,
-    /// The lowest version among the ready endpoints.
+    /// The lowest version among the ready endpoints, which is the baseline until a rollout is reported.
     pub lowest_version: Version,
-    /// Times of arrivals, without retries.
+    /// Times at which requests arrived, without those that clients sent again.
     pub arrivals: SlidingWindow,
-    /// Running mean of arrivals per ms and unit of capacity.
+    /// Running mean of arrivals per millisecond and fully warmed-up endpoint.
     pub usual_rate: f64,
-    /// The share of the endpoints that is this gateway's subset.
+    /// Share of the ready endpoints that this gateway tries first; above 1 if its traffic suffices for all of them.
     pub subset_share: f64,
-    /// When slow start tokens were last added, in ms.
+    /// When slow-start tokens were last added to all endpoints.
     pub tokens_refilled_at: Millis,
-    /// This gateway logs its ejections.
+    /// Set when this gateway logs its ejections: a few gateways suffice for the operators.
     pub logs_ejections: bool,
 }
 
 impl EndpointRegistry {
-    /// The place of a listed endpoint.
+    /// The slot of an endpoint, or `None` if the list has not contained it.
     #[must_use]
     pub fn index_of(&self, id: &str) -> Option<EndpointIndex> {
         self.index_by_id.get(id).copied()
     }
 
-    /// Until when attempts may be sent to a ready endpoint, in ms: by the list's lease or by its own proof.
+    /// Until when attempts may be sent to a ready endpoint: until the list's lease expires, or the endpoint's own
+    /// evidence of readiness if that is later.
     pub(crate) fn lease_expires_at(&self, index: EndpointIndex) -> Millis {
-        self.lease.expires_at().max(self.endpoints[index].readiness_evidence_expires_at)
+        let list_expires_at = self.lease.expires_at();
+        let evidence_expires_at = self.endpoints[index].readiness_evidence_expires_at;
+        evidence_expires_at.map_or(list_expires_at, |expires_at| list_expires_at.max(expires_at))
     }
 
-    /// Records that an endpoint has answered an attempt; `connected_at`: when its connection was established, in ms.
+    /// Records that an attempt sent at `sent_at` succeeded, on a connection established at `connected_at`, as
+    /// evidence that its endpoint was ready.
     pub(crate) fn record_readiness_evidence(
         &mut self, index: EndpointIndex, connected_at: Option<Millis>, sent_at: Millis,
     ) {
@@ -187,23 +191,27 @@
             return;
         };
         let endpoint = &mut self.endpoints[index];
-        endpoint.readiness_evidence_expires_at = endpoint.readiness_evidence_expires_at.max(expires_at);
+        let previous = endpoint.readiness_evidence_expires_at;
+        endpoint.readiness_evidence_expires_at =
+            Some(previous.map_or(expires_at, |previous| previous.max(expires_at)));
     }
 
-    /// An update may have been lost: earlier proofs expire at `limit` at the latest, in ms.
+    /// Limits earlier evidence of readiness to `limit`, because an update may have been lost.
     pub(crate) fn limit_readiness_evidence(&mut self, limit: Millis) {
         for endpoint in self.endpoints.iter_mut() {
-            endpoint.readiness_evidence_expires_at = endpoint.readiness_evidence_expires_at.min(limit);
+            endpoint.readiness_evidence_expires_at =
+                endpoint.readiness_evidence_expires_at.map(|expires_at| expires_at.min(limit));
         }
     }
 
-    /// The list shows ready endpoints, but the leases of all have expired.
+    /// Returns `true` if the list shows ready endpoints, but attempts may no longer be sent to any of them.
     pub(crate) fn is_list_expired(&self, now: Millis) -> bool {
         let mut ready = self.endpoints.ready().peekable();
         ready.peek().is_some() && ready.all(|index| self.lease_expires_at(index) <= now)
     }
 
-    /// Ejects an endpoint that is not ejected already; the first ejection in a row may be logged.
+    /// Ejects an endpoint, unless it is ejected already. Returns the event for the log at the first ejection in a
+    /// row, if this gateway logs ejections.
     pub fn eject(
         &mut self, index: EndpointIndex, reason: EjectionReason, backoff: &ExponentialBackoff, now: Millis,
     ) -> Option<LogEvent> {
@@ -212,7 +220,8 @@
             return None;
         }
         let ejected_for = endpoint.eject(backoff, now);
-        let is_logged = endpoint.ejection_count == 1 && self.logs_ejections;
+        let is_first_in_a_row = endpoint.ejection_count == 1;
+        let is_logged = is_first_in_a_row && self.logs_ejections;
         is_logged.then(|| LogEvent::EndpointEjected {
             endpoint: endpoint.id.clone(),
             incarnation: endpoint.incarnation,
@@ -223,7 +232,7 @@
         })
     }
 
-    /// Adds slow start tokens to all endpoints.
+    /// Adds slow-start tokens to all endpoints, by the arrivals and the time since the last refill.
     pub(crate) fn refill_slow_start_tokens(&mut self, now: Millis) {
         let elapsed = now - std::mem::replace(&mut self.tokens_refilled_at, now);
         let inputs = RefillInputs {
@@ -243,7 +252,7 @@
         }
     }
 
-    /// The share of its capacity, from 0 to 1, that an endpoint has reached at least.
+    /// The least share of its full capacity that an endpoint has reached, from `initial_capacity` to 1.
     #[must_use]
     pub fn warmup_factor(&self, index: EndpointIndex, now: Millis) -> f64 {
         let started_at = self.endpoints[index].started_at;
@@ -255,30 +264,30 @@
         self.slow_start.initial_capacity + (1.0 - self.slow_start.initial_capacity) * progress
     }
 
-    /// An endpoint's weight times its warm-up factor.
+    /// The present capacity of an endpoint relative to others: its weight times its warm-up factor.
     #[must_use]
     pub fn capacity(&self, index: EndpointIndex, now: Millis) -> f64 {
         self.endpoints[index].weight * self.warmup_factor(index, now)
     }
 
-    /// The capacity of those of some endpoints that are not ejected.
+    /// The sum of the present capacity of the endpoints in `members` that are not ejected.
     #[must_use]
     pub fn healthy_capacity(&self, members: &[EndpointIndex], now: Millis) -> f64 {
         let healthy = members.iter().filter(|index| self.endpoints[**index].is_healthy(now));
         healthy.map(|index| self.capacity(*index, now)).sum()
     }
 
-    /// Ready endpoints by side; `only_subset`: only those of this gateway's subset.
+    /// Ready endpoints by version group. With `only_subset`, only endpoints of this gateway's subset are included.
     pub fn partition(&self, only_subset: bool, is_canary: impl Fn(Version) -> bool) -> VersionGroups {
-        let is_mine = |index: &EndpointIndex| {
+        let is_included = |index: &EndpointIndex| {
             !only_subset || self.endpoints[*index].subset_position < self.subset_share
         };
-        let ready = self.endpoints.ready().filter(is_mine);
+        let ready = self.endpoints.ready().filter(is_included);
         let (canary, baseline) = ready.partition(|index| is_canary(self.endpoints[*index].version));
         VersionGroups { canary, baseline }
     }
 
-    /// All listed endpoints at `now` in ms.
+    /// The state of all endpoints on the list, for adapters that publish decisions.
     #[must_use]
     pub fn snapshot(&self, now: Millis) -> Vec<EndpointSnapshot> {
         let listed = self.endpoints.indices().filter(|index| !self.endpoints[*index].is_removed);
@@ -297,7 +306,8 @@
         snapshots.collect()
     }
 
-    /// Applies entries of the list; `concurrency_limit`: that of a new incarnation.
+    /// Applies entries of the list; a snapshot also removes endpoints that it does not contain. A new incarnation
+    /// starts with `concurrency_limit`.
     pub fn apply(
         &mut self, entries: &[EndpointEntry], is_snapshot: bool, concurrency_limit: f64, rng: &mut Pcg64Mcg,
         now: Millis,
@@ -308,10 +318,10 @@
         for entry in entries {
             let index = self.index_for(entry);
             let endpoint = &mut self.endpoints[index];
-            // After a restart or a change of version the earlier state is invalid. Starts are compared for difference
-            // only: the clock that lists them may have been set back.
-            let is_restarted =
-                entry.started_at > 0.0 && (entry.started_at - endpoint.listed_start).abs() > START_ROUNDING;
+            // After a restart or a change of version the observed state is invalid. Any other start time is a
+            // restart, even an earlier one: the clock that lists starts may have been set back.
+            let is_restarted = entry.started_at > 0.0
+                && (entry.started_at - endpoint.listed_start).abs() > START_TIME_TOLERANCE;
             if endpoint.incarnation == 0 || endpoint.version != entry.version || is_restarted {
                 endpoint.begin_incarnation(concurrency_limit, rng);
             }
@@ -347,11 +357,11 @@
         }
     }
 
-    /// Arrivals since a time in ms per ready endpoint that has answered since.
+    /// Arrivals after `since`, per ready endpoint that has sent a response after `since`.
     #[must_use]
     pub fn arrivals_per_responding_endpoint(&self, since: Millis) -> f64 {
-        let answers = |index: &EndpointIndex| self.endpoints[*index].last_response_at > since;
-        let answering = self.endpoints.ready().filter(answers).count();
-        self.arrivals.count_since(since) as f64 / answering.max(1) as f64
+        let has_responded = |index: &EndpointIndex| self.endpoints[*index].last_response_at > since;
+        let responding = self.endpoints.ready().filter(has_responded).count();
+        self.arrivals.count_since(since) as f64 / responding.max(1) as f64
     }
 }
--- a/crates/policy/src/state/timer.rs
+++ b/crates/policy/src/state/timer.rs
@@ -1,17 +1,18 @@
-//! The timer of ticks: when the next tick is due, and the timer that was requested for it.
+//! When the policy runs its periodic rules, and the adapter's timer that triggers them.
 
 use crate::action::Action;
 use crate::time::Millis;
 
-/// The token of the timer; part of recorded traces.
+/// Recorded traces contain this token.
 const TICK_TOKEN: &str = "look";
 
-/// The timer of ticks.
+/// The time of the next tick, at which the policy runs its periodic rules, and of the timer set for it.
 #[derive(Clone, Copy, Debug)]
 pub struct TickTimer {
-    /// When the next tick is due, in ms.
+    /// When the next tick is due. A tick sets it to infinity until [`TickTimer::schedule`] sets the time of the next
+    /// one.
     pub next_tick_at: Millis,
-    /// When the timer that was requested last fires, in ms.
+    /// When the timer that was set last fires; infinity if none was set yet.
     pub fires_at: Millis,
 }
 
@@ -22,8 +23,9 @@
 }
 
 impl TickTimer {
-    /// Schedules the next tick after `interval` ms, or at `poll_at` if that is sooner; returns a request for a timer unless
-    /// a pending one fires by then. `rounding`: ms that a timer may fire early.
+    /// Schedules the next tick after `interval`, or at `poll_at` if that is sooner. Returns the action that sets a
+    /// timer for the tick, or `None` if an earlier timer fires by then. A timer may fire up to `rounding` early, so
+    /// that one within `rounding` of `now` counts as fired.
     pub fn schedule(
         &mut self, interval: Millis, poll_at: Option<Millis>, rounding: Millis, now: Millis,
     ) -> Option<Action> {
--- a/crates/policy/src/state/window.rs
+++ b/crates/policy/src/state/window.rs
@@ -1,25 +1,25 @@
-//! A sliding window over the times of events.
+//! Times of recent events, counted over a sliding window.
 
 use crate::time::Millis;
 use std::collections::VecDeque;
 
-/// Times of events in ms, oldest first.
+/// Times of recent events, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct SlidingWindow(VecDeque<Millis>);
 
 impl SlidingWindow {
-    /// Records an event, which may precede the newest, and removes those more than `retention` ms before it.
-    pub fn record(&mut self, moment: Millis, retention: Millis) {
-        while self.0.front().is_some_and(|oldest| *oldest < moment - retention) {
+    /// Records an event, and removes events that are more than `retention` older. Events may be recorded out of order.
+    pub fn record(&mut self, time: Millis, retention: Millis) {
+        while self.0.front().is_some_and(|oldest| *oldest < time - retention) {
             self.0.pop_front();
         }
-        let at = self.0.partition_point(|earlier| *earlier <= moment);
-        self.0.insert(at, moment);
+        let index = self.0.partition_point(|earlier| *earlier <= time);
+        self.0.insert(index, time);
     }
 
-    /// The number of retained events after a time in ms.
+    /// The number of retained events after `start`, not including it.
     #[must_use]
-    pub fn count_since(&self, moment: Millis) -> usize {
-        self.0.len() - self.0.partition_point(|earlier| *earlier <= moment)
+    pub fn count_since(&self, start: Millis) -> usize {
+        self.0.len() - self.0.partition_point(|earlier| *earlier <= start)
     }
 }
