--- a/crates/policy/tests/policy/support/config.rs
+++ b/crates/policy/tests/policy/support/config.rs
@@ -5,7 +5,7 @@
     Permissions, PolicyConfig, RequestClass, SlowStartConfig, VotingConfig,
 };
 
-/// The part of a policy's configuration that tests vary.
+/// The part of a policy's configuration that tests vary; the rest is the same in all tests.
 pub(crate) struct TestConfig {
     pub(crate) seed: u64,
     pub(crate) gateway_count: u32,
--- a/crates/policy/tests/policy/support/mod.rs
+++ b/crates/policy/tests/policy/support/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway on an injected clock: a test defines how endpoints answer, and every action is recorded.
+//! A gateway on a simulated clock. A test defines the outcomes of attempts, and every action is recorded.
 
 use latchhaven_policy::{
     Action, AttemptOutcome, CompletedAttempt, EndpointEntry, EndpointStatus, Event, IncomingRequest,
@@ -13,68 +13,68 @@
 pub(crate) use config::{TestConfig, class};
 pub(crate) use scenarios::{among_300_gateways, fail_every, slowed, succeed, with_canary};
 
-/// ms between two batches of events.
+/// Time between two batches of events.
 pub(crate) const STEP: Millis = 10.0;
 
-/// Clock time in ms from which a gateway gets endpoints.
+/// When a test starts by the simulated clock: the gateway has made its first discovery call and may get endpoints.
 const READY_AT: Millis = 100_000.0;
-/// ms within which a gateway makes its first discovery call; it gets no endpoint before.
-const MAX_FIRST_CALL_DELAY: Millis = 4100.0;
+/// Time from the start of a gateway until the test starts; longer than the delay of the first discovery call.
+const STARTUP_TIME: Millis = 4100.0;
 
-/// The outcome of an attempt and its latency.
+/// Defines the outcome and the latency of an attempt.
 pub(crate) type Behavior = Box<dyn Fn(&SentAttempt) -> (AttemptOutcome, Millis)>;
 
-/// One attempt, as an endpoint sees it.
+/// One attempt as its endpoint receives it.
 #[derive(Clone, Debug)]
 pub(crate) struct SentAttempt {
     pub(crate) at: Millis,
     pub(crate) id: RequestId,
-    /// 0 for the first attempt of a request.
+    /// The position among the attempts of the request, from 0.
     pub(crate) number: u32,
     pub(crate) endpoint: String,
     pub(crate) version: Version,
-    /// When the endpoint started.
+    /// When the process of the endpoint started; 0 for an endpoint that is fully warmed up from the start.
     pub(crate) started_at: Millis,
-    /// Other attempts in flight at the endpoint.
+    /// The number of other attempts in flight at the endpoint.
     pub(crate) in_flight: usize,
 }
 
-/// The outcome of an attempt that is still in flight.
+/// An attempt in flight, with the outcome that it gets at `at` unless it is cancelled before.
 struct ScheduledOutcome {
     at: Millis,
     attempt: SentAttempt,
     outcome: AttemptOutcome,
 }
 
-/// One gateway's policy, its endpoints and its recorded actions.
+/// The policy of one gateway, with simulated endpoints and clients.
 pub(crate) struct TestGateway {
     policy: Policy,
     pub(crate) now: Millis,
-    /// How long requests had been queued on their connection when they are received.
+    /// How long each request is queued on its connection before the policy receives it.
     pub(crate) queued_for: Millis,
     pub(crate) behavior: Behavior,
-    /// When the connections to all endpoints were established.
+    /// When the connections to all endpoints were established; `None` if unknown.
     pub(crate) connected_at: Option<Millis>,
     listed: BTreeMap<String, EndpointEntry>,
     scheduled: Vec<ScheduledOutcome>,
     deadlines: BTreeMap<RequestId, Millis>,
     events: Vec<Event>,
     pub(crate) sent: Vec<SentAttempt>,
-    /// Final answers without a result, with their time.
+    /// Rejections and failures of each request with their time; a correct policy returns at most one.
     pub(crate) unserved: BTreeMap<RequestId, Vec<(Millis, Action)>>,
-    /// When each request got its result.
+    /// When each request that succeeded got its result.
     pub(crate) succeeded: BTreeMap<RequestId, Millis>,
-    /// All actions, with their time.
+    /// All actions of the policy with their time.
     pub(crate) actions: Vec<(Millis, Action)>,
     last_id: RequestId,
 }
 
 impl TestGateway {
-    /// A gateway without endpoints.
+    /// A gateway without endpoints, at the start of a test.
     pub(crate) fn new(config: TestConfig) -> Self {
         let mut gateway = TestGateway {
             policy: Policy::new(config.into()),
-            now: READY_AT - MAX_FIRST_CALL_DELAY - STEP,
+            now: READY_AT - STARTUP_TIME - STEP,
             queued_for: 0.0,
             behavior: Box::new(succeed),
             connected_at: None,
@@ -99,7 +99,8 @@
         gateway
     }
 
-    /// A gateway with warm endpoints of version 1, named a0, a1, b2, b3 ... by zone, with this behavior.
+    /// A gateway with `count` fully warmed-up endpoints of version 1: the first half in zone a, the others in zone b,
+    /// named a0, a1, b2, b3 and so on.
     pub(crate) fn with_endpoints(
         config: TestConfig, count: usize,
         behavior: impl Fn(&SentAttempt) -> (AttemptOutcome, Millis) + 'static,
@@ -114,7 +115,7 @@
         gateway
     }
 
-    /// Delivers an update of one endpoint; its zone is the first letter of its name.
+    /// Delivers an update of one endpoint. The zone of the endpoint is the first letter of its name.
     pub(crate) fn update_endpoint(
         &mut self, name: &str, version: Version, status: EndpointStatus, started_at: Millis,
     ) -> EndpointEntry {
@@ -137,7 +138,7 @@
         entry
     }
 
-    /// Delivers endpoints of a version that start now.
+    /// Delivers an update with endpoints of a version that have just started.
     pub(crate) fn start_endpoints(&mut self, names: &[&str], version: Version) {
         for name in names {
             self.update_endpoint(name, version, EndpointStatus::Ready, self.now);
@@ -149,7 +150,6 @@
         self.events.push(event);
     }
 
-    /// Delivers a rollout state.
     pub(crate) fn update_rollout(
         &mut self, version: Version, stage: u32, phase: RolloutPhase, traffic_cap: f64,
     ) {
@@ -157,12 +157,12 @@
         self.deliver(Event::RolloutUpdate(rollout));
     }
 
-    /// Receives a request of a class, optionally with a sticky key.
+    /// Receives a request with the usual timeout of 2 s.
     pub(crate) fn request(&mut self, class: &str, key: Option<&str>) -> RequestId {
         self.receive(None, class, key, false, 2000.0)
     }
 
-    /// Receives a request of a tenant, optionally a retry, with this time remaining in ms.
+    /// Receives a request without a sticky key.
     pub(crate) fn request_from(
         &mut self, tenant: Option<&str>, class: &str, is_retry: bool, time_remaining: Millis,
     ) -> RequestId {
@@ -190,7 +190,7 @@
         id
     }
 
-    /// Delivers an outcome report of the first class.
+    /// Delivers the platform's report on the first class.
     pub(crate) fn report_outcomes(
         &mut self, version: Version, attempts: u64, failures: u64, mean_latency: Millis,
     ) {
@@ -204,7 +204,7 @@
         }));
     }
 
-    /// Runs one batch: due outcomes, delivered events, a timer; carries out the actions.
+    /// Runs one batch of events (those delivered, outcomes that are due, a timer) and performs the actions.
     pub(crate) fn step(&mut self) {
         let mut events = std::mem::take(&mut self.events);
         let scheduled = std::mem::take(&mut self.scheduled);
@@ -215,7 +215,7 @@
         }
         events.push(Event::TimerFired { token: "tick".to_string() });
         for action in self.policy.handle_events(self.now, events) {
-            self.carry_out(&action);
+            self.perform(&action);
             self.actions.push((self.now, action));
         }
         self.now += STEP;
@@ -238,7 +238,7 @@
         })
     }
 
-    fn carry_out(&mut self, action: &Action) {
+    fn perform(&mut self, action: &Action) {
         match action {
             Action::SendAttempt { id, endpoint, .. } => self.send(*id, endpoint),
             Action::CancelAttempt { id, attempt } => {
@@ -278,14 +278,14 @@
         self.sent.push(attempt);
     }
 
-    /// Runs for `duration` ms without requests.
+    /// Runs for `duration` without new requests.
     pub(crate) fn run_for(&mut self, duration: Millis) {
         for _ in 0..(duration / STEP) as usize {
             self.step();
         }
     }
 
-    /// Runs for `duration` ms with a request of the first class in each `every`-th step.
+    /// Runs for `duration`, with a request of the first class in every `every`-th step.
     pub(crate) fn serve_for(&mut self, duration: Millis, every: usize) {
         for step in 0..(duration / STEP) as usize {
             if step % every == 0 {
@@ -295,17 +295,17 @@
         }
     }
 
-    /// The endpoints of a request's attempts, in order.
+    /// The endpoints to which attempts at a request were sent, in the order of the attempts.
     pub(crate) fn endpoints_tried(&self, id: RequestId) -> Vec<String> {
         self.sent.iter().filter(|sent| sent.id == id).map(|sent| sent.endpoint.clone()).collect()
     }
 
-    /// Its log lines, with their time.
+    /// The events for the operators' log with their time.
     pub(crate) fn logs(&self) -> Vec<&(Millis, Action)> {
         self.actions.iter().filter(|(_, action)| matches!(action, Action::Log(_))).collect()
     }
 
-    /// True if it cast this vote on a version.
+    /// Returns `true` if the gateway has cast this vote on a version.
     pub(crate) fn has_voted(&self, version: Version, verdict: Verdict) -> bool {
         let is_vote = |action: &Action| match action {
             Action::CastVote { version: of, verdict: cast, .. } => (*of, *cast) == (version, verdict),
--- a/crates/policy/tests/policy/support/scenarios.rs
+++ b/crates/policy/tests/policy/support/scenarios.rs
@@ -1,26 +1,30 @@
-//! Behaviors of endpoints, and gateways at the start of a canary.
+//! Outcomes of attempts, and gateways at the start of a canary.
 
 use super::{SentAttempt, TestConfig, TestGateway};
 use latchhaven_policy::{AttemptOutcome, Millis, RolloutPhase, Version};
 
-/// Succeeds after 50 ms.
+/// When all endpoints become slower in [`slowed`]: shortly after the start of the canary in [`with_canary`].
+const SLOWDOWN_AT: Millis = 104_100.0;
+
+/// Every attempt succeeds after 50 ms.
 pub(crate) fn succeed(_: &SentAttempt) -> (AttemptOutcome, Millis) {
     (AttemptOutcome::Success, 50.0)
 }
 
-/// Gives attempts of one in `count` requests this outcome; the others succeed.
+/// Attempts at one in `count` requests get `outcome`; all others succeed.
 pub(crate) fn fail_every(
     count: u32, sent: &SentAttempt, outcome: AttemptOutcome,
 ) -> (AttemptOutcome, Millis) {
     if sent.id.0.is_multiple_of(count) { (outcome, 50.0) } else { succeed(sent) }
 }
 
-/// All endpoints are slower from the start of the canary's endpoints on.
+/// Attempts at all endpoints succeed, after 50 ms until [`SLOWDOWN_AT`] and after 110 ms from then on.
 pub(crate) fn slowed(sent: &SentAttempt) -> (AttemptOutcome, Millis) {
-    (AttemptOutcome::Success, if sent.at < 104_100.0 { 50.0 } else { 110.0 })
+    (AttemptOutcome::Success, if sent.at < SLOWDOWN_AT { 50.0 } else { 110.0 })
 }
 
-/// A gateway with four warm endpoints of version 1 and three of version 2, a canary at this stage and cap.
+/// A gateway with four fully warmed-up endpoints of version 1, and three endpoints of version 2 that have just
+/// started, a canary in this stage and with this traffic cap.
 pub(crate) fn with_canary(
     config: TestConfig, stage: u32, cap: f64,
     behavior: impl Fn(&SentAttempt) -> (AttemptOutcome, Millis) + 'static,
@@ -32,7 +36,8 @@
     gateway
 }
 
-/// One of 300 gateways, with 20 endpoints of version 1 and two of version 2, a canary at this cap.
+/// One of 300 gateways, with 20 endpoints of version 1, and two of version 2 that have just started, a canary with this
+/// traffic cap.
 pub(crate) fn among_300_gateways(
     seed: u64, cap: f64, behavior: impl Fn(&SentAttempt) -> (AttemptOutcome, Millis) + 'static,
 ) -> TestGateway {
