--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -123,9 +123,10 @@
 pub struct VotingConfig {
     /// Decides which of the quorums apply.
     pub mode: VoteMode,
-    /// Votes required to promote a version to the next stage; not used in [`VoteMode::Clocked`].
+    /// Votes required to promote a version to the next stage; may be 0 in [`VoteMode::Clocked`], where stages
+    /// pass without votes.
     pub promote_quorum: u32,
-    /// Votes required to pause a stage; used in [`VoteMode::Clocked`] only.
+    /// Votes required to pause a stage; above 0 in [`VoteMode::Clocked`].
     pub pause_quorum: u32,
     /// Votes required to roll back a version.
     pub rollback_quorum: u32,
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -54,14 +54,15 @@
     pub connected_at: Option<Millis>,
 }
 
-/// Counts of all gateways' attempts at one version, in one class, over a reporting period.
+/// Counts of attempts at one version, in one class, over a reporting period, as the platform or the proxies report
+/// them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutcomeReport {
     /// The version that the attempts were sent to.
     pub version: Version,
     /// The name of the class that the requests belong to.
     pub class: String,
-    /// The number of completed attempts in the platform's sample.
+    /// The number of completed attempts that were counted, which may be a sample.
     pub attempts: u64,
     /// The number of them that failed; a report with more failures than attempts is ignored.
     pub failures: u64,
@@ -167,7 +168,7 @@
     RolloutUnavailable,
     /// The platform replied to a vote, or no reply arrived within its timeout.
     VoteCompleted(VoteOutcome),
-    /// A reporting period ended: counts of all gateways' attempts at one version.
+    /// A reporting period ended: counts of attempts at one version.
     OutcomesReported(OutcomeReport),
     /// A reporting period ended: counts of other senders' attempts at one endpoint.
     EndpointOutcomesReported(EndpointOutcomes),
