--- a/crates/policy/src/canary.rs
+++ b/crates/policy/src/canary.rs
@@ -80,7 +80,7 @@
         if is_response {
             endpoint.metrics[Metric::Correctness].add(indicator(is_success));
         }
-        let has_responded_since = endpoint.last_answer_at >= attempt.sent_at;
+        let has_responded_since = endpoint.last_response_at >= attempt.sent_at;
         let is_evidence = is_response || (outcome == AttemptOutcome::Timeout && has_responded_since);
         // Latencies are scaled to full capacity, so that a version does not appear slow while its endpoints warm up.
         let warm_latency = elapsed * attempt.warmup_factor;
--- a/crates/policy/src/state/canary.rs
+++ b/crates/policy/src/state/canary.rs
@@ -11,7 +11,7 @@
 use crate::state::evidence::{
     ByVersionGroup, ClassEvidence, CommonFailures, OutcomeCounts, WeightedEvidence,
 };
-use crate::state::registry::{EndpointRegistry, EndpointTable, Sides};
+use crate::state::registry::{EndpointRegistry, EndpointTable, VersionGroups};
 use crate::time::Millis;
 
 /// A vote of this gateway, with the version and stage that it applies to.
@@ -155,13 +155,13 @@
 impl AnalysisView {
     /// Collects the endpoints' state at `now`; arrivals are counted over the last `load_window` milliseconds.
     #[must_use]
-    pub fn new(registry: &EndpointRegistry, sides: Sides, load_window: Millis, now: Millis) -> Self {
+    pub fn new(registry: &EndpointRegistry, sides: VersionGroups, load_window: Millis, now: Millis) -> Self {
         let warmup = |index: &EndpointIndex| registry.warmup_factor(*index, now);
         let warmup: Vec<f64> = sides.canary.iter().map(warmup).collect();
         AnalysisView {
             mean_canary_warmup: warmup.iter().sum::<f64>() / warmup.len().max(1) as f64,
             min_canary_warmup: warmup.into_iter().fold(1.0, f64::min),
-            load: registry.arrivals_per_answering_endpoint(now - load_window),
+            load: registry.arrivals_per_responding_endpoint(now - load_window),
             canary: sides.canary,
             baseline: sides.baseline,
             now,
--- a/crates/policy/tests/policy/admission.rs
+++ b/crates/policy/tests/policy/admission.rs
@@ -40,7 +40,7 @@
     gateway.serve_for(100.0, 1);
     let id = gateway.request_from(None, "look", is_retry, time_remaining);
     gateway.run_for(30.0);
-    assert_eq!((gateway.endpoints_tried(id).is_empty(), gateway.answers.contains_key(&id)), (!sent, !sent));
+    assert_eq!((gateway.endpoints_tried(id).is_empty(), gateway.unserved.contains_key(&id)), (!sent, !sent));
     // Attempts time out at the latency objective, so that endpoints may drop late ones unexecuted.
     let exceeds_objective = |action: &Action| match action {
         Action::SendAttempt { timeout, .. } => timeout.is_none_or(|timeout| timeout > 500.0),
@@ -57,7 +57,7 @@
     });
     gateway.serve_for(8000.0, 1);
     let mut rejected = 0;
-    for (id, statuses) in &gateway.answers {
+    for (id, statuses) in &gateway.unserved {
         rejected += 1;
         assert_eq!(statuses.len(), 1, "final statuses of request {id}");
         assert!(!gateway.succeeded.contains_key(id));
@@ -86,10 +86,10 @@
     };
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, behavior);
     gateway.serve_for(3000.0, every);
-    assert!(gateway.answers.is_empty(), "rejected without an overload");
+    assert!(gateway.unserved.is_empty(), "rejected without an overload");
     gateway.serve_for(4000.0, every);
     let rejected = |gateway: &TestGateway, from: Millis| {
-        gateway.answers.values().filter(|statuses| statuses[0].0 >= from).count()
+        gateway.unserved.values().filter(|statuses| statuses[0].0 >= from).count()
     };
     assert!(rejected(&gateway, 105_000.0) * 2 * every > 100, "few requests are rejected during the overload");
     gateway.serve_for(5000.0, every);
--- a/crates/policy/tests/policy/list_lease.rs
+++ b/crates/policy/tests/policy/list_lease.rs
@@ -31,7 +31,7 @@
     let id = gateway.request("look", None);
     gateway.step();
     let is_sent = !gateway.endpoints_tried(id).is_empty();
-    assert_ne!(is_sent, gateway.answers.contains_key(&id), "sent, or rejected immediately");
+    assert_ne!(is_sent, gateway.unserved.contains_key(&id), "sent, or rejected immediately");
     gateway.run_for(REQUEST_INTERVAL);
     is_sent
 }
@@ -77,7 +77,7 @@
     gateway.deliver(failed(CONNECTION_LOST));
     gateway.serve_for(30_000.0, 10);
     assert_eq!(is_sent(&mut gateway), is_used);
-    let rejected = gateway.answers.len();
+    let rejected = gateway.unserved.len();
     assert_eq!(rejected == 0, is_used, "{rejected} requests rejected");
 }
 
@@ -175,7 +175,7 @@
     gateway.run_for(6000.0);
     assert!(is_sent(&mut gateway));
     let write_timeouts = gateway.actions.iter().filter_map(|(_, action)| match action {
-        Action::SendAttempt { write_within, .. } => *write_within,
+        Action::SendAttempt { write_timeout, .. } => *write_timeout,
         _ => None,
     });
     let write_timeouts: Vec<Millis> = write_timeouts.collect();
--- a/crates/policy/tests/policy/reports.rs
+++ b/crates/policy/tests/policy/reports.rs
@@ -125,7 +125,7 @@
         let (endpoint, class) = ("a30".to_string(), "look".to_string());
         let relayed = Event::PeerMessage { from: number, data: version.0.to_be_bytes().to_vec() };
         gateway.deliver(if is_own {
-            Event::WrongAnswerReported { endpoint, class, age: 1000.0 }
+            Event::WrongResponseReported { endpoint, class, age: 1000.0 }
         } else {
             relayed
         });
