--- a/crates/cli/tests/gateway/upstream_pool.rs
+++ b/crates/cli/tests/gateway/upstream_pool.rs
@@ -89,7 +89,7 @@
 
 /// A call without a statement and with a timeout of 1 s.
 fn queued(call: UpstreamCall) -> QueuedCall {
-    QueuedCall { call, statement: None, deadline: 1000.0, write_by: None }
+    QueuedCall { call, statement: None, deadline: 1000.0, write_deadline: None }
 }
 
 /// Passes events to the pool until a call has ended. Returns its outcome.
--- a/crates/gateway/src/gateway/event_loop.rs
+++ b/crates/gateway/src/gateway/event_loop.rs
@@ -88,7 +88,7 @@
                 if let Some(call) = self.pool.on_connect_failed(&connection) {
                     self.on_call_ended(
                         call,
-                        CallResult::without_answer(AttemptOutcome::ConnectFailed),
+                        CallResult::without_response(AttemptOutcome::ConnectFailed),
                         events,
                     );
                 }
--- a/crates/gateway/src/gateway/upstream_calls.rs
+++ b/crates/gateway/src/gateway/upstream_calls.rs
@@ -31,7 +31,7 @@
             call,
             statement: Some(request.statement.clone()),
             deadline,
-            write_by: write_by.map(|at| self.clock.instant(at)),
+            write_deadline: write_by.map(|at| self.clock.instant(at)),
         };
         if !is_wanted || !self.pool.send(endpoint, queued, now) {
             self.return_unsent(vec![call]);
@@ -51,7 +51,7 @@
         let call = UpstreamCall::HealthCheck(self.health_checks.start(endpoint.to_string(), now));
         let is_permitted =
             invariant!(self.connections.health_checks, "health checks are sent only where permitted");
-        let queued = QueuedCall { call, statement: None, deadline, write_by: None };
+        let queued = QueuedCall { call, statement: None, deadline, write_deadline: None };
         if is_permitted && self.pool.send(endpoint, queued, now) {
             self.timers.set(deadline, Timer::CallTimeout(call));
         } else {
@@ -63,7 +63,7 @@
     pub(super) fn return_unsent(&mut self, calls: Vec<UpstreamCall>) {
         let mut events = Vec::new();
         for call in calls {
-            self.on_call_ended(call, CallResult::without_answer(AttemptOutcome::NotSent), &mut events);
+            self.on_call_ended(call, CallResult::without_response(AttemptOutcome::NotSent), &mut events);
         }
         self.next_events.append(&mut events);
     }
@@ -79,15 +79,15 @@
                 return;
             }
         };
-        self.on_call_ended(call, CallResult::without_answer(outcome), events);
+        self.on_call_ended(call, CallResult::without_response(outcome), events);
     }
 
     /// Ends an attempt if its last byte was not written yet; health checks have no write deadline.
     pub(super) fn abort_unsent(&mut self, call: UpstreamCall, events: &mut Vec<Event>) {
         let UpstreamCall::Attempt { .. } = call else { return };
         let Some(endpoint) = self.endpoint_of(call) else { return };
-        if self.pool.abort_unsent(&endpoint, call) {
-            self.on_call_ended(call, CallResult::without_answer(AttemptOutcome::NotSent), events);
+        if self.pool.cancel_unwritten(&endpoint, call) {
+            self.on_call_ended(call, CallResult::without_response(AttemptOutcome::NotSent), events);
         }
     }
 
--- a/crates/gateway/src/net/clients/accept.rs
+++ b/crates/gateway/src/net/clients/accept.rs
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     /// A connection cannot be registered with the runtime, or too many accepts failed.
-    pub fn accept_rest(self: &Rc<Self>, listener: TcpListener) -> io::Result<()> {
+    pub fn accept_queued(self: &Rc<Self>, listener: TcpListener) -> io::Result<()> {
         let listener = listener.into_std()?;
         let mut failures = 0;
         loop {
--- a/crates/gateway/src/net/upstream/call.rs
+++ b/crates/gateway/src/net/upstream/call.rs
@@ -43,7 +43,7 @@
 impl CallResult {
     /// The call ended without an answer of the endpoint.
     #[must_use]
-    pub fn without_answer(outcome: AttemptOutcome) -> Self {
+    pub fn without_response(outcome: AttemptOutcome) -> Self {
         CallResult { outcome, value: None, load: LoadReport::default(), connected_at: None }
     }
 }
--- a/crates/gateway/src/net/upstream/connection.rs
+++ b/crates/gateway/src/net/upstream/connection.rs
@@ -13,7 +13,7 @@
 pub(super) struct OutgoingQuery {
     pub(super) buffers: Vec<Bytes>,
     /// The last byte may not be written later.
-    pub(super) write_by: Option<Instant>,
+    pub(super) write_deadline: Option<Instant>,
 }
 
 /// One connection to an endpoint.
--- a/crates/gateway/src/net/upstream/connection_task.rs
+++ b/crates/gateway/src/net/upstream/connection_task.rs
@@ -65,7 +65,7 @@
     connection.close();
     if connection.call.get().is_some() && !connection.is_written.get() {
         // The pool assigned the call while the connection was closing.
-        task.report_call_ended(CallResult::without_answer(AttemptOutcome::ConnectFailed)).await;
+        task.report_call_ended(CallResult::without_response(AttemptOutcome::ConnectFailed)).await;
     }
     task.report(DriverEvent::ConnectionClosed { connection }).await;
 }
--- a/crates/gateway/src/net/upstream/exchange.rs
+++ b/crates/gateway/src/net/upstream/exchange.rs
@@ -101,7 +101,7 @@
     /// Sends one query and reads its answer.
     pub(super) async fn exchange(&mut self, stream: &TcpStream, query: OutgoingQuery) -> Exchange {
         if let Err(outcome) = self.send_query(stream, query).await {
-            return Exchange { result: CallResult::without_answer(outcome), next: NextStep::Close };
+            return Exchange { result: CallResult::without_response(outcome), next: NextStep::Close };
         }
         self.connection.is_written.set(true);
         self.read_answer(stream).await
@@ -115,13 +115,13 @@
             return Err(AttemptOutcome::NotSent);
         }
         // Checked again just before the write: the process may have been suspended since the pool checked it.
-        if query.write_by.is_some_and(|write_by| Instant::now() >= write_by) {
+        if query.write_deadline.is_some_and(|write_deadline| Instant::now() >= write_deadline) {
             return Err(AttemptOutcome::NotSent);
         }
         let writing = write_all(stream, &query.buffers);
-        let written = match query.write_by {
-            Some(write_by) => {
-                timeout_at(write_by, writing).await.unwrap_or_else(|late| Err(io::Error::from(late)))
+        let written = match query.write_deadline {
+            Some(write_deadline) => {
+                timeout_at(write_deadline, writing).await.unwrap_or_else(|late| Err(io::Error::from(late)))
             }
             None => writing.await,
         };
--- a/crates/gateway/src/net/upstream/pool.rs
+++ b/crates/gateway/src/net/upstream/pool.rs
@@ -25,7 +25,7 @@
     /// When the gateway stops waiting for the answer, in ms.
     pub deadline: Millis,
     /// Its last byte may not be written later.
-    pub write_by: Option<Instant>,
+    pub write_deadline: Option<Instant>,
 }
 
 /// An endpoint of the list.
@@ -221,7 +221,7 @@
 
     /// Cancels a call: removes it from the queue, or closes its connection.
     pub fn cancel(&mut self, endpoint: &str, call: UpstreamCall) -> CancelResult {
-        if self.abort_unsent(endpoint, call) {
+        if self.cancel_unwritten(endpoint, call) {
             return CancelResult::Unwritten;
         }
         let Some(connection) = self.active.remove(&call) else { return CancelResult::NotFound };
@@ -231,7 +231,7 @@
     }
 
     /// Cancels a call if its last byte was not written yet. False: it was written, or there is no such call.
-    pub fn abort_unsent(&mut self, endpoint: &str, call: UpstreamCall) -> bool {
+    pub fn cancel_unwritten(&mut self, endpoint: &str, call: UpstreamCall) -> bool {
         if let Some(connection) = self.active.get(&call)
             && !connection.is_written.get()
         {
@@ -314,7 +314,7 @@
             }
             None => vec![pg::encode::query("SELECT 1")],
         };
-        connection.outgoing.replace(Some(OutgoingQuery { buffers, write_by: queued.write_by }));
+        connection.outgoing.replace(Some(OutgoingQuery { buffers, write_deadline: queued.write_deadline }));
         connection.wake.notify_one();
         self.active.insert(queued.call, connection);
     }
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -144,7 +144,7 @@
 
 /// Closes the listener after the accepts of what it has queued, then waits until the last connection is closed.
 async fn shut_down(clients: &Rc<Clients>, listener: TcpListener, gateway: &JoinHandle<()>) {
-    if let Err(error) = clients.accept_rest(listener) {
+    if let Err(error) = clients.accept_queued(listener) {
         tracing::warn!(%error, "shutdown: final accept failed");
     }
     // Without effect where the stop signal has begun the shutdown; required where the accept loop ended first.
