--- a/crates/backoff/src/lib.rs
+++ b/crates/backoff/src/lib.rs
@@ -1,32 +1,33 @@
 //! Exponential backoff with jitter.
 //!
-//! Problem: callers that fail together and retry after the same delay fail together again. Method: the upper bound of
-//! the delay doubles with each failure in a row, up to a maximum, and part of it is drawn at random (Marc Brooker,
-//! "Exponential Backoff And Jitter", 2015). This crate reads no clock and never sleeps; every interval is the caller's.
+//! Problem: callers that fail simultaneously and retry after the same delay fail simultaneously again. Method: the
+//! upper bound of the delay doubles with each consecutive failure, up to a maximum, and part of the delay is drawn at
+//! random (Marc Brooker, "Exponential Backoff And Jitter", 2015). This crate reads no clock and never sleeps: the
+//! caller waits for the delay that it gets.
 
 #![warn(clippy::pedantic)]
 
 use rand::{Rng, RngExt};
 
-/// Milliseconds, with fractions.
+/// A time or duration in milliseconds, which may have a fraction.
 pub type Millis = f64;
 
-/// Doublings that are distinguished: beyond them every bound of practical size has reached its maximum.
+/// More doublings count as this number: the factor has to fit into a `u32`, and reaches any practical maximum before.
 const MAX_DOUBLINGS: u32 = u32::BITS - 1;
 
-/// Which part of a delay is drawn at random.
+/// The part of a delay that is drawn at random.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Jitter {
-    /// None of it: the delay is the upper bound, and no random number is drawn.
+    /// The delay is the upper bound, and no random number is drawn.
     None,
-    /// One half: the delay is at least half of the upper bound.
+    /// The delay is between half of the upper bound and the upper bound.
     Half,
-    /// All of it: the delay is between 0 and the upper bound.
+    /// The delay is between 0 and the upper bound.
     Full,
 }
 
 impl Jitter {
-    /// A delay in ms, up to `upper_bound` ms.
+    /// Draws a delay from a uniform distribution up to `upper_bound`; without jitter returns `upper_bound`.
     pub fn draw(self, upper_bound: Millis, rng: &mut impl Rng) -> Millis {
         match self {
             Jitter::None => upper_bound,
@@ -36,7 +37,7 @@
     }
 }
 
-/// A delay that doubles with each failure in a row.
+/// Delays whose upper bound doubles with each consecutive failure.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExponentialBackoff {
     initial: Millis,
@@ -45,20 +46,21 @@
 }
 
 impl ExponentialBackoff {
-    /// A backoff whose upper bound starts at `initial` ms and doubles up to `max` ms.
+    /// A backoff whose upper bound is `initial` without doublings and never exceeds `max`.
     #[must_use]
     pub const fn new(initial: Millis, max: Millis, jitter: Jitter) -> Self {
         ExponentialBackoff { initial, max, jitter }
     }
 
-    /// The longest delay in ms after so many doublings.
+    /// The longest delay after this number of doublings. Callers pass the number of consecutive failures, or that
+    /// number minus one if the first delay is to be `initial`.
     #[must_use]
     pub fn upper_bound(&self, doublings: u32) -> Millis {
         let factor = f64::from(1u32 << doublings.min(MAX_DOUBLINGS));
         (self.initial * factor).min(self.max)
     }
 
-    /// A delay in ms after so many doublings.
+    /// Draws a delay of at most [`Self::upper_bound`].
     pub fn delay(&self, doublings: u32, rng: &mut impl Rng) -> Millis {
         self.jitter.draw(self.upper_bound(doublings), rng)
     }
--- a/crates/backoff/tests/backoff.rs
+++ b/crates/backoff/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! The bounds of delays, and what jitter draws.
+//! The upper bounds of delays, and the range from which each kind of jitter draws.
 
 use latchhaven_backoff::{ExponentialBackoff, Jitter, Millis};
 use rand::{RngExt, SeedableRng};
@@ -31,7 +31,7 @@
 #[rstest]
 #[case(Jitter::Half, 400.0)]
 #[case(Jitter::Full, 0.0)]
-fn delays_spread_over_the_part_that_is_drawn(#[case] jitter: Jitter, #[case] min: Millis) {
+fn delays_cover_the_range_of_the_jitter(#[case] jitter: Jitter, #[case] min: Millis) {
     let backoff = ExponentialBackoff::new(INITIAL, MAX, jitter);
     let mut rng = rng();
     let delays: Vec<Millis> = (0..1000).map(|_| backoff.delay(3, &mut rng)).collect();
@@ -50,6 +50,6 @@
 }
 
 #[test]
-fn empty_range_has_no_delay() {
+fn upper_bound_of_zero_gives_a_delay_of_zero() {
     assert_eq!(Jitter::Full.draw(0.0, &mut rng()), 0.0);
 }
--- a/crates/listener/src/lib.rs
+++ b/crates/listener/src/lib.rs
@@ -1,8 +1,8 @@
-//! Retries failed accepts of a listener.
+//! Retries failed calls of `accept` on a listening socket.
 //!
-//! Problem: accept reports errors of the connection in front of the queue, which the next call does not meet, and errors
-//! of the process, such as a lack of descriptors, which the next call meets as well. Method: the first kind is retried
-//! immediately, the second after an interval. No error ends the listener.
+//! Problem: some errors of `accept` concern only the first connection of the queue, so that the next call may succeed.
+//! Others concern the process, such as a lack of file descriptors, and the next call fails as well. Method: the first
+//! kind is retried immediately, the second after an interval. No error closes the listener.
 
 #![warn(clippy::pedantic)]
 
@@ -10,17 +10,17 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The scope of an accept error.
+/// What an error of `accept` affects, which decides when the call is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorScope {
-    /// The connection that was to be accepted, or a single call: the next accept may succeed immediately.
+    /// Only the connection to be accepted or the interrupted call: retried immediately.
     Connection,
-    /// The process or the machine: the next accept fails as well until resources are released.
+    /// The process or the machine: calls fail until resources are released, so the retry is delayed.
     Process,
 }
 
 impl ErrorScope {
-    /// The scope of an error that accept returned.
+    /// Classifies an error that `accept` returned. Unknown errors count as [`ErrorScope::Process`].
     #[must_use]
     pub fn of(error: &io::Error) -> Self {
         match error.kind() {
@@ -30,8 +30,8 @@
     }
 }
 
-/// Calls `accept` until it succeeds. `on_error` is called with each error; after one of the process the next call is
-/// made `retry_interval` later. Cancel safe if `accept` is.
+/// Calls `accept` until it succeeds, and `on_error` with each error before the retry. After an error with
+/// [`ErrorScope::Process`], `accept` is called again `retry_interval` later. Cancel safe if `accept` is.
 pub async fn accept_with_retry<T>(
     mut accept: impl AsyncFnMut() -> io::Result<T>, retry_interval: Duration,
     mut on_error: impl FnMut(&io::Error, ErrorScope),
--- a/crates/listener/tests/accept.rs
+++ b/crates/listener/tests/accept.rs
@@ -1,4 +1,4 @@
-//! Which accept errors are retried immediately, and which after the interval.
+//! Which errors of `accept` are retried immediately, and which after the retry interval.
 
 use latchhaven_listener::{ErrorScope, accept_with_retry};
 use rstest::rstest;
@@ -20,7 +20,7 @@
 #[case(ENFILE, ErrorScope::Process, RETRY_INTERVAL)]
 #[case(ENOBUFS, ErrorScope::Process, RETRY_INTERVAL)]
 #[tokio::test(start_paused = true)]
-async fn failed_accept_is_repeated_by_its_scope(
+async fn failed_accept_is_retried_after_the_delay_of_its_scope(
     #[case] code: i32, #[case] scope: ErrorScope, #[case] delay: Duration,
 ) {
     let started_at = Instant::now();
