--- a/crates/gateway/src/net/http_connection.rs
+++ b/crates/gateway/src/net/http_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to an HTTP service, for one response after another.
+//! A client connection to an HTTP service, which carries one request and response after another.
 
 use super::io::{is_unusable, read_some, write_all};
 use crate::proto::http::{self, ParseError, ResponsePart, ResponseReader};
@@ -10,7 +10,7 @@
 /// Why a request or its response failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum HttpError {
-    /// The connection could not be opened, or broke.
+    /// The connection could not be opened, or was lost.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The response is malformed or exceeds a limit.
@@ -18,7 +18,7 @@
     Response(#[from] ParseError),
 }
 
-/// An open connection.
+/// An open connection; `buffer` is input that `reader` has not parsed yet.
 pub(super) struct HttpConnection {
     address: SocketAddr,
     stream: TcpStream,
@@ -27,7 +27,7 @@
 }
 
 impl HttpConnection {
-    /// Connects without a timeout of its own.
+    /// Connects. The caller sets a timeout.
     ///
     /// # Errors
     /// The connection cannot be opened.
@@ -37,23 +37,22 @@
         Ok(HttpConnection { address, stream, reader: ResponseReader::default(), buffer: BytesMut::new() })
     }
 
-    /// The address of the service.
     pub(super) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Writes a request without a body.
+    /// Writes a GET request.
     ///
     /// # Errors
-    /// The connection broke before the last byte was written.
+    /// The connection was lost before the last byte was written.
     pub(super) async fn get(&self, path: &str) -> Result<(), HttpError> {
         self.write(http::get(&self.address.to_string(), path)).await
     }
 
-    /// Writes a request with a JSON body.
+    /// Writes a POST request with a JSON body.
     ///
     /// # Errors
-    /// The connection broke before the last byte was written.
+    /// The connection was lost before the last byte was written.
     pub(super) async fn post(&self, path: &str, body: &str) -> Result<(), HttpError> {
         self.write(http::post(&self.address.to_string(), path, body)).await
     }
@@ -62,11 +61,10 @@
         Ok(write_all(&self.stream, &[request]).await?)
     }
 
-    /// The next part of the response. None: the service has closed the connection. Can be dropped and called again
-    /// without loss.
+    /// Reads the next part of the response; `None` if the service has closed the connection. Cancel safe.
     ///
     /// # Errors
-    /// The connection broke, or the response is malformed.
+    /// The connection was lost, or the response is malformed or exceeds a limit.
     pub(super) async fn next_part(&mut self) -> Result<Option<ResponsePart>, HttpError> {
         loop {
             if let Some(part) = self.reader.next(&mut self.buffer)? {
@@ -78,17 +76,17 @@
         }
     }
 
-    /// The response is complete if the service closes the connection now.
+    /// Returns `true` if the body of the current response ends when the service closes the connection.
     pub(super) fn is_complete_at_close(&self) -> bool {
         self.reader.is_complete_at_close()
     }
 
-    /// Input was received that is not part of a complete part.
+    /// Returns `true` if bytes were received that do not form a complete part of a response yet.
     pub(super) fn has_unparsed_input(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// No request can be sent: the service has closed the connection, or sent unsolicited data.
+    /// Returns `true` if no request can be sent, because the service closed the connection or sent unsolicited data.
     pub(super) fn is_unusable(&self) -> bool {
         is_unusable(&self.stream)
     }
--- a/crates/gateway/src/net/io.rs
+++ b/crates/gateway/src/net/io.rs
@@ -1,4 +1,4 @@
-//! Reads and writes on sockets.
+//! Reads and writes on non-blocking sockets, and queries of their state.
 
 use crate::limits::{MAX_BUFFERS_PER_WRITE, MAX_READ};
 use bytes::{Bytes, BytesMut};
@@ -10,40 +10,43 @@
 use tokio::net::TcpStream;
 use tokio::task::yield_now;
 
-/// This idle connection cannot be used: its peer has closed it, or sent unsolicited data.
+/// Returns `true` if an idle connection cannot be used, because its peer has closed it or sent unsolicited data.
 pub fn is_unusable(stream: &TcpStream) -> bool {
     let peeked = SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
     !matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// There is unread input.
+/// Returns `true` if the socket has unread input.
 pub fn has_unread_bytes(stream: &TcpStream) -> bool {
     matches!(SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]), Ok(count) if count > 0)
 }
 
-/// The peer has closed its side, even if there is unread input before the end.
+/// Returns `true` if the peer has closed its side, even if unread input precedes the end of the stream.
 pub fn is_closed_by_peer(stream: &TcpStream) -> bool {
     if matches!(SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]), Ok(0)) {
         return true;
     }
+    // Polled once without a waker: reads the readiness that the runtime has recorded, and waits for nothing.
     let ready = std::pin::pin!(stream.ready(Interest::READABLE));
     let polled = ready.poll(&mut Context::from_waker(Waker::noop()));
     matches!(polled, Poll::Ready(Ok(ready)) if ready.is_read_closed())
 }
 
-/// Nothing was transferred, and the socket is still usable.
+/// Returns `true` if the failed call transferred nothing and the socket is still usable.
 fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// Reads available bytes, at most [`MAX_READ`]. 0: the peer has closed its side. Where the future is dropped, bytes that
-/// were read are in the buffer.
+/// Waits for input and reads once into `buffer`, whose spare capacity is then at least [`MAX_READ`]. Returns the
+/// number of bytes, or 0 if the peer has closed its side. Bytes that were read before a drop of the future are in
+/// `buffer`.
 ///
 /// # Errors
-/// Those of the socket.
+/// The connection is lost.
 pub async fn read_some(stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<usize> {
     loop {
         stream.readable().await?;
+        // Releases the memory of a large message.
         if buffer.is_empty() && buffer.capacity() > 2 * MAX_READ {
             *buffer = BytesMut::new();
         }
@@ -60,10 +63,10 @@
     }
 }
 
-/// Writes all buffers, several with one system call.
+/// Writes all buffers, with up to [`MAX_BUFFERS_PER_WRITE`] of them in one system call.
 ///
 /// # Errors
-/// Those of the socket; the last byte was not written then.
+/// The connection was lost before the last byte was written.
 pub async fn write_all(stream: &TcpStream, buffers: &[Bytes]) -> io::Result<()> {
     let mut cursor = WriteCursor { buffers, index: 0, offset: 0 };
     loop {
@@ -81,12 +84,13 @@
     }
 }
 
-/// The position up to which buffers were written.
+/// The position of the first byte that was not written yet.
 struct WriteCursor<'a> {
     buffers: &'a [Bytes],
-    /// The current buffer.
+    /// Index of the buffer with that byte.
     index: usize,
-    /// Bytes of the current buffer that were written.
+    /// Bytes written since the start of that buffer; exceeds its length until the next
+    /// [`skip_written_buffers`](Self::skip_written_buffers).
     offset: usize,
 }
 
@@ -106,7 +110,7 @@
         self.offset += written;
     }
 
-    /// The next slices to write, and their number.
+    /// The slices for the next system call; the second value is the number of slices in use.
     fn slices(&self) -> ([IoSlice<'a>; MAX_BUFFERS_PER_WRITE], usize) {
         let mut slices = [IoSlice::new(&[]); MAX_BUFFERS_PER_WRITE];
         let mut count = 0;
--- a/crates/gateway/src/net/upstream/call.rs
+++ b/crates/gateway/src/net/upstream/call.rs
@@ -5,17 +5,17 @@
 use std::fmt;
 use tokio::time::Instant;
 
-/// What is sent to an endpoint.
+/// Identifies what is sent to an endpoint with one query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum UpstreamCall {
-    /// An attempt of a request; attempts are numbered from 0.
+    /// An attempt to serve a request.
     Attempt {
-        /// The request.
+        /// The request that is attempted.
         id: RequestId,
-        /// The number of the attempt.
+        /// Index among the attempts of the request, from 0.
         attempt: u32,
     },
-    /// A health check, by its number.
+    /// A health check with its number, which is unique within the process.
     HealthCheck(u64),
 }
 
@@ -30,31 +30,32 @@
 
 /// How a call ended.
 pub struct CallResult {
-    /// Whether and how the endpoint answered.
+    /// Success, or why there is no valid response.
     pub outcome: AttemptOutcome,
-    /// The row of a success as received: its description, the row, and its completion.
+    /// `RowDescription`, `DataRow` and `CommandComplete` as received; `None` unless the call succeeded.
     pub value: Option<[Bytes; 3]>,
-    /// The load that the endpoint reported.
+    /// The load that the endpoint reported with its response; empty unless load reports in responses are enabled.
     pub load: LoadReport,
-    /// When the connection that carried the call was established.
+    /// When the connection that carried the call was established. Set by the connection's task; `None` if the call
+    /// ended otherwise, such as by a timeout.
     pub connected_at: Option<Instant>,
 }
 
 impl CallResult {
-    /// The call ended without an answer of the endpoint.
+    /// The result of a call that was not sent, was cancelled, or got no complete response.
     #[must_use]
     pub fn without_response(outcome: AttemptOutcome) -> Self {
         CallResult { outcome, value: None, load: LoadReport::default(), connected_at: None }
     }
 }
 
-/// The state of a call when it was cancelled.
+/// How far a call had proceeded when it was cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelResult {
-    /// Its last byte was never written.
+    /// The last byte of the query was not written, so the endpoint does not execute it.
     Unwritten,
-    /// It was written, and its connection is closed.
+    /// The complete query was written. The connection is closed, but the endpoint may execute the query.
     Written,
-    /// There is no such call.
+    /// The pool has no such call: it is completed or was never sent.
     NotFound,
 }
--- a/crates/gateway/src/net/upstream/connection.rs
+++ b/crates/gateway/src/net/upstream/connection.rs
@@ -9,27 +9,35 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A query to write, and its write deadline.
+/// A query that the connection's task is to write.
 pub(super) struct OutgoingQuery {
     pub(super) buffers: Vec<Bytes>,
-    /// The last byte may not be written later.
+    /// The last byte is written before this instant or never; `None` without a limit.
     pub(super) write_deadline: Option<Instant>,
 }
 
-/// One connection to an endpoint.
+/// The state of one connection to an endpoint. The pool assigns calls; the connection's task carries them.
 pub struct UpstreamConnection {
+    /// The id of the endpoint in the endpoint list.
     pub(super) endpoint: String,
+    /// The generation of the endpoint for which the connection was opened. The pool uses a connection only while its
+    /// endpoint has this generation.
     pub(super) generation: u64,
+    /// Set when TCP has connected.
     pub(super) stream: OnceCell<TcpStream>,
-    /// When TCP connected, before the startup messages: a process that replaced the endpoint later cannot have answered on it.
+    /// Set when TCP has connected, before the startup messages: a process that replaced the endpoint after this instant
+    /// cannot have sent a response on the connection.
     pub(super) connected_at: Cell<Option<Instant>>,
     pub(super) is_closed: Cell<bool>,
-    /// The last byte of the call was written.
+    /// Set when the last byte of the assigned call was written.
     pub(super) is_written: Cell<bool>,
+    /// The assigned call, until it ends or is cancelled.
     pub(super) call: Cell<Option<UpstreamCall>>,
+    /// When the connection became idle; of no meaning while a call is assigned.
     pub(super) idle_since: Cell<Instant>,
+    /// The query of the assigned call, until the task takes it.
     pub(super) outgoing: RefCell<Option<OutgoingQuery>>,
-    /// Wakes the task: there is a query, or the connection is to be closed.
+    /// Wakes the task after `outgoing` or `is_closed` has changed.
     pub(super) wake: Notify,
 }
 
@@ -49,7 +57,7 @@
         }
     }
 
-    /// Shuts the socket down immediately, so that its task cannot write anything more.
+    /// Closes the connection. Shuts the socket down immediately, so that the task cannot write any further byte.
     pub(super) fn close(&self) {
         self.is_closed.set(true);
         if let Some(stream) = self.stream.get() {
@@ -58,7 +66,6 @@
         self.wake.notify_one();
     }
 
-    /// Waits until it is closed.
     pub(super) async fn closed(&self) {
         while !self.is_closed.get() {
             self.wake.notified().await;
--- a/crates/gateway/src/net/upstream/connection_task.rs
+++ b/crates/gateway/src/net/upstream/connection_task.rs
@@ -1,4 +1,4 @@
-//! The task of a connection: opens it, carries one call after another, and reports their results.
+//! The task of a connection: opens it, carries one call after another, and reports their results to the event loop.
 
 use super::call::CallResult;
 use super::connection::{OutgoingQuery, UpstreamConnection};
@@ -18,38 +18,35 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Why a connection could not be opened. The texts are logged.
+/// Why a connection could not be opened; logged.
 #[derive(Debug, thiserror::Error)]
 enum OpenError {
-    /// The connection was refused, or broke.
+    /// The connection was refused, or was lost.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The endpoint violates the protocol.
     #[error(transparent)]
     Protocol(#[from] ParseError),
-    /// The endpoint was not ready for a query in time.
-    #[error("not ready in time")]
+    #[error("not ready for a query within the connect timeout")]
     Timeout,
-    /// The pool closed the connection.
-    #[error("closed before it was ready")]
-    Closed,
+    #[error("closed by the gateway before it was ready for a query")]
+    ClosedByPool,
     /// The endpoint returned an error with this SQLSTATE.
-    #[error("the endpoint returned error {0}")]
+    #[error("expected ReadyForQuery, got an error with SQLSTATE {0}")]
     ErrorResponse(String),
-    /// The endpoint sent a row without a query.
-    #[error("a row before any query")]
+    #[error("expected ReadyForQuery, got a row")]
     UnexpectedRow,
-    /// The endpoint closed the connection.
-    #[error("the endpoint closed the connection")]
+    #[error("closed by the endpoint before it was ready for a query")]
     ClosedByEndpoint,
 }
 
-/// Drives a connection from its opening to its close.
+/// Opens a connection and carries its calls until it is closed. `large_response_permits` limit the number of large
+/// responses that are buffered for all connections.
 pub(super) async fn run(
     connection: Rc<UpstreamConnection>, address: SocketAddr, config: UpstreamConnectionConfig,
-    large_answers: Arc<Semaphore>, events: mpsc::Sender<DriverEvent>,
+    large_response_permits: Arc<Semaphore>, events: mpsc::Sender<DriverEvent>,
 ) {
-    let channel = QueryChannel::new(connection.clone(), config.load_reporting, large_answers);
+    let channel = QueryChannel::new(connection.clone(), config.load_reporting, large_response_permits);
     let mut task = ConnectionTask { connection: connection.clone(), config, events, channel };
     if let Err(error) = task.open(address).await {
         COUNTERS.server_connects_failed_total.increment();
@@ -78,7 +75,7 @@
 }
 
 impl ConnectionTask {
-    /// Opens the connection, unless it is closed meanwhile.
+    /// Opens the connection, unless the connect timeout expires or the pool closes the connection before.
     async fn open(&mut self, address: SocketAddr) -> Result<(), OpenError> {
         let connect_timeout = duration(self.config.connect_timeout);
         let connection = self.connection.clone();
@@ -86,7 +83,7 @@
             opened = timeout(connect_timeout, self.connect(&connection, address)) => {
                 opened.unwrap_or(Err(OpenError::Timeout))
             }
-            () = connection.closed() => Err(OpenError::Closed),
+            () = connection.closed() => Err(OpenError::ClosedByPool),
         }
     }
 
@@ -112,7 +109,7 @@
         }
     }
 
-    /// Carries calls until the connection closes.
+    /// Carries calls until the connection is to be closed.
     async fn serve(&mut self, stream: &TcpStream) {
         let connection = self.connection.clone();
         let mut is_first = true;
@@ -126,10 +123,10 @@
             };
             let Exchange { result, next } = exchange;
             self.report_call_ended(result).await;
-            if !self.is_ready_again(stream, next).await {
+            if !self.wait_until_ready(stream, next).await {
                 return;
             }
-            // Data after the answer: the connection is out of step.
+            // Data after a complete response would be read as part of the next one.
             if !self.channel.buffer.is_empty() || is_unusable(stream) {
                 COUNTERS.unsolicited_responses_total.increment();
                 return;
@@ -137,7 +134,8 @@
         }
     }
 
-    async fn is_ready_again(&mut self, stream: &TcpStream, next: NextStep) -> bool {
+    /// Waits until the endpoint is ready for the next query. Returns `false` if the connection has to be closed.
+    async fn wait_until_ready(&mut self, stream: &TcpStream, next: NextStep) -> bool {
         match next {
             NextStep::Ready => true,
             NextStep::AwaitReady => {
@@ -147,7 +145,7 @@
         }
     }
 
-    /// Idles until there is a query. None: the connection closes first.
+    /// Waits until the pool assigns a call. `None` if the connection is closed, unusable or idle for too long before.
     async fn next_query(&mut self, stream: &TcpStream) -> Option<OutgoingQuery> {
         let idle_until = Instant::now() + idle_close_after(self.config.idle_timeout);
         let connection = self.connection.clone();
@@ -158,7 +156,7 @@
             select! {
                 () = connection.wake.notified() => {}
                 read = read_some(stream, &mut self.channel.buffer) => {
-                    if read.ok()? == 0 || !self.channel.accept_idle_messages() {
+                    if read.ok()? == 0 || !self.channel.parse_idle_messages() {
                         return None;
                     }
                 }
--- a/crates/gateway/src/net/upstream/exchange.rs
+++ b/crates/gateway/src/net/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One query on a connection and its answer.
+//! One query on a connection and its response.
 
 use super::call::CallResult;
 use super::connection::{OutgoingQuery, UpstreamConnection};
@@ -15,27 +15,27 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{Instant, timeout_at};
 
-/// The parameter by which an endpoint reports its load with an answer.
+/// The `ParameterStatus` by which an endpoint reports its load within a response.
 const LOAD_PARAMETER: &str = "load";
 
-/// What is to be done with the connection after an answer.
+/// What happens to the connection after an exchange.
 #[derive(PartialEq)]
 pub(super) enum NextStep {
-    /// The endpoint is ready for a query.
+    /// The next query can be sent.
     Ready,
-    /// The answer is complete; the endpoint has not reported yet that it is ready.
+    /// The response is complete, but the endpoint has not sent `ReadyForQuery` yet.
     AwaitReady,
-    /// The connection is out of step or lost.
+    /// The connection is lost, or unexpected bytes were received.
     Close,
 }
 
-/// How an exchange ended.
+/// A completed exchange of a query and its response.
 pub(super) struct Exchange {
     pub(super) result: CallResult,
     pub(super) next: NextStep,
 }
 
-/// A row with a permit for large answers, which is released when the row is dropped.
+/// The row of a large response with its permit, which is released when the row is dropped.
 struct LargeRow {
     row: Bytes,
     _permit: OwnedSemaphorePermit,
@@ -47,16 +47,18 @@
     }
 }
 
-/// The part of an answer that was received.
+/// The part of a response that was received.
 #[derive(Default)]
-struct PartialAnswer {
+struct PartialResponse {
+    /// Set when the row or the error was received; only `ParameterStatus` and `ReadyForQuery` may follow.
     outcome: Option<AttemptOutcome>,
     value: Option<[Bytes; 3]>,
     load: LoadReport,
+    /// Set when the response was found to be large.
     permit: Option<OwnedSemaphorePermit>,
 }
 
-impl PartialAnswer {
+impl PartialResponse {
     fn set_row(&mut self, [description, row, completion]: [Bytes; 3]) {
         let row = match self.permit.take() {
             Some(permit) => Bytes::from_owner(LargeRow { row, _permit: permit }),
@@ -66,20 +68,20 @@
         self.value = Some([description, row, completion]);
     }
 
-    /// Ends the exchange; `outcome_otherwise` applies where no complete answer was read.
-    fn finish(self, outcome_otherwise: AttemptOutcome, next: NextStep) -> Exchange {
-        let outcome = self.outcome.unwrap_or(outcome_otherwise);
+    /// Completes the exchange, with `outcome_if_incomplete` if neither a row nor an error was received.
+    fn finish(self, outcome_if_incomplete: AttemptOutcome, next: NextStep) -> Exchange {
+        let outcome = self.outcome.unwrap_or(outcome_if_incomplete);
         let result = CallResult { outcome, value: self.value, load: self.load, connected_at: None };
         Exchange { result, next }
     }
 }
 
-/// Sends queries on a connection and reads their answers.
+/// Sends queries on a connection and reads their responses.
 pub(super) struct QueryChannel {
     connection: Rc<UpstreamConnection>,
     load_reporting: LoadReporting,
-    /// Permits for large answers.
-    large_answers: Arc<Semaphore>,
+    /// Shared by all connections.
+    large_response_permits: Arc<Semaphore>,
     backend: Backend,
     /// Input that was not parsed yet.
     pub(super) buffer: BytesMut,
@@ -87,34 +89,35 @@
 
 impl QueryChannel {
     pub(super) fn new(
-        connection: Rc<UpstreamConnection>, load_reporting: LoadReporting, large_answers: Arc<Semaphore>,
+        connection: Rc<UpstreamConnection>, load_reporting: LoadReporting,
+        large_response_permits: Arc<Semaphore>,
     ) -> Self {
         let backend = Backend::default();
-        QueryChannel { connection, load_reporting, large_answers, backend, buffer: BytesMut::new() }
+        QueryChannel { connection, load_reporting, large_response_permits, backend, buffer: BytesMut::new() }
     }
 
-    /// The next buffered message of the endpoint, if it is complete.
+    /// Parses the next message of the endpoint from the buffer; `None` if it is incomplete.
     pub(super) fn next_message(&mut self) -> Result<Option<BackendMessage>, ParseError> {
         self.backend.next(&mut self.buffer)
     }
 
-    /// Sends one query and reads its answer.
+    /// Sends one query and reads the response. Not cancel safe: after a drop the connection has to be closed.
     pub(super) async fn exchange(&mut self, stream: &TcpStream, query: OutgoingQuery) -> Exchange {
         if let Err(outcome) = self.send_query(stream, query).await {
             return Exchange { result: CallResult::without_response(outcome), next: NextStep::Close };
         }
         self.connection.is_written.set(true);
-        self.read_answer(stream).await
+        self.read_response(stream).await
     }
 
-    /// Writes a query. After an error its last byte was not written, and the endpoint has not executed it.
+    /// Writes a query. After an error, the last byte was not written, so the endpoint has not executed the query.
     async fn send_query(&mut self, stream: &TcpStream, query: OutgoingQuery) -> Result<(), AttemptOutcome> {
         // Unsolicited data arrived after the pool chose this connection.
         if !self.buffer.is_empty() || is_unusable(stream) {
             COUNTERS.unsolicited_responses_total.increment();
             return Err(AttemptOutcome::NotSent);
         }
-        // Checked again just before the write: the process may have been suspended since the pool checked it.
+        // Checked directly before the write: the process may have been suspended since the call was assigned.
         if query.write_deadline.is_some_and(|write_deadline| Instant::now() >= write_deadline) {
             return Err(AttemptOutcome::NotSent);
         }
@@ -128,12 +131,12 @@
         written.map_err(|_| AttemptOutcome::ConnectFailed)
     }
 
-    async fn read_answer(&mut self, stream: &TcpStream) -> Exchange {
-        let mut answer = PartialAnswer::default();
+    async fn read_response(&mut self, stream: &TcpStream) -> Exchange {
+        let mut response = PartialResponse::default();
         loop {
-            let is_complete = answer.outcome.is_some();
+            let is_complete = response.outcome.is_some();
             match self.next_message() {
-                Ok(Some(BackendMessage::Row(row))) if !is_complete => answer.set_row(row),
+                Ok(Some(BackendMessage::Row(row))) if !is_complete => response.set_row(row),
                 Ok(Some(BackendMessage::Error(code))) if !is_complete => {
                     tracing::debug!(
                         endpoint = self.connection.endpoint,
@@ -141,49 +144,50 @@
                         code,
                         "upstream: server returned an error"
                     );
-                    answer.outcome = Some(outcome_of_code(&code));
+                    response.outcome = Some(outcome_of_error(&code));
                 }
                 Ok(Some(BackendMessage::Parameter { name, value })) => {
                     if name == LOAD_PARAMETER && self.load_reporting == LoadReporting::InResponses {
-                        answer.load = pg::parse_load_report(&value);
+                        response.load = pg::parse_load_report(&value);
                     }
                 }
                 Ok(Some(BackendMessage::Ready)) if is_complete => {
-                    return answer.finish(AttemptOutcome::ConnectionLost, NextStep::Ready);
+                    return response.finish(AttemptOutcome::ConnectionLost, NextStep::Ready);
                 }
-                // The client need not wait for the ReadyForQuery.
+                // The result is reported without waiting for `ReadyForQuery`.
                 Ok(None) if is_complete => {
-                    return answer.finish(AttemptOutcome::ConnectionLost, NextStep::AwaitReady);
+                    return response.finish(AttemptOutcome::ConnectionLost, NextStep::AwaitReady);
                 }
                 Ok(None) => {
-                    if !self.read_more(stream, &mut answer.permit).await {
-                        return answer.finish(AttemptOutcome::ConnectionLost, NextStep::Close);
+                    if !self.read_more(stream, &mut response.permit).await {
+                        return response.finish(AttemptOutcome::ConnectionLost, NextStep::Close);
                     }
                 }
-                out_of_step => {
-                    // It may have been executed, so it counts as an error of the endpoint.
+                unexpected => {
+                    // The query may have been executed, so the outcome is an error of the endpoint.
                     COUNTERS.malformed_responses_total.increment();
                     tracing::debug!(
                         endpoint = self.connection.endpoint,
                         call = self.connection.call.get().map(tracing::field::display),
-                        ?out_of_step,
+                        ?unexpected,
                         "upstream: malformed response"
                     );
-                    return answer.finish(AttemptOutcome::Error, NextStep::Close);
+                    return response.finish(AttemptOutcome::Error, NextStep::Close);
                 }
             }
         }
     }
 
-    /// Reads more input, of a large answer only with a permit. False: the connection is lost.
+    /// Reads more input, and waits for a permit before if the response is large. Returns `false` if the connection is
+    /// lost.
     async fn read_more(&mut self, stream: &TcpStream, permit: &mut Option<OwnedSemaphorePermit>) -> bool {
         if permit.is_none() && self.buffer.len() > LARGE_ANSWER {
-            *permit = self.large_answers.clone().acquire_owned().await.ok();
+            *permit = self.large_response_permits.clone().acquire_owned().await.ok();
         }
         matches!(read_some(stream, &mut self.buffer).await, Ok(count) if count > 0)
     }
 
-    /// Reads until the endpoint is ready again. False: the connection is lost or out of step.
+    /// Reads until `ReadyForQuery`. Returns `false` if the connection is lost or another message arrives.
     pub(super) async fn await_ready(&mut self, stream: &TcpStream) -> bool {
         loop {
             match self.next_message() {
@@ -200,9 +204,9 @@
         }
     }
 
-    /// Parses messages between queries: only complete parameters and notices are valid. The start of an answer would
-    /// be read as part of the next call's answer.
-    pub(super) fn accept_idle_messages(&mut self) -> bool {
+    /// Parses messages that arrive between queries. Returns `false` unless all are complete parameters or notices:
+    /// the start of a response would be read as part of the response to the next call.
+    pub(super) fn parse_idle_messages(&mut self) -> bool {
         loop {
             match self.next_message() {
                 Ok(Some(BackendMessage::Parameter { .. })) => {}
@@ -213,9 +217,9 @@
     }
 }
 
-/// Some errors state that the query was not executed.
-fn outcome_of_code(code: &str) -> AttemptOutcome {
-    if [pg::sqlstate::TOO_MANY_CONNECTIONS, pg::sqlstate::CANNOT_CONNECT_NOW].contains(&code) {
+/// The outcome of an attempt that ends with this SQLSTATE. Two of them state that the query was not executed.
+fn outcome_of_error(sqlstate: &str) -> AttemptOutcome {
+    if [pg::sqlstate::TOO_MANY_CONNECTIONS, pg::sqlstate::CANNOT_CONNECT_NOW].contains(&sqlstate) {
         AttemptOutcome::Rejected
     } else {
         AttemptOutcome::Error
--- a/crates/gateway/src/net/upstream/mod.rs
+++ b/crates/gateway/src/net/upstream/mod.rs
@@ -1,10 +1,10 @@
-//! Connections to endpoints: one task each, one call at a time on each.
+//! Connections to endpoints. Each connection has a task of its own and carries one call at a time.
 //!
-//! - [`call`]: calls and their results.
-//! - [`pool`]: the endpoints, their idle connections, and the calls that wait for one.
+//! - [`call`]: calls (attempts and health checks) and their results.
+//! - [`pool`]: the endpoints, their idle connections, and the calls that are queued for a connection.
 //! - [`connection`]: the state of a connection, shared by the pool and the connection's task.
 //! - `connection_task`: opens a connection and carries its calls.
-//! - `exchange`: one query and its answer.
+//! - `exchange`: one query and its response.
 
 pub mod call;
 pub mod connection;
--- a/crates/gateway/src/net/upstream/pool.rs
+++ b/crates/gateway/src/net/upstream/pool.rs
@@ -16,29 +16,35 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::Instant;
 
-/// A call that is to be sent.
+/// The query of health checks, unless they also have to return the endpoint's load.
+const HEALTH_CHECK_QUERY: &str = "SELECT 1";
+/// The query of health checks whose row contains the endpoint's load.
+const LOAD_QUERY: &str = "SHOW load";
+
+/// A call that the pool is to send.
 pub struct QueuedCall {
-    /// Identifies the call.
+    /// Unique among the calls of the process.
     pub call: UpstreamCall,
-    /// None: a health check.
+    /// The statement of an attempt; `None` for a health check.
     pub statement: Option<Rc<Statement>>,
-    /// When the gateway stops waiting for the answer, in ms.
+    /// When the gateway stops waiting for the response. The endpoint receives the time that remains at the write.
     pub deadline: Millis,
-    /// Its last byte may not be written later.
+    /// The last byte is written before this instant or never; `None` without a limit.
     pub write_deadline: Option<Instant>,
 }
 
-/// An endpoint of the list.
+/// An endpoint of the endpoint list.
 struct UpstreamEndpoint {
     address: SocketAddr,
-    /// Changes with the address, version or start time of the endpoint with this id, and when it starts to drain. Logged as
-    /// `pool_generation`; the policy counts incarnations of its own.
+    /// Changes with the address, version or start time of the endpoint with this id, and when the endpoint starts to
+    /// drain. Logged as `pool_generation`; not the incarnation, which the policy counts.
     generation: u64,
     entry: EndpointEntry,
-    /// In the order in which they became idle.
+    /// Connections without a call, in the order in which they became idle.
     idle: Vec<Rc<UpstreamConnection>>,
     /// Connections of this generation that are being opened.
     connecting: usize,
+    /// Calls that wait for a connection, the oldest first.
     queue: VecDeque<QueuedCall>,
 }
 
@@ -54,16 +60,16 @@
         }
     }
 
-    /// The entry describes the same generation, and calls that were queued for it can still be sent.
-    fn is_continued_by(&self, entry: &EndpointEntry, address: SocketAddr) -> bool {
-        let is_same = self.address == address
+    /// Returns `true` if a new entry describes the same generation, so that queued calls can still be sent.
+    fn is_same_generation(&self, entry: &EndpointEntry, address: SocketAddr) -> bool {
+        let is_same_process = self.address == address
             && self.entry.version == entry.version
             && self.entry.started_at == entry.started_at;
-        is_same && (self.entry.status == entry.status || entry.status == EndpointStatus::Ready)
+        is_same_process && (self.entry.status == entry.status || entry.status == EndpointStatus::Ready)
     }
 
-    /// Closes idle connections; those that are being opened belong to the previous generation. Returns the queued
-    /// calls.
+    /// Closes idle connections and returns the queued calls. Connections that are being opened belong to the previous
+    /// generation and are closed when they are ready.
     fn begin_generation(&mut self, generation: u64) -> Vec<UpstreamCall> {
         self.generation = generation;
         self.connecting = 0;
@@ -85,40 +91,44 @@
 /// All connections to endpoints.
 pub struct UpstreamPool {
     endpoints: BTreeMap<String, UpstreamEndpoint>,
-    /// The calls that were assigned to a connection.
-    active: BTreeMap<UpstreamCall, Rc<UpstreamConnection>>,
-    /// Connections being opened, open, or closing until their task reports it: exceeds `max_open` by evicted ones.
-    open: usize,
-    max_open: usize,
+    /// The connections of the calls that were assigned to one.
+    assigned: BTreeMap<UpstreamCall, Rc<UpstreamConnection>>,
+    /// Connections that are being opened, open, or closing until their task reports the close. Exceeds
+    /// `max_connections` while idle connections are being closed in favor of others.
+    open_connections: usize,
+    max_connections: usize,
     last_generation: u64,
     config: UpstreamConnectionConfig,
-    large_answers: Arc<Semaphore>,
+    large_response_permits: Arc<Semaphore>,
     events: mpsc::Sender<DriverEvent>,
 }
 
 impl UpstreamPool {
-    /// A pool of at most `max_open` connections, without endpoints.
+    /// A pool without endpoints, for at most `max_connections` connections to all of them.
     #[must_use]
-    pub fn new(max_open: usize, config: UpstreamConnectionConfig, events: mpsc::Sender<DriverEvent>) -> Self {
+    pub fn new(
+        max_connections: usize, config: UpstreamConnectionConfig, events: mpsc::Sender<DriverEvent>,
+    ) -> Self {
         UpstreamPool {
             endpoints: BTreeMap::new(),
-            active: BTreeMap::new(),
-            open: 0,
-            max_open,
+            assigned: BTreeMap::new(),
+            open_connections: 0,
+            max_connections,
             last_generation: 0,
             config,
-            large_answers: Arc::new(Semaphore::new(MAX_LARGE_ANSWERS)),
+            large_response_permits: Arc::new(Semaphore::new(MAX_LARGE_ANSWERS)),
             events,
         }
     }
 
-    /// Applies an entry of the list. Returns the queued calls of the previous generation, which have to be routed again.
+    /// Applies an entry of the endpoint list. If the entry begins a new generation of the endpoint or removes the
+    /// endpoint, returns the queued calls, which the caller reports as not sent so that the policy routes them again.
     pub fn update_endpoint(&mut self, entry: &EndpointEntry, address: SocketAddr) -> Vec<UpstreamCall> {
         if entry.status == EndpointStatus::Removed {
             return self.remove_endpoint(&entry.endpoint);
         }
         if let Some(endpoint) = self.endpoints.get_mut(&entry.endpoint) {
-            let is_continued = endpoint.is_continued_by(entry, address);
+            let is_continued = endpoint.is_same_generation(entry, address);
             endpoint.entry = entry.clone();
             endpoint.address = address;
             if is_continued {
@@ -133,7 +143,8 @@
         Vec::new()
     }
 
-    /// Removes an endpoint that is not listed any more. Returns its queued calls, which have to be routed again.
+    /// Removes an endpoint that is no longer listed. Returns the queued calls, which the caller reports as not sent so
+    /// that the policy routes them again.
     pub fn remove_endpoint(&mut self, endpoint: &str) -> Vec<UpstreamCall> {
         let Some(mut endpoint) = self.endpoints.remove(endpoint) else { return Vec::new() };
         endpoint.close_idle();
@@ -143,22 +154,22 @@
     /// Sets the metrics of endpoints and connections.
     pub fn record_metrics(&self) {
         COUNTERS.listed_endpoints.set(self.endpoints.len());
-        COUNTERS.open_server_connections.set(self.open);
+        COUNTERS.open_server_connections.set(self.open_connections);
     }
 
-    /// The endpoints of the list.
+    /// The ids of the endpoints, in alphabetical order.
     #[must_use]
     pub fn endpoints(&self) -> Vec<String> {
         self.endpoints.keys().cloned().collect()
     }
 
-    /// Removes and returns all calls that wait for a connection; they have to be routed again.
+    /// Removes and returns all queued calls, which the caller reports as not sent so that the policy routes them again.
     pub fn take_queued(&mut self) -> Vec<UpstreamCall> {
         self.endpoints.values_mut().flat_map(UpstreamEndpoint::take_queue).collect()
     }
 
-    /// Sends a call on an idle connection, or opens one. `now` in ms. False: no connection is available, and nothing was
-    /// sent.
+    /// Sends a call on an idle connection, or queues it and opens a connection. Returns `false` if the endpoint is
+    /// unknown, or the limit of connections is reached and none is idle: the call is neither sent nor queued then.
     pub fn send(&mut self, endpoint: &str, queued: QueuedCall, now: Millis) -> bool {
         if !self.endpoints.contains_key(endpoint) {
             return false;
@@ -167,13 +178,14 @@
             self.start_call(connection, &queued, now);
             return true;
         }
-        if self.open >= self.max_open && !self.close_longest_idle() {
+        if self.open_connections >= self.max_connections && !self.close_longest_idle() {
             return false;
         }
         self.open_connection(endpoint, queued)
     }
 
-    /// A connection is ready: it carries the call that has waited longest, or idles. `now` in ms.
+    /// Assigns the oldest queued call to a connection that is ready, or makes the connection idle. `is_first`: the
+    /// connection was just opened.
     pub fn on_connection_ready(&mut self, connection: Rc<UpstreamConnection>, is_first: bool, now: Millis) {
         let Some(endpoint) = self.endpoints.get_mut(&connection.endpoint) else { return connection.close() };
         if endpoint.generation != connection.generation || connection.is_closed.get() {
@@ -188,56 +200,57 @@
         endpoint.idle.push(connection);
     }
 
-    /// A connection could not be opened. Returns the oldest queued call if too few connections are being opened for all.
+    /// Records that a connection could not be opened. Returns the oldest queued call, which the caller reports as
+    /// failed, if fewer connections are being opened than calls are queued.
     pub fn on_connect_failed(&mut self, connection: &Rc<UpstreamConnection>) -> Option<UpstreamCall> {
-        self.open -= 1;
+        self.open_connections -= 1;
         let endpoint = self.endpoints.get_mut(&connection.endpoint)?;
         if endpoint.generation != connection.generation {
             return None;
         }
         endpoint.connecting -= 1;
-        // None is returned where as many connections are being opened as calls are queued.
         if endpoint.queue.len() <= endpoint.connecting {
             return None;
         }
         endpoint.queue.pop_front().map(|queued| queued.call)
     }
 
-    /// A connection has closed.
+    /// Records that a connection which was ready before has closed.
     pub fn on_connection_closed(&mut self, connection: &Rc<UpstreamConnection>) {
         invariant!(connection.call.get().is_none(), "a closed connection has no call");
-        self.open -= 1;
+        self.open_connections -= 1;
         if let Some(endpoint) = self.endpoints.get_mut(&connection.endpoint) {
             endpoint.idle.retain(|idle| !Rc::ptr_eq(idle, connection));
         }
     }
 
-    /// The call on a connection has ended. None: it was cancelled before.
+    /// Removes the call that has ended on a connection and returns it; `None` if the call was cancelled before.
     pub fn on_call_ended(&mut self, connection: &Rc<UpstreamConnection>) -> Option<UpstreamCall> {
         let call = connection.call.take()?;
-        self.active.remove(&call);
+        self.assigned.remove(&call);
         Some(call)
     }
 
-    /// Cancels a call: removes it from the queue, or closes its connection.
+    /// Cancels a call by removing it from the queue or closing its connection.
     pub fn cancel(&mut self, endpoint: &str, call: UpstreamCall) -> CancelResult {
         if self.cancel_unwritten(endpoint, call) {
             return CancelResult::Unwritten;
         }
-        let Some(connection) = self.active.remove(&call) else { return CancelResult::NotFound };
+        let Some(connection) = self.assigned.remove(&call) else { return CancelResult::NotFound };
         connection.call.set(None);
         connection.close();
         CancelResult::Written
     }
 
-    /// Cancels a call if its last byte was not written yet. False: it was written, or there is no such call.
+    /// Cancels a call whose last byte was not written yet. Returns `false` if the byte was written, or the call is not
+    /// in the pool.
     pub fn cancel_unwritten(&mut self, endpoint: &str, call: UpstreamCall) -> bool {
-        if let Some(connection) = self.active.get(&call)
+        if let Some(connection) = self.assigned.get(&call)
             && !connection.is_written.get()
         {
             connection.call.set(None);
             connection.close();
-            self.active.remove(&call);
+            self.assigned.remove(&call);
             return true;
         }
         let Some(endpoint) = self.endpoints.get_mut(endpoint) else { return false };
@@ -247,14 +260,14 @@
         endpoint.queue.remove(position).is_some()
     }
 
-    /// Closes the idle connections to an endpoint.
+    /// Closes the idle connections to an endpoint, if the endpoint is known.
     pub fn close_idle(&mut self, endpoint: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
             endpoint.close_idle();
         }
     }
 
-    /// The usable connection that became idle last; unusable ones are closed.
+    /// Takes the usable connection that became idle last, and closes unusable ones that became idle later.
     fn take_idle(&mut self, endpoint: &str) -> Option<Rc<UpstreamConnection>> {
         let max_idle = max_idle_for_reuse(self.config.idle_timeout);
         let endpoint = self.endpoints.get_mut(endpoint)?;
@@ -270,10 +283,10 @@
         None
     }
 
-    /// Opens a connection for a call, which waits in the queue.
+    /// Queues a call and opens a connection for the queue. Returns `false` if the endpoint is unknown.
     fn open_connection(&mut self, endpoint_id: &str, queued: QueuedCall) -> bool {
-        self.open += 1;
-        COUNTERS.server_connections_max.record_max(self.open);
+        self.open_connections += 1;
+        COUNTERS.server_connections_max.record_max(self.open_connections);
         COUNTERS.server_connects_total.increment();
         let Some(endpoint) = self.endpoints.get_mut(endpoint_id) else { return false };
         endpoint.queue.push_back(queued);
@@ -284,14 +297,15 @@
             connection,
             address,
             self.config.clone(),
-            self.large_answers.clone(),
+            self.large_response_permits.clone(),
             self.events.clone(),
         );
         tokio::task::spawn_local(task);
         true
     }
 
-    /// Closes the connection that has idled longest; its descriptor is released when its task runs.
+    /// Closes the connection that has been idle for the longest time; the file descriptor is released when its task
+    /// runs. Returns `false` if no connection is idle.
     fn close_longest_idle(&mut self) -> bool {
         let idle_longest = |endpoint: &&mut UpstreamEndpoint| {
             endpoint.idle.iter().map(|connection| connection.idle_since.get()).min()
@@ -310,12 +324,12 @@
         let buffers = match &queued.statement {
             Some(statement) => pg::encode::forwarded_query(statement, queued.deadline - now).to_vec(),
             None if self.config.load_reporting == LoadReporting::InHealthChecks => {
-                vec![pg::encode::query("SHOW load")]
+                vec![pg::encode::query(LOAD_QUERY)]
             }
-            None => vec![pg::encode::query("SELECT 1")],
+            None => vec![pg::encode::query(HEALTH_CHECK_QUERY)],
         };
         connection.outgoing.replace(Some(OutgoingQuery { buffers, write_deadline: queued.write_deadline }));
         connection.wake.notify_one();
-        self.active.insert(queued.call, connection);
+        self.assigned.insert(queued.call, connection);
     }
 }
