--- a/crates/gateway/src/net/clients/accept.rs
+++ b/crates/gateway/src/net/clients/accept.rs
@@ -1,7 +1,7 @@
-//! Accepts connections, and evicts others when there are too many.
+//! Accepts connections, and evicts others above the limit.
 
 use super::Clients;
-use super::client_session::ClientSession;
+use super::client_session::SharedSessionState;
 use super::closing;
 use super::session::SessionTask;
 use crate::counters::COUNTERS;
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, sleep};
 
 impl Clients {
-    /// Accepts until dropped.
+    /// Accepts connections until the future is dropped.
     pub async fn accept(self: Rc<Self>, listener: &TcpListener) {
         loop {
             self.wait_for_capacity().await;
@@ -31,8 +31,8 @@
 
     async fn wait_for_capacity(&self) {
         while self.open_sessions() >= self.max_sessions + MAX_EXCESS_CONNECTIONS {
-            // An evicted connection closes as soon as its task runs.
-            if self.evict_one() {
+            // The task of an evicted connection closes the connection the next time that the task runs.
+            if self.evict_session() {
                 yield_now().await;
             } else {
                 sleep(ACCEPT_RETRY_INTERVAL).await;
@@ -45,17 +45,17 @@
             tracing::warn!(%error, "clients: accept failed");
         }
         COUNTERS.accept_errors_total.increment();
-        // Most likely out of descriptors: an eviction releases one.
+        // The process most likely lacks file descriptors: an eviction releases one.
         if scope == ErrorScope::Process {
-            self.evict_one();
+            self.evict_session();
         }
     }
 
-    /// Accepts the connections that wait in the kernel's queue, then closes the listener. Calls the kernel directly: the
-    /// runtime may not have noticed the latest ones.
+    /// Accepts the connections in the kernel's queue, then closes the listener. Calls the kernel directly, because the
+    /// runtime may not have been notified of the latest connections.
     ///
     /// # Errors
-    /// A connection cannot be registered with the runtime, or too many accepts failed.
+    /// A connection cannot be registered with the runtime, or more than [`MAX_FINAL_ACCEPT_FAILURES`] calls failed.
     pub fn accept_queued(self: &Rc<Self>, listener: TcpListener) -> io::Result<()> {
         let listener = listener.into_std()?;
         let mut failures = 0;
@@ -66,7 +66,7 @@
                     self.clone().open_session(TcpStream::from_std(stream)?);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
-                // Further connections may be queued.
+                // The error may concern a single connection, and others may be queued.
                 Err(error) if failures < MAX_FINAL_ACCEPT_FAILURES => {
                     tracing::debug!(%error, "clients: final accept failed, retrying");
                     failures += 1;
@@ -78,15 +78,15 @@
 
     fn open_session(self: Rc<Self>, stream: TcpStream) {
         COUNTERS.client_connections_total.increment();
-        let is_admitted = self.lasting_sessions() < self.max_sessions || self.evict_one();
-        let session = Rc::new(ClientSession::new());
-        let id = self.next_session.replace(self.next_session.get() + 1);
+        let is_within_limit = self.counted_sessions() < self.max_sessions || self.evict_session();
+        let session = Rc::new(SharedSessionState::new());
+        let id = self.next_session_id.replace(self.next_session_id.get() + 1);
         self.sessions.borrow_mut().insert(id, session.clone());
         COUNTERS.client_connections_max.record_max(self.open_sessions());
         COUNTERS.open_client_connections.set(self.open_sessions());
         let peer = stream.peer_addr().ok().map(tracing::field::display);
         tokio::task::spawn_local(async move {
-            match SessionTask::new(&self, &session, &stream, is_admitted).serve().await {
+            match SessionTask::new(&self, &session, &stream, is_within_limit).serve().await {
                 Ok(reason) => {
                     session.state.set(SessionState::Closing);
                     closing::linger(&stream, &session, reason).await;
@@ -98,21 +98,21 @@
         });
     }
 
-    /// How many connections are not about to end.
-    fn lasting_sessions(&self) -> usize {
+    /// The number of connections that count against the limit: those that are not about to close.
+    fn counted_sessions(&self) -> usize {
         self.sessions.borrow().values().filter(|session| !session.state.get().is_ending()).count()
     }
 
-    /// Evicts a connection; false if every one is in use.
-    fn evict_one(&self) -> bool {
+    /// Evicts the connection that [`choose_eviction`] selects. Returns `false` if none may be evicted now.
+    fn evict_session(&self) -> bool {
         let sessions = self.sessions.borrow();
         let candidates = sessions.iter().map(|(id, session)| EvictionCandidate {
             id: *id,
             state: session.state.get(),
-            since: session.since.get(),
+            since: session.last_activity.get(),
         });
         let Some(evicted) = choose_eviction(&candidates, Instant::now()) else { return false };
-        // One that is closing has completed its requests and does not count as evicted.
+        // A connection that is closing has completed its requests and does not count as evicted.
         if evicted.state != SessionState::Closing {
             COUNTERS.clients_evicted_total.increment();
         }
--- a/crates/gateway/src/net/clients/client_session.rs
+++ b/crates/gateway/src/net/clients/client_session.rs
@@ -1,25 +1,27 @@
-//! One client's connection, as the other connections and the shutdown see it.
+//! The state of a client's connection that its task shares with the eviction rule and the shutdown.
 
 use crate::limits::clients::SessionState;
 use std::cell::Cell;
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The state of a client's connection.
-pub(super) struct ClientSession {
+/// The shared state of a client's connection. The connection is served by a
+/// [`SessionTask`](super::session::SessionTask).
+pub(super) struct SharedSessionState {
     pub(super) state: Cell<SessionState>,
-    /// When it was accepted, or when its last request was answered.
-    pub(super) since: Cell<Instant>,
+    /// When the connection was accepted or, after the first request, when the last request completed.
+    pub(super) last_activity: Cell<Instant>,
+    /// Set when the first valid request was received.
     pub(super) has_requested: Cell<bool>,
-    /// Wakes its task after an eviction or the start of the shutdown.
+    /// Wakes the task after an eviction or the start of the shutdown.
     pub(super) wake: Notify,
 }
 
-impl ClientSession {
+impl SharedSessionState {
     pub(super) fn new() -> Self {
-        ClientSession {
+        SharedSessionState {
             state: Cell::new(SessionState::New),
-            since: Cell::new(Instant::now()),
+            last_activity: Cell::new(Instant::now()),
             has_requested: Cell::new(false),
             wake: Notify::new(),
         }
--- a/crates/gateway/src/net/clients/closing.rs
+++ b/crates/gateway/src/net/clients/closing.rs
@@ -1,6 +1,6 @@
-//! Closes connections so that the client can read the last message.
+//! Closes connections in such a way that the client can read the last message.
 
-use super::client_session::ClientSession;
+use super::client_session::SharedSessionState;
 use crate::limits::clients::{DISCONNECT_POLL_INTERVAL, LINGER_TIMEOUT, MAX_LINGER_BYTES, WRITE_TIMEOUT};
 use crate::net::io::is_closed_by_peer;
 use crate::net::{read_some, write_all};
@@ -12,28 +12,29 @@
 use tokio::select;
 use tokio::time::{sleep, timeout};
 
-/// Why a connection is closed. Decides how the rest of its input is treated.
+/// What was sent to a client before its connection is closed. Decides how the rest of the input is treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// No message is on its way to the client: closed immediately.
-    Quiet,
-    /// An answer may be on its way, or the client has ended the connection itself. Unread requests remain unanswered; the client may retry them.
-    Answered,
-    /// An error may be on its way. The rest of the input is discarded.
-    Rejected,
+    /// No message can be on its way to the client: the connection is closed immediately.
+    NoPendingOutput,
+    /// A response may be on its way, or the client is closing the connection. Requests in the rest of the input are not
+    /// read and get no response; the client may retry them.
+    ResponseSent,
+    /// An error may be on its way. The rest of the input is read and discarded.
+    ErrorSent,
 }
 
-/// Delays the close of a connection until the client has read the last message. Closing a socket with unread input resets the
-/// connection, and the client would lose what it has not read yet.
-pub(super) async fn linger(stream: &TcpStream, session: &ClientSession, reason: CloseReason) {
-    if reason == CloseReason::Quiet || SockRef::from(stream).shutdown(Shutdown::Write).is_err() {
+/// Delays the close of a connection until the client has read the last message, at most by [`LINGER_TIMEOUT`]. Closing
+/// a socket with unread input resets the connection, and the client would lose what it has not read yet.
+pub(super) async fn linger(stream: &TcpStream, session: &SharedSessionState, reason: CloseReason) {
+    if reason == CloseReason::NoPendingOutput || SockRef::from(stream).shutdown(Shutdown::Write).is_err() {
         return;
     }
     let client_leaves = async {
-        if reason == CloseReason::Rejected {
+        if reason == CloseReason::ErrorSent {
             discard_input(stream).await;
         } else {
-            client_disconnected(stream, || ()).await;
+            wait_until_disconnected(stream, || ()).await;
         }
     };
     let evicted = async {
@@ -48,7 +49,7 @@
     }
 }
 
-/// Reads and discards input up to a bound.
+/// Reads and discards input until the client closes its side, up to [`MAX_LINGER_BYTES`].
 async fn discard_input(stream: &TcpStream) {
     let mut buffer = BytesMut::new();
     let mut remaining = MAX_LINGER_BYTES;
@@ -60,15 +61,15 @@
     }
 }
 
-/// Waits until a client has closed its side, without reading its input. Calls `on_poll` before each wait.
-pub(super) async fn client_disconnected(stream: &TcpStream, mut on_poll: impl FnMut()) {
+/// Waits until a client has closed its side, without reading the input. Calls `on_poll` before each poll interval.
+pub(super) async fn wait_until_disconnected(stream: &TcpStream, mut on_poll: impl FnMut()) {
     while !is_closed_by_peer(stream) {
         on_poll();
         sleep(DISCONNECT_POLL_INTERVAL).await;
     }
 }
 
-/// Writes all buffers to a client within a timeout.
+/// Writes all buffers to a client within [`WRITE_TIMEOUT`].
 pub(super) async fn write(stream: &TcpStream, buffers: &[Bytes]) -> io::Result<()> {
     timeout(WRITE_TIMEOUT, write_all(stream, buffers)).await.map_err(io::Error::from)?
 }
--- a/crates/gateway/src/net/clients/mod.rs
+++ b/crates/gateway/src/net/clients/mod.rs
@@ -1,11 +1,13 @@
-//! Clients: accepts connections, reads queries one after another, and writes each one's answer.
+//! Connections of clients: each has a task that reads queries one after another and writes a final response to each.
 //!
-//! - `accept`: accepts connections, and evicts others when there are too many.
-//! - `session`: the task of one connection, from the startup message to the close.
-//! - `reading`: reads input within its limits.
-//! - `requests`: one request, from its query to its answer.
-//! - `closing`: closes connections so that the client can read the last message.
-//! - `client_session`, `read_buffer`, `shutdown`: the state of these.
+//! - `accept`: accepts connections, and evicts others above the limit.
+//! - `client_session`: the state of a connection that its task shares with the eviction rule and the shutdown.
+//! - `session`: the task of a connection, from the startup message to the close.
+//! - `reading`: reads input until a deadline or the close of the connection.
+//! - `read_buffer`: input that was read and not yet parsed, and when it arrived.
+//! - `requests`: one request, from its query to its final response.
+//! - `closing`: closes connections in such a way that the client can read the last message.
+//! - `shutdown`: when the shutdown began, and what its schedule requires.
 //!
 //! The limits and the rules for evictions and the shutdown are in [`limits`](crate::limits).
 
@@ -23,7 +25,7 @@
 use crate::limits::clients::{MAX_LARGE_MESSAGES, SessionState};
 use crate::readiness::Readiness;
 use bytes::Bytes;
-use client_session::ClientSession;
+use client_session::SharedSessionState;
 use latchhaven_policy::{Idempotency, RequestClass};
 use shutdown::Shutdown;
 use std::cell::{Cell, RefCell};
@@ -31,62 +33,62 @@
 use std::rc::Rc;
 use tokio::sync::{Semaphore, mpsc};
 
-/// A class that requests may belong to.
+/// A configured request class; queries with another class are invalid.
 struct KnownClass {
     name: String,
-    /// Its requests must carry an idempotency key.
-    needs_idempotency_key: bool,
+    requires_idempotency_key: bool,
 }
 
 /// All connections of clients.
 pub struct Clients {
-    sessions: RefCell<BTreeMap<u64, Rc<ClientSession>>>,
+    sessions: RefCell<BTreeMap<u64, Rc<SharedSessionState>>>,
     max_sessions: usize,
     classes: Vec<KnownClass>,
-    /// The ids of pending requests, as given by clients.
-    open_ids: RefCell<BTreeSet<Bytes>>,
-    /// Permits to read a large message.
+    /// The ids of pending requests, as given by clients; each is unique.
+    pending_ids: RefCell<BTreeSet<Bytes>>,
+    /// Permits to read a message above [`MAX_READ_AHEAD`](crate::limits::clients::MAX_READ_AHEAD).
     large_messages: Semaphore,
-    next_session: Cell<u64>,
-    next_request: Cell<u32>,
+    next_session_id: Cell<u64>,
+    next_request_id: Cell<u32>,
     shutdown: Shutdown,
     clock: Clock,
     readiness: Readiness,
     events: mpsc::Sender<DriverEvent>,
 }
 
-/// What [`Clients`] need.
+/// The arguments of [`Clients::new`].
 pub struct ClientsConfig {
-    /// Most connections at a time.
+    /// Limit of connections, derived from the descriptors that the process may open. A connection above the limit
+    /// evicts another one or is rejected with an error.
     pub max_sessions: usize,
-    /// The classes that requests may belong to.
+    /// The configured classes. A query with another class is invalid; the longest timeout determines the shutdown.
     pub classes: Vec<RequestClass>,
-    /// The gateway's clock.
+    /// The clock of arrival times; the event loop uses the same.
     pub clock: Clock,
-    /// When health checks of the load balancer are answered.
+    /// Delays the response to an empty query, which is the load balancer's health check, until the gateway is ready.
     pub readiness: Readiness,
-    /// The event loop.
+    /// The queue of the event loop, which receives requests, disconnects and abandonments.
     pub events: mpsc::Sender<DriverEvent>,
 }
 
 impl Clients {
-    /// Clients without connections.
+    /// Creates the state of all connections, without any; [`Clients::accept`] adds them.
     #[must_use]
     pub fn new(config: ClientsConfig) -> Rc<Self> {
         let ClientsConfig { max_sessions, classes, clock, readiness, events } = config;
         let shutdown = Shutdown::new(&classes);
         let known_classes = classes.into_iter().map(|class| KnownClass {
             name: class.name,
-            needs_idempotency_key: class.idempotency == Idempotency::IdempotencyKey,
+            requires_idempotency_key: class.idempotency == Idempotency::IdempotencyKey,
         });
         Rc::new(Clients {
             sessions: RefCell::default(),
             max_sessions,
             classes: known_classes.collect(),
-            open_ids: RefCell::default(),
+            pending_ids: RefCell::default(),
             large_messages: Semaphore::new(MAX_LARGE_MESSAGES),
-            next_session: Cell::new(0),
-            next_request: Cell::new(0),
+            next_session_id: Cell::new(0),
+            next_request_id: Cell::new(0),
             shutdown,
             clock,
             readiness,
@@ -94,8 +96,9 @@
         })
     }
 
-    /// Begins the shutdown: each connection closes when its requests are answered. One that has not sent a request yet
-    /// may still do so for [`FIRST_REQUEST_TIMEOUT`](crate::limits::shutdown::FIRST_REQUEST_TIMEOUT).
+    /// Begins the shutdown: each connection closes when its requests are completed. A connection without a request may
+    /// still send the first one within [`FIRST_REQUEST_TIMEOUT`](crate::limits::shutdown::FIRST_REQUEST_TIMEOUT). Later
+    /// calls do not restart the shutdown.
     pub fn shut_down(&self) {
         self.shutdown.begin(self.clock.now());
         for session in self.sessions.borrow().values() {
@@ -103,12 +106,12 @@
         }
     }
 
-    /// How many connections are open.
+    /// The number of open connections, including those that are about to close.
     pub fn open_sessions(&self) -> usize {
         self.sessions.borrow().len()
     }
 
-    /// How many of them have a pending request.
+    /// The number of open connections with a pending request.
     pub fn busy_sessions(&self) -> usize {
         let sessions = self.sessions.borrow();
         sessions.values().filter(|session| session.state.get() == SessionState::Busy).count()
--- a/crates/gateway/src/net/clients/read_buffer.rs
+++ b/crates/gateway/src/net/clients/read_buffer.rs
@@ -1,4 +1,4 @@
-//! The input of a connection that was read and not yet consumed, and when it arrived.
+//! The input of a connection that was read and not yet parsed, and when it arrived.
 
 use crate::arrivals::ArrivalTimes;
 use crate::net::io::has_unread_bytes;
@@ -6,33 +6,34 @@
 use latchhaven_policy::Millis;
 use tokio::net::TcpStream;
 
-/// A connection's input.
 #[derive(Default)]
 pub(super) struct ReadBuffer {
     pub(super) bytes: BytesMut,
     arrivals: ArrivalTimes,
-    /// When input was first noticed, or may have arrived, that was not read: the buffer was full, or a write was slow.
+    /// Set when the socket may have input that cannot be read now, because the buffer is full or a write was slow: the
+    /// earliest time at which that input may have arrived.
     pub(super) unread_since: Option<Millis>,
-    /// The client sends queries before earlier ones are answered.
+    /// Set when input arrived while a request was pending: the client sends queries without waiting for responses.
     pub(super) is_pipelined: bool,
 }
 
 impl ReadBuffer {
-    /// Records that the bytes read since the last call arrived at `now` in ms, or when they were noticed before that.
+    /// Records that the bytes read since the last call arrived at `now`, or at `unread_since` if that is set.
     pub(super) fn record_arrival(&mut self, stream: &TcpStream, now: Millis) {
-        // Unread input is dated to the time when it was noticed: the deadline of a later request may be too early, never
-        // too late.
+        // All new bytes get the earliest possible time, so that the deadline of a request may be too early, but not too
+        // late.
         self.arrivals.record(self.bytes.len(), self.unread_since.unwrap_or(now));
         self.unread_since = self.unread_since.filter(|_| has_unread_bytes(stream));
     }
 
-    /// Records that bytes were consumed. Returns when the last of them arrived, in ms.
+    /// Records that bytes were removed from the buffer. Returns when the last of them arrived; `None` if no bytes were
+    /// removed.
     pub(super) fn consume(&mut self) -> Option<Millis> {
         self.arrivals.consume(self.bytes.len())
     }
 }
 
-/// Sets `unread_since` to `since` in ms if the socket has unread input.
+/// Sets `unread_since` to `since` if the socket has unread input and `unread_since` is not set yet.
 pub(super) fn record_unread(unread_since: &mut Option<Millis>, stream: &TcpStream, since: Millis) {
     if unread_since.is_none() && has_unread_bytes(stream) {
         *unread_since = Some(since);
--- a/crates/gateway/src/net/clients/reading.rs
+++ b/crates/gateway/src/net/clients/reading.rs
@@ -1,7 +1,7 @@
-//! Reads input within the limits of a connection.
+//! Reads input of a connection until a deadline or until the connection is to be closed.
 
 use super::Clients;
-use super::client_session::ClientSession;
+use super::client_session::SharedSessionState;
 use super::session::{ReadOutcome, SessionTask};
 use crate::limits::clients::{InputProgress, MAX_READ_AHEAD};
 use crate::limits::shutdown::{CloseTime, WaitingConnection};
@@ -15,7 +15,10 @@
 use tokio::time::{Instant, sleep_until};
 
 impl SessionTask<'_> {
-    /// Waits for more input until the deadline of the connection.
+    /// Waits for more input, until the deadline or until the connection is to be closed.
+    ///
+    /// # Errors
+    /// The connection is lost.
     pub(super) async fn read_more(&mut self) -> io::Result<ReadOutcome> {
         let progress = self.input_progress();
         let deadline = progress.deadline();
@@ -23,15 +26,15 @@
         if Instant::now() >= deadline {
             return Ok(outcome_at_deadline(progress));
         }
-        // A client that pipelines continuously would otherwise not be closed before SIGKILL.
+        // Otherwise the connection of a client that sends queries continuously would still be open at SIGKILL.
         if self.clients.shutdown.closes_all() {
-            return Ok(ReadOutcome::Closing);
+            return Ok(ReadOutcome::CloseRequired);
         }
         let buffered = self.input.bytes.len();
         let close_conditions = CloseConditions {
             clients: self.clients,
             session: self.session,
-            is_message_begun: self.message_began.is_some(),
+            has_partial_message: self.message_started_at.is_some(),
             is_pipelined: self.input.is_pipelined,
             waiting_since: Instant::now(),
         };
@@ -45,38 +48,38 @@
             () = sleep_until(deadline) => return Ok(outcome_at_deadline(progress)),
         };
         match read {
-            Some(0) => Ok(ReadOutcome::Ended),
+            Some(0) => Ok(ReadOutcome::ClosedOrIdle),
             Some(_) => Ok(ReadOutcome::Read),
             None => self.read_before_closing(buffered).await,
         }
     }
 
-    /// Reads the input that arrived before the connection is closed. `buffered`: the bytes before the wait.
+    /// Reads input that arrived before the connection is to be closed. `buffered`: bytes in the buffer before the wait.
     async fn read_before_closing(&mut self, buffered: usize) -> io::Result<ReadOutcome> {
-        // A read of full length yields before it returns: where it was dropped then, its bytes are in the buffer already.
+        // `read_some` yields after a read of `MAX_READ` bytes: if dropped there, it has added them to the buffer.
         let has_read = self.input.bytes.len() > buffered
             || has_unread_bytes(self.stream) && read_some(self.stream, &mut self.input.bytes).await? > 0;
-        Ok(if has_read { ReadOutcome::Read } else { ReadOutcome::Closing })
+        Ok(if has_read { ReadOutcome::Read } else { ReadOutcome::CloseRequired })
     }
 
     fn input_progress(&self) -> InputProgress {
         InputProgress {
-            since: self.session.since.get(),
+            since: self.session.last_activity.get(),
             has_requested: self.session.has_requested.get(),
-            message_began: self.message_began,
+            message_began: self.message_started_at,
         }
     }
 }
 
 fn outcome_at_deadline(progress: InputProgress) -> ReadOutcome {
-    if progress.is_idle() { ReadOutcome::Ended } else { ReadOutcome::TimedOut }
+    if progress.is_idle() { ReadOutcome::ClosedOrIdle } else { ReadOutcome::TimedOut }
 }
 
-/// The inputs of a connection's close time while it waits for input.
+/// What determines when a connection that waits for input is closed.
 struct CloseConditions<'a> {
     clients: &'a Clients,
-    session: &'a ClientSession,
-    is_message_begun: bool,
+    session: &'a SharedSessionState,
+    has_partial_message: bool,
     is_pipelined: bool,
     waiting_since: Instant,
 }
@@ -86,15 +89,15 @@
         let connection = WaitingConnection {
             is_evicted: self.session.is_evicted(),
             has_requested: self.session.has_requested.get(),
-            is_message_begun: self.is_message_begun,
+            is_message_begun: self.has_partial_message,
             is_pipelined: self.is_pipelined,
-            since: self.session.since.get(),
+            since: self.session.last_activity.get(),
             waiting_since: self.waiting_since,
         };
-        connection.close_time(self.clients.shutdown.began_at())
+        connection.close_time(self.clients.shutdown.started_at())
     }
 
-    /// Waits until the connection is to be closed.
+    /// Waits until the connection is to be closed; the close time is computed again after each wake-up.
     async fn wait(&self) {
         loop {
             let close_at = match self.close_time() {
@@ -111,7 +114,8 @@
 }
 
 impl Clients {
-    /// Reads available bytes. A message above the read-ahead limit is read to its end, with one of few permits.
+    /// Reads available bytes. Returns their number, or 0 if the client has closed its side. A message above
+    /// [`MAX_READ_AHEAD`] is read to its end with a permit, which bounds the memory for large messages.
     async fn read_message(&self, stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<usize> {
         if buffer.len() < MAX_READ_AHEAD {
             return read_some(stream, buffer).await;
--- a/crates/gateway/src/net/clients/requests.rs
+++ b/crates/gateway/src/net/clients/requests.rs
@@ -1,8 +1,8 @@
-//! One request, from its query to its answer.
+//! One request, from its query to its final response.
 
 use super::Clients;
-use super::client_session::ClientSession;
-use super::closing::client_disconnected;
+use super::client_session::SharedSessionState;
+use super::closing::wait_until_disconnected;
 use super::read_buffer::{ReadBuffer, record_unread};
 use super::session::SessionTask;
 use crate::clock::millis;
@@ -19,7 +19,7 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep_until;
 
-/// Why a query is not admitted; the text is sent to the client.
+/// Why a query is invalid; the text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum QueryError {
     #[error(transparent)]
@@ -44,22 +44,22 @@
 }
 
 impl Clients {
-    /// Parses and checks a statement, so that endpoints receive valid ones only.
-    pub(super) fn admit(&self, text: Bytes) -> Result<Rc<Statement>, QueryError> {
+    /// Parses and validates the statement of a query, so that endpoints receive only valid ones.
+    pub(super) fn parse_query(&self, text: Bytes) -> Result<Rc<Statement>, QueryError> {
         let statement = Statement::parse(text)?;
         let class = self.classes.iter().find(|class| class.name == statement.class);
         let class = class.ok_or(QueryError::UnknownClass)?;
-        if class.needs_idempotency_key && !statement.has_idempotency_key {
+        if class.requires_idempotency_key && !statement.has_idempotency_key {
             return Err(QueryError::MissingIdempotencyKey);
         }
-        if self.open_ids.borrow().contains(&statement.id) {
+        if self.pending_ids.borrow().contains(&statement.id) {
             return Err(QueryError::DuplicateId);
         }
         Ok(Rc::new(statement))
     }
 
-    /// Waits until pending requests are to be abandoned.
-    async fn abandon_time(&self, session: &ClientSession) {
+    /// Waits until the shutdown requires that a pending request is abandoned.
+    async fn wait_until_abandon_time(&self, session: &SharedSessionState) {
         loop {
             match self.shutdown.abandon_at() {
                 Some(abandon_at) => return sleep_until(abandon_at).await,
@@ -69,68 +69,70 @@
     }
 }
 
-/// Marks the id of a request as pending until dropped.
-struct OpenId<'a> {
+/// Registers the id of a request as pending until dropped.
+struct PendingId<'a> {
     clients: &'a Clients,
     id: Bytes,
 }
 
-impl<'a> OpenId<'a> {
+impl<'a> PendingId<'a> {
     fn new(clients: &'a Clients, id: Bytes) -> Self {
-        clients.open_ids.borrow_mut().insert(id.clone());
-        OpenId { clients, id }
+        clients.pending_ids.borrow_mut().insert(id.clone());
+        PendingId { clients, id }
     }
 }
 
-impl Drop for OpenId<'_> {
+impl Drop for PendingId<'_> {
     fn drop(&mut self) {
-        self.clients.open_ids.borrow_mut().remove(&self.id);
+        self.clients.pending_ids.borrow_mut().remove(&self.id);
     }
 }
 
 impl SessionTask<'_> {
-    /// Passes a request to the event loop and writes its answer.
+    /// Passes a request to the event loop and writes the final response, or rejects the request during the shutdown.
     ///
     /// # Errors
-    /// The client has disconnected.
+    /// The client has disconnected, or does not read the response.
     pub(super) async fn handle_request(
         &mut self, statement: Rc<Statement>, arrived_at: Millis,
     ) -> io::Result<()> {
-        // Not passed to the policy: it has no `unserved_*` counter and no line.
+        // The policy does not receive the request, so neither an `unserved_*` counter nor a log line records it.
         if self.clients.shutdown.rejects_request(arrived_at) {
             COUNTERS.requests_total.increment();
             COUNTERS.requests_rejected_total.increment();
             return self.write(&[rejection(None), Bytes::from_static(pg::encode::READY)]).await;
         }
         let clients = self.clients;
-        let id = RequestId(clients.next_request.get());
-        clients.next_request.set(id.0.wrapping_add(1));
-        let (reply, answer) = oneshot::channel();
-        let open_id = OpenId::new(clients, statement.id.clone());
+        let id = RequestId(clients.next_request_id.get());
+        clients.next_request_id.set(id.0.wrapping_add(1));
+        let (reply, final_response) = oneshot::channel();
+        let pending_id = PendingId::new(clients, statement.id.clone());
         let received = DriverEvent::RequestReceived { id, statement, arrived_at, reply };
         let _ = clients.events.send(received).await;
-        let answered = self.answer_request(id, answer).await;
-        drop(open_id);
-        if answered.is_err() {
+        let completed = self.complete_request(id, final_response).await;
+        drop(pending_id);
+        if completed.is_err() {
             let _ = clients.events.send(DriverEvent::ClientDisconnected { id }).await;
         }
-        answered
+        completed
     }
 
-    async fn answer_request(&mut self, id: RequestId, answer: oneshot::Receiver<Answer>) -> io::Result<()> {
-        let answer = self.wait_for_answer(id, answer).await?;
-        let since = self.clients.clock.now();
-        let written = self.write_answer(answer).await;
-        // Nothing was read during the write.
-        if self.clients.clock.now() - since > millis(SLOW_WRITE) {
-            record_unread(&mut self.input.unread_since, self.stream, since);
+    async fn complete_request(
+        &mut self, id: RequestId, final_response: oneshot::Receiver<Answer>,
+    ) -> io::Result<()> {
+        let final_response = self.wait_for_final_response(id, final_response).await?;
+        let write_started_at = self.clients.clock.now();
+        let written = self.write_final_response(final_response).await;
+        // Input that arrived during the write was not read.
+        if self.clients.clock.now() - write_started_at > millis(SLOW_WRITE) {
+            record_unread(&mut self.input.unread_since, self.stream, write_started_at);
         }
         written
     }
 
-    /// Waits for the final answer, and reads ahead to detect that the client disconnects.
-    async fn wait_for_answer(
-        &mut self, id: RequestId, mut answer: oneshot::Receiver<Answer>,
+    /// Waits for the final response, and reads ahead to detect that the client disconnects.
+    async fn wait_for_final_response(
+        &mut self, id: RequestId, mut final_response: oneshot::Receiver<Answer>,
     ) -> io::Result<Answer> {
         let clients = self.clients;
         let stream = self.stream;
@@ -138,17 +140,17 @@
         loop {
             self.input.record_arrival(stream, clients.clock.now());
             let can_read = self.input.bytes.len() < MAX_READ_AHEAD;
-            let has_input_behind = !self.input.bytes.is_empty();
-            self.input.is_pipelined |= has_input_behind;
+            let has_queued_input = !self.input.bytes.is_empty();
+            self.input.is_pipelined |= has_queued_input;
             let ReadBuffer { bytes, unread_since, .. } = &mut self.input;
             select! {
                 biased;
-                answer = &mut answer => {
-                    invariant!(answer.is_ok(), "every request gets an answer");
-                    return Ok(answer.unwrap_or(Answer::Failed));
+                received = &mut final_response => {
+                    invariant!(received.is_ok(), "every request gets a final response");
+                    return Ok(received.unwrap_or(Answer::Failed));
                 }
-                // Queries behind this one have to be answered as well.
-                () = clients.abandon_time(self.session), if has_input_behind && !is_abandoned => {
+                // The queries that are queued behind this one need a response before SIGKILL as well.
+                () = clients.wait_until_abandon_time(self.session), if has_queued_input && !is_abandoned => {
                     is_abandoned = true;
                     let _ = clients.events.send(DriverEvent::Abandon { id }).await;
                 }
@@ -157,8 +159,8 @@
                         return Err(io::ErrorKind::UnexpectedEof.into());
                     }
                 }
-                // The end of the stream cannot be read behind unread input.
-                () = client_disconnected(stream, || record_unread(unread_since, stream, clients.clock.now())),
+                // With unread input, the end of the stream cannot be read and is polled for.
+                () = wait_until_disconnected(stream, || record_unread(unread_since, stream, clients.clock.now())),
                     if !can_read =>
                 {
                     return Err(io::ErrorKind::UnexpectedEof.into());
@@ -167,9 +169,9 @@
         }
     }
 
-    async fn write_answer(&self, answer: Answer) -> io::Result<()> {
+    async fn write_final_response(&self, final_response: Answer) -> io::Result<()> {
         let ready = Bytes::from_static(pg::encode::READY);
-        match answer {
+        match final_response {
             Answer::Success([description, row, completion]) => {
                 self.write(&[description, row, completion, ready]).await
             }
@@ -183,7 +185,7 @@
     }
 }
 
-/// The error that permits the client to retry, after `retry_after` ms.
+/// The error that permits a client to retry; a client is to wait for `retry_after` first, if given.
 fn rejection(retry_after: Option<Millis>) -> Bytes {
     let detail = retry_after.map(|after| format!("{}", after.ceil()));
     let code = pg::sqlstate::TOO_MANY_CONNECTIONS;
--- a/crates/gateway/src/net/clients/session.rs
+++ b/crates/gateway/src/net/clients/session.rs
@@ -1,7 +1,7 @@
 //! The task of one client's connection, from the startup message to the close.
 
 use super::Clients;
-use super::client_session::ClientSession;
+use super::client_session::SharedSessionState;
 use super::closing::{CloseReason, write};
 use super::read_buffer::ReadBuffer;
 use crate::counters::{COUNTERS, Metric};
@@ -22,52 +22,52 @@
 /// Error text for a client whose connection is closed before its first request.
 const CLOSED_BEFORE_FIRST_QUERY: &str = "no room, or stopping: come again";
 
-/// How an attempt to read more input ended.
+/// Why a wait for more input ended.
 pub(super) enum ReadOutcome {
-    /// There is more input.
+    /// Input was read.
     Read,
-    /// The client has disconnected, or was idle for too long.
-    Ended,
+    /// The client has disconnected, or was idle for too long between two requests.
+    ClosedOrIdle,
     /// The connection was evicted, or the gateway is shutting down.
-    Closing,
-    /// No complete message arrived in time.
+    CloseRequired,
+    /// The first request or the rest of a message did not arrive before the deadline.
     TimedOut,
 }
 
-/// Whether a connection is served further.
+/// `Break` if the connection is to be closed.
 type Step = ControlFlow<CloseReason>;
 
-/// The task of a connection.
+/// Serves a connection. `session` is the part of the state that other tasks read or change.
 pub(super) struct SessionTask<'a> {
     pub(super) clients: &'a Clients,
-    pub(super) session: &'a ClientSession,
+    pub(super) session: &'a SharedSessionState,
     pub(super) stream: &'a TcpStream,
-    /// It is within the limit of connections.
-    is_admitted: bool,
+    /// If not set, the startup message is rejected with an error: the connection was accepted above the limit.
+    is_within_limit: bool,
     frontend: Frontend,
     pub(super) input: ReadBuffer,
     invalid_queries: u32,
-    /// When the first byte of an incomplete message arrived.
-    pub(super) message_began: Option<Instant>,
+    /// When the first byte of an incomplete message was read; `None` if the buffer has no incomplete message.
+    pub(super) message_started_at: Option<Instant>,
 }
 
 impl<'a> SessionTask<'a> {
     pub(super) fn new(
-        clients: &'a Clients, session: &'a ClientSession, stream: &'a TcpStream, is_admitted: bool,
+        clients: &'a Clients, session: &'a SharedSessionState, stream: &'a TcpStream, is_within_limit: bool,
     ) -> Self {
         SessionTask {
             clients,
             session,
             stream,
-            is_admitted,
+            is_within_limit,
             frontend: Frontend::default(),
             input: ReadBuffer::default(),
             invalid_queries: 0,
-            message_began: None,
+            message_started_at: None,
         }
     }
 
-    /// Serves until the connection is to be closed. Returns why.
+    /// Serves the connection until it is to be closed. Returns how to close it.
     ///
     /// # Errors
     /// The connection is lost.
@@ -87,7 +87,7 @@
             self.track_message_start(message.is_some());
             let step = match message {
                 Some(message) => self.on_message(message, arrived_at).await?,
-                None => self.read_on().await?,
+                None => self.read_or_close().await?,
             };
             if let ControlFlow::Break(reason) = step {
                 return Ok(reason);
@@ -95,20 +95,20 @@
         }
     }
 
-    /// Records the start of an incomplete message once: its timeout does not start again with each byte.
+    /// Records when an incomplete message started. The timeout of a message does not start again with each byte.
     fn track_message_start(&mut self, is_complete: bool) {
         if self.input.bytes.is_empty() || is_complete {
-            self.message_began = None;
-        } else if self.message_began.is_none() {
-            self.message_began = Some(Instant::now());
+            self.message_started_at = None;
+        } else if self.message_started_at.is_none() {
+            self.message_started_at = Some(Instant::now());
         }
     }
 
-    async fn read_on(&mut self) -> io::Result<Step> {
+    async fn read_or_close(&mut self) -> io::Result<Step> {
         let reason = match self.read_more().await? {
             ReadOutcome::Read => return Ok(Step::Continue(())),
-            ReadOutcome::Ended => CloseReason::Quiet,
-            ReadOutcome::Closing => self.close().await?,
+            ReadOutcome::ClosedOrIdle => CloseReason::NoPendingOutput,
+            ReadOutcome::CloseRequired => self.close().await?,
             ReadOutcome::TimedOut => {
                 self.close_with_violation(NO_COMPLETE_QUERY, &COUNTERS.clients_timed_out_total).await?
             }
@@ -116,13 +116,13 @@
         Ok(Step::Break(reason))
     }
 
-    /// The gateway closes the connection.
+    /// Closes the connection on the gateway's initiative.
     async fn close(&mut self) -> io::Result<CloseReason> {
         if !self.session.has_requested.get() {
-            // Without an error the client would not know that a retry is safe.
+            // Without an error the client would not know that its request was not executed and can be retried.
             return self.close_with_rejection(CLOSED_BEFORE_FIRST_QUERY).await;
         }
-        Ok(if self.session.is_evicted() { CloseReason::Quiet } else { CloseReason::Answered })
+        Ok(if self.session.is_evicted() { CloseReason::NoPendingOutput } else { CloseReason::ResponseSent })
     }
 
     async fn on_message(&mut self, message: FrontendMessage, arrived_at: Option<Millis>) -> io::Result<Step> {
@@ -131,9 +131,9 @@
                 self.write(&[Bytes::from_static(pg::encode::NO_ENCRYPTION)]).await?;
             }
             FrontendMessage::Cancel | FrontendMessage::Terminate => {
-                return Ok(Step::Break(CloseReason::Answered));
+                return Ok(Step::Break(CloseReason::ResponseSent));
             }
-            FrontendMessage::Startup if !self.is_admitted => {
+            FrontendMessage::Startup if !self.is_within_limit => {
                 return self.close_with_rejection("too many connections").await.map(Step::Break);
             }
             FrontendMessage::Startup => self.write(&[pg::encode::greeting()]).await?,
@@ -152,7 +152,8 @@
         Ok(Step::Continue(()))
     }
 
-    /// Waits until the gateway is ready, or until more input arrives or the connection is to be closed.
+    /// Delays the response to an empty query until the gateway is ready. Returns earlier if more input arrives or the
+    /// connection is to be closed.
     ///
     /// # Errors
     /// The client has disconnected.
@@ -163,6 +164,7 @@
         select! {
             biased;
             () = self.clients.readiness.wait() => {}
+            // The notification is passed on to the next wait for input.
             () = self.session.wake.notified() => self.session.wake.notify_one(),
             read = read_some(self.stream, &mut self.input.bytes) => {
                 if read? == 0 {
@@ -174,47 +176,49 @@
     }
 
     async fn on_query(&mut self, text: Bytes, arrived_at: Option<Millis>) -> io::Result<Step> {
-        let statement = match self.clients.admit(text) {
+        let statement = match self.clients.parse_query(text) {
             Ok(statement) => statement,
             Err(error) => return self.on_invalid_query(error.sqlstate(), &error.to_string(), true).await,
         };
         self.session.state.set(SessionState::Busy);
         self.session.has_requested.set(true);
         let arrived_at = arrived_at.unwrap_or_else(|| self.clients.clock.now());
-        let answered = self.handle_request(statement, arrived_at).await;
+        let completed = self.handle_request(statement, arrived_at).await;
         self.session.state.set(SessionState::Idle);
-        self.session.since.set(Instant::now());
-        answered?;
+        self.session.last_activity.set(Instant::now());
+        completed?;
         Ok(Step::Continue(()))
     }
 
-    /// Answers an invalid query; after too many of them the connection is closed. `is_ready`: the answer completes the
-    /// query.
-    async fn on_invalid_query(&mut self, code: &str, reason: &str, is_ready: bool) -> io::Result<Step> {
+    /// Sends an error for an invalid query, followed by `ReadyForQuery` if `completes_query`. Closes the connection at
+    /// the [`MAX_INVALID_QUERIES`]th one.
+    async fn on_invalid_query(
+        &mut self, code: &str, reason: &str, completes_query: bool,
+    ) -> io::Result<Step> {
         self.invalid_queries += 1;
         self.log_malformed_input(reason, &COUNTERS.invalid_queries_total);
         let is_fatal = self.invalid_queries >= MAX_INVALID_QUERIES;
         let error = pg::encode::error(is_fatal, code, reason, None);
-        let end: &[u8] = if is_ready && !is_fatal { pg::encode::READY } else { &[] };
+        let end: &[u8] = if completes_query && !is_fatal { pg::encode::READY } else { &[] };
         self.write(&[error, Bytes::from_static(end)]).await?;
-        Ok(if is_fatal { Step::Break(CloseReason::Rejected) } else { Step::Continue(()) })
+        Ok(if is_fatal { Step::Break(CloseReason::ErrorSent) } else { Step::Continue(()) })
     }
 
-    /// Closes a connection that violates the protocol.
+    /// Closes a connection that violates the protocol or exceeds a time limit, with an error.
     async fn close_with_violation(&self, reason: &str, counter: &Metric) -> io::Result<CloseReason> {
         self.log_malformed_input(reason, counter);
         self.write(&[pg::encode::error(true, pg::sqlstate::PROTOCOL_VIOLATION, reason, None)]).await?;
-        Ok(CloseReason::Rejected)
+        Ok(CloseReason::ErrorSent)
     }
 
-    /// Closes a connection above the limit, or before its first request.
+    /// Closes a connection above the limit, or before its first request, with an error that permits a retry.
     async fn close_with_rejection(&self, reason: &str) -> io::Result<CloseReason> {
         COUNTERS.clients_rejected_total.increment();
         self.write(&[pg::encode::error(true, pg::sqlstate::TOO_MANY_CONNECTIONS, reason, None)]).await?;
-        Ok(CloseReason::Rejected)
+        Ok(CloseReason::ErrorSent)
     }
 
-    /// Counts and logs malformed input; sampled, because clients can cause it at will.
+    /// Counts and logs malformed input. Only a sample has level info, because clients can cause any number of lines.
     fn log_malformed_input(&self, reason: &str, counter: &Metric) {
         let peer = self.stream.peer_addr().ok().map(tracing::field::display);
         if counter.value().is_multiple_of(LOG_SAMPLING) {
--- a/crates/gateway/src/net/clients/shutdown.rs
+++ b/crates/gateway/src/net/clients/shutdown.rs
@@ -1,4 +1,4 @@
-//! The state of the shutdown: when it began, on the runtime's clock and on the gateway's.
+//! When the shutdown began, and what its schedule requires now.
 
 use crate::limits::shutdown::ShutdownSchedule;
 use latchhaven_policy::{Millis, RequestClass};
@@ -7,50 +7,52 @@
 
 /// The start of the shutdown on both clocks.
 #[derive(Clone, Copy)]
-struct Beginning {
+struct ShutdownStart {
+    /// On the runtime's clock, for timers.
     instant: Instant,
-    at: Millis,
+    /// On the gateway's clock, for comparison with arrival times.
+    time: Millis,
 }
 
-/// Whether the gateway is shutting down, and what its schedule demands now.
 pub(super) struct Shutdown {
-    beginning: Cell<Option<Beginning>>,
+    /// `None` until the shutdown begins.
+    start: Cell<Option<ShutdownStart>>,
     schedule: ShutdownSchedule,
 }
 
 impl Shutdown {
-    /// Not begun. The schedule depends on the longest timeout of a class.
+    /// A shutdown that has not begun. The schedule depends on the longest timeout of a class.
     pub(super) fn new(classes: &[RequestClass]) -> Self {
         let longest_timeout = classes.iter().map(|class| class.timeout).fold(0.0, f64::max);
-        Shutdown { beginning: Cell::new(None), schedule: ShutdownSchedule::new(longest_timeout) }
+        Shutdown { start: Cell::new(None), schedule: ShutdownSchedule::new(longest_timeout) }
     }
 
-    /// Begins the shutdown at `now` in ms; later calls change nothing.
+    /// Begins the shutdown, unless it has begun before.
     pub(super) fn begin(&self, now: Millis) {
-        if self.beginning.get().is_none() {
-            self.beginning.set(Some(Beginning { instant: Instant::now(), at: now }));
+        if self.start.get().is_none() {
+            self.start.set(Some(ShutdownStart { instant: Instant::now(), time: now }));
         }
     }
 
-    /// When it began.
-    pub(super) fn began_at(&self) -> Option<Instant> {
-        self.beginning.get().map(|beginning| beginning.instant)
+    /// When the shutdown began; `None` before.
+    pub(super) fn started_at(&self) -> Option<Instant> {
+        self.start.get().map(|start| start.instant)
     }
 
-    /// A request that arrived at `arrived_at` in ms is rejected.
+    /// Returns `true` if a request that arrived at `arrived_at` is to be rejected now.
     pub(super) fn rejects_request(&self, arrived_at: Millis) -> bool {
-        self.beginning.get().is_some_and(|beginning| {
-            self.schedule.rejects_request(arrived_at, beginning.at, beginning.instant.elapsed())
+        self.start.get().is_some_and(|start| {
+            self.schedule.rejects_request(arrived_at, start.time, start.instant.elapsed())
         })
     }
 
-    /// When pending requests are abandoned if others are queued behind them.
+    /// When a pending request is abandoned if others are queued on its connection; `None` before the shutdown.
     pub(super) fn abandon_at(&self) -> Option<Instant> {
-        self.began_at().map(|began_at| began_at + self.schedule.abandon_after())
+        self.started_at().map(|started_at| started_at + self.schedule.abandon_after())
     }
 
-    /// Connections are closed whatever input arrives.
+    /// Returns `true` if connections have to be closed now, even if further input arrives.
     pub(super) fn closes_all(&self) -> bool {
-        self.began_at().is_some_and(|began_at| began_at.elapsed() >= self.schedule.close_after())
+        self.started_at().is_some_and(|started_at| started_at.elapsed() >= self.schedule.close_after())
     }
 }
--- a/crates/gateway/src/net/upstream/connection_task.rs
+++ b/crates/gateway/src/net/upstream/connection_task.rs
@@ -40,13 +40,13 @@
     ClosedByEndpoint,
 }
 
-/// Opens a connection and carries its calls until it is closed. `large_response_permits` limit the number of large
-/// responses that are buffered for all connections.
+/// Opens a connection and carries its calls until it is closed. `large_responses`: permits to buffer a large response,
+/// shared by all connections.
 pub(super) async fn run(
     connection: Rc<UpstreamConnection>, address: SocketAddr, config: UpstreamConnectionConfig,
-    large_response_permits: Arc<Semaphore>, events: mpsc::Sender<DriverEvent>,
+    large_responses: Arc<Semaphore>, events: mpsc::Sender<DriverEvent>,
 ) {
-    let channel = QueryChannel::new(connection.clone(), config.load_reporting, large_response_permits);
+    let channel = QueryChannel::new(connection.clone(), config.load_reporting, large_responses);
     let mut task = ConnectionTask { connection: connection.clone(), config, events, channel };
     if let Err(error) = task.open(address).await {
         COUNTERS.server_connects_failed_total.increment();
@@ -75,7 +75,7 @@
 }
 
 impl ConnectionTask {
-    /// Opens the connection, unless the connect timeout expires or the pool closes the connection before.
+    /// Opens the connection within the connect timeout, unless the pool closes the connection meanwhile.
     async fn open(&mut self, address: SocketAddr) -> Result<(), OpenError> {
         let connect_timeout = duration(self.config.connect_timeout);
         let connection = self.connection.clone();
@@ -145,7 +145,8 @@
         }
     }
 
-    /// Waits until the pool assigns a call. `None` if the connection is closed, unusable or idle for too long before.
+    /// Waits until the pool assigns a call. `None` if the connection is closed, receives unsolicited data or is idle
+    /// for too long before that.
     async fn next_query(&mut self, stream: &TcpStream) -> Option<OutgoingQuery> {
         let idle_until = Instant::now() + idle_close_after(self.config.idle_timeout);
         let connection = self.connection.clone();
--- a/crates/gateway/src/net/upstream/exchange.rs
+++ b/crates/gateway/src/net/upstream/exchange.rs
@@ -80,8 +80,8 @@
 pub(super) struct QueryChannel {
     connection: Rc<UpstreamConnection>,
     load_reporting: LoadReporting,
-    /// Shared by all connections.
-    large_response_permits: Arc<Semaphore>,
+    /// Permits to buffer a large response, shared by all connections.
+    large_responses: Arc<Semaphore>,
     backend: Backend,
     /// Input that was not parsed yet.
     pub(super) buffer: BytesMut,
@@ -89,11 +89,10 @@
 
 impl QueryChannel {
     pub(super) fn new(
-        connection: Rc<UpstreamConnection>, load_reporting: LoadReporting,
-        large_response_permits: Arc<Semaphore>,
+        connection: Rc<UpstreamConnection>, load_reporting: LoadReporting, large_responses: Arc<Semaphore>,
     ) -> Self {
         let backend = Backend::default();
-        QueryChannel { connection, load_reporting, large_response_permits, backend, buffer: BytesMut::new() }
+        QueryChannel { connection, load_reporting, large_responses, backend, buffer: BytesMut::new() }
     }
 
     /// Parses the next message of the endpoint from the buffer; `None` if it is incomplete.
@@ -178,11 +177,10 @@
         }
     }
 
-    /// Reads more input, and waits for a permit before if the response is large. Returns `false` if the connection is
-    /// lost.
+    /// Reads more input; if the response is large, waits for a permit first. Returns `false` if the connection is lost.
     async fn read_more(&mut self, stream: &TcpStream, permit: &mut Option<OwnedSemaphorePermit>) -> bool {
         if permit.is_none() && self.buffer.len() > LARGE_ANSWER {
-            *permit = self.large_response_permits.clone().acquire_owned().await.ok();
+            *permit = self.large_responses.clone().acquire_owned().await.ok();
         }
         matches!(read_some(stream, &mut self.buffer).await, Ok(count) if count > 0)
     }
--- a/crates/gateway/src/net/upstream/pool.rs
+++ b/crates/gateway/src/net/upstream/pool.rs
@@ -99,7 +99,7 @@
     max_connections: usize,
     last_generation: u64,
     config: UpstreamConnectionConfig,
-    large_response_permits: Arc<Semaphore>,
+    large_responses: Arc<Semaphore>,
     events: mpsc::Sender<DriverEvent>,
 }
 
@@ -116,7 +116,7 @@
             max_connections,
             last_generation: 0,
             config,
-            large_response_permits: Arc::new(Semaphore::new(MAX_LARGE_ANSWERS)),
+            large_responses: Arc::new(Semaphore::new(MAX_LARGE_ANSWERS)),
             events,
         }
     }
@@ -297,7 +297,7 @@
             connection,
             address,
             self.config.clone(),
-            self.large_response_permits.clone(),
+            self.large_responses.clone(),
             self.events.clone(),
         );
         tokio::task::spawn_local(task);
