--- a/crates/gateway/src/net/clients/read_buffer.rs
+++ b/crates/gateway/src/net/clients/read_buffer.rs
@@ -10,8 +10,8 @@
 pub(super) struct ReadBuffer {
     pub(super) bytes: BytesMut,
     arrivals: ArrivalTimes,
-    /// Set when the socket may have input that cannot be read now, because the buffer is full or a write was slow: the
-    /// earliest time at which that input may have arrived.
+    /// Set when the socket has input that was not read, because the buffer was full or a write was slow: when the
+    /// input was noticed, or when the write began.
     pub(super) unread_since: Option<Millis>,
     /// Set when input arrived while a request was pending: the client sends queries without waiting for responses.
     pub(super) is_pipelined: bool,
--- a/crates/gateway/src/net/upstream/connection.rs
+++ b/crates/gateway/src/net/upstream/connection.rs
@@ -20,8 +20,8 @@
 pub struct UpstreamConnection {
     /// The id of the endpoint in the endpoint list.
     pub(super) endpoint: String,
-    /// The generation of the endpoint for which the connection was opened. The pool uses a connection only while its
-    /// endpoint has this generation.
+    /// The generation of the endpoint for which the connection was opened. The pool assigns further calls only
+    /// while the endpoint has this generation.
     pub(super) generation: u64,
     /// Set when TCP has connected.
     pub(super) stream: OnceCell<TcpStream>,
