--- a/crates/xds/src/limits.rs
+++ b/crates/xds/src/limits.rs
@@ -41,7 +41,7 @@
 /// Responses in the queue of one stream. With more, a slow reader would receive outdated ones.
 pub(crate) const MAX_QUEUED_RESPONSES: usize = 1;
 /// Time for a reconnected proxy to subscribe to its endpoints before it is sent clusters.
-pub(crate) const NAMING_GRACE: Duration = Duration::from_secs(1);
+pub(crate) const ENDPOINT_SUBSCRIPTION_TIMEOUT: Duration = Duration::from_secs(1);
 /// Interval of load reports.
 pub(crate) const LOAD_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
--- a/crates/xds/src/server/discovery.rs
+++ b/crates/xds/src/server/discovery.rs
@@ -6,7 +6,7 @@
     ResponseFuture, ResponseItem, ResponseSender, ResponseStream, first_request, service_unavailable,
     spawn_stream, wait_for_admission,
 };
-use crate::limits::NAMING_GRACE;
+use crate::limits::ENDPOINT_SUBSCRIPTION_TIMEOUT;
 use crate::stream::{Stream, StreamError, SubscriptionRequest};
 use bytes::Bytes;
 use std::pin::pin;
@@ -51,7 +51,7 @@
     stream_number: u64,
     incremental: bool,
     context: ServerContext,
-    /// There is nothing to send until the next request or snapshot, or the end of the naming grace.
+    /// There is nothing to send until the next request or snapshot, or the endpoint subscription timeout.
     is_idle: bool,
 }
 
@@ -63,8 +63,8 @@
         self.on_request(request)?;
         let node = self.stream.node().unwrap_or_default().to_string();
         wait_for_admission(&self.context.events, self.stream_number, node, false).await?;
-        let mut naming_grace = pin!(sleep(NAMING_GRACE));
-        let mut naming_grace_ended = false;
+        let mut endpoint_subscription_timeout = pin!(sleep(ENDPOINT_SUBSCRIPTION_TIMEOUT));
+        let mut endpoint_subscription_timed_out = false;
         loop {
             self.report_events().await?;
             select! {
@@ -82,10 +82,10 @@
                     changed.map_err(service_unavailable)?;
                     self.is_idle = false;
                 }
-                () = &mut naming_grace, if !naming_grace_ended => {
-                    naming_grace_ended = true;
+                () = &mut endpoint_subscription_timeout, if !endpoint_subscription_timed_out => {
+                    endpoint_subscription_timed_out = true;
                     self.is_idle = false;
-                    self.stream.end_naming_grace();
+                    self.stream.on_endpoint_subscription_timeout();
                 }
             }
         }
--- a/crates/xds/src/stream.rs
+++ b/crates/xds/src/stream.rs
@@ -47,7 +47,7 @@
     responses: u64,
     /// The number of requests with a nonce that was never sent.
     unknown_nonces: u32,
-    naming_grace_ended: bool,
+    endpoint_subscription_timed_out: bool,
     events: Vec<StreamEvent>,
 }
 
@@ -64,7 +64,7 @@
             types: BTreeMap::new(),
             responses: 0,
             unknown_nonces: 0,
-            naming_grace_ended: false,
+            endpoint_subscription_timed_out: false,
             events: Vec::new(),
         }
     }
@@ -80,9 +80,10 @@
         std::mem::take(&mut self.events)
     }
 
-    /// The naming grace has ended: clusters are sent without waiting for the subscription to endpoints.
-    pub fn end_naming_grace(&mut self) {
-        self.naming_grace_ended = true;
+    /// Called by the driver once `ENDPOINT_SUBSCRIPTION_TIMEOUT` has passed: clusters are no longer delayed until the
+    /// proxy subscribes to its endpoints.
+    pub fn on_endpoint_subscription_timeout(&mut self) {
+        self.endpoint_subscription_timed_out = true;
     }
 
     /// The next response, if one may be sent now.
--- a/crates/xds/src/stream/dependencies.rs
+++ b/crates/xds/src/stream/dependencies.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    /// A reconnected proxy subscribes to its endpoints by name. Until then, or until the naming grace ends, it is unknown
+    /// A reconnected proxy subscribes to its endpoints by name. Until then, or until the timeout, it is unknown
     /// which clusters its routes reference.
     fn waits_for_endpoint_names(&self, clusters: &TypeState) -> bool {
         let has_reconnected = clusters.minimum_version.is_some();
@@ -64,7 +64,7 @@
             && self.only_type.is_none()
             && has_reconnected
             && !names_endpoints
-            && !self.naming_grace_ended
+            && !self.endpoint_subscription_timed_out
     }
 
     /// True where all clusters that the new routes reference were accepted, with their endpoints. Not checked on a stream
--- a/crates/xds/tests/convergence/main.rs
+++ b/crates/xds/tests/convergence/main.rs
@@ -16,8 +16,8 @@
 
 /// Rounds without faults after the random steps.
 const QUIET_ROUNDS: usize = 80;
-/// Rounds after which the naming grace ends.
-const NAMING_GRACE_ROUNDS: usize = 20;
+/// Rounds after which the endpoint subscription times out.
+const ENDPOINT_SUBSCRIPTION_TIMEOUT_ROUNDS: usize = 20;
 /// Exchanges of an undisturbed proxy in one step.
 const UNDISTURBED_EXCHANGES: usize = 12;
 
@@ -108,9 +108,9 @@
         for round in 0..QUIET_ROUNDS {
             for proxy in &mut self.proxies {
                 if let Some(connection) = &mut proxy.connection
-                    && round > NAMING_GRACE_ROUNDS
+                    && round > ENDPOINT_SUBSCRIPTION_TIMEOUT_ROUNDS
                 {
-                    connection.stream.end_naming_grace();
+                    connection.stream.on_endpoint_subscription_timeout();
                 }
                 proxy.exchange(&mut self.services, platform.now);
             }
