--- a/crates/xds/src/limits.rs
+++ b/crates/xds/src/limits.rs
@@ -28,7 +28,7 @@
 /// Accepted connections in the queue to the gRPC server.
 pub(crate) const MAX_QUEUED_CONNECTIONS: usize = 64;
 /// HTTP/2 flow-control window of each stream in bytes: bounds what a proxy sends before it is read.
-pub(crate) const STREAM_WINDOW: u32 = 1 << 20;
+pub(crate) const STREAM_WINDOW_BYTES: u32 = 1 << 20;
 /// Time between two accepts while the process lacks resources such as descriptors.
 pub(crate) const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -48,9 +48,9 @@
 // Requests.
 
 /// Bytes of one request. The first one of a proxy may name all endpoints of a large fleet.
-pub(crate) const MAX_REQUEST_LENGTH: usize = 4 << 20;
+pub(crate) const MAX_REQUEST_BYTES: usize = 4 << 20;
 /// Bytes of a node's id.
-pub const MAX_NODE_ID_LENGTH: usize = 256;
+pub const MAX_NODE_ID_BYTES: usize = 256;
 /// Names of one type that a stream may subscribe to.
 pub(crate) const MAX_SUBSCRIBED_NAMES: usize = 1_024;
 /// Bytes of one resource name.
--- a/crates/xds/src/server.rs
+++ b/crates/xds/src/server.rs
@@ -23,7 +23,7 @@
 
 use crate::limits::{
     self, KEEPALIVE_INTERVAL, KEEPALIVE_TIMEOUT, MAX_QUEUED_CONNECTIONS, MAX_STREAMS_PER_CONNECTION,
-    STREAM_WINDOW,
+    STREAM_WINDOW_BYTES,
 };
 use connections::ConnectionLimits;
 use ipnet::IpNet;
@@ -49,7 +49,7 @@
         .max_concurrent_streams(MAX_STREAMS_PER_CONNECTION)
         .http2_keepalive_interval(Some(KEEPALIVE_INTERVAL))
         .http2_keepalive_timeout(Some(KEEPALIVE_TIMEOUT))
-        .initial_stream_window_size(STREAM_WINDOW)
+        .initial_stream_window_size(STREAM_WINDOW_BYTES)
         .serve_with_incoming(XdsServices::new(context), ReceiverStream::new(incoming));
     select! {
         () = accepting => Ok(()),
--- a/crates/xds/src/server/discovery.rs
+++ b/crates/xds/src/server/discovery.rs
@@ -61,7 +61,7 @@
     ) -> Result<(), Status> {
         let Some(request) = first_request(&mut requests).await? else { return Ok(()) };
         self.on_request(request)?;
-        let node = self.stream.node().unwrap_or_default().to_string();
+        let node = self.stream.node_id().unwrap_or_default().to_string();
         wait_for_admission(&self.context.events, self.stream_number, node, false).await?;
         let mut endpoint_subscription_timeout = pin!(sleep(ENDPOINT_SUBSCRIPTION_TIMEOUT));
         let mut endpoint_subscription_timed_out = false;
--- a/crates/xds/src/server/load_reports.rs
+++ b/crates/xds/src/server/load_reports.rs
@@ -5,7 +5,7 @@
     ResponseFuture, ResponseSender, ResponseStream, first_request, service_unavailable, spawn_stream,
     wait_for_admission,
 };
-use crate::limits::{LOAD_REPORT_INTERVAL, MAX_NODE_ID_LENGTH};
+use crate::limits::{LOAD_REPORT_INTERVAL, MAX_NODE_ID_BYTES};
 use crate::load_stats::parse_load_report;
 use crate::pb::envoy::service::load_stats::v3::{LoadStatsRequest, LoadStatsResponse};
 use crate::pb::google::protobuf::Duration;
@@ -41,7 +41,7 @@
 ) -> Result<(), Status> {
     let Some(first) = first_request(&mut requests).await? else { return Ok(()) };
     let node = first.node.map(|node| node.id).unwrap_or_default();
-    if node.is_empty() || node.len() > MAX_NODE_ID_LENGTH {
+    if node.is_empty() || node.len() > MAX_NODE_ID_BYTES {
         return Err(Status::invalid_argument("node.id: missing or too long"));
     }
     wait_for_admission(&context.events, stream, node, true).await?;
--- a/crates/xds/src/server/services.rs
+++ b/crates/xds/src/server/services.rs
@@ -5,7 +5,7 @@
 use super::discovery_method::DiscoveryMethod;
 use super::load_reports::LoadReportingService;
 use crate::codec::ChunkCodec;
-use crate::limits::MAX_REQUEST_LENGTH;
+use crate::limits::MAX_REQUEST_BYTES;
 use crate::pb::envoy::service::discovery::v3::{DeltaDiscoveryRequest, DiscoveryRequest};
 use crate::pb::envoy::service::load_stats::v3::LoadStatsRequest;
 use prost::Message;
@@ -70,5 +70,5 @@
 }
 
 fn grpc<T: Message + Default + Send + 'static>() -> Grpc<ChunkCodec<T>> {
-    Grpc::new(ChunkCodec::default()).max_decoding_message_size(MAX_REQUEST_LENGTH)
+    Grpc::new(ChunkCodec::default()).max_decoding_message_size(MAX_REQUEST_BYTES)
 }
--- a/crates/xds/src/stream.rs
+++ b/crates/xds/src/stream.rs
@@ -22,7 +22,7 @@
 mod response_selection;
 mod type_state;
 
-pub use crate::limits::MAX_NODE_ID_LENGTH;
+pub use crate::limits::MAX_NODE_ID_BYTES;
 pub use messages::{InitialVersion, StreamError, StreamEvent, StreamResponse, SubscriptionRequest};
 
 use crate::resources::{ResourceSnapshot, ResourceType};
@@ -41,7 +41,7 @@
     /// The only type on this stream; none: an aggregated stream.
     only_type: Option<ResourceType>,
     signer: VersionSigner,
-    node: Option<String>,
+    node_id: Option<String>,
     types: BTreeMap<ResourceType, TypeState>,
     /// The number of responses; it is the nonce of the last one.
     responses: u64,
@@ -60,7 +60,7 @@
             separate_endpoints: incremental,
             only_type,
             signer,
-            node: None,
+            node_id: None,
             types: BTreeMap::new(),
             responses: 0,
             unknown_nonces: 0,
@@ -71,8 +71,8 @@
 
     /// The proxy's id, from the first request on.
     #[must_use]
-    pub fn node(&self) -> Option<&str> {
-        self.node.as_deref()
+    pub fn node_id(&self) -> Option<&str> {
+        self.node_id.as_deref()
     }
 
     /// Events since the last call.
--- a/crates/xds/src/stream/messages.rs
+++ b/crates/xds/src/stream/messages.rs
@@ -1,6 +1,6 @@
 //! Requests, responses, events and errors of a stream.
 
-use crate::limits::{MAX_INITIAL_RESOURCES, MAX_NAME_LENGTH, MAX_NODE_ID_LENGTH, MAX_SUBSCRIBED_NAMES};
+use crate::limits::{MAX_INITIAL_RESOURCES, MAX_NAME_LENGTH, MAX_NODE_ID_BYTES, MAX_SUBSCRIBED_NAMES};
 use crate::pb::envoy::config::core::v3::Node;
 use crate::pb::envoy::service::discovery::v3::{DeltaDiscoveryRequest, DiscoveryRequest};
 use crate::resources::ResourceType;
@@ -89,7 +89,7 @@
     #[error("node.id: missing in the first request")]
     MissingNodeId,
     /// The node id is too long.
-    #[error("node.id: longer than {} bytes", MAX_NODE_ID_LENGTH)]
+    #[error("node.id: longer than {} bytes", MAX_NODE_ID_BYTES)]
     NodeIdTooLong,
     /// The type is unknown, or not carried on this stream.
     #[error("type_url: '{url}' is not supported on this stream")]
--- a/crates/xds/src/stream/request_handling.rs
+++ b/crates/xds/src/stream/request_handling.rs
@@ -4,7 +4,7 @@
 use super::type_state::{AcceptedResource, PendingResponse};
 use super::{INLINE_ENDPOINTS_FEATURE, Stream};
 use crate::limits::{
-    self, MAX_INITIAL_RESOURCES, MAX_NAME_LENGTH, MAX_NODE_ID_LENGTH, MAX_REJECTION_LENGTH,
+    self, MAX_INITIAL_RESOURCES, MAX_NAME_LENGTH, MAX_NODE_ID_BYTES, MAX_REJECTION_LENGTH,
     MAX_SUBSCRIBED_NAMES,
 };
 use crate::resources::ResourceType;
@@ -27,7 +27,7 @@
     /// # Errors
     /// The request is invalid or exceeds a limit: the stream ends with this error.
     pub fn on_request(&mut self, mut request: SubscriptionRequest) -> Result<(), StreamError> {
-        if self.node.is_none() {
+        if self.node_id.is_none() {
             self.identify(&mut request)?;
         }
         let resource_type = self.requested_type(&request.type_url)?;
@@ -53,10 +53,10 @@
     fn identify(&mut self, request: &mut SubscriptionRequest) -> Result<(), StreamError> {
         let node = request.node.take().filter(|node| !node.is_empty());
         let node = node.ok_or(StreamError::MissingNodeId)?;
-        if node.len() > MAX_NODE_ID_LENGTH {
+        if node.len() > MAX_NODE_ID_BYTES {
             return Err(StreamError::NodeIdTooLong);
         }
-        self.node = Some(node);
+        self.node_id = Some(node);
         if request.features.iter().any(|feature| feature == INLINE_ENDPOINTS_FEATURE) {
             self.separate_endpoints = false;
         }
@@ -71,7 +71,7 @@
             (None, Some(only_type)) if type_url.is_empty() => return Ok(only_type),
             _ => {}
         }
-        Err(StreamError::UnsupportedType { url: type_url.chars().take(MAX_NODE_ID_LENGTH).collect() })
+        Err(StreamError::UnsupportedType { url: type_url.chars().take(MAX_NODE_ID_BYTES).collect() })
     }
 
     fn classify_nonce(&self, resource_type: ResourceType, nonce: &str, is_first: bool) -> Nonce {
