--- a/crates/xds/src/resources/snapshot.rs
+++ b/crates/xds/src/resources/snapshot.rs
@@ -1,4 +1,4 @@
-//! All resources at one moment.
+//! Snapshots: the resources of one proxy configuration, with their version labels.
 
 use super::cluster::{encode_cluster, encode_clusters};
 use super::config::ResourceConfig;
@@ -8,7 +8,7 @@
 use super::names::parse_endpoints_name;
 use super::resource_type::ResourceType;
 use super::route::encode_routes;
-use crate::limits::RETIRED_MAX_IN_FLIGHT;
+use crate::limits::RETIRED_CLUSTER_MAX_IN_FLIGHT;
 use latchhaven_policy::Version;
 use latchhaven_proxy_config::proxy_config::{Cluster, ProxyConfig};
 use latchhaven_proxy_config::share_ledger::CanaryShares;
@@ -16,19 +16,20 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The resources of one type, by name.
+/// Resources of one type by resource name. Unchanged resources are shared with earlier snapshots.
 pub type ResourceSet = BTreeMap<String, Arc<Resource>>;
 
-/// The resources of one type with a hash of all their contents.
+/// All resources of one type in a snapshot.
 #[derive(Clone, Debug)]
 pub struct TypeResources {
-    /// Changes whenever the content of a resource does.
+    /// Hash of the contents of all resources, in the order of their names; the names are not included. Part of the
+    /// version label of responses.
     pub content_hash: u64,
-    /// The resources by name.
+    /// Shared with the previous snapshot if nothing changed.
     pub resources: Arc<ResourceSet>,
 }
 
-/// The key of a set of resources: endpoints exist inline and as resources of their own.
+/// Identifies a set of resources. Endpoints have two sets: inline in EDS resources, and as LEDS resources.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SetKey {
     resource_type: ResourceType,
@@ -45,24 +46,26 @@
     }
 }
 
-/// The resources of all proxies at one moment.
+/// The resources of one proxy configuration, the same for all proxies.
 #[derive(Debug)]
 pub struct ResourceSnapshot {
-    /// The version of the configuration.
+    /// The rollout state and the endpoint list on which the configuration is based.
     pub version: ConfigVersion,
-    /// The number of the snapshot, from 1 at the start of the process.
+    /// Counts the snapshots of this process, from 1.
     pub number: u64,
-    /// The share of each request class that its routes send to the canary.
+    /// The share of requests that the routes send to the canary, by index of the request class.
     pub canary_shares: CanaryShares,
-    /// The prefix of all version labels. An unchanged resource is labelled with the version of this snapshot as well.
+    /// The prefix of all version labels, with the version of the snapshot. Unchanged resources are labelled with it as
+    /// well.
     label_prefix: String,
-    /// Also used for the clusters of removed versions.
+    /// Also used to build the clusters of removed versions.
     config: Arc<ResourceConfig>,
     sets: BTreeMap<SetKey, TypeResources>,
 }
 
 impl ResourceSnapshot {
-    /// The snapshot of a proxy configuration. It shares unchanged resources with the `previous` snapshot.
+    /// Encodes the resources of a proxy configuration. Unchanged resources are shared with the `previous` snapshot.
+    /// `signer` signs the version labels.
     #[must_use]
     pub fn build(
         proxy_config: &ProxyConfig, version: ConfigVersion, config: &Arc<ResourceConfig>,
@@ -83,7 +86,8 @@
         }
     }
 
-    /// The resources of a type; `separate_endpoints`: for streams that get each endpoint as a resource of its own.
+    /// The resources of a type. Streams that receive endpoints as LEDS resources set `separate_endpoints`; this makes a
+    /// difference only if [`ListenerConfig::separate_endpoints`](super::ListenerConfig::separate_endpoints) is set.
     ///
     /// # Panics
     /// Never: [`ResourceSnapshot::build`] builds a set of every type.
@@ -94,14 +98,15 @@
         set.expect("every type has a set")
     }
 
-    /// The version label of a content in this snapshot.
+    /// The `version_info` of a response, or the version of a resource, with this content hash.
     #[must_use]
     pub fn version_label(&self, content_hash: u64) -> String {
         join_label(&self.label_prefix, content_hash)
     }
 
-    /// The clusters of a removed version, by the name of its endpoints: a reconnected proxy may route to them until it has
-    /// accepted new routes.
+    /// Builds the clusters of a version that was removed, one for each request class. A reconnected proxy may route
+    /// requests to them until it has acknowledged new routes. Empty if `endpoints_name` is not the name of an EDS
+    /// resource.
     #[must_use]
     pub fn retired_clusters(&self, endpoints_name: &str) -> Vec<Arc<Resource>> {
         let Some(version) = parse_endpoints_name(endpoints_name) else { return Vec::new() };
@@ -110,13 +115,14 @@
     }
 
     fn retired_cluster(&self, version: Version, class: usize) -> Resource {
-        let cluster = Cluster { version, class, max_in_flight: RETIRED_MAX_IN_FLIGHT, allows_retries: false };
+        let cluster =
+            Cluster { version, class, max_in_flight: RETIRED_CLUSTER_MAX_IN_FLIGHT, allows_retries: false };
         let message = encode_cluster(&cluster, &self.config);
         let hash = message.hash();
         message.into_resource(ResourceType::Cluster, hash)
     }
 
-    /// True where both snapshots have the same resources.
+    /// Returns `true` if the content hashes of all types are equal. Versions and their labels are not compared.
     #[must_use]
     pub fn has_same_resources(&self, other: &ResourceSnapshot) -> bool {
         let is_same = |(key, set): (&SetKey, &TypeResources)| {
@@ -126,7 +132,6 @@
     }
 }
 
-/// The messages of all sets.
 fn encode_all(proxy_config: &ProxyConfig, config: &ResourceConfig) -> Vec<(SetKey, Vec<ResourceMessage>)> {
     let mut sets = vec![
         (SetKey::inline(ResourceType::Cluster), encode_clusters(proxy_config, config)),
@@ -142,7 +147,7 @@
     sets
 }
 
-/// Wraps changed messages; unchanged resources, or an unchanged set, are shared with the previous snapshot.
+/// Wraps changed messages. Unchanged resources, and the map if nothing changed, are shared with the previous snapshot.
 fn build_set(
     resource_type: ResourceType, messages: Vec<ResourceMessage>, previous: Option<&TypeResources>,
 ) -> TypeResources {
--- a/crates/xds/src/stream.rs
+++ b/crates/xds/src/stream.rs
@@ -1,19 +1,20 @@
-//! One xDS stream of one proxy as a state machine without I/O.
+//! One discovery stream of one proxy as a state machine without I/O.
 //!
-//! The driver passes requests in, and polls the next response when its queue has capacity, so that a slow reader gets the
-//! newest state instead of a queue. The state machine guarantees:
+//! The driver passes requests in. When its queue has capacity, it polls the next response, so that a slow reader
+//! receives the newest state instead of a queue of outdated responses. The state machine guarantees:
 //!
-//! - *Make before break*: routes are sent after the clusters and endpoints that they reference were accepted; a cluster
-//!   is removed after all routes that reference it were replaced.
+//! - *Make before break*: routes are sent after the proxy has acknowledged (ACK) the clusters and endpoints that they
+//!   reference; a cluster is removed after all routes that reference it were replaced.
 //! - *No regression*: nothing is sent while any part of the snapshot is older than the proxy's resources.
-//! - *One pending response for each type*: a rejected response is not sent again while its content is the same.
+//! - *One pending response for each type*: the next one follows the ACK or NACK. A rejected response (NACK) is not sent
+//!   again while its content is the same.
 //!
 //! - `messages`: requests, responses, events and errors.
 //! - `type_state`: the subscription and the proxy's resources of one type.
-//! - `request_handling`: acknowledgements, rejections and subscriptions.
+//! - `request_handling`: node id, ACK and NACK, and subscriptions.
 //! - `dependencies`: references that delay a response, and resources that must not be removed yet.
 //! - `response_selection`: the content of the next response.
-//! - `response_encoding`: its bytes.
+//! - `response_encoding`: the bytes of the next response.
 
 mod dependencies;
 mod messages;
@@ -30,29 +31,33 @@
 use std::collections::BTreeMap;
 use type_state::TypeState;
 
-/// The client feature of a proxy without LEDS: its incremental streams get endpoints inline.
+/// The client feature by which a proxy states that it does not support LEDS: its incremental streams receive endpoints
+/// inline in EDS resources.
 pub const INLINE_ENDPOINTS_FEATURE: &str = "latchhaven.whole_endpoints";
 
-/// One stream.
+/// A discovery stream of one proxy, either state-of-the-world or incremental (delta), for one resource type or
+/// aggregated (ADS).
 pub struct Stream {
     incremental: bool,
-    /// Endpoints are sent as resources of their own, if the configuration allows it.
+    /// Endpoints are sent as LEDS resources, if the snapshot has them.
     separate_endpoints: bool,
-    /// The only type on this stream; none: an aggregated stream.
+    /// `None` on an aggregated stream, which carries all types.
     only_type: Option<ResourceType>,
     signer: VersionSigner,
     node_id: Option<String>,
     types: BTreeMap<ResourceType, TypeState>,
-    /// The number of responses; it is the nonce of the last one.
-    responses: u64,
-    /// The number of requests with a nonce that was never sent.
+    /// Nonces count the responses of the stream, from 1; zero before the first response.
+    last_nonce: u64,
+    /// Number of requests with a nonce that no response has.
     unknown_nonces: u32,
     endpoint_subscription_timed_out: bool,
     events: Vec<StreamEvent>,
 }
 
 impl Stream {
-    /// A stream before its first request; `only_type`: the only type on it.
+    /// A stream before its first request. `incremental` selects the delta form of the protocol. `only_type` is the
+    /// resource type of a stream of a single type, `None` for an aggregated stream. `signer` parses the version labels
+    /// in requests.
     #[must_use]
     pub fn new(incremental: bool, only_type: Option<ResourceType>, signer: VersionSigner) -> Self {
         Stream {
@@ -62,20 +67,20 @@
             signer,
             node_id: None,
             types: BTreeMap::new(),
-            responses: 0,
+            last_nonce: 0,
             unknown_nonces: 0,
             endpoint_subscription_timed_out: false,
             events: Vec::new(),
         }
     }
 
-    /// The proxy's id, from the first request on.
+    /// The proxy's node id; `None` before the first request, which states it.
     #[must_use]
     pub fn node_id(&self) -> Option<&str> {
         self.node_id.as_deref()
     }
 
-    /// Events since the last call.
+    /// Removes and returns the events since the last call, in order.
     pub fn take_events(&mut self) -> Vec<StreamEvent> {
         std::mem::take(&mut self.events)
     }
@@ -86,19 +91,22 @@
         self.endpoint_subscription_timed_out = true;
     }
 
-    /// The next response, if one may be sent now.
+    /// Selects the next response and records it as pending until the proxy sends an ACK or NACK. Returns `None` if
+    /// there is nothing to send, or if nothing may be sent yet. A driver that gets `None` calls again after the next
+    /// request or snapshot.
     pub fn next_response(&mut self, snapshot: &ResourceSnapshot) -> Option<StreamResponse> {
         ResourceType::ALL
             .into_iter()
             .find_map(|resource_type| self.next_response_of_type(resource_type, snapshot))
     }
 
-    /// The first type with a pending response, or with subscribed resources that differ from the snapshot's.
+    /// The first subscribed type with a pending response, or with resources of the snapshot that the proxy has not
+    /// acknowledged; `None` once the proxy has the complete snapshot.
     #[must_use]
     pub fn first_pending_type(&self, snapshot: &ResourceSnapshot) -> Option<ResourceType> {
         let is_behind = |resource_type: ResourceType, state: &TypeState| {
             let set = snapshot.resources(resource_type, self.separate_endpoints);
-            state.pending.is_some() || !state.has_accepted_all(&set.resources)
+            state.pending.is_some() || !state.has_acknowledged_all(&set.resources)
         };
         let mut subscribed = self.types.iter().filter(|(_, state)| state.is_subscribed);
         subscribed
@@ -106,7 +114,7 @@
             .map(|(resource_type, _)| *resource_type)
     }
 
-    /// The state of a type that was subscribed to.
+    /// `None` if the proxy has not requested the type on this stream.
     fn subscribed(&self, resource_type: ResourceType) -> Option<&TypeState> {
         self.types.get(&resource_type).filter(|state| state.is_subscribed)
     }
--- a/crates/xds/src/stream/dependencies.rs
+++ b/crates/xds/src/stream/dependencies.rs
@@ -6,20 +6,17 @@
 use crate::resources::{Resource, ResourceSnapshot, ResourceType, TypeResources};
 use std::collections::BTreeSet;
 
-/// Resources that are retained at a proxy although the snapshot does not have them.
+/// Resources of one type that a proxy retains although the snapshot does not contain them.
 pub(super) enum Retained<'a> {
-    /// None of the type.
     None,
-    /// All: it is unknown which ones the proxy's routes reference.
+    /// Used for clusters while it is unknown which ones the proxy's routes reference.
     All,
-    /// Those with these names.
     Names(BTreeSet<String>),
-    /// Endpoints of the proxy's clusters.
+    /// The EDS resources that these clusters reference.
     EndpointsOf(&'a TypeState),
 }
 
 impl Retained<'_> {
-    /// True where the resource with this name is retained.
     pub(super) fn contains(&self, name: &str) -> bool {
         match self {
             Retained::None => false,
@@ -30,18 +27,19 @@
     }
 }
 
-/// True where one of the proxy's clusters references these endpoints.
+/// Returns `true` if one of the proxy's clusters references the EDS resource with this name.
 fn has_cluster_with_endpoints(clusters: &TypeState, endpoints_name: &str) -> bool {
-    clusters.accepted.iter().any(|(cluster_name, accepted)| match &accepted.resource {
+    clusters.acknowledged.iter().any(|(cluster_name, acknowledged)| match &acknowledged.resource {
         Some(cluster) => cluster.references.contains(endpoints_name),
-        // From an earlier stream: the name of a cluster begins with that of its endpoints.
+        // The content of a cluster from an earlier stream is unknown, but its name begins with that of its endpoints.
         None => cluster_name.split_once('/').is_some_and(|(version, _)| version == endpoints_name),
     })
 }
 
 impl Stream {
-    /// True where a response of this type may be sent: no other one is pending, the snapshot is at least as new as the
-    /// proxy's resources, and the proxy has accepted the resources that the response references.
+    /// Returns `true` if a response of this type may be sent: no other one of the type is pending, the snapshot is at
+    /// least as new as the proxy's resources, and the proxy has acknowledged the resources that the response
+    /// references.
     pub(super) fn may_respond(&self, resource_type: ResourceType, snapshot: &ResourceSnapshot) -> bool {
         let Some(state) = self.subscribed(resource_type) else { return false };
         let is_too_old = state.minimum_version.is_some_and(|minimum| !snapshot.version.dominates(&minimum));
@@ -49,27 +47,29 @@
             return false;
         }
         match resource_type {
-            ResourceType::Route => self.are_route_references_accepted(snapshot),
-            ResourceType::Cluster => !self.waits_for_endpoint_names(state),
+            ResourceType::Route => self.are_route_references_acknowledged(snapshot),
+            ResourceType::Cluster => !self.waits_for_endpoint_subscription(state),
             _ => true,
         }
     }
 
-    /// A reconnected proxy subscribes to its endpoints by name. Until then, or until the timeout, it is unknown
-    /// which clusters its routes reference.
-    fn waits_for_endpoint_names(&self, clusters: &TypeState) -> bool {
+    /// Returns `true` while it is unknown which clusters the routes of a reconnected proxy reference. A proxy on a
+    /// state-of-the-world stream does not list its resources, but subscribes to its endpoints by name. Clusters are
+    /// delayed until then, or until `ENDPOINT_SUBSCRIPTION_TIMEOUT`, so that clusters of removed versions are sent as
+    /// well.
+    fn waits_for_endpoint_subscription(&self, clusters: &TypeState) -> bool {
         let has_reconnected = clusters.minimum_version.is_some();
-        let names_endpoints = self.subscribed(ResourceType::Endpoint).is_some();
+        let subscribes_to_endpoints = self.subscribed(ResourceType::Endpoint).is_some();
         !self.incremental
             && self.only_type.is_none()
             && has_reconnected
-            && !names_endpoints
+            && !subscribes_to_endpoints
             && !self.endpoint_subscription_timed_out
     }
 
-    /// True where all clusters that the new routes reference were accepted, with their endpoints. Not checked on a stream
-    /// without clusters.
-    fn are_route_references_accepted(&self, snapshot: &ResourceSnapshot) -> bool {
+    /// Returns `true` if the proxy has acknowledged all clusters that the new routes reference, with their endpoints,
+    /// or if the stream carries no clusters.
+    fn are_route_references_acknowledged(&self, snapshot: &ResourceSnapshot) -> bool {
         if self.only_type.is_some() || self.subscribed(ResourceType::Cluster).is_none() {
             return true;
         }
@@ -79,34 +79,34 @@
         let mut cluster_names = routes.resources.values().flat_map(|route| &route.references);
         cluster_names.all(|name| {
             let cluster = clusters.resources.get(name);
-            self.has_accepted(ResourceType::Cluster, name)
-                && cluster.is_none_or(|cluster| self.are_endpoints_accepted(cluster, endpoints))
+            self.has_acknowledged(ResourceType::Cluster, name)
+                && cluster.is_none_or(|cluster| self.are_endpoints_acknowledged(cluster, endpoints))
         })
     }
 
-    /// True where the proxy has the endpoints of a cluster and, if they are collections, an endpoint of each.
-    fn are_endpoints_accepted(&self, cluster: &Resource, endpoints: &TypeResources) -> bool {
+    /// Returns `true` if the proxy has acknowledged the EDS resource of a cluster and, if that references LEDS
+    /// collections, at least one endpoint of each.
+    fn are_endpoints_acknowledged(&self, cluster: &Resource, endpoints: &TypeResources) -> bool {
         cluster.references.iter().all(|name| {
             let collections = endpoints.resources.get(name).map(|endpoints| &endpoints.references);
-            self.has_accepted(ResourceType::Endpoint, name)
-                && collections.into_iter().flatten().all(|prefix| self.has_accepted_endpoint_in(prefix))
+            self.has_acknowledged(ResourceType::Endpoint, name)
+                && collections.into_iter().flatten().all(|prefix| self.has_acknowledged_endpoint_in(prefix))
         })
     }
 
-    fn has_accepted(&self, resource_type: ResourceType, name: &str) -> bool {
-        self.types.get(&resource_type).is_some_and(|state| state.accepted.contains_key(name))
+    fn has_acknowledged(&self, resource_type: ResourceType, name: &str) -> bool {
+        self.types.get(&resource_type).is_some_and(|state| state.acknowledged.contains_key(name))
     }
 
-    fn has_accepted_endpoint_in(&self, collection: &String) -> bool {
+    fn has_acknowledged_endpoint_in(&self, collection: &String) -> bool {
         let Some(endpoints) = self.types.get(&ResourceType::LbEndpoint) else { return false };
-        let first_after = endpoints.accepted.range(collection.clone()..).next();
+        let first_after = endpoints.acknowledged.range(collection.clone()..).next();
         first_after.is_some_and(|(name, _)| name.starts_with(collection))
     }
 
-    /// The resources of a type that are retained although the snapshot does not have them.
     pub(super) fn retained(&self, resource_type: ResourceType, snapshot: &ResourceSnapshot) -> Retained<'_> {
         match resource_type {
-            ResourceType::Cluster => match self.routed_clusters(snapshot) {
+            ResourceType::Cluster => match self.clusters_of_routes(snapshot) {
                 Some(names) => Retained::Names(names),
                 None => Retained::All,
             },
@@ -118,18 +118,19 @@
         }
     }
 
-    /// The clusters referenced by the proxy's routes and by pending ones; none where they are unknown.
-    fn routed_clusters(&self, snapshot: &ResourceSnapshot) -> Option<BTreeSet<String>> {
+    /// The clusters that the proxy's routes reference, and those of routes in a pending response. Returns `None` if
+    /// routes of the proxy are unknown.
+    fn clusters_of_routes(&self, snapshot: &ResourceSnapshot) -> Option<BTreeSet<String>> {
         let routes = self.subscribed(ResourceType::Route)?;
-        // Before it accepts routes on this stream, a proxy may use routes of an earlier one.
-        if routes.accepted.is_empty() {
+        // Until the proxy acknowledges routes on this stream, it may use routes of an earlier stream.
+        if routes.acknowledged.is_empty() {
             return None;
         }
         let current = snapshot.resources(ResourceType::Route, self.separate_endpoints);
         let mut names = BTreeSet::new();
-        for (name, accepted) in &routes.accepted {
-            let unchanged = current.resources.get(name).filter(|route| route.hash == accepted.hash);
-            let route = accepted.resource.as_ref().or(unchanged)?;
+        for (name, acknowledged) in &routes.acknowledged {
+            let unchanged = current.resources.get(name).filter(|route| route.hash == acknowledged.hash);
+            let route = acknowledged.resource.as_ref().or(unchanged)?;
             names.extend(route.references.iter().cloned());
         }
         if let Some(pending) = &routes.pending {
--- a/crates/xds/src/stream/messages.rs
+++ b/crates/xds/src/stream/messages.rs
@@ -1,6 +1,6 @@
 //! Requests, responses, events and errors of a stream.
 
-use crate::limits::{MAX_INITIAL_RESOURCES, MAX_NAME_LENGTH, MAX_NODE_ID_BYTES, MAX_SUBSCRIBED_NAMES};
+use crate::limits::{MAX_INITIAL_VERSIONS, MAX_NODE_ID_BYTES, MAX_RESOURCE_NAME_BYTES, MAX_SUBSCRIBED_NAMES};
 use crate::pb::envoy::config::core::v3::Node;
 use crate::pb::envoy::service::discovery::v3::{DeltaDiscoveryRequest, DiscoveryRequest};
 use crate::resources::ResourceType;
@@ -8,40 +8,41 @@
 use latchhaven_proxy_config::share_ledger::CanaryShares;
 use latchhaven_proxy_config::version::SignedVersion;
 
-/// A discovery request in either form of the protocol.
+/// A discovery request of a state-of-the-world or an incremental (delta) stream.
 #[derive(Clone, Debug, Default)]
 pub struct SubscriptionRequest {
-    /// The type URL; may be empty where the stream carries one type.
+    /// The resource type. May be empty on a stream of a single type.
     pub type_url: String,
-    /// The proxy's id, if the request has one.
+    /// The node id of the proxy. Required in the first request, ignored in later ones.
     pub node: Option<String>,
-    /// The proxy's client features.
+    /// The client features of the node; only those of the first request count.
     pub features: Vec<String>,
-    /// All names of the type; incremental: those added.
+    /// State of the world: the complete subscription (`resource_names`). Incremental: names added to the subscription
+    /// (`resource_names_subscribe`).
     pub names: Vec<String>,
-    /// Incremental: names that are no longer subscribed to.
+    /// Incremental only: names removed from the subscription (`resource_names_unsubscribe`).
     pub unsubscribed: Vec<String>,
-    /// The nonce of the response that this request accepts or rejects; empty: none.
+    /// The nonce of the response to which this request is the ACK or NACK. Empty in a request that is neither.
     pub nonce: String,
-    /// The version label of the last accepted response.
-    pub version: String,
-    /// Incremental: the proxy's resources from an earlier stream.
+    /// State of the world only: the version label of the last acknowledged response. Not empty in the first request if
+    /// an earlier stream delivered resources of the type.
+    pub version_info: String,
+    /// Incremental only, in the first request of a type: the proxy's resources from an earlier stream.
     pub initial_versions: Vec<InitialVersion>,
-    /// Why the proxy rejected the response with this nonce.
-    pub error: Option<String>,
+    /// Set in a NACK: why the proxy rejected the response with this nonce.
+    pub error_detail: Option<String>,
 }
 
-/// A resource of a proxy from an earlier stream.
+/// A resource that a proxy has from an earlier stream (`initial_resource_versions`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct InitialVersion {
-    /// The name of the resource.
+    /// The resource name.
     pub name: String,
-    /// Its version label.
+    /// The version label under which the proxy received the resource; not necessarily a label of this control plane.
     pub label: String,
 }
 
-/// A node's id and its client features.
-fn node_identity(node: Option<Node>) -> (Option<String>, Vec<String>) {
+fn node_id_and_features(node: Option<Node>) -> (Option<String>, Vec<String>) {
     match node {
         Some(node) => (Some(node.id), node.client_features),
         None => (None, Vec::new()),
@@ -50,15 +51,15 @@
 
 impl From<DiscoveryRequest> for SubscriptionRequest {
     fn from(request: DiscoveryRequest) -> SubscriptionRequest {
-        let (node, features) = node_identity(request.node);
+        let (node, features) = node_id_and_features(request.node);
         SubscriptionRequest {
             type_url: request.type_url,
             node,
             features,
             names: request.resource_names,
             nonce: request.response_nonce,
-            version: request.version_info,
-            error: request.error_detail.map(|error| error.message),
+            version_info: request.version_info,
+            error_detail: request.error_detail.map(|error| error.message),
             ..SubscriptionRequest::default()
         }
     }
@@ -66,7 +67,7 @@
 
 impl From<DeltaDiscoveryRequest> for SubscriptionRequest {
     fn from(request: DeltaDiscoveryRequest) -> SubscriptionRequest {
-        let (node, features) = node_identity(request.node);
+        let (node, features) = node_id_and_features(request.node);
         let initial_versions = request.initial_resource_versions.into_iter();
         SubscriptionRequest {
             type_url: request.type_url,
@@ -76,47 +77,48 @@
             unsubscribed: request.resource_names_unsubscribe,
             nonce: request.response_nonce,
             initial_versions: initial_versions.map(|(name, label)| InitialVersion { name, label }).collect(),
-            error: request.error_detail.map(|error| error.message),
+            error_detail: request.error_detail.map(|error| error.message),
             ..SubscriptionRequest::default()
         }
     }
 }
 
-/// Why a stream ends. The texts reach the proxy.
+/// Why a stream is closed. The proxy receives the text in the gRPC status.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum StreamError {
-    /// The first request has no node id.
+    /// The first request has no node id, or an empty one.
     #[error("node.id: missing in the first request")]
     MissingNodeId,
-    /// The node id is too long.
+    /// The first request has a node id of more than [`MAX_NODE_ID_BYTES`].
     #[error("node.id: longer than {} bytes", MAX_NODE_ID_BYTES)]
     NodeIdTooLong,
-    /// The type is unknown, or not carried on this stream.
+    /// The resource type is not served, or the stream does not carry it.
     #[error("type_url: '{url}' is not supported on this stream")]
     UnsupportedType {
-        /// The beginning of the type URL.
+        /// The requested type URL, truncated.
         url: String,
     },
-    /// One request names too many resources.
+    /// One request has too many names or initial versions.
     #[error(
         "more than {} subscribed names, or more than {} initial versions or unsubscribed names",
         MAX_SUBSCRIBED_NAMES,
-        MAX_INITIAL_RESOURCES
+        MAX_INITIAL_VERSIONS
     )]
     RequestTooLarge,
-    /// The subscription has grown too large.
+    /// The names of several incremental requests add up to too large a subscription of one type.
     #[error("more than {} subscribed names", MAX_SUBSCRIBED_NAMES)]
     SubscriptionTooLarge,
-    /// A resource name is too long.
-    #[error("resource name longer than {} bytes", MAX_NAME_LENGTH)]
+    /// A request has a resource name that is too long.
+    #[error("resource name longer than {} bytes", MAX_RESOURCE_NAME_BYTES)]
     NameTooLong,
-    /// Too many requests had a nonce that was never sent.
+    /// Too many requests had a nonce that no response of this stream has.
     #[error("response_nonce: unknown on this stream")]
     UnknownNonce,
 }
 
 impl StreamError {
-    /// True where a limit was exceeded; false where the request is invalid.
+    /// Returns `true` if a limit was exceeded (gRPC status `RESOURCE_EXHAUSTED`), `false` if the request is invalid
+    /// (`INVALID_ARGUMENT`).
     #[must_use]
     pub fn is_resource_exhausted(&self) -> bool {
         match self {
@@ -131,36 +133,38 @@
     }
 }
 
-/// What a stream reports to the control plane.
+/// What the control plane is notified of from the proxy's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamEvent {
-    /// The proxy has resources of this type from an earlier stream.
+    /// Reported at the first request of a type, if the proxy has resources from an earlier stream: one event for all
+    /// versions, and one for the signed ones among them.
     VersionReported {
-        /// The type of the resources.
+        /// The type of these resources.
         resource_type: ResourceType,
-        /// The join of their versions.
+        /// The join of the versions in their labels. The content hash is zero, since no single content is meant.
         version: SignedVersion,
     },
-    /// The proxy accepted routes with these shares of the canary.
+    /// The proxy acknowledged (ACK) routes with these shares of the canary, or reconnected with the same routes.
     Acknowledged(CanaryShares),
-    /// The proxy rejected (NACK) a content for the first time.
+    /// The proxy rejected (NACK) a response. Not reported again while the response of this type has the same content.
     Rejected {
-        /// The type of the response.
+        /// The type of the rejected response.
         resource_type: ResourceType,
-        /// The nonce of the response.
+        /// The nonce of the rejected response.
         nonce: String,
-        /// The proxy's reason, shortened.
+        /// The proxy's error message, truncated.
         message: String,
     },
 }
 
-/// One response.
+/// An encoded response, ready to be sent.
 #[derive(Clone, Debug)]
 pub struct StreamResponse {
-    /// The type of its resources.
+    /// The type of all resources in this response.
     pub resource_type: ResourceType,
-    /// The encoded message in chunks; some are shared with other streams.
+    /// The encoded `DiscoveryResponse` or `DeltaDiscoveryResponse`, to be concatenated. Chunks of resources are shared
+    /// with other streams.
     pub chunks: Vec<Bytes>,
-    /// The shares of the canary, if the response contains routes.
+    /// The share of the canary for each request class. Set if the response contains routes.
     pub canary_shares: Option<CanaryShares>,
 }
--- a/crates/xds/src/stream/request_handling.rs
+++ b/crates/xds/src/stream/request_handling.rs
@@ -1,11 +1,11 @@
-//! Handles requests: the node's identity, acknowledgements and rejections, and subscriptions.
+//! Handles requests: node id and features, ACK and NACK, and subscriptions.
 
 use super::messages::{StreamError, StreamEvent, SubscriptionRequest};
-use super::type_state::{AcceptedResource, PendingResponse};
+use super::type_state::{AcknowledgedResource, PendingResponse};
 use super::{INLINE_ENDPOINTS_FEATURE, Stream};
 use crate::limits::{
-    self, MAX_INITIAL_RESOURCES, MAX_NAME_LENGTH, MAX_NODE_ID_BYTES, MAX_REJECTION_LENGTH,
-    MAX_SUBSCRIBED_NAMES,
+    self, MAX_ERROR_URL_CHARS, MAX_INITIAL_VERSIONS, MAX_NODE_ID_BYTES, MAX_REJECTION_REASON_BYTES,
+    MAX_RESOURCE_NAME_BYTES, MAX_SUBSCRIBED_NAMES,
 };
 use crate::resources::ResourceType;
 use latchhaven_proxy_config::version::{
@@ -14,49 +14,52 @@
 use std::collections::BTreeMap;
 
 /// The response that the nonce of a request refers to.
-enum Nonce {
-    Absent,
-    LatestResponse,
-    EarlierResponse,
+enum NonceMatch {
+    /// The request has no nonce.
+    None,
+    Latest,
+    Earlier,
+    /// No response of the stream has this nonce.
     Unknown,
 }
 
 impl Stream {
-    /// Handles a request.
+    /// Applies an ACK, a NACK or a change of the subscription.
     ///
     /// # Errors
-    /// The request is invalid or exceeds a limit: the stream ends with this error.
+    /// The request is invalid or exceeds a limit: the driver closes the stream with this error.
     pub fn on_request(&mut self, mut request: SubscriptionRequest) -> Result<(), StreamError> {
         if self.node_id.is_none() {
-            self.identify(&mut request)?;
+            self.read_node(&mut request)?;
         }
         let resource_type = self.requested_type(&request.type_url)?;
         check_limits(&request)?;
         let is_first = self.subscribed(resource_type).is_none();
-        let nonce = self.classify_nonce(resource_type, &request.nonce, is_first);
+        let nonce = self.match_nonce(resource_type, &request.nonce, is_first);
         match nonce {
-            Nonce::Unknown => return self.on_unknown_nonce(),
-            // In the full form a late request is ignored; in the incremental form it still changes the subscription.
-            Nonce::EarlierResponse if !self.incremental => return Ok(()),
+            NonceMatch::Unknown => return self.on_unknown_nonce(),
+            // On a state-of-the-world stream, a newer request with the complete subscription follows. On an incremental
+            // stream, each change of the subscription is sent only once, so it is applied even if the nonce is
+            // outdated.
+            NonceMatch::Earlier if !self.incremental => return Ok(()),
             _ => {}
         }
         if is_first {
             self.record_initial_versions(resource_type, &request);
         }
-        if matches!(nonce, Nonce::LatestResponse) {
-            self.conclude_pending(resource_type, request.error.take());
+        if matches!(nonce, NonceMatch::Latest) {
+            self.resolve_pending(resource_type, request.error_detail.take());
         }
         self.update_type(resource_type, is_first, request)
     }
 
-    /// Reads the node's id and features from the first request.
-    fn identify(&mut self, request: &mut SubscriptionRequest) -> Result<(), StreamError> {
-        let node = request.node.take().filter(|node| !node.is_empty());
-        let node = node.ok_or(StreamError::MissingNodeId)?;
-        if node.len() > MAX_NODE_ID_BYTES {
+    fn read_node(&mut self, request: &mut SubscriptionRequest) -> Result<(), StreamError> {
+        let node_id = request.node.take().filter(|node_id| !node_id.is_empty());
+        let node_id = node_id.ok_or(StreamError::MissingNodeId)?;
+        if node_id.len() > MAX_NODE_ID_BYTES {
             return Err(StreamError::NodeIdTooLong);
         }
-        self.node_id = Some(node);
+        self.node_id = Some(node_id);
         if request.features.iter().any(|feature| feature == INLINE_ENDPOINTS_FEATURE) {
             self.separate_endpoints = false;
         }
@@ -71,26 +74,26 @@
             (None, Some(only_type)) if type_url.is_empty() => return Ok(only_type),
             _ => {}
         }
-        Err(StreamError::UnsupportedType { url: type_url.chars().take(MAX_NODE_ID_BYTES).collect() })
+        Err(StreamError::UnsupportedType { url: type_url.chars().take(MAX_ERROR_URL_CHARS).collect() })
     }
 
-    fn classify_nonce(&self, resource_type: ResourceType, nonce: &str, is_first: bool) -> Nonce {
+    fn match_nonce(&self, resource_type: ResourceType, nonce: &str, is_first: bool) -> NonceMatch {
         if nonce.is_empty() {
-            return Nonce::Absent;
+            return NonceMatch::None;
         }
         if is_first {
-            return Nonce::Unknown;
+            return NonceMatch::Unknown;
         }
         if self.types.get(&resource_type).is_some_and(|state| state.nonce == nonce) {
-            return Nonce::LatestResponse;
+            return NonceMatch::Latest;
         }
         match nonce.parse::<u64>() {
-            Ok(number) if number > 0 && number <= self.responses => Nonce::EarlierResponse,
-            _ => Nonce::Unknown,
+            Ok(number) if number > 0 && number <= self.last_nonce => NonceMatch::Earlier,
+            _ => NonceMatch::Unknown,
         }
     }
 
-    /// Ignores the request unless there were too many of them.
+    /// Ignores the request, until too many requests on this stream had an unknown nonce.
     fn on_unknown_nonce(&mut self) -> Result<(), StreamError> {
         self.unknown_nonces += 1;
         if limits::has_too_many_unknown_nonces(self.unknown_nonces) {
@@ -100,22 +103,23 @@
         }
     }
 
-    /// Records the proxy's resources from an earlier stream: nothing older is sent to it.
+    /// Records the proxy's resources from an earlier stream, so that no older ones are sent.
     fn record_initial_versions(&mut self, resource_type: ResourceType, request: &SubscriptionRequest) {
-        let mut versions = InitialVersions::default();
-        let mut accepted = Vec::new();
+        let mut versions = ReportedVersions::default();
+        let mut acknowledged = Vec::new();
         for initial in &request.initial_versions {
             if let Some(hash) = versions.record(&initial.label, &self.signer) {
-                accepted.push((initial.name.clone(), AcceptedResource { hash, resource: None }));
+                acknowledged.push((initial.name.clone(), AcknowledgedResource { hash, resource: None }));
             }
         }
-        // The label of the last accepted response counts as well.
-        versions.record(&request.version, &self.signer);
+        // A state-of-the-world request has no label but that of the last acknowledged response.
+        versions.record(&request.version_info, &self.signer);
         let newest = versions.newest();
         let state = self.types.entry(resource_type).or_default();
         state.minimum_version = newest;
-        state.accepted.extend(accepted);
-        // Signed versions are evidence of the platform's state, unsigned ones only of this proxy's resources.
+        state.acknowledged.extend(acknowledged);
+        // A signed version shows that a control service has seen this state of the platform. An unsigned one, which
+        // anybody can write, only shows what this proxy has.
         self.report_version(resource_type, newest, false);
         self.report_version(resource_type, versions.newest_signed(), true);
     }
@@ -128,24 +132,24 @@
         self.events.push(StreamEvent::VersionReported { resource_type, version });
     }
 
-    /// The pending response was accepted, or rejected with this error.
-    fn conclude_pending(&mut self, resource_type: ResourceType, error: Option<String>) {
+    /// Applies an ACK or, with an error message, a NACK.
+    fn resolve_pending(&mut self, resource_type: ResourceType, error_detail: Option<String>) {
         let Some(state) = self.types.get_mut(&resource_type) else { return };
         let Some(pending) = state.pending.take() else { return };
-        if let Some(message) = error {
-            self.reject_pending(resource_type, &pending, message);
+        if let Some(message) = error_detail {
+            self.on_nack(resource_type, &pending, message);
             return;
         }
-        state.on_accepted(pending.content);
+        state.on_ack(pending.content);
         self.events.extend(pending.canary_shares.map(StreamEvent::Acknowledged));
     }
 
-    fn reject_pending(&mut self, resource_type: ResourceType, pending: &PendingResponse, message: String) {
+    fn on_nack(&mut self, resource_type: ResourceType, pending: &PendingResponse, message: String) {
         let Some(state) = self.types.get_mut(&resource_type) else { return };
-        let is_repeated = state.on_rejected(pending);
+        let is_repeated = state.on_nack(pending);
         if !is_repeated {
             let nonce = state.nonce.clone();
-            let message = truncate(message, MAX_REJECTION_LENGTH);
+            let message = truncate(message, MAX_REJECTION_REASON_BYTES);
             self.events.push(StreamEvent::Rejected { resource_type, nonce, message });
         }
     }
@@ -153,10 +157,10 @@
     fn update_type(
         &mut self, resource_type: ResourceType, is_first: bool, request: SubscriptionRequest,
     ) -> Result<(), StreamError> {
-        // The retained endpoints depend on the proxy's clusters.
-        self.types.entry(ResourceType::Endpoint).or_default().up_to_date_with = None;
+        // The retained endpoints depend on the proxy's clusters, which this request may have acknowledged.
+        self.types.entry(ResourceType::Endpoint).or_default().up_to_date_hash = None;
         let state = self.types.entry(resource_type).or_default();
-        state.up_to_date_with = None;
+        state.up_to_date_hash = None;
         state.is_subscribed = true;
         if self.incremental {
             return state.update_subscription(resource_type, is_first, request.names, request.unsubscribed);
@@ -166,26 +170,27 @@
     }
 }
 
-/// The versions in the labels of a request. Many labels have the same prefix; each prefix is parsed once.
+/// The versions in the labels of a request, by label prefix. Many labels have the same prefix; each prefix is parsed
+/// once.
 #[derive(Default)]
-struct InitialVersions<'a> {
+struct ReportedVersions<'a> {
+    /// `None` for an invalid prefix.
     by_prefix: BTreeMap<&'a str, Option<SignedPrefix>>,
 }
 
-impl<'a> InitialVersions<'a> {
-    /// Parses a label. Returns its content hash; none if the text is not a label.
+impl<'a> ReportedVersions<'a> {
+    /// Parses a label and returns its content hash, or `None` if the text is not a version label.
     fn record(&mut self, label: &'a str, signer: &VersionSigner) -> Option<u64> {
         let LabelParts { prefix, content_hash } = split_label(label)?;
         let version = self.by_prefix.entry(prefix).or_insert_with(|| signer.parse_prefix(prefix));
         version.map(|_| content_hash)
     }
 
-    /// The join of all versions.
     fn newest(&self) -> Option<ConfigVersion> {
         join(self.by_prefix.values().flatten())
     }
 
-    /// The join of all versions signed with the control services' key.
+    /// Counts only versions that were signed with the control services' key.
     fn newest_signed(&self) -> Option<ConfigVersion> {
         join(self.by_prefix.values().flatten().filter(|prefix| prefix.is_signed))
     }
@@ -197,21 +202,21 @@
 
 fn check_limits(request: &SubscriptionRequest) -> Result<(), StreamError> {
     let is_too_large = request.names.len() > MAX_SUBSCRIBED_NAMES
-        || request.unsubscribed.len() > MAX_INITIAL_RESOURCES
-        || request.initial_versions.len() > MAX_INITIAL_RESOURCES;
+        || request.unsubscribed.len() > MAX_INITIAL_VERSIONS
+        || request.initial_versions.len() > MAX_INITIAL_VERSIONS;
     if is_too_large {
         return Err(StreamError::RequestTooLarge);
     }
     let initial_names = request.initial_versions.iter().map(|initial| &initial.name);
     let mut names = request.names.iter().chain(&request.unsubscribed).chain(initial_names);
-    if names.any(|name| name.len() > MAX_NAME_LENGTH) {
+    if names.any(|name| name.len() > MAX_RESOURCE_NAME_BYTES) {
         return Err(StreamError::NameTooLong);
     }
     Ok(())
 }
 
-/// Truncates a text to at most `max_length` bytes, at a character boundary.
-fn truncate(mut text: String, max_length: usize) -> String {
-    text.truncate(text.floor_char_boundary(max_length));
+/// Truncates at the last character boundary within the limit.
+fn truncate(mut text: String, max_bytes: usize) -> String {
+    text.truncate(text.floor_char_boundary(max_bytes));
     text
 }
--- a/crates/xds/src/stream/response_selection.rs
+++ b/crates/xds/src/stream/response_selection.rs
@@ -1,4 +1,4 @@
-//! Selects the content of the next response.
+//! Selects the content of the next response of a type.
 
 use super::Stream;
 use super::dependencies::Retained;
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 impl Stream {
-    /// The next response of one type, if one may be sent now.
+    /// `None` if there is nothing to send, or if no response of this type may be sent yet.
     pub(super) fn next_response_of_type(
         &mut self, resource_type: ResourceType, snapshot: &ResourceSnapshot,
     ) -> Option<StreamResponse> {
@@ -20,17 +20,18 @@
         }
         let set = snapshot.resources(resource_type, self.separate_endpoints);
         let state = self.types.get(&resource_type)?;
-        // Skips the comparison of unchanged contents; clusters depend on the proxy's routes as well.
-        if state.up_to_date_with == Some(set.content_hash) && resource_type != ResourceType::Cluster {
+        // Skips the comparison of unchanged contents. Clusters are always compared, since those to retain depend on the
+        // proxy's routes.
+        if state.up_to_date_hash == Some(set.content_hash) && resource_type != ResourceType::Cluster {
             return None;
         }
         let retained = self.retained(resource_type, snapshot);
         let content = if self.incremental {
-            select_changes(state, &set.resources, &retained)
+            select_delta(state, &set.resources, &retained)
         } else if resource_type.is_wildcard() {
-            self.select_all(resource_type, snapshot, &set.resources, &retained)
+            self.select_wildcard(resource_type, snapshot, &set.resources, &retained)
         } else {
-            select_new(state, &set.resources)
+            select_named(state, &set.resources)
         };
         let Some(content) = content else {
             self.on_up_to_date(resource_type, snapshot, set);
@@ -39,18 +40,19 @@
         self.respond(resource_type, snapshot, content)
     }
 
-    /// There is nothing to send for these contents. Unchanged routes of a reconnected proxy count as accepted; from then on its
-    /// initial version no longer limits responses of routes.
+    /// Records that there is nothing to send for these contents. If a reconnected proxy has the snapshot's routes, they
+    /// count as acknowledged. From then on, the version that the proxy reported initially no longer restricts responses
+    /// of routes.
     fn on_up_to_date(
         &mut self, resource_type: ResourceType, snapshot: &ResourceSnapshot, set: &TypeResources,
     ) {
         let Some(state) = self.types.get_mut(&resource_type) else { return };
-        state.up_to_date_with = Some(set.content_hash);
+        state.up_to_date_hash = Some(set.content_hash);
         if resource_type != ResourceType::Route {
             return;
         }
         let has_reconnected = state.minimum_version.take().is_some();
-        if has_reconnected && state.has_accepted_all(&set.resources) && !state.accepted.is_empty() {
+        if has_reconnected && state.has_acknowledged_all(&set.resources) && !state.acknowledged.is_empty() {
             self.events.push(StreamEvent::Acknowledged(snapshot.canary_shares.clone()));
         }
     }
@@ -59,8 +61,8 @@
     fn respond(
         &mut self, resource_type: ResourceType, snapshot: &ResourceSnapshot, content: ResponseContent,
     ) -> Option<StreamResponse> {
-        self.responses += 1;
-        let nonce = self.responses.to_string();
+        self.last_nonce += 1;
+        let nonce = self.last_nonce.to_string();
         let message = ResponseMessage {
             resource_type,
             incremental: self.incremental,
@@ -80,27 +82,29 @@
         Some(StreamResponse { resource_type, chunks, canary_shares })
     }
 
-    /// A full response of a wildcard type: all resources of the snapshot, and the retained ones.
-    fn select_all(
+    /// Content for a state-of-the-world stream, of a type with wildcard subscriptions: all subscribed resources of the
+    /// snapshot and the retained ones, since proxies remove resources that such a response omits.
+    fn select_wildcard(
         &self, resource_type: ResourceType, snapshot: &ResourceSnapshot, set: &ResourceSet,
         retained: &Retained<'_>,
     ) -> Option<ResponseContent> {
         let state = self.types.get(&resource_type)?;
         let mut resources: Vec<_> = state.subscribed_resources(set).cloned().collect();
-        let absent = state.accepted.iter().filter(|(name, _)| !set.contains_key(*name));
+        let absent = state.acknowledged.iter().filter(|(name, _)| !set.contains_key(*name));
         let retained_resources = absent.filter(|(name, _)| retained.contains(name));
-        resources.extend(retained_resources.filter_map(|(_, accepted)| accepted.resource.clone()));
+        resources.extend(retained_resources.filter_map(|(_, acknowledged)| acknowledged.resource.clone()));
         if resource_type == ResourceType::Cluster && state.wildcard {
             self.add_retired_clusters(snapshot, retained, &mut resources);
         }
-        let is_accepted =
-            resources.len() == state.accepted.len() && resources.iter().all(|new| state.has_accepted(new));
-        let is_rejected = state.rejected_content == Some(response_hash(&resources));
-        let is_due = (state.response_due || !is_accepted) && !is_rejected;
+        let is_acknowledged = resources.len() == state.acknowledged.len()
+            && resources.iter().all(|new| state.has_acknowledged(new));
+        let is_rejected = state.rejected_response_hash == Some(response_hash(&resources));
+        let is_due = (state.response_due || !is_acknowledged) && !is_rejected;
         is_due.then_some(ResponseContent { resources, removed: Vec::new(), replaces_all: true })
     }
 
-    /// Adds the clusters of removed versions whose endpoints the proxy subscribes to.
+    /// Adds the clusters of removed versions whose endpoints the proxy subscribes to: its routes may still reference
+    /// them.
     fn add_retired_clusters(
         &self, snapshot: &ResourceSnapshot, retained: &Retained<'_>, clusters: &mut Vec<Arc<Resource>>,
     ) {
@@ -118,25 +122,27 @@
     }
 }
 
-/// A full response of a type that is subscribed to by name: changed resources, or all where names were added.
-fn select_new(state: &TypeState, set: &ResourceSet) -> Option<ResponseContent> {
+/// Content for a state-of-the-world stream, of a type that is subscribed to by name: the changed resources or, if names
+/// were added to the subscription, all subscribed ones.
+fn select_named(state: &TypeState, set: &ResourceSet) -> Option<ResponseContent> {
     let subscribed = state.subscribed_resources(set);
     let resources: Vec<_> =
-        subscribed.filter(|new| state.response_due || !state.has_accepted(new)).cloned().collect();
-    let is_rejected = state.rejected_content == Some(response_hash(&resources));
+        subscribed.filter(|new| state.response_due || !state.has_acknowledged(new)).cloned().collect();
+    let is_rejected = state.rejected_response_hash == Some(response_hash(&resources));
     let is_due = !resources.is_empty() && !is_rejected;
     is_due.then_some(ResponseContent { resources, removed: Vec::new(), replaces_all: false })
 }
 
-/// An incremental response: changed resources, and names of removed ones.
-fn select_changes(state: &TypeState, set: &ResourceSet, retained: &Retained<'_>) -> Option<ResponseContent> {
+/// Content for an incremental stream: the changed resources, and the names of resources that were removed or do not
+/// exist.
+fn select_delta(state: &TypeState, set: &ResourceSet, retained: &Retained<'_>) -> Option<ResponseContent> {
     let is_changed = |new: &&Arc<Resource>| {
-        let is_rejected = state.rejected_resources.get(&new.name) == Some(&new.hash);
-        (!state.has_accepted(new) || state.is_due(&new.name)) && !is_rejected
+        let is_rejected = state.rejected_resource_hashes.get(&new.name) == Some(&new.hash);
+        (!state.has_acknowledged(new) || state.is_due(&new.name)) && !is_rejected
     };
     let resources: Vec<_> = state.subscribed_resources(set).filter(is_changed).cloned().collect();
     let absent_names =
-        state.accepted.keys().filter(|name| !set.contains_key(*name) && !retained.contains(name));
+        state.acknowledged.keys().filter(|name| !set.contains_key(*name) && !retained.contains(name));
     let unknown_names =
         state.due_names.iter().filter(|name| !name.ends_with('*') && !set.contains_key(*name));
     let removed: BTreeSet<String> = absent_names.chain(unknown_names).cloned().collect();
--- a/crates/xds/src/stream/type_state.rs
+++ b/crates/xds/src/stream/type_state.rs
@@ -8,28 +8,27 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The name by which a client subscribes to all resources of a type.
+/// The resource name that subscribes to all resources of a type.
 const WILDCARD: &str = "*";
 
-/// A resource that the proxy has accepted, on this stream or an earlier one.
+/// A resource that the proxy has acknowledged, on this stream or an earlier one.
 #[derive(Clone, Debug)]
-pub(super) struct AcceptedResource {
+pub(super) struct AcknowledgedResource {
     pub(super) hash: u64,
-    /// None for a resource from an earlier stream.
+    /// `None` for a resource from an earlier stream, of which only the hash is known.
     pub(super) resource: Option<Arc<Resource>>,
 }
 
-/// The content of a response.
 #[derive(Debug)]
 pub(super) struct ResponseContent {
     pub(super) resources: Vec<Arc<Resource>>,
-    /// Names of removed resources; incremental only.
+    /// Names of removed resources; used on incremental streams only.
     pub(super) removed: Vec<String>,
-    /// It replaces all the proxy's resources of the type.
+    /// The proxy removes its resources of the type that the response omits.
     pub(super) replaces_all: bool,
 }
 
-/// A response that the proxy has neither accepted nor rejected yet.
+/// A response for which neither an ACK nor a NACK has arrived.
 #[derive(Debug)]
 pub(super) struct PendingResponse {
     pub(super) content: ResponseContent,
@@ -40,61 +39,62 @@
 /// The state of one type.
 #[derive(Debug, Default)]
 pub(super) struct TypeState {
-    /// The proxy has requested the type.
+    /// Set by the first request for the type on this stream.
     pub(super) is_subscribed: bool,
-    /// All resources of the type are subscribed to.
+    /// Set while all resources of the type are subscribed to.
     pub(super) wildcard: bool,
     pub(super) names: BTreeSet<String>,
-    pub(super) accepted: BTreeMap<String, AcceptedResource>,
-    /// The version of the proxy's resources when it connected: nothing older may be sent.
+    pub(super) acknowledged: BTreeMap<String, AcknowledgedResource>,
+    /// The newest version of the proxy's resources from an earlier stream: nothing older may be sent. Cleared by the
+    /// first response of this type.
     pub(super) minimum_version: Option<ConfigVersion>,
     pub(super) pending: Option<PendingResponse>,
-    /// The nonce of the last response.
+    /// The nonce of the latest response of this type; empty before the first one.
     pub(super) nonce: String,
-    /// Hash of the contents for which there was nothing to send; cleared by each request for this type, for endpoints by each
-    /// request of the stream.
-    pub(super) up_to_date_with: Option<u64>,
-    /// A response is due although no content changed: more names are subscribed to.
+    /// [`TypeResources::content_hash`](crate::resources::TypeResources::content_hash) for which there was nothing to
+    /// send. Cleared by each request for this type; for endpoints by each request of the stream.
+    pub(super) up_to_date_hash: Option<u64>,
+    /// State of the world: a response is due even if no content changed, because the subscription is new or was
+    /// extended.
     pub(super) response_due: bool,
-    /// Incremental: names for which a response is due although their content did not change.
+    /// Incremental: names for which a response is due even if their content did not change, because they were
+    /// subscribed to.
     pub(super) due_names: BTreeSet<String>,
-    /// Hash of the rejected full response.
-    pub(super) rejected_content: Option<u64>,
-    /// Hashes of single rejected resources, by name.
-    pub(super) rejected_resources: BTreeMap<String, u64>,
+    /// [`response_hash`] of the last response with a NACK.
+    pub(super) rejected_response_hash: Option<u64>,
+    /// Content hashes of the resources in responses with a NACK, by name.
+    pub(super) rejected_resource_hashes: BTreeMap<String, u64>,
 }
 
 impl TypeState {
-    /// True where the proxy has the resource with its current content.
-    pub(super) fn has_accepted(&self, resource: &Resource) -> bool {
-        self.accepted.get(&resource.name).is_some_and(|accepted| accepted.hash == resource.hash)
+    pub(super) fn has_acknowledged(&self, resource: &Resource) -> bool {
+        self.acknowledged.get(&resource.name).is_some_and(|acknowledged| acknowledged.hash == resource.hash)
     }
 
-    /// True where the name is subscribed to.
     pub(super) fn subscribes_to(&self, name: &String) -> bool {
         self.wildcard
             || self.names.contains(name)
             || self.names.iter().any(|glob| matches_glob_collection(glob, name))
     }
 
-    /// The resources of a set that are subscribed to.
     pub(super) fn subscribed_resources<'a>(
         &'a self, set: &'a ResourceSet,
     ) -> impl Iterator<Item = &'a Arc<Resource>> {
         set.values().filter(|resource| self.subscribes_to(&resource.name))
     }
 
-    /// True where the proxy has every subscribed resource of the set with its current content.
-    pub(super) fn has_accepted_all(&self, set: &ResourceSet) -> bool {
-        self.subscribed_resources(set).all(|resource| self.has_accepted(resource))
+    /// Resources that are not subscribed to are ignored.
+    pub(super) fn has_acknowledged_all(&self, set: &ResourceSet) -> bool {
+        self.subscribed_resources(set).all(|resource| self.has_acknowledged(resource))
     }
 
-    /// True where a response is due for the name although its content did not change.
+    /// Returns `true` if a response is due for the name even if its content did not change.
     pub(super) fn is_due(&self, name: &str) -> bool {
         self.due_names.iter().any(|due| due == name || matches_glob_collection(due, name))
     }
 
-    /// Replaces the subscription by these names (full form).
+    /// State of the world: replaces the subscription by these names. Without names, the first request subscribes to all
+    /// resources if the type permits wildcards.
     pub(super) fn replace_subscription(
         &mut self, resource_type: ResourceType, is_first: bool, names: Vec<String>,
     ) {
@@ -104,7 +104,7 @@
             return;
         }
         // Proxies remove resources when their subscription ends.
-        self.accepted.retain(|name, _| wildcard || names.contains(name));
+        self.acknowledged.retain(|name, _| wildcard || names.contains(name));
         let has_new_names = names.iter().any(|name| !self.names.contains(name));
         let became_wildcard = wildcard && !self.wildcard;
         self.response_due |= is_first || has_new_names || became_wildcard;
@@ -112,7 +112,7 @@
         self.wildcard = wildcard;
     }
 
-    /// Adds names to the subscription and removes others (incremental form).
+    /// Incremental: adds names to the subscription, then removes others.
     pub(super) fn update_subscription(
         &mut self, resource_type: ResourceType, is_first: bool, added: Vec<String>, removed: Vec<String>,
     ) -> Result<(), StreamError> {
@@ -136,8 +136,9 @@
             self.wildcard = resource_type.is_wildcard() || self.wildcard;
             return;
         }
-        // A repeated subscription is due again, unless this first request names the resource as present.
-        if !(is_first && self.accepted.contains_key(&name)) {
+        // A resource is sent again if the proxy repeats the subscription. A first request that lists the version of the
+        // resource is a reconnect, not a repetition.
+        if !(is_first && self.acknowledged.contains_key(&name)) {
             self.due_names.insert(name.clone());
         }
         self.names.insert(name);
@@ -150,49 +151,50 @@
         self.names.remove(name);
         self.due_names.remove(name);
         if !self.wildcard {
-            self.accepted.retain(|accepted, _| accepted != name && !matches_glob_collection(name, accepted));
+            self.acknowledged.retain(|acknowledged, _| {
+                acknowledged != name && !matches_glob_collection(name, acknowledged)
+            });
         }
     }
 
-    /// The pending response was accepted.
-    pub(super) fn on_accepted(&mut self, content: ResponseContent) {
+    pub(super) fn on_ack(&mut self, content: ResponseContent) {
         if content.replaces_all {
-            self.accepted.clear();
+            self.acknowledged.clear();
         }
         for resource in content.resources {
-            self.rejected_resources.remove(&resource.name);
-            // If the subscription ended while the response was pending, the proxy has removed the resource.
+            self.rejected_resource_hashes.remove(&resource.name);
+            // If the proxy unsubscribed while the response was pending, it has removed the resource.
             if self.subscribes_to(&resource.name) {
                 let name = resource.name.clone();
-                self.accepted
-                    .insert(name, AcceptedResource { hash: resource.hash, resource: Some(resource) });
+                self.acknowledged
+                    .insert(name, AcknowledgedResource { hash: resource.hash, resource: Some(resource) });
             }
         }
         for name in &content.removed {
-            self.accepted.remove(name);
+            self.acknowledged.remove(name);
         }
-        self.rejected_content = None;
+        self.rejected_response_hash = None;
     }
 
-    /// The pending response was rejected. Returns true if the previous rejection was of the same content.
-    pub(super) fn on_rejected(&mut self, pending: &PendingResponse) -> bool {
-        let is_repeated = self.rejected_content == Some(pending.content_hash);
-        self.rejected_content = Some(pending.content_hash);
+    /// Returns `true` if the previous NACK was for the same content.
+    pub(super) fn on_nack(&mut self, pending: &PendingResponse) -> bool {
+        let is_repeated = self.rejected_response_hash == Some(pending.content_hash);
+        self.rejected_response_hash = Some(pending.content_hash);
         for resource in &pending.content.resources {
-            self.rejected_resources.insert(resource.name.clone(), resource.hash);
+            self.rejected_resource_hashes.insert(resource.name.clone(), resource.hash);
         }
         is_repeated
     }
 }
 
-/// Distinguishes responses by the names and contents of their resources.
+/// A hash of the names and contents of all resources of a response.
 pub(super) fn response_hash(resources: &[Arc<Resource>]) -> u64 {
     let bytes =
         resources.iter().flat_map(|resource| resource.name.bytes().chain(resource.hash.to_be_bytes()));
     content_hash(bytes)
 }
 
-/// True where the name belongs to the glob collection.
+/// Returns `true` if `glob` is the name of a glob collection, such as `xdstp:///type/path/*`, and `name` belongs to it.
 fn matches_glob_collection(glob: &str, name: &str) -> bool {
     glob.strip_suffix('*').is_some_and(|prefix| prefix.ends_with('/') && name.starts_with(prefix))
 }
