--- a/crates/xds/src/codec.rs
+++ b/crates/xds/src/codec.rs
@@ -1,4 +1,4 @@
-//! The gRPC codec of all streams: requests are decoded as protobuf messages, responses are chunks encoded earlier.
+//! The gRPC codec of all streams: decodes requests as protobuf messages, and sends responses that are already encoded.
 
 use bytes::{BufMut, Bytes};
 use prost::Message;
@@ -6,7 +6,7 @@
 use tonic::Status;
 use tonic::codec::{BufferSettings, Codec, DecodeBuf, Decoder, EncodeBuf, Encoder};
 
-/// Decodes messages `T`; encodes the chunks of one message.
+/// Decodes messages of type `T`, and sends messages that are already encoded, each as a list of chunks.
 pub struct ChunkCodec<T>(PhantomData<T>);
 
 impl<T> Default for ChunkCodec<T> {
@@ -30,7 +30,7 @@
     }
 }
 
-/// Writes the chunks of a message in their order.
+/// Concatenates the chunks of one encoded message.
 pub struct ChunkEncoder;
 
 impl Encoder for ChunkEncoder {
@@ -50,7 +50,7 @@
     }
 }
 
-/// Decodes one protobuf message.
+/// Decodes protobuf messages of type `T`. A malformed one closes the stream with `INVALID_ARGUMENT`.
 pub struct MessageDecoder<T>(PhantomData<T>);
 
 impl<T: Message + Default> Decoder for MessageDecoder<T> {
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -1,12 +1,14 @@
-//! xDS for proxies: the proxy configuration as resources, streams as state machines, and the gRPC server around them.
+//! xDS control plane for proxies: resources built from the proxy configuration, discovery streams, load reports (LRS),
+//! and the gRPC server.
 //!
 //! - [`resources`]: clusters, endpoints, listeners and routes, each encoded once for each version.
-//! - [`stream`]: one stream of one proxy, without I/O: its subscriptions, its resources, and the next response.
-//! - [`admission`]: when a stream may begin, without I/O: the rate of new streams and their number are bounded.
+//! - [`stream`]: a state machine without I/O for one discovery stream: subscriptions, ACK and NACK, and the next
+//!   response.
+//! - [`admission`]: admits new streams at a bounded rate and up to a maximum number, without I/O.
 //! - [`load_stats`]: parses load reports, without I/O.
-//! - [`codec`]: the gRPC codec, whose responses are chunks that several streams share.
-//! - [`server`]: the gRPC server. It makes no decisions of its own.
-//! - [`limits`]: limits and rules of all modules.
+//! - [`codec`]: the gRPC codec. It sends responses as encoded chunks, which several streams share.
+//! - [`server`]: the gRPC server, which passes messages between connections and the modules above.
+//! - [`limits`]: limits and timeouts of all modules.
 
 #![warn(clippy::pedantic)]
 #![allow(clippy::cast_precision_loss, reason = "times in s are far below 2^53")]
--- a/crates/xds/src/resources.rs
+++ b/crates/xds/src/resources.rs
@@ -1,14 +1,14 @@
 //! The proxy configuration as xDS resources.
 //!
-//! Each resource is encoded once and shared by all streams. Contents are compared by hash: a resource with unchanged bytes
-//! is not sent again.
+//! Each resource is encoded once and shared by all streams. A resource whose content hash is unchanged is not sent
+//! again.
 //!
 //! - `resource_type`: the resource types and their type URLs.
-//! - `names`: names of resources, and their parsing.
-//! - `config`: the settings of resources.
+//! - `names`: builds and parses resource names.
+//! - `config`: settings of resources that do not change while the service runs.
 //! - `snapshot`: all resources at one moment, with their version labels.
-//! - `cluster`, `endpoints`, `listener`, `route`: the messages of each type.
-//! - `encoding`: hashes, protobuf fields and messages that several types share.
+//! - `cluster`, `endpoints`, `listener`, `route`: build the protobuf messages of each type.
+//! - `encoding`: content hashes, protobuf encoding, and messages that several types share.
 
 mod cluster;
 mod config;
--- a/crates/xds/src/resources/cluster.rs
+++ b/crates/xds/src/resources/cluster.rs
@@ -1,4 +1,4 @@
-//! Cluster resources (CDS): one for each pair of version and request class, and the cluster that rejects.
+//! Cluster resources (CDS): one for each pair of version and request class, and a cluster that rejects all requests.
 
 use super::config::ResourceConfig;
 use super::encoding::{ResourceMessage, aggregated_config_source, to_duration, to_uint32_value};
@@ -10,13 +10,12 @@
 use prost::Message;
 use std::collections::BTreeSet;
 
-/// All clusters of a configuration.
+/// Returns the clusters of a configuration, and the cluster that rejects all requests.
 pub(super) fn encode_clusters(proxy_config: &ProxyConfig, config: &ResourceConfig) -> Vec<ResourceMessage> {
     let versions = proxy_config.clusters.iter().map(|cluster| encode_cluster(cluster, config));
     versions.chain([encode_reject_cluster(config)]).collect()
 }
 
-/// The cluster of one version and request class.
 pub(super) fn encode_cluster(cluster: &Cluster, config: &ResourceConfig) -> ResourceMessage {
     let class = &config.classes[cluster.class];
     let name = cluster_name(cluster.version, &class.name);
@@ -28,7 +27,7 @@
     let circuit_breakers =
         xds::CircuitBreakers { thresholds: vec![thresholds(cluster)], ..Default::default() };
     let common_lb_config = cluster::CommonLbConfig {
-        // Disables the panic mode, which would send requests to draining endpoints if few healthy ones remain.
+        // Disables Envoy's panic mode, in which requests are sent to draining endpoints if few healthy ones remain.
         healthy_panic_threshold: Some(Percent { value: 0.0 }),
         ..Default::default()
     };
@@ -45,7 +44,7 @@
     ResourceMessage { name, references: BTreeSet::from([service_name]), bytes: message.encode_to_vec() }
 }
 
-/// The circuit breakers of a cluster at each proxy.
+/// Limits of the circuit breakers, which each proxy applies to its own requests.
 fn thresholds(cluster: &Cluster) -> xds::circuit_breakers::Thresholds {
     let max_retries = limits::max_retries_in_flight(cluster.max_in_flight, cluster.allows_retries);
     xds::circuit_breakers::Thresholds {
@@ -56,7 +55,7 @@
     }
 }
 
-/// The cluster without endpoints, which rejects its requests.
+/// A cluster without endpoints: proxies reject requests that are routed to it.
 fn encode_reject_cluster(config: &ResourceConfig) -> ResourceMessage {
     let discovery_type = cluster::ClusterDiscoveryType::Type(cluster::DiscoveryType::Static as i32);
     let message = xds::Cluster {
--- a/crates/xds/src/resources/config.rs
+++ b/crates/xds/src/resources/config.rs
@@ -1,28 +1,29 @@
-//! The settings of resources that do not change while the service runs.
+//! Settings of resources, which do not change while the service runs.
 
 use latchhaven_policy::{Millis, RequestClass};
 use std::net::SocketAddr;
 
-/// The settings of all resources.
+/// Settings of all resources. Set once when the control service starts.
 #[derive(Clone, Debug)]
 pub struct ResourceConfig {
-    /// The request classes; a proxy configuration refers to them by index.
+    /// The request classes, in the order by which a proxy configuration refers to them.
     pub classes: Vec<RequestClass>,
-    /// Settings of the proxies' listener.
+    /// Where proxies accept requests, and which headers they evaluate.
     pub listener: ListenerConfig,
 }
 
-/// The settings of the proxies' listener, and of their connections.
+/// Settings of the proxies' listener, and of their connections to endpoints.
 #[derive(Clone, Debug)]
 pub struct ListenerConfig {
-    /// The address on which proxies accept requests.
+    /// The address on which every proxy listens for requests.
     pub address: SocketAddr,
-    /// The header that names the request class.
+    /// The header whose value is the name of the request class.
     pub class_header: String,
-    /// The header with the sticky key of a request.
+    /// The header with the sticky key of a request. Optional in requests.
     pub key_header: String,
-    /// The timeout of connecting to an endpoint, in ms.
+    /// The timeout of a connection attempt from a proxy to an endpoint.
     pub connect_timeout: Millis,
-    /// Incremental streams get each endpoint as a resource of its own.
+    /// If set, incremental streams receive each endpoint as an LEDS resource, so that a change of one endpoint does not
+    /// send the others again. Otherwise endpoints are inline in EDS resources.
     pub separate_endpoints: bool,
 }
--- a/crates/xds/src/resources/endpoints.rs
+++ b/crates/xds/src/resources/endpoints.rs
@@ -1,9 +1,9 @@
-//! Endpoint resources: the endpoints of each version (EDS), and single endpoints in collections (LEDS).
+//! Endpoint resources: the endpoints of each version (EDS), inline or as references to collections of endpoints (LEDS).
 
 use super::encoding::{
     ResourceMessage, aggregated_config_source, content_hash, to_uint32_value, to_xds_address,
 };
-use super::names::{endpoint_collection, endpoints_name, sanitize};
+use super::names::{endpoints_name, leds_collection_prefix, sanitize};
 use crate::pb::envoy::config::core::v3::{HealthStatus, Locality};
 use crate::pb::envoy::config::endpoint::v3 as xds;
 use crate::pb::envoy::config::endpoint::v3::cluster_load_assignment::{Policy, policy::DropOverload};
@@ -14,10 +14,11 @@
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The category under which proxies count requests that they drop to shed load.
+/// The `drop_overload` category under which proxies count and report the requests that they drop.
 const SHED_CATEGORY: &str = "shed";
 
-/// The endpoints of every version. With `separate` they reference collections instead of listing endpoints.
+/// Returns one EDS resource for each version. If `separate` is set, it references LEDS collections instead of listing
+/// the endpoints.
 pub(super) fn encode_endpoints(proxy_config: &ProxyConfig, separate: bool) -> Vec<ResourceMessage> {
     let versions = proxy_config.endpoints.iter();
     versions
@@ -27,14 +28,13 @@
         .collect()
 }
 
-/// The endpoints of one version, by zone.
 fn encode_version_endpoints(
     version: Version, endpoints: &[ConfiguredEndpoint], shed_share: PartsPerMillion, separate: bool,
 ) -> ResourceMessage {
     let name = endpoints_name(version);
     let zones = group_by_zone(endpoints);
     let references = if separate {
-        zones.keys().map(|zone| endpoint_collection(version, zone)).collect()
+        zones.keys().map(|zone| leds_collection_prefix(version, zone)).collect()
     } else {
         BTreeSet::new()
     };
@@ -50,7 +50,7 @@
     ResourceMessage { name, references, bytes: message.encode_to_vec() }
 }
 
-/// One zone with its endpoints and the sum of their weights.
+/// A zone with its endpoints. The weight of the zone is the sum of their weights.
 fn inline_locality(zone: &str, endpoints: &[&ConfiguredEndpoint]) -> xds::LocalityLbEndpoints {
     let weight = endpoints.iter().map(|endpoint| endpoint.weight).sum();
     xds::LocalityLbEndpoints {
@@ -61,11 +61,12 @@
     }
 }
 
-/// One zone that references a collection. It has no weight, which would change with every endpoint.
+/// A zone that references an LEDS collection. A weight is not set: the EDS resource would change whenever an endpoint
+/// does.
 fn collection_locality(version: Version, zone: &str) -> xds::LocalityLbEndpoints {
     let collection = xds::LedsClusterLocalityConfig {
         leds_config: Some(aggregated_config_source()),
-        leds_collection_name: format!("{}*", endpoint_collection(version, zone)),
+        leds_collection_name: format!("{}*", leds_collection_prefix(version, zone)),
     };
     let lb_config = xds::locality_lb_endpoints::LbConfig::LedsClusterLocalityConfig(collection);
     xds::LocalityLbEndpoints {
@@ -79,7 +80,7 @@
     Locality { zone: zone.to_string(), ..Locality::default() }
 }
 
-/// The share of requests, in parts per million, that proxies drop to shed load.
+/// Makes proxies drop a share of requests to shed load.
 fn shed_policy(shed_share: PartsPerMillion) -> Policy {
     let drop_percentage =
         FractionalPercent { numerator: shed_share.get(), denominator: DenominatorType::Million as i32 };
@@ -89,7 +90,7 @@
     Policy { drop_overloads, ..Default::default() }
 }
 
-/// Each endpoint as a resource of its own.
+/// Returns one LEDS resource for each endpoint.
 pub(super) fn encode_separate_endpoints(proxy_config: &ProxyConfig) -> Vec<ResourceMessage> {
     let endpoints = proxy_config
         .endpoints
@@ -99,9 +100,9 @@
 }
 
 fn encode_separate_endpoint(version: Version, endpoint: &ConfiguredEndpoint) -> ResourceMessage {
-    let collection = endpoint_collection(version, &endpoint.zone);
+    let collection = leds_collection_prefix(version, &endpoint.zone);
     let sanitized = sanitize(&endpoint.endpoint);
-    // Distinguishes ids that differ only in sanitized characters.
+    // Distinguishes endpoint ids that are equal after sanitizing.
     let discriminator = content_hash(endpoint.endpoint.bytes()) as u32;
     ResourceMessage {
         name: format!("{collection}{sanitized}-{discriminator:x}"),
--- a/crates/xds/src/resources/listener.rs
+++ b/crates/xds/src/resources/listener.rs
@@ -9,7 +9,8 @@
 use prost::Message;
 use std::collections::BTreeSet;
 
-/// The listener: one filter chain with an HTTP connection manager, whose routes are on the aggregated stream.
+/// A listener with one filter chain of an HTTP connection manager, which requests its routes over the aggregated
+/// stream.
 pub(super) fn encode_listener(config: &ListenerConfig) -> ResourceMessage {
     let manager_type = "envoy.extensions.filters.network.http_connection_manager.v3.HttpConnectionManager";
     let filter = xds::Filter {
--- a/crates/xds/src/resources/names.rs
+++ b/crates/xds/src/resources/names.rs
@@ -1,38 +1,39 @@
-//! Names of resources. Requests and load reports contain them, so that their form is part of the protocol.
+//! Resource names. Proxies send them in discovery requests and load reports, so their form must not change.
 
 use latchhaven_policy::Version;
 
-/// The name of the listener of all proxies.
+/// The name of the only listener resource.
 pub const LISTENER_NAME: &str = "latchhaven";
-/// The name of the route configuration of all proxies.
+/// The name of the only route configuration.
 pub const ROUTES_NAME: &str = "latchhaven";
 /// The cluster without endpoints: a request routed to it is rejected immediately and never executed.
 pub const REJECT_CLUSTER: &str = "decline";
-/// Prefix of the collections of single endpoints.
-const ENDPOINT_COLLECTIONS: &str = "xdstp:///envoy.config.endpoint.v3.LbEndpoint/";
+/// Common prefix of all LEDS collections.
+const LEDS_COLLECTIONS_PREFIX: &str = "xdstp:///envoy.config.endpoint.v3.LbEndpoint/";
 
-/// The name of the cluster for the requests of one class to one version.
+/// The name of the cluster for requests of one class to the endpoints of one version: `b<version>/<class>`.
 #[must_use]
 pub fn cluster_name(version: Version, class: &str) -> String {
     format!("b{version}/{class}")
 }
 
-/// The name of the endpoints of one version.
+/// The name of the EDS resource with the endpoints of one version: `b<version>`.
 #[must_use]
 pub fn endpoints_name(version: Version) -> String {
     format!("b{version}")
 }
 
-/// The parts of a cluster name.
+/// The result of [`parse_cluster_name`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClusterNameParts {
-    /// The version.
+    /// The version to whose endpoints the cluster sends requests.
     pub version: Version,
-    /// The index of the request class.
+    /// The index of the request class in the list passed to the parser.
     pub class: usize,
 }
 
-/// Parses a cluster name; none if its form or class is unknown. `classes` are the names of the request classes.
+/// Parses a name that [`cluster_name`] returned. Returns `None` if the form of the name is different, or if its class
+/// is not among `classes`, the names of the request classes.
 #[must_use]
 pub fn parse_cluster_name(name: &str, classes: &[String]) -> Option<ClusterNameParts> {
     let (version, class) = name.strip_prefix('b')?.split_once('/')?;
@@ -41,19 +42,19 @@
     Some(ClusterNameParts { version, class })
 }
 
-/// The version whose endpoints have this name.
+/// Parses a name that [`endpoints_name`] returned.
 pub(super) fn parse_endpoints_name(name: &str) -> Option<Version> {
     let version: Version = name.strip_prefix('b')?.parse().ok()?;
-    // Excludes other forms of the number, such as leading zeros.
+    // Rejects other spellings of the number, such as leading zeros.
     (endpoints_name(version) == name).then_some(version)
 }
 
-/// The prefix of the endpoints of one version in one zone, where endpoints are resources of their own.
-pub(super) fn endpoint_collection(version: Version, zone: &str) -> String {
-    format!("{ENDPOINT_COLLECTIONS}b{version}/z{}/", sanitize(zone))
+/// The common prefix of the LEDS resources for endpoints of one version in one zone.
+pub(super) fn leds_collection_prefix(version: Version, zone: &str) -> String {
+    format!("{LEDS_COLLECTIONS_PREFIX}b{version}/z{}/", sanitize(zone))
 }
 
-/// A text with `_` in place of all characters that are not allowed in a resource name.
+/// Replaces all characters but ASCII letters, digits and `-` by `_`.
 pub(super) fn sanitize(text: &str) -> String {
     let allowed = |character: char| character.is_ascii_alphanumeric() || character == '-';
     text.chars().map(|character| if allowed(character) { character } else { '_' }).collect()
--- a/crates/xds/src/resources/resource_type.rs
+++ b/crates/xds/src/resources/resource_type.rs
@@ -1,15 +1,15 @@
-//! The types of xDS resources that are served.
+//! The xDS resource types that the control service serves.
 
-/// A type of resource. The order of the variants is the order in which responses are sent: clusters before the endpoints
-/// that proxies then subscribe to, listeners before routes. That routes follow accepted clusters and endpoints is checked
-/// for each response of routes.
+/// An xDS resource type. The order of the variants is the order in which responses are sent: clusters before the
+/// endpoints that proxies then subscribe to, listeners before routes. The order alone does not ensure that clusters and
+/// endpoints are acknowledged before routes are sent; the stream checks this for each response of routes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ResourceType {
     /// Clusters (CDS).
     Cluster,
-    /// The endpoints of a cluster (EDS).
+    /// The endpoints of one version (EDS), inline or as references to LEDS collections.
     Endpoint,
-    /// Single endpoints in a collection (LEDS); incremental streams only.
+    /// Single endpoints in collections (LEDS). Served on incremental streams only.
     LbEndpoint,
     /// Listeners (LDS).
     Listener,
@@ -18,7 +18,7 @@
 }
 
 impl ResourceType {
-    /// All types in the order in which responses are sent.
+    /// All served types, in the order in which responses are sent.
     pub const ALL: [ResourceType; 5] = [
         ResourceType::Cluster,
         ResourceType::Endpoint,
@@ -27,7 +27,7 @@
         ResourceType::Route,
     ];
 
-    /// The type URL of this type.
+    /// The `type_url` in discovery requests and responses, and of the `Any` around each resource.
     #[must_use]
     pub fn url(self) -> &'static str {
         match self {
@@ -39,13 +39,13 @@
         }
     }
 
-    /// The type with this type URL, if it is served.
+    /// Returns `None` if the control service does not serve the type.
     #[must_use]
     pub fn from_url(url: &str) -> Option<ResourceType> {
         ResourceType::ALL.into_iter().find(|resource_type| resource_type.url() == url)
     }
 
-    /// True where a client that names no resources subscribes to all of them.
+    /// Returns `true` if a first request without resource names subscribes to all resources of the type (wildcard).
     #[must_use]
     pub fn is_wildcard(self) -> bool {
         matches!(self, ResourceType::Cluster | ResourceType::Listener)
--- a/crates/xds/src/resources/route.rs
+++ b/crates/xds/src/resources/route.rs
@@ -11,17 +11,17 @@
 use prost::Message;
 use std::collections::BTreeSet;
 
-/// Retry conditions under which an attempt was definitely not executed.
+/// Envoy's `retry_on` conditions that imply that no endpoint executed the attempt.
 const RETRY_ON_NOT_EXECUTED: &str = "connect-failure,refused-stream";
-/// Retry conditions under which an attempt was possibly executed.
+/// Envoy's `retry_on` conditions, including those under which an endpoint may have executed the attempt.
 const RETRY_ON_ANY: &str = "connect-failure,refused-stream,reset,5xx";
 
-/// The routes of all request classes.
+/// Returns the route configuration, with one or two routes for each request class.
 pub(super) fn encode_routes(proxy_config: &ProxyConfig, config: &ResourceConfig) -> ResourceMessage {
     let mut references = BTreeSet::new();
     let mut routes = Vec::new();
     for route in &proxy_config.routes {
-        // The route for requests with a key is first: proxies use the first route that matches.
+        // Proxies use the first route that matches, so the route for requests with a sticky key precedes the other one.
         if let Some(sticky_shares) = &route.sticky_shares {
             references.extend(target_names(sticky_shares, route, config));
             routes.push(encode_route(route, sticky_shares, true, config));
@@ -43,7 +43,7 @@
     ResourceMessage { name: ROUTES_NAME.to_string(), references, bytes: message.encode_to_vec() }
 }
 
-/// The route of one request class; `has_key`: for requests with a key only.
+/// A route of one request class. If `has_key` is set, only requests with a sticky key match.
 fn encode_route(route: &Route, shares: &[RouteShare], has_key: bool, config: &ResourceConfig) -> xds::Route {
     let class = &config.classes[route.class];
     let weighted_clusters = weighted_clusters(shares, class);
@@ -73,7 +73,6 @@
     }
 }
 
-/// Names of the clusters that a route references.
 fn target_names(
     shares: &[RouteShare], route: &Route, config: &ResourceConfig,
 ) -> impl Iterator<Item = String> {
@@ -81,7 +80,7 @@
     shares.iter().map(|share| target_name(share.target, class))
 }
 
-/// The clusters of a route with their shares in parts per million.
+/// The weights are shares in parts per million.
 fn weighted_clusters(shares: &[RouteShare], class: &RequestClass) -> xds::WeightedCluster {
     debug_assert_eq!(shares.iter().map(|share| share.share).sum::<PartsPerMillion>(), PartsPerMillion::FULL);
     let clusters = shares.iter().map(|share| xds::weighted_cluster::ClusterWeight {
@@ -92,7 +91,7 @@
     xds::WeightedCluster { clusters: clusters.collect(), ..xds::WeightedCluster::default() }
 }
 
-/// The headers of a request of this class.
+/// Matches the header of the request class and, if `has_key` is set, the presence of the header of the sticky key.
 fn header_matchers(class: &RequestClass, has_key: bool, config: &ResourceConfig) -> Vec<xds::HeaderMatcher> {
     let class_matcher = StringMatcher {
         match_pattern: Some(MatchPattern::Exact(class.name.clone())),
@@ -115,7 +114,8 @@
 }
 
 fn retry_policy(route: &Route, class: &RequestClass) -> xds::RetryPolicy {
-    // A second guard, beside the scope of the route: a non-idempotent request is retried only if it was definitely not executed.
+    // A second check, in addition to the scope of the route: a non-idempotent request is retried only if no endpoint
+    // executed the attempt.
     let retry_on = match route.retry_scope {
         RetryScope::NotExecuted => RETRY_ON_NOT_EXECUTED,
         RetryScope::Any if class.idempotency == Idempotency::NonIdempotent => RETRY_ON_NOT_EXECUTED,
--- a/crates/xds/tests/error_texts.rs
+++ b/crates/xds/tests/error_texts.rs
@@ -1,4 +1,4 @@
-//! The texts with which streams end; proxies and operators' logs show them.
+//! Error texts of closed streams. Proxies and operators' logs show them, so they must not change unnoticed.
 
 use latchhaven_xds::load_stats::LoadReportError;
 use latchhaven_xds::server::LoadReportRejected;
