--- a/crates/cli/tests/gateway/upstream_pool.rs
+++ b/crates/cli/tests/gateway/upstream_pool.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{assert_served, wait_until_connecting, wait_until_received};
 use bytes::Bytes;
-use latchhaven_gateway::net::list::read as read_list;
+use latchhaven_gateway::net::list::parse as parse_list;
 use latchhaven_gateway::net::upstream::{CallResult, CancelResult, QueuedCall, UpstreamCall, UpstreamPool};
 use latchhaven_gateway::net::{DriverEvent, write_all};
 use latchhaven_policy::{AttemptOutcome, EndpointEntry, LoadReporting, RequestId, UpstreamConnectionConfig};
@@ -28,7 +28,7 @@
 
 /// The list entry of a healthy endpoint at this address.
 fn endpoint_at(addr: SocketAddr) -> (EndpointEntry, SocketAddr) {
-    read_list(endpoint_list(1, true, &[host("s0", addr, "up", 1)]).to_string().as_bytes())
+    parse_list(endpoint_list(1, true, &[host("s0", addr, "up", 1)]).to_string().as_bytes())
         .unwrap()
         .entries
         .remove(0)
--- a/crates/control-plane/src/driver/upstreams.rs
+++ b/crates/control-plane/src/driver/upstreams.rs
@@ -3,7 +3,7 @@
 use super::event_loop::ControlPlaneDriver;
 use latchhaven_gateway::discovery::calls::CallId;
 use latchhaven_gateway::net::DriverEvent;
-use latchhaven_gateway::net::list::List;
+use latchhaven_gateway::net::list::ListUpdate;
 use latchhaven_gateway::net::platform::Vote;
 use latchhaven_gateway::policy_log;
 use latchhaven_policy::{Action, Event, Millis, UpdateFailure, VoteOutcome};
@@ -49,7 +49,7 @@
         }
     }
 
-    fn on_list_answer(&mut self, call: CallId, list: Result<List, UpdateFailure>, now: Millis) {
+    fn on_list_answer(&mut self, call: CallId, list: Result<ListUpdate, UpdateFailure>, now: Millis) {
         let Ok(list) = list else {
             if self.discovery.on_failure(call) {
                 self.control_plane.on_endpoint_list_failed();
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,7 +1,7 @@
 //! Reads and checks the gateway's configuration, and sets defaults. Errors name the faulty key.
 
 use crate::limits::start::{DEFAULT_DESCRIPTORS, MIN_DESCRIPTORS};
-use crate::net::list::{self, List};
+use crate::net::list::{self, ListUpdate};
 use crate::net::platform;
 use latchhaven_policy::RolloutState;
 use latchhaven_simulator_protocol::{Settings, settings};
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct InitialState {
     /// The endpoint list.
-    pub list: List,
+    pub list: ListUpdate,
     /// The state of the newest version's rollout.
     pub rollout: Option<RolloutState>,
 }
@@ -152,14 +152,14 @@
 
 fn initial_state(file: &Value) -> Result<InitialState, ConfigError> {
     let list = match present(file, "/known") {
-        None => List { version: 0, is_snapshot: true, entries: Vec::new() },
-        Some(value) => list::read(value.to_string().as_bytes())
+        None => ListUpdate { version: 0, is_snapshot: true, entries: Vec::new() },
+        Some(value) => list::parse(value.to_string().as_bytes())
             .map_err(|error| key_error("known", &error.to_string()))?,
     };
     let rollout = match present(file, "/pipeline/news") {
         None => None,
         Some(value) => {
-            let state = platform::read_rollout_state(value.to_string().as_bytes());
+            let state = platform::parse_rollout_state(value.to_string().as_bytes());
             Some(state.map_err(|error| key_error("pipeline.news", &error.to_string()))?)
         }
     };
--- a/crates/gateway/src/gateway/updates.rs
+++ b/crates/gateway/src/gateway/updates.rs
@@ -5,7 +5,7 @@
 use crate::counters::COUNTERS;
 use crate::discovery::calls::CallId;
 use crate::discovery::ordered_client::ListDecision;
-use crate::net::list::List;
+use crate::net::list::ListUpdate;
 use crate::net::update_kind;
 use latchhaven_policy::{EndpointEntry, Event, RolloutState, UpdateFailure, UpdateKind};
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 impl Gateway {
     /// A call for the endpoint list delivered a list, or failed.
     pub(super) fn on_list_answer(
-        &mut self, call: CallId, list: Result<List, UpdateFailure>, events: &mut Vec<Event>,
+        &mut self, call: CallId, list: Result<ListUpdate, UpdateFailure>, events: &mut Vec<Event>,
     ) {
         let list = match list {
             Ok(list) => list,
@@ -76,7 +76,7 @@
         self.discovery_tasks.run(self.discovery.take_commands());
     }
 
-    fn apply_received_list(&mut self, kind: UpdateKind, list: List, is_current: bool) -> Event {
+    fn apply_received_list(&mut self, kind: UpdateKind, list: ListUpdate, is_current: bool) -> Event {
         let list_version = list.version;
         let entries = self.apply_list(kind, list);
         if !is_current {
@@ -88,14 +88,14 @@
     }
 
     /// Applies the list that the gateway was started with.
-    pub(super) fn apply_cached_list(&mut self, list: List) -> Event {
+    pub(super) fn apply_cached_list(&mut self, list: ListUpdate) -> Event {
         let kind = UpdateKind::CachedSnapshot;
         let list_version = list.version;
         Event::EndpointUpdate { kind, list_version, entries: self.apply_list(kind, list) }
     }
 
     /// Applies a list. Attempts that were not yet written to a changed endpoint are returned to the policy.
-    fn apply_list(&mut self, kind: UpdateKind, list: List) -> Vec<EndpointEntry> {
+    fn apply_list(&mut self, kind: UpdateKind, list: ListUpdate) -> Vec<EndpointEntry> {
         let mut unsent = Vec::new();
         if kind != UpdateKind::Delta {
             let is_listed = |id: &String| list.entries.iter().any(|(entry, _)| entry.endpoint == *id);
--- a/crates/gateway/src/net/clients/session.rs
+++ b/crates/gateway/src/net/clients/session.rs
@@ -8,7 +8,7 @@
 use crate::limits::LOG_SAMPLING;
 use crate::limits::clients::{MAX_INVALID_QUERIES, SessionState};
 use crate::net::read_some;
-use crate::proto::pg::{self, Frontend, FrontendMessage};
+use crate::proto::pg::{self, FrontendMessage, FrontendParser};
 use bytes::Bytes;
 use latchhaven_policy::Millis;
 use std::io;
@@ -44,7 +44,7 @@
     pub(super) stream: &'a TcpStream,
     /// It is within the limit of connections.
     is_admitted: bool,
-    frontend: Frontend,
+    frontend: FrontendParser,
     pub(super) input: ReadBuffer,
     invalid_queries: u32,
     /// When the first byte of an incomplete message arrived.
@@ -60,7 +60,7 @@
             session,
             stream,
             is_admitted,
-            frontend: Frontend::default(),
+            frontend: FrontendParser::default(),
             input: ReadBuffer::default(),
             invalid_queries: 0,
             message_began: None,
@@ -130,15 +130,15 @@
             FrontendMessage::EncryptionRequest => {
                 self.write(&[Bytes::from_static(pg::encode::NO_ENCRYPTION)]).await?;
             }
-            FrontendMessage::Cancel | FrontendMessage::Terminate => {
+            FrontendMessage::CancelRequest | FrontendMessage::Terminate => {
                 return Ok(Step::Break(CloseReason::Answered));
             }
             FrontendMessage::Startup if !self.is_admitted => {
                 return self.close_with_rejection("too many connections").await.map(Step::Break);
             }
-            FrontendMessage::Startup => self.write(&[pg::encode::greeting()]).await?,
+            FrontendMessage::Startup => self.write(&[pg::encode::startup_response()]).await?,
             FrontendMessage::Sync => self.write(&[Bytes::from_static(pg::encode::READY)]).await?,
-            FrontendMessage::Extended => {
+            FrontendMessage::ExtendedQuery => {
                 let code = pg::sqlstate::FEATURE_NOT_SUPPORTED;
                 return self.on_invalid_query(code, "only simple queries are known here", false).await;
             }
--- a/crates/gateway/src/net/discovery_calls.rs
+++ b/crates/gateway/src/net/discovery_calls.rs
@@ -2,7 +2,7 @@
 
 use super::DriverEvent;
 use super::http_connection::{HttpConnection, HttpError};
-use super::list::{self, List, ListError};
+use super::list::{self, ListError, ListUpdate};
 use crate::counters::COUNTERS;
 use crate::discovery::calls::CallId;
 use crate::limits::SERVICE_CONNECT_TIMEOUT;
@@ -138,7 +138,7 @@
     }
 
     /// The next list or delta. None: the watch has ended.
-    async fn next_list(&mut self) -> Result<Option<List>, ListCallError> {
+    async fn next_list(&mut self) -> Result<Option<ListUpdate>, ListCallError> {
         loop {
             while let Some(frame) = self.framer.next_frame().map_err(HttpError::from)? {
                 if let Some(list) = self.on_frame(frame)? {
@@ -158,13 +158,13 @@
     }
 
     /// A frame counts as a keepalive when it is complete: an object that never ends must not extend the watch.
-    fn on_frame(&mut self, frame: JsonFrame) -> Result<Option<List>, ListError> {
+    fn on_frame(&mut self, frame: JsonFrame) -> Result<Option<ListUpdate>, ListError> {
         self.last_received_at = Instant::now();
         let list = match frame {
             JsonFrame::LineEnd if self.has_delivered => return Ok(None),
             // The list has not changed since the version `after`: an empty delta confirms it.
-            JsonFrame::LineEnd => List { version: self.after, is_snapshot: false, entries: Vec::new() },
-            JsonFrame::Object(text) => list::read(&text)?,
+            JsonFrame::LineEnd => ListUpdate { version: self.after, is_snapshot: false, entries: Vec::new() },
+            JsonFrame::Object(text) => list::parse(&text)?,
         };
         self.has_delivered = true;
         Ok(Some(list))
@@ -177,7 +177,7 @@
     }
 }
 
-async fn fetch_list(address: SocketAddr) -> Result<List, ListCallError> {
+async fn fetch_list(address: SocketAddr) -> Result<ListUpdate, ListCallError> {
     let mut connection = start_call(address, "/v1/servers").await?;
     let mut body = BodyBuffer::default();
     loop {
@@ -185,8 +185,8 @@
             Some(ResponsePart::Head { status: 200, .. }) => {}
             Some(ResponsePart::Head { status, .. }) => return Err(ListCallError::Status(status)),
             Some(ResponsePart::Body(bytes)) => body.push(&bytes).map_err(HttpError::from)?,
-            Some(ResponsePart::End) => return Ok(list::read(&body.take())?),
-            None if connection.is_complete_at_close() => return Ok(list::read(&body.take())?),
+            Some(ResponsePart::End) => return Ok(list::parse(&body.take())?),
+            None if connection.is_complete_at_close() => return Ok(list::parse(&body.take())?),
             None => return Err(ListCallError::Truncated),
         }
     }
--- a/crates/gateway/src/net/http_connection.rs
+++ b/crates/gateway/src/net/http_connection.rs
@@ -1,7 +1,7 @@
 //! A connection to an HTTP service, for one response after another.
 
 use super::io::{is_unusable, read_some, write_all};
-use crate::proto::http::{self, ParseError, ResponsePart, ResponseReader};
+use crate::proto::http::{self, ParseError, ResponseParser, ResponsePart};
 use bytes::{Bytes, BytesMut};
 use std::io;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 pub(super) struct HttpConnection {
     address: SocketAddr,
     stream: TcpStream,
-    reader: ResponseReader,
+    reader: ResponseParser,
     buffer: BytesMut,
 }
 
@@ -34,7 +34,7 @@
     pub(super) async fn open(address: SocketAddr) -> Result<Self, HttpError> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        Ok(HttpConnection { address, stream, reader: ResponseReader::default(), buffer: BytesMut::new() })
+        Ok(HttpConnection { address, stream, reader: ResponseParser::default(), buffer: BytesMut::new() })
     }
 
     /// The address of the service.
--- a/crates/gateway/src/net/list.rs
+++ b/crates/gateway/src/net/list.rs
@@ -6,7 +6,7 @@
 
 /// The endpoint list or a delta to it, with the address of each endpoint.
 #[derive(Clone, Debug, PartialEq)]
-pub struct List {
+pub struct ListUpdate {
     /// Its version.
     pub version: u64,
     /// It is a snapshot of all endpoints and not a delta.
@@ -108,7 +108,7 @@
 ///
 /// # Errors
 /// The list is malformed or has invalid values.
-pub fn read(text: &[u8]) -> Result<List, ListError> {
+pub fn parse(text: &[u8]) -> Result<ListUpdate, ListError> {
     let mut reader = serde_json::Deserializer::from_slice(text);
     let message: ListMessage = serde_path_to_error::deserialize(&mut reader)?;
     reader.end()?;
@@ -116,5 +116,5 @@
         return Err(ListError::InvalidEndpoint(position));
     }
     let entries = message.endpoints.into_iter().map(EndpointMessage::into_entry).collect();
-    Ok(List { version: message.version, is_snapshot: message.is_snapshot, entries })
+    Ok(ListUpdate { version: message.version, is_snapshot: message.is_snapshot, entries })
 }
--- a/crates/gateway/src/net/mod.rs
+++ b/crates/gateway/src/net/mod.rs
@@ -81,7 +81,7 @@
         /// The call.
         call: CallId,
         /// The list, or what the failure means for the current one.
-        list: Result<list::List, UpdateFailure>,
+        list: Result<list::ListUpdate, UpdateFailure>,
     },
     /// The discovery service has moved.
     DiscoveryMoved {
--- a/crates/gateway/src/net/platform/feed.rs
+++ b/crates/gateway/src/net/platform/feed.rs
@@ -1,7 +1,7 @@
 //! Receives the platform's feed. A lost feed is opened again after an exponential backoff. When the platform's address
 //! changes, the new feed is open before the earlier one is closed: the platform does not repeat what it sent meanwhile.
 
-use super::messages::{FeedMessage, MessageError, read_feed_line};
+use super::messages::{FeedMessage, MessageError, parse_feed_line};
 use crate::clock::duration;
 use crate::counters::COUNTERS;
 use crate::limits::SERVICE_CONNECT_TIMEOUT;
@@ -211,7 +211,7 @@
     fn on_line(&mut self, line: &Bytes) -> Result<Option<DriverEvent>, FeedError> {
         self.lines += 1;
         self.last_line_at = Instant::now();
-        match read_feed_line(line) {
+        match parse_feed_line(line) {
             Ok(FeedMessage::Rollout(state)) => Ok(Some(DriverEvent::Rollout(state))),
             Ok(FeedMessage::Outcomes(counts)) => Ok(Some(DriverEvent::Outcomes(counts))),
             Ok(FeedMessage::Nothing) => Ok(None),
--- a/crates/gateway/src/net/platform/messages.rs
+++ b/crates/gateway/src/net/platform/messages.rs
@@ -119,7 +119,7 @@
 ///
 /// # Errors
 /// The text is malformed or has invalid values.
-pub fn read_rollout_state(text: &[u8]) -> Result<RolloutState, MessageError> {
+pub fn parse_rollout_state(text: &[u8]) -> Result<RolloutState, MessageError> {
     let mut reader = serde_json::Deserializer::from_slice(text);
     let message: RolloutMessage = serde_path_to_error::deserialize(&mut reader)?;
     reader.end()?;
@@ -148,12 +148,12 @@
 ///
 /// # Errors
 /// The line is malformed or has invalid values.
-pub fn read_feed_line(line: &[u8]) -> Result<FeedMessage, MessageError> {
+pub fn parse_feed_line(line: &[u8]) -> Result<FeedMessage, MessageError> {
     let mut line: Map<String, Value> = serde_json::from_slice(line)?;
     let kind = line.remove("type");
     let object = line.remove("object").unwrap_or_default();
     match kind.as_ref().and_then(Value::as_str) {
-        Some("ROLLOUT") => read_rollout_state(object.to_string().as_bytes()).map(FeedMessage::Rollout),
+        Some("ROLLOUT") => parse_rollout_state(object.to_string().as_bytes()).map(FeedMessage::Rollout),
         Some("SAMPLE") => {
             let counts: OutcomeCounts = serde_json::from_value(object)?;
             if counts.is_valid() {
--- a/crates/gateway/src/net/platform/mod.rs
+++ b/crates/gateway/src/net/platform/mod.rs
@@ -9,7 +9,7 @@
 pub mod votes;
 
 pub use feed::feed;
-pub use messages::{FeedMessage, MessageError, OutcomeCounts, read_feed_line, read_rollout_state};
+pub use messages::{FeedMessage, MessageError, OutcomeCounts, parse_feed_line, parse_rollout_state};
 pub use votes::{Vote, votes};
 
 use super::DriverEvent;
--- a/crates/gateway/src/net/platform/votes.rs
+++ b/crates/gateway/src/net/platform/votes.rs
@@ -1,6 +1,6 @@
 //! Casts votes in order, each at most once. The connection of an answered vote is reused for a while.
 
-use super::messages::{MessageError, read_rollout_state};
+use super::messages::{MessageError, parse_rollout_state};
 use crate::counters::COUNTERS;
 use crate::limits::platform::MAX_VOTE_CONNECTION_IDLE;
 use crate::net::DriverEvent;
@@ -215,7 +215,7 @@
         error: String,
     }
     if status == 200 {
-        return Ok(VoteResult::Counted(read_rollout_state(body)?));
+        return Ok(VoteResult::Counted(parse_rollout_state(body)?));
     }
     let rejection: Rejection =
         serde_json::from_slice(body).map_err(|error| VoteError::StatusBody { status, error })?;
--- a/crates/gateway/src/net/upstream/exchange.rs
+++ b/crates/gateway/src/net/upstream/exchange.rs
@@ -5,7 +5,7 @@
 use crate::counters::COUNTERS;
 use crate::limits::upstream::LARGE_ANSWER;
 use crate::net::{is_unusable, read_some, write_all};
-use crate::proto::pg::{self, Backend, BackendMessage, ParseError};
+use crate::proto::pg::{self, BackendMessage, BackendParser, ParseError};
 use bytes::{Bytes, BytesMut};
 use latchhaven_policy::{AttemptOutcome, LoadReport, LoadReporting};
 use std::io;
@@ -80,7 +80,7 @@
     load_reporting: LoadReporting,
     /// Permits for large answers.
     large_answers: Arc<Semaphore>,
-    backend: Backend,
+    backend: BackendParser,
     /// Input that was not parsed yet.
     pub(super) buffer: BytesMut,
 }
@@ -89,7 +89,7 @@
     pub(super) fn new(
         connection: Rc<UpstreamConnection>, load_reporting: LoadReporting, large_answers: Arc<Semaphore>,
     ) -> Self {
-        let backend = Backend::default();
+        let backend = BackendParser::default();
         QueryChannel { connection, load_reporting, large_answers, backend, buffer: BytesMut::new() }
     }
 
--- a/crates/gateway/src/proto/http.rs
+++ b/crates/gateway/src/proto/http.rs
@@ -46,11 +46,11 @@
 
 /// Parses responses, one after another.
 #[derive(Default)]
-pub struct ResponseReader {
+pub struct ResponseParser {
     state: ParserState,
 }
 
-impl ResponseReader {
+impl ResponseParser {
     /// The next part, if it was received.
     ///
     /// # Errors
--- a/crates/gateway/src/proto/pg/backend.rs
+++ b/crates/gateway/src/proto/pg/backend.rs
@@ -32,13 +32,13 @@
 /// Parses the input from an endpoint, strictly: a message that violates the protocol is an error. Lengths are checked as
 /// soon as they are received, so that the rest of an invalid message is never waited for.
 #[derive(Default)]
-pub struct Backend {
+pub struct BackendParser {
     is_started: bool,
     description: Option<Bytes>,
     row: Option<Bytes>,
 }
 
-impl Backend {
+impl BackendParser {
     /// The next message, if it is complete.
     ///
     /// # Errors
--- a/crates/gateway/src/proto/pg/encode.rs
+++ b/crates/gateway/src/proto/pg/encode.rs
@@ -70,7 +70,7 @@
 
 /// The messages after the startup message of a client.
 #[must_use]
-pub fn greeting() -> Bytes {
+pub fn startup_response() -> Bytes {
     let mut messages = BytesMut::new();
     messages.put_slice(AUTHENTICATION_OK);
     for (name, value) in SERVER_PARAMETERS {
--- a/crates/gateway/src/proto/pg/frontend.rs
+++ b/crates/gateway/src/proto/pg/frontend.rs
@@ -23,7 +23,7 @@
     /// `SSLRequest` or `GSSENCRequest`.
     EncryptionRequest,
     /// `CancelRequest`.
-    Cancel,
+    CancelRequest,
     /// `StartupMessage`.
     Startup,
     /// A simple query, without its terminator.
@@ -31,20 +31,20 @@
     /// Sync.
     Sync,
     /// The first message of the extended protocol before a Sync.
-    Extended,
+    ExtendedQuery,
     /// Terminate.
     Terminate,
 }
 
 /// Parses the input of a client.
 #[derive(Default)]
-pub struct Frontend {
+pub struct FrontendParser {
     is_started: bool,
     /// Messages of the extended protocol are skipped until the next Sync.
     is_skipping: bool,
 }
 
-impl Frontend {
+impl FrontendParser {
     /// The next message that needs an answer, if it is complete.
     ///
     /// # Errors
@@ -79,7 +79,7 @@
             b'p' | b'd' | b'c' | b'f' => Ok(None),
             _ => {
                 self.is_skipping = true;
-                Ok(Some(FrontendMessage::Extended))
+                Ok(Some(FrontendMessage::ExtendedQuery))
             }
         }
     }
@@ -97,7 +97,7 @@
         packet.advance(4);
         match packet.get_u32() {
             SSL_REQUEST | GSS_REQUEST if packet.is_empty() => Ok(Some(FrontendMessage::EncryptionRequest)),
-            CANCEL_REQUEST => Ok(Some(FrontendMessage::Cancel)),
+            CANCEL_REQUEST => Ok(Some(FrontendMessage::CancelRequest)),
             version if version >> 16 == MAJOR_VERSION => {
                 self.is_started = true;
                 Ok(Some(FrontendMessage::Startup))
--- a/crates/gateway/src/proto/pg/mod.rs
+++ b/crates/gateway/src/proto/pg/mod.rs
@@ -16,9 +16,9 @@
 pub mod sqlstate;
 pub mod statement;
 
-pub use backend::{Backend, BackendMessage};
+pub use backend::{BackendMessage, BackendParser};
 pub use error::ParseError;
 pub use framing::message_length;
-pub use frontend::{Frontend, FrontendMessage};
+pub use frontend::{FrontendMessage, FrontendParser};
 pub use load_report::{parse_load_report, row_text};
 pub use statement::{Statement, StatementError};
--- a/crates/gateway/tests/parsers/http.rs
+++ b/crates/gateway/tests/parsers/http.rs
@@ -2,7 +2,7 @@
 
 use crate::support::at_every_split;
 use bytes::BytesMut;
-use latchhaven_gateway::proto::http::{self, BodyBuffer, ResponsePart, ResponseReader};
+use latchhaven_gateway::proto::http::{self, BodyBuffer, ResponseParser, ResponsePart};
 use rstest::rstest;
 
 /// Joins adjacent parts of a body.
@@ -26,8 +26,8 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n5;x=y\r\nhello\r\n1\r\n!\r\n0\r\nA: b\r\n\r\n";
     let empty = "HTTP/1.1 503 No\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
     let stream = [counted, chunked, empty].concat();
-    let next = |reader: &mut ResponseReader, buffer: &mut BytesMut| reader.next(buffer).unwrap();
-    let parsed = at_every_split(stream.as_bytes(), ResponseReader::default, next, joined);
+    let next = |reader: &mut ResponseParser, buffer: &mut BytesMut| reader.next(buffer).unwrap();
+    let parsed = at_every_split(stream.as_bytes(), ResponseParser::default, next, joined);
     let head = |status, is_last| ResponsePart::Head { status, is_last };
     let body = |text: &'static str| ResponsePart::Body(text.into());
     let expected = [
@@ -55,7 +55,7 @@
 #[case::endless_size(format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", "0".repeat(300)))]
 #[case::no_end_of_chunk("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\naXX\r\n".to_string())]
 fn response_malformed_returns_an_error(#[case] bytes: String) {
-    let mut reader = ResponseReader::default();
+    let mut reader = ResponseParser::default();
     let mut buffer = BytesMut::from(bytes.as_bytes());
     let mut part = reader.next(&mut buffer);
     while matches!(part, Ok(Some(_))) {
--- a/crates/gateway/tests/parsers/messages.rs
+++ b/crates/gateway/tests/parsers/messages.rs
@@ -22,7 +22,7 @@
 )]
 #[case::trailing_data("{}x")]
 fn feed_line_malformed_is_rejected(#[case] line: &str) {
-    assert!(platform::read_feed_line(line.as_bytes()).is_err());
+    assert!(platform::parse_feed_line(line.as_bytes()).is_err());
 }
 
 #[rstest]
@@ -32,5 +32,5 @@
     r#"{"seq":7,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:5","health":"up","share":-1}]}"#
 )]
 fn list_malformed_is_rejected(#[case] text: &str) {
-    assert!(list::read(text.as_bytes()).is_err());
+    assert!(list::parse(text.as_bytes()).is_err());
 }
--- a/crates/gateway/tests/parsers/postgres.rs
+++ b/crates/gateway/tests/parsers/postgres.rs
@@ -2,7 +2,9 @@
 
 use crate::support::{at_every_split, message, startup};
 use bytes::{Bytes, BytesMut};
-use latchhaven_gateway::proto::pg::{self, Backend, BackendMessage, Frontend, FrontendMessage, ParseError};
+use latchhaven_gateway::proto::pg::{
+    self, BackendMessage, BackendParser, FrontendMessage, FrontendParser, ParseError,
+};
 use latchhaven_policy::LoadReport;
 use rstest::rstest;
 
@@ -20,14 +22,14 @@
         &message(b'X', b""),
     ]
     .concat();
-    let next = |frontend: &mut Frontend, buffer: &mut BytesMut| frontend.next(buffer).unwrap();
-    let messages = at_every_split(&stream, Frontend::default, next, |messages| messages);
+    let next = |frontend: &mut FrontendParser, buffer: &mut BytesMut| frontend.next(buffer).unwrap();
+    let messages = at_every_split(&stream, FrontendParser::default, next, |messages| messages);
     let query = |text: &'static str| FrontendMessage::Query(Bytes::from_static(text.as_bytes()));
     let expected = [
         FrontendMessage::EncryptionRequest,
         FrontendMessage::Startup,
         query("SELECT 1"),
-        FrontendMessage::Extended,
+        FrontendMessage::ExtendedQuery,
         FrontendMessage::Sync,
         query(""),
         FrontendMessage::Terminate,
@@ -54,8 +56,8 @@
         pg::encode::READY,
     ]
     .concat();
-    let next = |backend: &mut Backend, buffer: &mut BytesMut| backend.next(buffer).unwrap();
-    let messages = at_every_split(&stream, Backend::default, next, |messages| messages);
+    let next = |backend: &mut BackendParser, buffer: &mut BytesMut| backend.next(buffer).unwrap();
+    let messages = at_every_split(&stream, BackendParser::default, next, |messages| messages);
     let value = [described, row, complete].map(Bytes::from);
     let load = BackendMessage::Parameter { name: "load".to_string(), value: "inflight=7".to_string() };
     let failed = BackendMessage::Error("53300".to_string());
@@ -87,7 +89,7 @@
 #[case::oversized([&startup()[..], b"Q\0\x04\0\0"].concat(), ParseError::Length(262_144))]
 #[case::below_itself([&startup()[..], b"Q\0\0\0\x03"].concat(), ParseError::Length(3))]
 fn frontend_out_of_step_returns_the_error(#[case] bytes: Vec<u8>, #[case] expected: ParseError) {
-    let mut frontend = Frontend::default();
+    let mut frontend = FrontendParser::default();
     let mut buffer = BytesMut::from(&bytes[..]);
     let error = loop {
         match frontend.next(&mut buffer) {
@@ -124,7 +126,7 @@
 #[case::endless(b"D\x7f\xff\xff\xff")]
 #[case::unknown(b"\0\0\0\0\0")]
 fn backend_out_of_step_returns_an_error(#[case] bytes: &[u8]) {
-    let mut backend = Backend::default();
+    let mut backend = BackendParser::default();
     let mut buffer = BytesMut::from(bytes);
     let mut result = backend.next(&mut buffer);
     while matches!(result, Ok(Some(_))) {
--- a/crates/gateway/tests/parsers/robustness.rs
+++ b/crates/gateway/tests/parsers/robustness.rs
@@ -2,8 +2,8 @@
 
 use crate::support::{message, startup};
 use bytes::{Bytes, BytesMut};
-use latchhaven_gateway::proto::http::ResponseReader;
-use latchhaven_gateway::proto::pg::{Backend, Frontend, Statement};
+use latchhaven_gateway::proto::http::ResponseParser;
+use latchhaven_gateway::proto::pg::{BackendParser, FrontendParser, Statement};
 
 #[test]
 fn no_parser_panics_on_arbitrary_bytes() {
@@ -19,12 +19,12 @@
         let framed = message(kind, &noise[..round % 64]);
         for bytes in [&noise, &framed] {
             let mut buf = BytesMut::from(&[&startup()[..], bytes].concat()[..]);
-            let mut frontend = Frontend::default();
+            let mut frontend = FrontendParser::default();
             while let Ok(Some(_)) = frontend.next(&mut buf) {}
-            let mut backend = Backend::default();
+            let mut backend = BackendParser::default();
             let mut buf = BytesMut::from(&bytes[..]);
             while let Ok(Some(_)) = backend.next(&mut buf) {}
-            let mut reader = ResponseReader::default();
+            let mut reader = ResponseParser::default();
             let mut buf = BytesMut::from(
                 &[b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", &bytes[..]].concat()[..],
             );
