--- a/crates/gateway/src/proto/pg/encode.rs
+++ b/crates/gateway/src/proto/pg/encode.rs
@@ -1,25 +1,25 @@
-//! Messages to endpoints and clients.
+//! Encodes messages to endpoints and clients.
 
 use super::statement::Statement;
 use bytes::{BufMut, Bytes, BytesMut};
 use latchhaven_policy::Millis;
 
-/// `ReadyForQuery`, outside a transaction.
+/// `ReadyForQuery` with the status "idle", outside of a transaction.
 pub const READY: &[u8] = b"Z\0\0\0\x05I";
-/// `EmptyQueryResponse`.
+/// `EmptyQueryResponse`: the response to a query without text, before [`READY`].
 pub const EMPTY_QUERY: &[u8] = b"I\0\0\0\x04";
-/// The answer to a request for encryption: not supported.
+/// The response to `SSLRequest` and `GSSENCRequest`: encryption is not supported, and the client may continue
+/// without.
 pub const NO_ENCRYPTION: &[u8] = b"N";
 
-/// `AuthenticationOk`.
 const AUTHENTICATION_OK: &[u8] = b"R\0\0\0\x08\0\0\0\0";
-/// `BackendKeyData` without a key: cancel requests are not supported.
-const BACKEND_KEY: &[u8] = b"K\0\0\0\x0c\0\0\0\0\0\0\0\0";
-/// Version 3.0 of the protocol.
+/// Process id and key are 0, as cancel requests are not supported.
+const BACKEND_KEY_DATA: &[u8] = b"K\0\0\0\x0c\0\0\0\0\0\0\0\0";
+/// Version 3.0: the major version in the upper 16 bits.
 const PROTOCOL_VERSION: u32 = 3 << 16;
-/// User and database of connections to endpoints.
+/// User and database of connections to endpoints, as pairs of zero-terminated strings.
 const STARTUP_PARAMETERS: &[u8] = b"user\0app\0database\0shop\0\0";
-/// Parameters that are reported to clients.
+/// Reported to clients after the startup message, as a Postgres server does.
 const SERVER_PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "16.0"),
     ("server_encoding", "UTF8"),
@@ -29,8 +29,8 @@
     ("standard_conforming_strings", "on"),
 ];
 
-/// A query as it is forwarded to an endpoint, in four buffers. Its timeout is replaced by `timeout` ms, rounded down, and
-/// at least 1.
+/// Encodes a statement as a simple query to an endpoint, in four buffers to be written one after another. The timeout
+/// in its comment is replaced by `timeout`, rounded down to full milliseconds, and at least 1.
 #[must_use]
 pub fn forwarded_query(statement: &Statement, timeout: Millis) -> [Bytes; 4] {
     let digits = format!("{}", timeout.max(1.0).floor());
@@ -46,7 +46,7 @@
     [head.freeze(), text.slice(..replaced.start), Bytes::from(digits), tail.freeze()]
 }
 
-/// A simple query.
+/// Encodes a simple query (`Query`). `text` contains no zero byte.
 #[must_use]
 pub fn query(text: &str) -> Bytes {
     let mut message = BytesMut::with_capacity(text.len() + 6);
@@ -57,7 +57,7 @@
     message.freeze()
 }
 
-/// The startup message to an endpoint.
+/// Encodes the `StartupMessage` to an endpoint.
 #[must_use]
 pub fn startup() -> Bytes {
     let length = STARTUP_PARAMETERS.len() + 8;
@@ -68,7 +68,8 @@
     message.freeze()
 }
 
-/// The messages after the startup message of a client.
+/// Encodes the response to a client's `StartupMessage`: authentication is complete, the server's parameters, and
+/// `ReadyForQuery`.
 #[must_use]
 pub fn startup_response() -> Bytes {
     let mut messages = BytesMut::new();
@@ -81,12 +82,16 @@
             messages.put_u8(0);
         }
     }
-    messages.put_slice(BACKEND_KEY);
+    messages.put_slice(BACKEND_KEY_DATA);
     messages.put_slice(READY);
     messages.freeze()
 }
 
-/// An `ErrorResponse` with a SQLSTATE code.
+/// Encodes an `ErrorResponse` to a client.
+///
+/// A fatal error announces that the gateway closes the connection. After any other error to a simple query the caller
+/// writes [`READY`]. `code` is one of [`sqlstate`](super::sqlstate); `detail` is an optional second text. The texts
+/// contain no zero byte.
 #[must_use]
 pub fn error(is_fatal: bool, code: &str, text: &str, detail: Option<&str>) -> Bytes {
     let severity = if is_fatal { "FATAL" } else { "ERROR" };
--- a/crates/gateway/src/proto/pg/frontend.rs
+++ b/crates/gateway/src/proto/pg/frontend.rs
@@ -1,60 +1,72 @@
-//! Messages of clients.
+//! Parser for messages of clients.
 
 use super::error::ParseError;
 use super::framing::split_message;
 use crate::limits::messages::MAX_CLIENT_MESSAGE;
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Postgres' limits of a startup packet.
+/// The valid lengths of a startup packet in bytes, as in Postgres.
 const STARTUP_LENGTHS: std::ops::RangeInclusive<usize> = 8..=10_000;
-/// The types of message that a client may send.
+/// The type bytes of all messages of clients after the startup.
 const MESSAGE_TYPES: &[u8] = b"QXSPBDECFHdcfp";
+const QUERY: u8 = b'Q';
+const SYNC: u8 = b'S';
+const TERMINATE: u8 = b'X';
+/// `PasswordMessage` and other responses to authentication requests.
+const PASSWORD: u8 = b'p';
+const COPY_DATA: u8 = b'd';
+const COPY_DONE: u8 = b'c';
+const COPY_FAIL: u8 = b'f';
 
-/// Codes in place of a version: `SSLRequest`, `GSSENCRequest` and `CancelRequest`.
+// Request codes that are sent in place of a protocol version.
 const SSL_REQUEST: u32 = 80_877_103;
 const GSS_REQUEST: u32 = 80_877_104;
 const CANCEL_REQUEST: u32 = 80_877_102;
-/// The supported major version of the protocol; any minor version is accepted.
+/// The supported major version of the protocol. Any minor version is accepted.
 const MAJOR_VERSION: u32 = 3;
 
-/// A message of a client.
+/// A message of a client to which the gateway has to react.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FrontendMessage {
-    /// `SSLRequest` or `GSSENCRequest`.
+    /// `SSLRequest` or `GSSENCRequest`: the client expects one byte in response.
     EncryptionRequest,
-    /// `CancelRequest`.
+    /// `CancelRequest`: the client expects no response, and that the connection is closed.
     CancelRequest,
-    /// `StartupMessage`.
+    /// `StartupMessage`: the client expects the startup response, or an error.
     Startup,
-    /// A simple query, without its terminator.
+    /// `Query`: the text of a simple query, without the terminating zero byte. May be empty, and may be not UTF-8.
     Query(Bytes),
-    /// Sync.
+    /// `Sync`: the client expects `ReadyForQuery`.
     Sync,
-    /// The first message of the extended protocol before a Sync.
+    /// The first message of the extended query protocol since the last `Sync`. The client expects an error; the
+    /// parser skips further messages until the next `Sync`, as the protocol requires after an error.
     ExtendedQuery,
-    /// Terminate.
+    /// `Terminate`: the client closes the connection and expects no response.
     Terminate,
 }
 
-/// Parses the input of a client.
+/// Parses the input of one client connection. See the [module](super) for the reaction to each return value.
 #[derive(Default)]
 pub struct FrontendParser {
     is_started: bool,
-    /// Messages of the extended protocol are skipped until the next Sync.
+    /// Set after a message of the extended query protocol, until the next `Sync`.
     is_skipping: bool,
 }
 
 impl FrontendParser {
-    /// The next message that needs an answer, if it is complete.
+    /// Removes input from the buffer up to the next message that requires a reaction, and returns that message.
+    ///
+    /// Returns `None` if the buffer contains no such message completely: append input to it and call again.
     ///
     /// # Errors
-    /// The stream is out of step.
+    /// The input violates the protocol: send the error to the client and close the connection.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<FrontendMessage>, ParseError> {
         if !self.is_started {
             return self.next_startup(buffer);
         }
         loop {
-            // Checked before the length is received: an unknown type proves that the stream is out of step.
+            // Checked before the length is received, so that input of another protocol is rejected with its first
+            // byte.
             let Some(kind) = buffer.first().copied() else { return Ok(None) };
             if !MESSAGE_TYPES.contains(&kind) {
                 return Err(ParseError::Type(kind));
@@ -68,15 +80,15 @@
 
     fn on_message(&mut self, kind: u8, body: Bytes) -> Result<Option<FrontendMessage>, ParseError> {
         match kind {
-            b'X' => Ok(Some(FrontendMessage::Terminate)),
-            b'S' => {
+            TERMINATE => Ok(Some(FrontendMessage::Terminate)),
+            SYNC => {
                 self.is_skipping = false;
                 Ok(Some(FrontendMessage::Sync))
             }
             _ if self.is_skipping => Ok(None),
-            b'Q' => query_text(body).map(|text| Some(FrontendMessage::Query(text))),
-            // Passwords, copied data and function calls need no answer.
-            b'p' | b'd' | b'c' | b'f' => Ok(None),
+            QUERY => query_text(body).map(|text| Some(FrontendMessage::Query(text))),
+            // No response: the gateway never requests a password or copied data.
+            PASSWORD | COPY_DATA | COPY_DONE | COPY_FAIL => Ok(None),
             _ => {
                 self.is_skipping = true;
                 Ok(Some(FrontendMessage::ExtendedQuery))
--- a/crates/gateway/src/proto/pg/mod.rs
+++ b/crates/gateway/src/proto/pg/mod.rs
@@ -1,11 +1,17 @@
-//! Postgres' protocol, version 3, both sides, for simple queries. State machines that are fed bytes, without sockets
-//! or clocks.
+//! The Postgres protocol, version 3, limited to simple queries: parsers for messages of clients (frontends) and of
+//! endpoints (backends), and encoders for both.
+//!
+//! After each call of a parser's `next`: with `Ok(Some(_))`, handle the message and call `next` again before reading
+//! from the socket; with `Ok(None)`, append more input to the buffer and call again; with `Err(_)`, close the
+//! connection, because the boundary of the next message is unknown.
 //!
 //! - [`frontend`]: messages of clients.
 //! - [`backend`]: messages of endpoints.
-//! - [`statement`]: the statements that are routed, and the comment with their parameters.
+//! - [`statement`]: the supported statements, and the comment with the parameters of the request.
 //! - [`encode`]: messages that the gateway writes.
-//! - [`error`], [`framing`]: parse errors, and single messages with their lengths.
+//! - [`load_report`]: load reports of endpoints.
+//! - [`sqlstate`]: error codes.
+//! - [`error`], [`framing`]: parse errors, and splitting the input into messages.
 
 pub mod backend;
 pub mod encode;
--- a/crates/gateway/src/proto/pg/statement.rs
+++ b/crates/gateway/src/proto/pg/statement.rs
@@ -1,5 +1,5 @@
-//! Statements that are routed: one SELECT and one INSERT, with a comment that contains the request's id, class and
-//! timeout. Only statements of exactly this form are forwarded.
+//! Parser for the supported statements: one SELECT and one INSERT, each followed by a comment with the request's id,
+//! class, timeout and optional parameters. Only statements of exactly this form are forwarded to endpoints.
 
 use crate::clock::{MICROS_PER_MS, millis};
 use crate::limits::messages::{MAX_REQUEST_TIMEOUT, MAX_VALUE, MAX_WORD, MIN_REQUEST_TIMEOUT};
@@ -7,109 +7,112 @@
 use latchhaven_policy::Millis;
 use std::ops::Range;
 
-/// The statements without the item and the value.
+// The fixed parts of the statements, around the item and the value.
 const SELECT_PREFIX: &str = "SELECT doc FROM items WHERE id = '";
 const INSERT_PREFIX: &str = "INSERT INTO items (id, doc) VALUES ('";
 const INSERT_SUFFIX: &str = "') RETURNING doc";
-/// The delimiters of the comment.
 const COMMENT_START: &str = " /* ";
 const COMMENT_END: &str = " */";
+/// Hexadecimal digits of one byte of a value.
+const DIGITS_PER_BYTE: usize = 2;
 
-/// Why a statement is rejected; the text is sent to the client.
+/// Why a statement is rejected. The client receives the text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StatementError {
     /// The text is not UTF-8.
     #[error("statement: not UTF-8")]
     NotUtf8,
-    /// There is no comment.
+    /// No comment follows the statement.
     #[error("statement: no comment with id, c and d")]
     NoComment,
-    /// The comment has no end, or there is text after it.
+    /// The comment is not terminated, or is followed by other text.
     #[error("statement: its comment has no end, or there is text after it")]
     UnterminatedComment,
-    /// It is neither the SELECT nor the INSERT.
+    /// The text before the comment does not begin like the SELECT or the INSERT.
     #[error("statement: only the known SELECT and INSERT")]
     UnknownStatement,
-    /// The quote of the item has no end.
+    /// The closing quote of the item is missing.
     #[error("statement: the item has no end")]
     UnterminatedItem,
-    /// The item has invalid characters or an invalid length.
+    /// The item is empty, longer than [`MAX_WORD`], or has invalid characters.
     #[error("statement: the item is no word")]
     InvalidItem,
-    /// There is not one value in hex, or it is too long.
+    /// The INSERT does not have exactly one value of hexadecimal digits, or the value is longer than [`MAX_VALUE`];
+    /// or the SELECT does not end after the item.
     #[error("statement: not one value in hex, up to 64 KiB")]
     InvalidValue,
-    /// A part of the comment is not `name=value`.
+    /// An entry of the comment has no `=`; entries are separated by commas.
     #[error("comment: no name=value")]
     NotNameAndValue,
-    /// A name in the comment is not known.
+    /// The comment has an entry that this version of the gateway does not support.
     #[error("comment: an unknown name")]
     UnknownName,
-    /// A name in the comment is used twice.
+    /// The comment has two entries with the same name.
     #[error("comment: duplicate name")]
     DuplicateName,
-    /// A value in the comment has invalid characters or an invalid length.
+    /// A value in the comment is empty, longer than [`MAX_WORD`], or has invalid characters.
     #[error("comment: a value is no word")]
-    InvalidWord,
-    /// The request has no id.
+    InvalidEntryValue,
+    /// The comment has no entry `id`, the request's id.
     #[error("comment: id is missing")]
     MissingId,
-    /// The request has no class.
+    /// The comment has no entry `c`, the request class.
     #[error("comment: c is missing")]
     MissingClass,
-    /// The request has no timeout.
+    /// The comment has no entry `d`, the timeout.
     #[error("comment: d is missing")]
     MissingTimeout,
-    /// The timeout is not an integer number of ms, or out of range.
+    /// The timeout is not an integer, or is not between [`MIN_REQUEST_TIMEOUT`] and [`MAX_REQUEST_TIMEOUT`].
     #[error("comment: d is no sensible number of milliseconds")]
     InvalidTimeout,
     /// The retry flag is neither 0 nor 1.
     #[error("comment: r is neither 0 nor 1")]
     InvalidRetryFlag,
-    /// The expected work is not a number, or out of range.
+    /// The expected work is not a number without sign and exponent, or exceeds [`MAX_REQUEST_TIMEOUT`].
     #[error("comment: h is no sensible number")]
     InvalidExpectedWork,
 }
 
-/// A statement and the parameters in its comment.
+/// A valid statement, with the parameters from its comment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Statement {
-    /// The statement as the client wrote it.
+    /// The statement with its comment, as received from the client.
     pub text: Bytes,
-    /// The position of the timeout's digits (`d`) in the text.
+    /// The byte range of the timeout's digits (`d`) in `text`; an attempt replaces them with the remaining time.
     pub timeout_digits: Range<usize>,
-    /// The id that the client chose (`id`); unique among pending requests.
+    /// The request's id (`id`), set by the client; two pending requests may not have the same.
     pub id: Bytes,
-    /// The name of the request's class (`c`).
+    /// The name of the request class (`c`); may be unknown to the gateway.
     pub class: String,
-    /// The tenant (`t`).
+    /// The tenant that sent the request (`t`), if stated.
     pub tenant: Option<String>,
-    /// The item that it reads or writes.
+    /// The id of the item that the statement reads or writes. Always set by the parser.
     pub item: Option<String>,
-    /// It has an idempotency key (`k`).
+    /// Set when the comment has an idempotency key (`k`). Some classes require one.
     pub has_idempotency_key: bool,
-    /// The timeout in ms (`d`).
+    /// The time from the request's arrival to its deadline (`d`).
     pub timeout: Millis,
-    /// The expected work in ms (`h`, there in microseconds).
+    /// The client's estimate of the execution time (`h`, in the comment in microseconds), if stated.
     pub expected_work: Option<Millis>,
-    /// It is a retry of an earlier request (`r`).
+    /// Set when the client states that this is a retry of an earlier request (`r=1`).
     pub is_retry: bool,
-    /// It is the INSERT.
+    /// `true` for the INSERT, `false` for the SELECT.
     pub is_write: bool,
 }
 
 impl Statement {
-    /// Parses a statement.
+    /// Parses the text of a simple query, which must be complete.
     ///
     /// # Errors
-    /// The text does not have the form of a routed statement.
+    /// The text is not a supported statement: send the error to the client. The connection can continue, because the
+    /// boundary of the message is known.
     pub fn parse(text: Bytes) -> Result<Statement, StatementError> {
         let line = std::str::from_utf8(&text).map_err(|_| StatementError::NotUtf8)?;
         let (sql, comment) = line.split_once(COMMENT_START).ok_or(StatementError::NoComment)?;
-        let comment_at = sql.len() + COMMENT_START.len();
+        let comment_offset = sql.len() + COMMENT_START.len();
         let comment = comment.strip_suffix(COMMENT_END).ok_or(StatementError::UnterminatedComment)?;
         let sql = Sql::parse(sql)?;
-        let fields = CommentFields::parse(comment, comment_at)?;
+        let fields = CommentFields::parse(comment, comment_offset)?;
 
         let id = fields.id.ok_or(StatementError::MissingId)?;
         let class = fields.class.ok_or(StatementError::MissingClass)?;
@@ -140,7 +143,7 @@
     }
 }
 
-/// The statement without its comment.
+/// A statement without its comment.
 struct Sql<'a> {
     item: &'a str,
     is_write: bool,
@@ -152,7 +155,7 @@
         let prefix = if is_write { INSERT_PREFIX } else { SELECT_PREFIX };
         let rest = sql.strip_prefix(prefix).ok_or(StatementError::UnknownStatement)?;
         let (item, rest) = rest.split_once('\'').ok_or(StatementError::UnterminatedItem)?;
-        if !is_word(item) {
+        if !is_identifier(item) {
             return Err(StatementError::InvalidItem);
         }
         let is_valid = if is_write { is_insert_value(rest) } else { rest.is_empty() };
@@ -163,20 +166,21 @@
     }
 }
 
-/// The rest of an INSERT after its item is one value in hex.
+/// Returns `true` if `rest`, the INSERT after the closing quote of the item, is one valid value in hex, without
+/// comment.
 fn is_insert_value(rest: &str) -> bool {
     let value = rest.strip_prefix(", '\\x").and_then(|rest| rest.strip_suffix(INSERT_SUFFIX));
     value.is_some_and(|value| {
-        value.len() <= 2 * MAX_VALUE
-            && value.len().is_multiple_of(2)
+        value.len() <= DIGITS_PER_BYTE * MAX_VALUE
+            && value.len().is_multiple_of(DIGITS_PER_BYTE)
             && value.bytes().all(|byte| byte.is_ascii_hexdigit())
     })
 }
 
-/// A value in the comment, and its position in the statement.
 #[derive(Clone, Copy)]
 struct CommentField<'a> {
     value: &'a str,
+    /// The position of the value in the statement, in bytes.
     offset: usize,
 }
 
@@ -186,7 +190,6 @@
     }
 }
 
-/// The fields of a comment.
 #[derive(Default)]
 struct CommentFields<'a> {
     id: Option<CommentField<'a>>,
@@ -199,21 +202,22 @@
 }
 
 impl<'a> CommentFields<'a> {
-    /// Parses the inside of a comment, which is at `offset` in its statement.
+    /// Parses the text between the delimiters of a comment. `offset` is the position of this text in the statement,
+    /// in bytes.
     fn parse(comment: &'a str, offset: usize) -> Result<Self, StatementError> {
         let mut fields = CommentFields::default();
-        let mut part_at = offset;
-        for part in comment.split(',') {
-            let (name, value) = part.split_once('=').ok_or(StatementError::NotNameAndValue)?;
+        let mut entry_offset = offset;
+        for entry in comment.split(',') {
+            let (name, value) = entry.split_once('=').ok_or(StatementError::NotNameAndValue)?;
             let field = fields.field_mut(name).ok_or(StatementError::UnknownName)?;
-            let value_at = part_at + name.len() + 1;
-            if field.replace(CommentField { value, offset: value_at }).is_some() {
+            let value_offset = entry_offset + name.len() + 1;
+            if field.replace(CommentField { value, offset: value_offset }).is_some() {
                 return Err(StatementError::DuplicateName);
             }
-            if !is_word(value) {
-                return Err(StatementError::InvalidWord);
+            if !is_identifier(value) {
+                return Err(StatementError::InvalidEntryValue);
             }
-            part_at += part.len() + 1;
+            entry_offset += entry.len() + 1;
         }
         Ok(fields)
     }
@@ -232,26 +236,27 @@
     }
 }
 
-/// An integer number of ms.
+/// Parses an integer number of milliseconds.
 fn parse_timeout(digits: &str) -> Option<Millis> {
     let timeout = parse_number(digits, millis(MAX_REQUEST_TIMEOUT))?;
     (timeout >= millis(MIN_REQUEST_TIMEOUT) && !digits.contains('.')).then_some(timeout)
 }
 
-/// Microseconds, as ms.
+/// Parses a number of microseconds.
 fn parse_work(micros: &str) -> Option<Millis> {
     parse_number(micros, MICROS_PER_MS * millis(MAX_REQUEST_TIMEOUT)).map(|micros| micros / MICROS_PER_MS)
 }
 
-/// A number from 0 to `max` without sign or exponent.
+/// Parses a number from 0 to `max` without sign and exponent.
 fn parse_number(text: &str, max: f64) -> Option<f64> {
     let is_plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     let number = text.parse::<f64>().ok()?;
     (is_plain && (0.0..=max).contains(&number)).then_some(number)
 }
 
-/// A valid name, key, id or item: it cannot end a quote or a comment.
-fn is_word(text: &str) -> bool {
+/// Returns `true` for a valid name, key, id or item. None of the allowed characters can end a quoted string or a
+/// comment.
+fn is_identifier(text: &str) -> bool {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"_-.:".contains(&byte);
     (1..=MAX_WORD).contains(&text.len()) && text.bytes().all(is_plain)
 }
