--- a/crates/gateway/src/net/platform/votes.rs
+++ b/crates/gateway/src/net/platform/votes.rs
@@ -191,18 +191,20 @@
         let mut head = None;
         loop {
             match connection.next_part().await? {
-                Some(ResponsePart::Head { status, is_last }) => head = Some((status, is_last)),
+                Some(ResponsePart::Head { status, closes_connection }) => {
+                    head = Some((status, closes_connection));
+                }
                 Some(ResponsePart::Body(bytes)) => body.push(&bytes).map_err(HttpError::from)?,
                 Some(ResponsePart::End) => break,
                 None if connection.is_complete_at_close() => break,
                 None => return Err(VoteError::Truncated),
             }
         }
-        let (status, is_last) = head.ok_or(VoteError::NoHead)?;
+        let (status, closes_connection) = head.ok_or(VoteError::NoHead)?;
         Ok(Response {
             status,
             body: body.take(),
-            keeps_connection: !is_last && !connection.has_unparsed_input(),
+            keeps_connection: !closes_connection && !connection.has_unparsed_input(),
         })
     }
 }
--- a/crates/gateway/src/proto/json.rs
+++ b/crates/gateway/src/proto/json.rs
@@ -1,40 +1,40 @@
-//! Splits a stream into JSON objects in one pass over its bytes; objects may span lines.
+//! Splits a stream into JSON objects in one pass over its bytes. An object may span lines.
 
 use crate::limits::messages::{MAX_JSON_DEPTH, MAX_JSON_OBJECT};
 use crate::proto::http::ParseError;
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Distance of the character codes of an opening and its closing bracket, for both kinds.
+/// Difference between the character codes of a closing bracket and its opening one; the same for `{}` and `[]`.
 const BRACKET_DISTANCE: u8 = b'}' - b'{';
 
-/// A part of a stream.
+/// A complete part of a stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JsonFrame {
-    /// A complete object; its content is not validated.
+    /// A JSON object. Only its brackets and strings were checked: parsing it may still fail.
     Object(Bytes),
-    /// The end of a line outside of any object.
+    /// The end of a line outside of an object. Services send empty lines as keepalives.
     LineEnd,
 }
 
-/// Splits a stream into frames.
+/// Splits the input of one stream into frames.
 #[derive(Default)]
 pub struct JsonFramer {
     buffer: BytesMut,
-    /// The position up to which the buffer was scanned.
+    /// Number of bytes of the buffer that were scanned.
     position: usize,
-    /// The opening brackets that are not closed yet.
+    /// The opening brackets without a closing one, outermost first. Empty between objects.
     open_brackets: Vec<u8>,
-    /// The last byte outside of strings that was not blank.
-    last_token: u8,
+    /// The last byte of the current object that is neither white space nor within a string.
+    last_token: Option<u8>,
     is_in_string: bool,
     is_escaped: bool,
 }
 
 impl JsonFramer {
-    /// Adds received bytes.
+    /// Appends received bytes. Call [`next_frame`](Self::next_frame) until it returns `None` before appending more.
     ///
     /// # Errors
-    /// The buffered bytes exceed [`MAX_JSON_OBJECT`].
+    /// The buffered bytes would exceed [`MAX_JSON_OBJECT`]: close the connection.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), ParseError> {
         if self.buffer.len() + bytes.len() > MAX_JSON_OBJECT {
             return Err(ParseError::TooLong);
@@ -43,16 +43,18 @@
         Ok(())
     }
 
-    /// The last object is incomplete.
+    /// Returns `true` if an object has begun and is incomplete. At the end of the stream this object is lost.
     #[must_use]
     pub fn is_within_object(&self) -> bool {
         !self.open_brackets.is_empty()
     }
 
-    /// The next frame, if it is complete. A truncated object is detected where the next one begins.
+    /// Removes the next frame and returns it, or `None` if it is incomplete: append input with [`push`](Self::push)
+    /// and call again.
     ///
     /// # Errors
-    /// The stream contains anything but objects, or exceeds a bound.
+    /// The stream contains anything but objects and white space, is nested too deeply, or continues with another
+    /// object within a truncated one: close the connection.
     pub fn next_frame(&mut self) -> Result<Option<JsonFrame>, ParseError> {
         while let Some(byte) = self.buffer.get(self.position).copied() {
             self.position += 1;
@@ -76,13 +78,17 @@
             _ if self.is_escaped => self.is_escaped = false,
             b'\\' => self.is_escaped = true,
             b'"' => self.is_in_string = false,
-            b'\n' => return Err(ParseError::Malformed("a line ends within a string")),
+            b'\n' => {
+                return Err(ParseError::Malformed(
+                    "expected the end of a JSON string, got the end of a line",
+                ));
+            }
             _ => {}
         }
         Ok(())
     }
 
-    /// A byte between objects: blanks are dropped.
+    /// Scans a byte between objects. White space is dropped immediately, so that it does not count as buffered.
     fn scan_between(&mut self, byte: u8) -> Result<Option<JsonFrame>, ParseError> {
         match byte {
             b' ' | b'\t' | b'\r' | b'\n' => {
@@ -92,21 +98,23 @@
             }
             b'{' => {
                 self.open_brackets.push(byte);
-                self.last_token = byte;
+                self.last_token = Some(byte);
                 Ok(None)
             }
-            _ => Err(ParseError::Malformed("no object")),
+            _ => Err(ParseError::Malformed("expected a JSON object")),
         }
     }
 
-    /// A byte within an object, outside of strings.
+    /// Scans a byte within an object, outside of strings.
     fn scan_within(&mut self, byte: u8) -> Result<Option<JsonFrame>, ParseError> {
         match byte {
             b' ' | b'\t' | b'\r' | b'\n' => return Ok(None),
             b'{' | b'[' => self.open_bracket(byte)?,
             b'}' | b']' => {
                 if self.open_brackets.pop() != Some(byte - BRACKET_DISTANCE) {
-                    return Err(ParseError::Malformed("a bracket that closes none"));
+                    return Err(ParseError::Malformed(
+                        "expected the closing bracket of the innermost JSON object or array",
+                    ));
                 }
                 if self.open_brackets.is_empty() {
                     return Ok(Some(self.take_object()));
@@ -115,16 +123,20 @@
             b'"' => self.is_in_string = true,
             _ => {}
         }
-        self.last_token = byte;
+        self.last_token = Some(byte);
         Ok(None)
     }
 
+    /// Checks that an object or array may begin after the last token. Otherwise the current object was truncated and
+    /// the next one begins within it.
     fn open_bracket(&mut self, bracket: u8) -> Result<(), ParseError> {
-        let is_after_key = self.last_token == b':';
+        let is_after_key = self.last_token == Some(b':');
         let is_array_entry =
-            self.open_brackets.last() == Some(&b'[') && matches!(self.last_token, b'[' | b',');
+            self.open_brackets.last() == Some(&b'[') && matches!(self.last_token, Some(b'[' | b','));
         if !is_after_key && !is_array_entry {
-            return Err(ParseError::Malformed("an object begins within another"));
+            return Err(ParseError::Malformed(
+                "expected the rest of a JSON object, got the start of another",
+            ));
         }
         if self.open_brackets.len() >= MAX_JSON_DEPTH {
             return Err(ParseError::TooLong);
@@ -134,7 +146,7 @@
     }
 
     fn take_object(&mut self) -> JsonFrame {
-        self.last_token = 0;
+        self.last_token = None;
         self.is_escaped = false;
         let object = self.buffer.split_to(self.position).freeze();
         self.position = 0;
--- a/crates/gateway/tests/parsers/http.rs
+++ b/crates/gateway/tests/parsers/http.rs
@@ -28,7 +28,7 @@
     let stream = [counted, chunked, empty].concat();
     let next = |reader: &mut ResponseParser, buffer: &mut BytesMut| reader.next(buffer).unwrap();
     let parsed = at_every_split(stream.as_bytes(), ResponseParser::default, next, joined);
-    let head = |status, is_last| ResponsePart::Head { status, is_last };
+    let head = |status, closes_connection| ResponsePart::Head { status, closes_connection };
     let body = |text: &'static str| ResponsePart::Body(text.into());
     let expected = [
         head(200, false),
