--- a/crates/gateway/src/net/discovery_calls.rs
+++ b/crates/gateway/src/net/discovery_calls.rs
@@ -1,4 +1,5 @@
-//! Calls to the discovery service: a fetch returns the endpoint list once, a watch delivers it and its deltas.
+//! Calls to the discovery service: a fetch returns a snapshot of the endpoint list, a watch delivers updates until it
+//! is closed.
 
 use super::DriverEvent;
 use super::http_connection::{HttpConnection, HttpError};
@@ -21,41 +22,39 @@
     /// The connection failed, or the response is malformed.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The connection was not established in time.
-    #[error("no connection in time")]
-    NoConnection,
-    /// The list cannot be read.
+    #[error("not connected within {SERVICE_CONNECT_TIMEOUT:?}")]
+    ConnectTimeout,
     #[error(transparent)]
     List(#[from] ListError),
-    /// The response has another status than 200.
-    #[error("status {0}")]
+    /// The status of the response.
+    #[error("expected status 200, got {0}")]
     Status(u16),
-    /// A fetch was not answered in time.
-    #[error("no response in time")]
-    NoResponse,
-    /// The connection closed within the response.
-    #[error("connection closed within the response")]
+    /// The response to a fetch was not received completely in time.
+    #[error("no complete response within {CALL_TIMEOUT:?}")]
+    ResponseTimeout,
+    #[error("connection closed before the end of the response")]
     Truncated,
-    /// A watch delivered neither an update nor a keepalive in time.
+    /// A watch received no response head within [`CALL_TIMEOUT`], or afterwards neither an update nor a keepalive
+    /// within [`WATCH_SILENCE_TIMEOUT`].
     #[error("no keepalive in time")]
-    Silent,
-    /// The discovery service closed the watch.
-    #[error("the watch ended")]
-    WatchEnded,
+    KeepaliveTimeout,
+    #[error("watch closed by the discovery service")]
+    WatchClosed,
 }
 
 impl ListCallError {
-    /// Data arrived that cannot be read.
-    fn is_unreadable(&self) -> bool {
+    /// Returns `true` if malformed data was received, which may have been an update.
+    fn is_malformed_data(&self) -> bool {
         matches!(self, ListCallError::Http(HttpError::Response(_)) | ListCallError::List(_))
     }
 }
 
-/// Watches the list from the version `after` on. However the watch ends, it is reported as a failed call.
+/// Watches the list for updates after the version `after`. Sends each update to `events`, and a failure when the
+/// watch is closed for whatever reason.
 pub(super) async fn watch(address: SocketAddr, after: u64, call: CallId, events: mpsc::Sender<DriverEvent>) {
     let (error, failure) = match Watch::open(address, after).await {
         Ok(mut watch) => {
-            let error = watch.deliver(call, &events).await.err().unwrap_or(ListCallError::WatchEnded);
+            let error = watch.deliver(call, &events).await.err().unwrap_or(ListCallError::WatchClosed);
             let failure = watch.failure(&error);
             (error, failure)
         }
@@ -66,38 +65,40 @@
     let _ = events.send(DriverEvent::EndpointList { call, list: Err(failure) }).await;
 }
 
-/// Fetches a snapshot of the list.
+/// Fetches a snapshot of the list, and sends it or a failure to `events`.
 pub(super) async fn fetch(address: SocketAddr, call: CallId, events: mpsc::Sender<DriverEvent>) {
     let fetched = timeout(CALL_TIMEOUT, fetch_list(address)).await;
-    let list = fetched.unwrap_or(Err(ListCallError::NoResponse)).map_err(|error| {
+    let list = fetched.unwrap_or(Err(ListCallError::ResponseTimeout)).map_err(|error| {
         tracing::info!(call = call.0, %address, reason = error.to_string(), "discovery: call failed");
         COUNTERS.discovery_failures_total.increment();
-        let may_have_lost_update = error.is_unreadable() || matches!(error, ListCallError::Truncated);
+        let may_have_lost_update = error.is_malformed_data() || matches!(error, ListCallError::Truncated);
         UpdateFailure { may_have_lost_update, ..UpdateFailure::default() }
     });
     let _ = events.send(DriverEvent::EndpointList { call, list }).await;
 }
 
-/// Opens a connection and sends a request for `path`.
+/// Connects to the discovery service and sends a GET request for `path`.
 async fn start_call(address: SocketAddr, path: &str) -> Result<HttpConnection, ListCallError> {
     COUNTERS.discovery_calls_total.increment();
     let connected = timeout(SERVICE_CONNECT_TIMEOUT, HttpConnection::open(address)).await;
-    let connection = connected.map_err(|_| ListCallError::NoConnection)??;
+    let connection = connected.map_err(|_| ListCallError::ConnectTimeout)??;
     connection.get(path).await?;
     Ok(connection)
 }
 
 /// An open watch.
 struct Watch {
+    /// The version after which the watch was requested.
     after: u64,
     connection: HttpConnection,
     framer: JsonFramer,
-    /// The head of the response was received.
+    /// Set when the head of the response was received.
     has_head: bool,
-    /// A list or a keepalive was received.
+    /// Set when an update or a keepalive was received.
     has_delivered: bool,
-    /// When the watch was opened, or last delivered a list or a keepalive.
+    /// When the latest update or keepalive was received, or the watch was opened.
     last_received_at: Instant,
+    /// Longest time from `last_received_at` to the next update or keepalive.
     silence_timeout: Duration,
 }
 
@@ -115,30 +116,31 @@
         })
     }
 
-    /// Reports lists and deltas until the watch ends.
+    /// Sends each update to `events` until the discovery service closes the watch.
     async fn deliver(
         &mut self, call: CallId, events: &mpsc::Sender<DriverEvent>,
     ) -> Result<(), ListCallError> {
-        while let Some(list) = self.next_list().await? {
+        while let Some(list) = self.next_update().await? {
             let _ = events.send(DriverEvent::EndpointList { call, list: Ok(list) }).await;
         }
         Ok(())
     }
 
-    /// What the end of this watch means for the current list.
+    /// Returns what the error that closes this watch means for the current list.
     fn failure(&self, error: &ListCallError) -> UpdateFailure {
-        // A started response without a list, or with a part of one, may have announced a change.
-        let may_hide_update = self.has_head && (!self.has_delivered || self.framer.is_within_object());
+        // The service may have sent an update that was not received: the response has begun without an update or
+        // keepalive, or closed within one.
+        let may_have_sent_update = self.has_head && (!self.has_delivered || self.framer.is_within_object());
         UpdateFailure {
             silent_for: silence_beyond_keepalive(self.has_delivered, self.last_received_at.elapsed()),
-            may_have_lost_update: may_hide_update
-                || error.is_unreadable()
+            may_have_lost_update: may_have_sent_update
+                || error.is_malformed_data()
                 || self.connection.has_unparsed_input(),
         }
     }
 
-    /// The next list or delta. None: the watch has ended.
-    async fn next_list(&mut self) -> Result<Option<ListUpdate>, ListCallError> {
+    /// Waits for the next update. Returns `None` when the discovery service has closed the watch.
+    async fn next_update(&mut self) -> Result<Option<ListUpdate>, ListCallError> {
         loop {
             while let Some(frame) = self.framer.next_frame().map_err(HttpError::from)? {
                 if let Some(list) = self.on_frame(frame)? {
@@ -157,12 +159,14 @@
         }
     }
 
-    /// A frame counts as a keepalive when it is complete: an object that never ends must not extend the watch.
+    /// Handles a complete frame. Only complete frames count as keepalives, so that an object without an end cannot
+    /// extend the watch.
     fn on_frame(&mut self, frame: JsonFrame) -> Result<Option<ListUpdate>, ListError> {
         self.last_received_at = Instant::now();
         let list = match frame {
             JsonFrame::LineEnd if self.has_delivered => return Ok(None),
-            // The list has not changed since the version `after`: an empty delta confirms it.
+            // A keepalive before any update: the list has not changed since the version `after`, and an empty delta
+            // confirms it.
             JsonFrame::LineEnd => ListUpdate { version: self.after, is_snapshot: false, entries: Vec::new() },
             JsonFrame::Object(text) => list::parse(&text)?,
         };
@@ -173,7 +177,7 @@
     async fn next_part(&mut self) -> Result<Option<ResponsePart>, ListCallError> {
         let deadline = self.last_received_at + self.silence_timeout;
         let part = timeout_at(deadline, self.connection.next_part()).await;
-        Ok(part.map_err(|_| ListCallError::Silent)??)
+        Ok(part.map_err(|_| ListCallError::KeepaliveTimeout)??)
     }
 }
 
--- a/crates/gateway/src/net/discovery_tasks.rs
+++ b/crates/gateway/src/net/discovery_tasks.rs
@@ -1,4 +1,4 @@
-//! Executes the commands of a discovery client: one task per call.
+//! Executes the commands of a discovery client, with one task for each call.
 
 use super::{DriverEvent, discovery_calls};
 use crate::discovery::calls::{CallId, DiscoveryCommand};
@@ -6,21 +6,22 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// The tasks of calls for the endpoint list, within a `LocalSet`.
+/// The tasks of calls to the discovery service. Use within a `LocalSet`.
 pub struct DiscoveryTasks {
-    /// Finished tasks are dropped when the next call starts.
+    /// With tasks that have finished since the start of the latest call.
     tasks: BTreeMap<CallId, AbortHandle>,
     events: mpsc::Sender<DriverEvent>,
 }
 
 impl DiscoveryTasks {
-    /// No tasks yet; their results are sent to `events`.
+    /// Starts without tasks. Each task sends its results to `events`.
     #[must_use]
     pub fn new(events: mpsc::Sender<DriverEvent>) -> Self {
         DiscoveryTasks { tasks: BTreeMap::new(), events }
     }
 
-    /// Starts and aborts calls, in the order given.
+    /// Starts and aborts calls in the order of `commands`. An aborted call may still have results in the queue of
+    /// events.
     pub fn run(&mut self, commands: Vec<DiscoveryCommand>) {
         for command in commands {
             match command {
@@ -36,7 +37,8 @@
         }
     }
 
-    /// The call's task has ended.
+    /// Returns `true` if no task of this call is running: the call has sent its last result, was aborted, or never
+    /// started.
     #[must_use]
     pub fn is_finished(&self, call: CallId) -> bool {
         self.tasks.get(&call).is_none_or(AbortHandle::is_finished)
--- a/crates/gateway/src/net/list.rs
+++ b/crates/gateway/src/net/list.rs
@@ -1,21 +1,21 @@
-//! The endpoint list and the form in which the discovery service sends it.
+//! Parses the endpoint list and its deltas, as the discovery service sends them.
 
 use latchhaven_policy::{EndpointEntry, EndpointStatus, Version};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The endpoint list or a delta to it, with the address of each endpoint.
+/// A snapshot of the endpoint list, or a delta to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListUpdate {
-    /// Its version.
+    /// The version of the list after this update.
     pub version: u64,
-    /// It is a snapshot of all endpoints and not a delta.
+    /// `true` for a snapshot, which replaces the list; `false` for a delta, which only has entries that changed.
     pub is_snapshot: bool,
-    /// The entries with their addresses.
+    /// Each entry with the address at which the gateway connects to the endpoint. A delta without entries confirms
+    /// the current list.
     pub entries: Vec<(EndpointEntry, SocketAddr)>,
 }
 
-/// A list as it is sent.
 #[derive(Deserialize)]
 struct ListMessage {
     #[serde(rename = "seq")]
@@ -26,7 +26,6 @@
     endpoints: Vec<EndpointMessage>,
 }
 
-/// An endpoint as it is sent.
 #[derive(Deserialize)]
 struct EndpointMessage {
     #[serde(rename = "host")]
@@ -36,26 +35,25 @@
     #[serde(rename = "site", default)]
     zone: String,
     #[serde(rename = "class", default)]
-    hardware: String,
+    instance_type: String,
     #[serde(rename = "block", default)]
     cell: u32,
     #[serde(rename = "health")]
     status: EndpointHealth,
     #[serde(rename = "share", default = "default_weight")]
     weight: f64,
-    /// Unix time in ms.
+    /// Unix time in milliseconds.
     #[serde(rename = "born_ms", default)]
     started_at: f64,
     #[serde(rename = "release", default)]
     version: Version,
 }
 
-/// The weight of an endpoint that gives none.
+/// The weight of an endpoint whose message states none.
 fn default_weight() -> f64 {
     1.0
 }
 
-/// The status of an endpoint as it is sent.
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum EndpointHealth {
@@ -65,17 +63,17 @@
     Removed,
 }
 
-/// Why a list cannot be read; the text names the faulty key.
+/// Why a list is invalid. The text names the invalid key.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
-    /// It is not JSON, or a key is missing or invalid.
+    /// The text is not JSON, or a key is missing or has the wrong type.
     #[error(transparent)]
     Malformed(#[from] serde_path_to_error::Error<serde_json::Error>),
-    /// There is data after it.
+    /// The list is followed by other data.
     #[error(transparent)]
     TrailingData(#[from] serde_json::Error),
-    /// The endpoint at this position has no name, or a negative weight or start time.
-    #[error("hosts[{0}]: no name, or share or born_ms below 0")]
+    /// The endpoint at this index has an empty name, or a negative weight or start time.
+    #[error("hosts[{0}]: expected a host that is not empty, share >= 0 and born_ms >= 0")]
     InvalidEndpoint(usize),
 }
 
@@ -96,7 +94,7 @@
             version: self.version,
             zone: self.zone,
             cell: self.cell,
-            instance_type: self.hardware,
+            instance_type: self.instance_type,
             weight: self.weight,
             started_at: self.started_at,
         };
@@ -104,10 +102,11 @@
     }
 }
 
-/// Reads a list.
+/// Parses a snapshot or a delta, which must be complete: the body of the response to a fetch, or one object of a
+/// watch.
 ///
 /// # Errors
-/// The list is malformed or has invalid values.
+/// The text is not exactly one JSON object, or a value is invalid. Nothing of the update may be applied.
 pub fn parse(text: &[u8]) -> Result<ListUpdate, ListError> {
     let mut reader = serde_json::Deserializer::from_slice(text);
     let message: ListMessage = serde_path_to_error::deserialize(&mut reader)?;
--- a/crates/gateway/src/net/platform/feed.rs
+++ b/crates/gateway/src/net/platform/feed.rs
@@ -1,5 +1,6 @@
-//! Receives the platform's feed. A lost feed is opened again after an exponential backoff. When the platform's address
-//! changes, the new feed is open before the earlier one is closed: the platform does not repeat what it sent meanwhile.
+//! Receives the platform's feed. A lost feed is reopened after an exponential backoff. When the platform's address
+//! changes, the feed at the new address is opened before the current one is closed: the platform does not repeat
+//! messages, so that a gap between the two would lose some.
 
 use super::messages::{FeedMessage, MessageError, parse_feed_line};
 use crate::clock::duration;
@@ -23,37 +24,36 @@
     /// The connection failed, or the response is malformed.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// A line cannot be read; lines after it may be out of step.
-    #[error("a line cannot be read: {0}")]
+    /// A line is malformed, so that the boundaries of later ones are not reliable.
+    #[error("malformed feed line: {0}")]
     Line(MessageError),
-    /// The response has another status than 200.
-    #[error("status {0}")]
+    /// The status of the response.
+    #[error("expected status 200, got {0}")]
     Status(u16),
-    /// The connection was not established in time.
-    #[error("no connection in time")]
-    NoConnection,
-    /// The response began without a head.
-    #[error("no response head")]
-    NoHead,
-    /// The head of the response was not received in time.
-    #[error("no response head in time")]
-    NoHeadInTime,
+    #[error("not connected within {SERVICE_CONNECT_TIMEOUT:?}")]
+    ConnectTimeout,
+    #[error("expected a response head")]
+    MissingHead,
+    #[error("no response head within {FEED_SILENCE_TIMEOUT:?}")]
+    HeadTimeout,
     /// The connection closed before the head of the response was complete.
-    #[error("connection closed before the response head")]
+    #[error("connection closed before the end of the response head")]
     ClosedBeforeHead,
-    /// The feed delivered no line in time.
+    /// No complete line was received within [`FEED_SILENCE_TIMEOUT`].
     #[error("no keepalive in time")]
-    Silent,
-    /// The platform closed the feed.
-    #[error("the feed ended")]
-    Ended,
-    /// There is no open feed.
+    KeepaliveTimeout,
+    /// The platform completed the response, or the gateway is exiting.
+    #[error("feed closed")]
+    Closed,
     #[error("no feed is open")]
     NotOpen,
 }
 
-/// Receives the feed at an address, which may change.
-pub async fn feed(
+/// Receives the feed, and sends its messages to `events`, until the task is aborted.
+///
+/// `address` is the platform's current address, `None` while no platform is configured. `rng` draws the jitter of the
+/// backoff.
+pub async fn receive_feed(
     address: watch::Receiver<Option<SocketAddr>>, rng: Pcg64Mcg, events: mpsc::Sender<DriverEvent>,
 ) {
     let task = FeedTask { address, rng, events, failures: 0, open: None };
@@ -64,40 +64,47 @@
     address: watch::Receiver<Option<SocketAddr>>,
     rng: Pcg64Mcg,
     events: mpsc::Sender<DriverEvent>,
-    /// Feeds in a row that could not be opened or delivered no line.
+    /// Consecutive feeds that could not be opened or delivered no line; determines the backoff.
     failures: u32,
-    /// The open feed.
+    /// While a feed is being opened: the feed at the previous address, if that is still open.
     open: Option<Feed>,
 }
 
+/// Why the task stops waiting for or receiving a feed.
+enum FeedEnd {
+    /// The address has changed: the feed there is opened immediately.
+    AddressChanged,
+    /// The feed could not be opened, or was lost after this number of lines: it is reopened after the backoff.
+    Failed { lines: u64 },
+}
+
 impl FeedTask {
     async fn run(mut self) {
         loop {
-            let lines = match self.open_next().await {
-                None => {
-                    self.failures = 0;
-                    continue;
-                }
+            let end = match self.open_next().await {
+                None => FeedEnd::AddressChanged,
                 Some(Ok(feed)) => {
                     self.open = Some(feed);
-                    let Some(lines) = self.deliver_until_lost().await else {
-                        self.failures = 0;
-                        continue;
-                    };
-                    lines
+                    self.deliver_until_lost().await
                 }
                 Some(Err(error)) => {
                     let address = self.address.borrow().map(tracing::field::display);
                     tracing::info!(reason = error.to_string(), address, "platform: feed not opened");
-                    0
+                    FeedEnd::Failed { lines: 0 }
                 }
             };
-            self.failures = if lines > 0 { 0 } else { self.failures.saturating_add(1) };
-            self.wait_before_retry().await;
+            match end {
+                FeedEnd::AddressChanged => self.failures = 0,
+                FeedEnd::Failed { lines } => {
+                    self.failures = if lines > 0 { 0 } else { self.failures.saturating_add(1) };
+                    self.wait_before_retry().await;
+                }
+            }
         }
     }
 
-    /// Opens a feed at the current address, and delivers from an open one meanwhile. None: the address has changed.
+    /// Opens a feed at the current address; meanwhile delivers messages of the open feed, if there is one. Returns
+    /// `None` when the address has changed.
     async fn open_next(&mut self) -> Option<Result<Feed, FeedError>> {
         let FeedTask { address, events, open, .. } = self;
         let current_address = *address.borrow_and_update();
@@ -111,20 +118,21 @@
         }
     }
 
-    /// Delivers the open feed until it is lost. Returns the number of its lines. None: the address has changed.
-    async fn deliver_until_lost(&mut self) -> Option<u64> {
+    /// Delivers messages of the open feed until it is lost or the address has changed.
+    async fn deliver_until_lost(&mut self) -> FeedEnd {
         let FeedTask { address, events, open, .. } = self;
         select! {
             error = deliver(open, events) => {
                 let lines = open.as_ref().map_or(0, |feed| feed.lines);
                 drop_lost(&error, open);
-                Some(lines)
+                FeedEnd::Failed { lines }
             }
-            Ok(()) = address.changed() => None,
+            Ok(()) = address.changed() => FeedEnd::AddressChanged,
         }
     }
 
-    /// Waits until a feed is to be opened again: for the backoff, or until the address changes.
+    /// Waits until the backoff has elapsed or the address has changed; meanwhile delivers messages of the open feed,
+    /// if there is one.
     async fn wait_before_retry(&mut self) {
         let delay = sleep(duration(FEED_BACKOFF.delay(self.failures, &mut self.rng)));
         let FeedTask { address, events, open, failures, .. } = self;
@@ -143,6 +151,7 @@
     }
 }
 
+/// Removes a feed that was lost, and logs the reason.
 fn drop_lost(error: &FeedError, open: &mut Option<Feed>) {
     COUNTERS.feed_lost_total.increment();
     let lost = open.take();
@@ -151,10 +160,10 @@
     tracing::info!(reason = error.to_string(), lines, address, "platform: feed lost");
 }
 
-/// Delivers a feed until it is lost. Returns why.
+/// Delivers messages of the open feed until it is lost, and returns the reason.
 async fn deliver(open: &mut Option<Feed>, events: &mpsc::Sender<DriverEvent>) -> FeedError {
     match open {
-        Some(feed) => feed.deliver(events).await.err().unwrap_or(FeedError::Ended),
+        Some(feed) => feed.deliver(events).await.err().unwrap_or(FeedError::Closed),
         None => FeedError::NotOpen,
     }
 }
@@ -163,34 +172,37 @@
 struct Feed {
     connection: HttpConnection,
     body: BodyBuffer,
+    /// Number of complete lines received, with keepalives.
     lines: u64,
+    /// When the last complete line was processed, or the feed was opened.
     last_line_at: Instant,
 }
 
 impl Feed {
-    /// Opens a feed. Pending while no platform is configured.
+    /// Opens a feed. Never completes while no platform is configured (`address` is `None`).
     async fn open(address: Option<SocketAddr>) -> Result<Feed, FeedError> {
         let Some(address) = address else { return std::future::pending().await };
         let opened = timeout(FEED_SILENCE_TIMEOUT, Feed::request(address)).await;
-        let feed = opened.unwrap_or(Err(FeedError::NoHeadInTime))?;
+        let feed = opened.unwrap_or(Err(FeedError::HeadTimeout))?;
         COUNTERS.feed_opened_total.increment();
         Ok(feed)
     }
 
     async fn request(address: SocketAddr) -> Result<Feed, FeedError> {
         let connected = timeout(SERVICE_CONNECT_TIMEOUT, HttpConnection::open(address)).await;
-        let mut connection = connected.map_err(|_| FeedError::NoConnection)??;
+        let mut connection = connected.map_err(|_| FeedError::ConnectTimeout)??;
         connection.get("/v1/feed").await?;
         match connection.next_part().await? {
             Some(ResponsePart::Head { status: 200, .. }) => {}
             Some(ResponsePart::Head { status, .. }) => return Err(FeedError::Status(status)),
-            Some(_) => return Err(FeedError::NoHead),
+            Some(_) => return Err(FeedError::MissingHead),
             None => return Err(FeedError::ClosedBeforeHead),
         }
         Ok(Feed { connection, body: BodyBuffer::default(), lines: 0, last_line_at: Instant::now() })
     }
 
-    /// Delivers line by line. Can be dropped and called again without loss.
+    /// Sends each message to `events` until the platform closes the feed. Cancel-safe: a message is removed from the
+    /// buffer only after a slot of the channel was reserved.
     async fn deliver(&mut self, events: &mpsc::Sender<DriverEvent>) -> Result<(), FeedError> {
         loop {
             let Ok(permit) = events.reserve().await else { return Ok(()) };
@@ -207,14 +219,16 @@
         }
     }
 
-    /// A line counts as a keepalive when it is complete: one that never ends must not extend the feed.
+    /// Handles a complete line. Only complete lines count as keepalives, so that a line without an end cannot extend
+    /// the feed.
     fn on_line(&mut self, line: &Bytes) -> Result<Option<DriverEvent>, FeedError> {
         self.lines += 1;
         self.last_line_at = Instant::now();
         match parse_feed_line(line) {
             Ok(FeedMessage::Rollout(state)) => Ok(Some(DriverEvent::Rollout(state))),
             Ok(FeedMessage::Outcomes(counts)) => Ok(Some(DriverEvent::Outcomes(counts))),
-            Ok(FeedMessage::Nothing) => Ok(None),
+            Ok(FeedMessage::Ignored) => Ok(None),
+            // Empty lines are keepalives too.
             Err(_) if line.trim_ascii().is_empty() => Ok(None),
             Err(error) => Err(FeedError::Line(error)),
         }
@@ -223,6 +237,6 @@
     async fn next_part(&mut self) -> Result<Option<ResponsePart>, FeedError> {
         let deadline = self.last_line_at + FEED_SILENCE_TIMEOUT;
         let part = timeout_at(deadline, self.connection.next_part()).await;
-        Ok(part.map_err(|_| FeedError::Silent)??)
+        Ok(part.map_err(|_| FeedError::KeepaliveTimeout)??)
     }
 }
--- a/crates/gateway/src/net/platform/messages.rs
+++ b/crates/gateway/src/net/platform/messages.rs
@@ -1,4 +1,4 @@
-//! The platform's messages: rollout states, and counted outcomes.
+//! Parses the platform's messages: rollout states and outcome counts.
 
 use crate::clock::millis;
 use crate::limits::platform::MAX_AGE;
@@ -6,47 +6,51 @@
 use serde::Deserialize;
 use serde_json::{Map, Value};
 
-/// Why a message cannot be read; the text names the faulty key.
+/// Why a message is invalid. Texts of JSON errors name the invalid key.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// A rollout state is not JSON, or a key is missing or invalid.
+    /// A rollout state is not JSON, or a key is missing or has the wrong type.
     #[error(transparent)]
     State(#[from] serde_path_to_error::Error<serde_json::Error>),
-    /// A line is not a JSON object, or there is data after it.
+    /// A line is not exactly one JSON object, a rollout state is followed by other data, or a key of outcome counts
+    /// is missing or has the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// The traffic cap is not between 0 and 1.
-    #[error("maxWeight: not between 0 and 1")]
+    #[error("maxWeight: expected a number from 0 to 1")]
     InvalidTrafficCap,
-    /// An age is negative or above [`MAX_AGE`].
-    #[error("observedAgoMs: out of range")]
+    /// The age of a rollout state is negative or above [`MAX_AGE`].
+    #[error("observedAgoMs: expected milliseconds from 0 to {}", millis(MAX_AGE))]
     InvalidAge,
-    /// Counted outcomes contradict each other, or a value is out of range.
-    #[error("SAMPLE: inconsistent counts, or a value out of range")]
+    /// Outcome counts with more failures than attempts, an age out of range, or a negative latency.
+    #[error(
+        "SAMPLE: expected failures <= requests, avgMs >= 0, and observedAgoMs from 0 to {}",
+        millis(MAX_AGE)
+    )]
     InvalidOutcomes,
-    /// A line has no type.
-    #[error("no type")]
+    /// A line that is not a keepalive has no type, or one that is not a string.
+    #[error("type: expected a string")]
     MissingType,
 }
 
-/// Outcomes that the platform counted over a period.
+/// Outcomes of attempts of one request class at endpoints of one version, as the platform counted them over a period.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct OutcomeCounts {
-    /// The version.
+    /// The software version of the endpoints.
     pub version: Version,
-    /// The name of the class.
+    /// The name of the request class.
     #[serde(rename = "kind")]
     pub class: String,
-    /// Attempts in the sample.
+    /// Number of attempts that were counted.
     #[serde(rename = "requests")]
     pub attempts: u64,
-    /// Those of them that failed.
+    /// How many of the attempts failed; at most `attempts`.
     #[serde(default)]
     pub failures: u64,
-    /// Mean latency of the others, in ms.
+    /// Mean latency of the successful attempts, if reported.
     #[serde(rename = "avgMs")]
     pub mean_latency: Option<Millis>,
-    /// Age in ms of the end of the period.
+    /// Time since the end of the period, as of when the platform sent the message.
     #[serde(rename = "observedAgoMs", default)]
     pub age: Millis,
 }
@@ -72,12 +76,10 @@
     }
 }
 
-/// `age` in ms.
 fn is_valid_age(age: Millis) -> bool {
     (0.0..=millis(MAX_AGE)).contains(&age)
 }
 
-/// A rollout state as it is sent.
 #[derive(Deserialize)]
 struct RolloutMessage {
     version: Version,
@@ -87,12 +89,11 @@
     phase: RolloutPhaseMessage,
     #[serde(rename = "maxWeight")]
     traffic_cap: f64,
-    /// Age in ms.
+    /// In milliseconds.
     #[serde(rename = "observedAgoMs", default)]
     age: Millis,
 }
 
-/// A phase of a rollout as it is sent.
 #[derive(Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 enum RolloutPhaseMessage {
@@ -104,21 +105,21 @@
     RolledBack,
 }
 
-/// One line of the feed.
+/// A valid line of the feed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FeedMessage {
     /// The state of the newest version's rollout.
     Rollout(RolloutState),
-    /// Counted outcomes.
+    /// Outcomes of attempts that the platform counted, for the policy's votes.
     Outcomes(OutcomeCounts),
-    /// A keepalive, or a message of an unknown type.
-    Nothing,
+    /// A keepalive (an empty object), or a message of a type that this version of the gateway does not support.
+    Ignored,
 }
 
-/// Reads a rollout state.
+/// Parses a rollout state, which must be complete: the object of a feed line, or the body of the response to a vote.
 ///
 /// # Errors
-/// The text is malformed or has invalid values.
+/// The text is not exactly one JSON object, or a value is invalid.
 pub fn parse_rollout_state(text: &[u8]) -> Result<RolloutState, MessageError> {
     let mut reader = serde_json::Deserializer::from_slice(text);
     let message: RolloutMessage = serde_path_to_error::deserialize(&mut reader)?;
@@ -144,10 +145,10 @@
     })
 }
 
-/// Reads a line of the feed.
+/// Parses one complete line of the feed, without its terminator.
 ///
 /// # Errors
-/// The line is malformed or has invalid values.
+/// The line is not exactly one JSON object, or a value is invalid. Later lines are not reliable: close the feed.
 pub fn parse_feed_line(line: &[u8]) -> Result<FeedMessage, MessageError> {
     let mut line: Map<String, Value> = serde_json::from_slice(line)?;
     let kind = line.remove("type");
@@ -163,6 +164,6 @@
             }
         }
         None if !line.is_empty() || !object.is_null() || kind.is_some() => Err(MessageError::MissingType),
-        _ => Ok(FeedMessage::Nothing),
+        _ => Ok(FeedMessage::Ignored),
     }
 }
--- a/crates/gateway/src/net/platform/votes.rs
+++ b/crates/gateway/src/net/platform/votes.rs
@@ -1,4 +1,5 @@
-//! Casts votes in order, each at most once. The connection of an answered vote is reused for a while.
+//! Casts votes in order, each at most once: a vote that may have been received is never sent again. After a complete
+//! response the connection is reused for the next vote, if it was not idle for too long.
 
 use super::messages::{MessageError, parse_rollout_state};
 use crate::counters::COUNTERS;
@@ -20,64 +21,63 @@
     /// The connection failed, or the response is malformed.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The rollout state in the response cannot be read.
+    /// The rollout state in the response is invalid.
     #[error(transparent)]
     State(#[from] MessageError),
-    /// The platform rejected the vote with this status.
+    /// The status with which the platform rejected the vote.
     #[error("status {0}")]
-    Status(u16),
-    /// The body of a response with this status cannot be read.
-    #[error("status {status}: {error}")]
+    Rejected(u16),
+    /// The body of a rejection is malformed.
+    #[error("status {status}: malformed body: {error}")]
     StatusBody { status: u16, error: serde_json::Error },
-    /// The status does not belong to the error in the body.
-    #[error("status {0} does not match the error in its body")]
+    /// The body of a rejection has another error than the one of this status.
+    #[error("status {0}: expected the error code of this status in the body")]
     StatusMismatch(u16),
-    /// The vote was not written in time.
-    #[error("no connection in time")]
-    NoConnectionInTime,
-    /// The response had no head.
-    #[error("no response head")]
-    NoHead,
-    /// There was no response in time.
-    #[error("no response in time")]
-    NoResponseInTime,
-    /// The connection closed within the response.
-    #[error("connection closed within the response")]
+    /// The vote was not written completely within the timeout.
+    #[error("vote not sent before its timeout")]
+    SendTimeout,
+    #[error("expected a response head")]
+    MissingHead,
+    /// The vote was written, and its response was not received completely within the timeout.
+    #[error("no complete response before the timeout of the vote")]
+    ResponseTimeout,
+    #[error("connection closed before the end of the response")]
     Truncated,
-    /// No platform is configured.
     #[error("no platform is configured")]
     NoPlatform,
 }
 
-/// One vote.
+/// A vote of this gateway on a rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Vote {
-    /// The version that is voted on.
+    /// The version that is being rolled out.
     pub version: Version,
-    /// The stage of its rollout.
+    /// The stage of the rollout to which the verdict applies.
     pub stage: u32,
-    /// The vote.
+    /// What the gateway recommends: promotion, a pause or a rollback; or that it abstains.
     pub verdict: Verdict,
-    /// When it was cast.
+    /// When the policy cast the vote; its timeout starts here, and includes the time in the queue.
     pub cast_at: Instant,
 }
 
-/// The result of a vote.
 enum VoteResult {
+    /// The state of the rollout after the vote.
     Counted(RolloutState),
+    /// The platform has not received the vote, or has rejected it.
     NotCounted(VoteError),
-    /// The platform may count it.
+    /// The platform may have counted the vote.
     Unknown(VoteError),
 }
 
-/// A connection on which a vote was answered.
+/// An idle connection, on which the response to an earlier vote was complete.
 struct VoteConnection {
     connection: HttpConnection,
     idle_since: Instant,
 }
 
 impl VoteConnection {
-    /// The platform closes idle connections, and a vote written to a closed one would have an unknown result.
+    /// Returns `true` if the next vote can be written to this connection. The platform closes idle connections, and
+    /// the result of a vote written to a closed one would be unknown.
     fn is_usable(&self, address: SocketAddr) -> bool {
         self.connection.address() == address
             && self.idle_since.elapsed() < MAX_VOTE_CONNECTION_IDLE
@@ -85,8 +85,11 @@
     }
 }
 
-/// Casts the votes of a queue, each within `vote_timeout` after [`Vote::cast_at`].
-pub async fn votes(
+/// Casts the votes of `queue`, and sends the outcome of each to `events`, until the queue is closed.
+///
+/// `address` is the platform's current address, `None` while no platform is configured. A vote without a result
+/// `vote_timeout` after [`Vote::cast_at`] has failed.
+pub async fn cast_votes(
     address: watch::Receiver<Option<SocketAddr>>, vote_timeout: Duration, mut queue: mpsc::Receiver<Vote>,
     events: mpsc::Sender<DriverEvent>,
 ) {
@@ -98,7 +101,7 @@
     }
 }
 
-/// Counts and logs the result of a vote.
+/// Updates the counters, and logs the reason of a failed vote.
 fn record(result: VoteResult, vote: &Vote) -> VoteOutcome {
     let version = vote.version.0;
     let stage = vote.stage;
@@ -134,22 +137,22 @@
             Ok(Ok(result)) => result,
             Ok(Err(error)) if is_written => VoteResult::Unknown(error),
             Ok(Err(error)) => VoteResult::NotCounted(error),
-            Err(_) if is_written => VoteResult::Unknown(VoteError::NoResponseInTime),
-            Err(_) => VoteResult::NotCounted(VoteError::NoConnectionInTime),
+            Err(_) if is_written => VoteResult::Unknown(VoteError::ResponseTimeout),
+            Err(_) => VoteResult::NotCounted(VoteError::SendTimeout),
         }
     }
 
-    /// Casts one vote. Sets `is_written` when the platform may have received it: the result is unknown after an error
-    /// then.
+    /// Sends one vote and reads the response. Sets `is_written` when the platform may have received the vote: after a
+    /// later error the result is unknown.
     async fn cast(
         &mut self, address: Option<SocketAddr>, vote: &Vote, is_written: &mut bool,
     ) -> Result<VoteResult, VoteError> {
         let address = address.ok_or(VoteError::NoPlatform)?;
         let mut connection = self.connect(address).await?;
-        connection.post("/v1/ballots", &ballot(vote)).await?;
+        connection.post("/v1/ballots", &encode_vote(vote)).await?;
         *is_written = true;
         let response = Response::read(&mut connection).await?;
-        let result = vote_result(response.status, &response.body)?;
+        let result = parse_vote_response(response.status, &response.body)?;
         if response.keeps_connection && !connection.is_unusable() {
             self.idle = Some(VoteConnection { connection, idle_since: Instant::now() });
         }
@@ -166,22 +169,22 @@
     }
 }
 
-/// A vote as it is sent.
-fn ballot(vote: &Vote) -> String {
-    let word = match vote.verdict {
+/// Encodes a vote as the JSON body of its request.
+fn encode_vote(vote: &Vote) -> String {
+    let verdict = match vote.verdict {
         Verdict::Abstain => "clear",
         Verdict::Promote => "approve",
         Verdict::Pause => "wait",
         Verdict::RollBack => "reject",
     };
-    serde_json::json!({"version": vote.version, "step": vote.stage, "vote": word}).to_string()
+    serde_json::json!({"version": vote.version, "step": vote.stage, "vote": verdict}).to_string()
 }
 
 /// The complete response to a vote.
 struct Response {
     status: u16,
     body: Bytes,
-    /// The connection stays open, and there was no data after the response.
+    /// Set when the connection stays open and no data followed the response.
     keeps_connection: bool,
 }
 
@@ -200,7 +203,7 @@
                 None => return Err(VoteError::Truncated),
             }
         }
-        let (status, closes_connection) = head.ok_or(VoteError::NoHead)?;
+        let (status, closes_connection) = head.ok_or(VoteError::MissingHead)?;
         Ok(Response {
             status,
             body: body.take(),
@@ -209,9 +212,9 @@
     }
 }
 
-/// Reads the response to a vote. Only a status together with the error that belongs to it proves that the vote was not
-/// counted; after any other response the result is unknown.
-fn vote_result(status: u16, body: &[u8]) -> Result<VoteResult, VoteError> {
+/// Parses the response to a vote. Only a status together with the error code of this status shows that the vote was
+/// not counted. After an error of this function the result is unknown.
+fn parse_vote_response(status: u16, body: &[u8]) -> Result<VoteResult, VoteError> {
     #[derive(Deserialize)]
     struct Rejection {
         error: String,
@@ -223,7 +226,7 @@
         serde_json::from_slice(body).map_err(|error| VoteError::StatusBody { status, error })?;
     match (status, rejection.error.as_str()) {
         (400, "SYNTAX") | (409, "STALE") | (429, "BUSY") | (500, "FAILED") => {
-            Ok(VoteResult::NotCounted(VoteError::Status(status)))
+            Ok(VoteResult::NotCounted(VoteError::Rejected(status)))
         }
         _ => Err(VoteError::StatusMismatch(status)),
     }
