--- a/crates/gateway/tests/parsers/http.rs
+++ b/crates/gateway/tests/parsers/http.rs
@@ -1,12 +1,12 @@
-//! HTTP responses, with malformed and oversized ones.
+//! The parser for HTTP responses, with input split at every position, and with malformed and oversized input.
 
 use crate::support::at_every_split;
 use bytes::BytesMut;
 use latchhaven_gateway::proto::http::{self, BodyBuffer, ResponseParser, ResponsePart};
 use rstest::rstest;
 
-/// Joins adjacent parts of a body.
-fn joined(parts: Vec<ResponsePart>) -> Vec<ResponsePart> {
+/// Joins adjacent parts of a body, as their boundaries depend on how the input was split.
+fn join_body_parts(parts: Vec<ResponsePart>) -> Vec<ResponsePart> {
     let mut all: Vec<ResponsePart> = Vec::new();
     for part in parts {
         match (all.last_mut(), part) {
@@ -27,7 +27,7 @@
     let empty = "HTTP/1.1 503 No\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
     let stream = [counted, chunked, empty].concat();
     let next = |reader: &mut ResponseParser, buffer: &mut BytesMut| reader.next(buffer).unwrap();
-    let parsed = at_every_split(stream.as_bytes(), ResponseParser::default, next, joined);
+    let parsed = at_every_split(stream.as_bytes(), ResponseParser::default, next, join_body_parts);
     let head = |status, closes_connection| ResponsePart::Head { status, closes_connection };
     let body = |text: &'static str| ResponsePart::Body(text.into());
     let expected = [
@@ -46,14 +46,20 @@
 #[rstest]
 #[case::not_http("220 ready\r\n\r\n".to_string())]
 #[case::no_status("HTTP/1.1 2x0 OK\r\n\r\n".to_string())]
-#[case::negative("HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\n".to_string())]
-#[case::two_lengths("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n".to_string())]
-#[case::no_colon("HTTP/1.1 200 OK\r\nnonsense\r\n\r\n".to_string())]
+#[case::negative_length("HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\n".to_string())]
+#[case::differing_lengths("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n".to_string())]
+#[case::header_without_colon("HTTP/1.1 200 OK\r\nnonsense\r\n\r\n".to_string())]
 #[case::head_too_long(format!("HTTP/1.1 200 OK\r\nA: {}", "x".repeat(20_000)))]
-#[case::bad_chunk("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n".to_string())]
-#[case::huge_chunk("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfffffffff\r\n".to_string())]
-#[case::endless_size(format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", "0".repeat(300)))]
-#[case::no_end_of_chunk("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\naXX\r\n".to_string())]
+#[case::chunk_size_not_hex("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n".to_string())]
+#[case::chunk_size_too_many_digits(
+    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfffffffff\r\n".to_string()
+)]
+#[case::chunk_size_line_too_long(
+    format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", "0".repeat(300))
+)]
+#[case::chunk_longer_than_its_size(
+    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\naXX\r\n".to_string()
+)]
 fn response_malformed_returns_an_error(#[case] bytes: String) {
     let mut reader = ResponseParser::default();
     let mut buffer = BytesMut::from(bytes.as_bytes());
--- a/crates/gateway/tests/parsers/json.rs
+++ b/crates/gateway/tests/parsers/json.rs
@@ -1,4 +1,5 @@
-//! Streams of JSON objects.
+//! Splitting of streams into JSON objects, with input split at every position, and with malformed and oversized
+//! input.
 
 use crate::support::at_every_split;
 use bytes::{Bytes, BytesMut};
@@ -20,30 +21,30 @@
 }
 
 #[rstest]
-#[case::no_object("x")]
+#[case::not_json("x")]
 #[case::an_array("[]")]
-#[case::cut_off_before_the_next("{\"seq\":7,\n{\"seq\":8}")]
-#[case::cut_off_within_an_entry("{\"hosts\":[{\"host\":\"a\",{\"seq\":8}")]
-#[case::cut_off_within_a_string("{\"seq\":\"7\n")]
-#[case::another_bracket("{\"a\":[}")]
+#[case::truncated_before_the_next_object("{\"seq\":7,\n{\"seq\":8}")]
+#[case::truncated_within_an_array_entry("{\"hosts\":[{\"host\":\"a\",{\"seq\":8}")]
+#[case::truncated_within_a_string("{\"seq\":\"7\n")]
+#[case::mismatched_bracket("{\"a\":[}")]
 #[case::too_deep("{\"a\":[[[[[[[[[[[[[[[[[[[[")]
-fn json_stream_out_of_step_returns_an_error(#[case] text: &str) {
+fn json_stream_malformed_returns_an_error(#[case] text: &str) {
     let mut framer = JsonFramer::default();
     framer.push(text.as_bytes()).unwrap();
     assert!(framer.next_frame().is_err(), "{text}");
 }
 
 #[test]
-fn json_separators_are_dropped_and_an_endless_object_is_rejected() {
+fn json_white_space_is_not_buffered_and_an_oversized_object_is_rejected() {
     let mut framer = JsonFramer::default();
     for _ in 0..40 {
         framer.push(&vec![b' '; 100_000]).unwrap();
         assert_eq!(framer.next_frame(), Ok(None));
     }
     framer.push(b"{\"a\":\"").unwrap();
-    let endless = (0..20).try_for_each(|_| {
+    let oversized = (0..20).try_for_each(|_| {
         framer.push(&vec![b'x'; 100_000])?;
         framer.next_frame().map(|frame| assert_eq!(frame, None))
     });
-    assert_eq!(endless, Err(http::ParseError::TooLong));
+    assert_eq!(oversized, Err(http::ParseError::TooLong));
 }
--- a/crates/gateway/tests/parsers/main.rs
+++ b/crates/gateway/tests/parsers/main.rs
@@ -1,4 +1,4 @@
-//! Parsers with input split at every position, and with malformed, oversized and truncated input.
+//! Parsers and their helpers: input split at every position, and malformed, oversized and truncated input.
 
 #![warn(clippy::pedantic)]
 #![allow(clippy::cast_precision_loss, clippy::cast_possible_truncation, reason = "the test data is small")]
--- a/crates/gateway/tests/parsers/messages.rs
+++ b/crates/gateway/tests/parsers/messages.rs
@@ -1,4 +1,4 @@
-//! Malformed endpoint lists, and malformed lines of the feed.
+//! Endpoint lists and feed lines with invalid JSON or invalid values.
 
 use latchhaven_gateway::net::{list, platform};
 use rstest::rstest;
@@ -14,7 +14,7 @@
 #[case::negative_age(
     r#"{"type":"ROLLOUT","object":{"version":4,"step":1,"status":"COMPLETE","maxWeight":1,"observedAgoMs":-5}}"#
 )]
-#[case::more_failures(
+#[case::more_failures_than_attempts(
     r#"{"type":"SAMPLE","object":{"version":4,"kind":"a","requests":1,"failures":2,"avgMs":1}}"#
 )]
 #[case::negative_latency(
--- a/crates/gateway/tests/parsers/postgres.rs
+++ b/crates/gateway/tests/parsers/postgres.rs
@@ -1,4 +1,5 @@
-//! The Postgres protocol, with malformed, oversized and truncated messages.
+//! The parsers of the Postgres protocol, with input split at every position, and with malformed and oversized
+//! messages.
 
 use crate::support::{at_every_split, message, startup};
 use bytes::{Bytes, BytesMut};
@@ -39,14 +40,14 @@
 
 #[test]
 fn backend_is_independent_of_input_splits() {
-    let described = message(b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
+    let description = message(b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
     let (row, complete) = (message(b'D', b"\0\x01\0\0\0\x02\x9f\x03"), message(b'C', b"SELECT 1\0"));
     let failed = message(b'E', b"SERROR\0C53300\0Mfull\0\0");
     let (load, notice) = (message(b'S', b"load\0inflight=7\0"), message(b'N', b"SNOTICE\0\0"));
     let stream = [
         &message(b'R', &[0; 4])[..],
         pg::encode::READY,
-        &described,
+        &description,
         &notice,
         &row,
         &load,
@@ -58,7 +59,7 @@
     .concat();
     let next = |backend: &mut BackendParser, buffer: &mut BytesMut| backend.next(buffer).unwrap();
     let messages = at_every_split(&stream, BackendParser::default, next, |messages| messages);
-    let value = [described, row, complete].map(Bytes::from);
+    let value = [description, row, complete].map(Bytes::from);
     let load = BackendMessage::Parameter { name: "load".to_string(), value: "inflight=7".to_string() };
     let failed = BackendMessage::Error("53300".to_string());
     assert_eq!(
@@ -86,9 +87,9 @@
 #[case::startup_too_short(b"\0\0\0\x07".to_vec(), ParseError::Length(7))]
 #[case::old_version(b"\0\0\0\x08\0\x02\0\0".to_vec(), ParseError::Version(131_072))]
 #[case::http([&startup()[..], b"GET / HTTP/1.1\r\n"].concat(), ParseError::Type(b'G'))]
-#[case::oversized([&startup()[..], b"Q\0\x04\0\0"].concat(), ParseError::Length(262_144))]
-#[case::below_itself([&startup()[..], b"Q\0\0\0\x03"].concat(), ParseError::Length(3))]
-fn frontend_out_of_step_returns_the_error(#[case] bytes: Vec<u8>, #[case] expected: ParseError) {
+#[case::query_too_long([&startup()[..], b"Q\0\x04\0\0"].concat(), ParseError::Length(262_144))]
+#[case::length_below_that_of_its_field([&startup()[..], b"Q\0\0\0\x03"].concat(), ParseError::Length(3))]
+fn frontend_input_malformed_returns_the_error(#[case] bytes: Vec<u8>, #[case] expected: ParseError) {
     let mut frontend = FrontendParser::default();
     let mut buffer = BytesMut::from(&bytes[..]);
     let error = loop {
@@ -100,32 +101,38 @@
     assert_eq!(error, expected);
 }
 
-const DESCRIBED: &[u8] = b"T\0\0\0\x1c\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
+const ROW_DESCRIPTION: &[u8] = b"T\0\0\0\x1c\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
 
 #[rstest]
-#[case::noise_in_a_tag(&[DESCRIBED, &message(b'D', b"\0\x01\0\0\0\x01a"), &message(b'C', b"SEL\x07CT 1\0")].concat())]
-#[case::two_rows_reported(&[DESCRIBED, &message(b'D', b"\0\x01\0\0\0\x01a"), &message(b'C', b"SELECT 2\0")].concat())]
-#[case::no_value(&[DESCRIBED, &message(b'D', b"\0\x01\xff\xff\xff\xff")].concat())]
-#[case::a_value_in_text(&message(b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\0"))]
-#[case::a_column_cut_short(&message(b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\0\x01"))]
-#[case::a_length_before_its_rest(&[DESCRIBED, b"D\0\0\0\x20\0\x01\x7f\0\0\0"].concat())]
-#[case::an_error_within_an_answer(&[DESCRIBED, &message(b'E', b"SERROR\0C53300\0Mno\0\0")].concat())]
-#[case::an_error_without_a_code(&message(b'E', b"SERROR\0Mno\0\0"))]
-#[case::an_error_with_two_codes(&message(b'E', b"SERROR\0C53300\0CXX000\0Mno\0\0"))]
-#[case::an_error_without_an_end(&message(b'E', b"SERROR\0C53300\0Mno\0"))]
-#[case::not_idle(&message(b'Z', b"T"))]
+#[case::malformed_tag(
+    &[ROW_DESCRIPTION, &message(b'D', b"\0\x01\0\0\0\x01a"), &message(b'C', b"SEL\x07CT 1\0")].concat()
+)]
+#[case::two_rows_reported(
+    &[ROW_DESCRIPTION, &message(b'D', b"\0\x01\0\0\0\x01a"), &message(b'C', b"SELECT 2\0")].concat()
+)]
+#[case::null_value(&[ROW_DESCRIPTION, &message(b'D', b"\0\x01\xff\xff\xff\xff")].concat())]
+#[case::text_format(&message(b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\0"))]
+#[case::truncated_column_description(
+    &message(b'T', b"\0\x01doc\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\0\x01")
+)]
+#[case::value_length_mismatch_before_the_value(&[ROW_DESCRIPTION, b"D\0\0\0\x20\0\x01\x7f\0\0\0"].concat())]
+#[case::error_within_a_result(&[ROW_DESCRIPTION, &message(b'E', b"SERROR\0C53300\0Mno\0\0")].concat())]
+#[case::error_without_a_code(&message(b'E', b"SERROR\0Mno\0\0"))]
+#[case::error_with_two_codes(&message(b'E', b"SERROR\0C53300\0CXX000\0Mno\0\0"))]
+#[case::error_without_terminator(&message(b'E', b"SERROR\0C53300\0Mno\0"))]
+#[case::ready_within_a_transaction(&message(b'Z', b"T"))]
 #[case::ready_too_long(b"Z\0\0\0\x06")]
-#[case::a_password(&message(b'R', &[0, 0, 0, 3]))]
+#[case::password_request(&message(b'R', &[0, 0, 0, 3]))]
 #[case::two_columns(&message(b'T', b"\0\x02"))]
-#[case::two_descriptions(&[DESCRIBED, DESCRIBED].concat())]
-#[case::a_row_before_its_description(&message(b'D', b"\0\x01\0\0\0\0"))]
-#[case::two_rows(&[DESCRIBED, &message(b'D', b"\0\x01\0\0\0\0").repeat(2)].concat())]
-#[case::a_row_cut_short(&[DESCRIBED, &message(b'D', b"\0\x01\0\0\0\x05ab")].concat())]
-#[case::no_row(&[DESCRIBED, &message(b'C', b"SELECT 0\0")].concat())]
-#[case::ready_too_early(&[DESCRIBED, pg::encode::READY].concat())]
-#[case::endless(b"D\x7f\xff\xff\xff")]
-#[case::unknown(b"\0\0\0\0\0")]
-fn backend_out_of_step_returns_an_error(#[case] bytes: &[u8]) {
+#[case::two_descriptions(&[ROW_DESCRIPTION, ROW_DESCRIPTION].concat())]
+#[case::row_before_its_description(&message(b'D', b"\0\x01\0\0\0\0"))]
+#[case::two_rows(&[ROW_DESCRIPTION, &message(b'D', b"\0\x01\0\0\0\0").repeat(2)].concat())]
+#[case::truncated_row(&[ROW_DESCRIPTION, &message(b'D', b"\0\x01\0\0\0\x05ab")].concat())]
+#[case::no_row(&[ROW_DESCRIPTION, &message(b'C', b"SELECT 0\0")].concat())]
+#[case::ready_within_a_result(&[ROW_DESCRIPTION, pg::encode::READY].concat())]
+#[case::row_too_long(b"D\x7f\xff\xff\xff")]
+#[case::unknown_type(b"\0\0\0\0\0")]
+fn backend_input_malformed_returns_an_error(#[case] bytes: &[u8]) {
     let mut backend = BackendParser::default();
     let mut buffer = BytesMut::from(bytes);
     let mut result = backend.next(&mut buffer);
--- a/crates/gateway/tests/parsers/robustness.rs
+++ b/crates/gateway/tests/parsers/robustness.rs
@@ -1,4 +1,4 @@
-//! No parser panics, whatever its input.
+//! Parsers return an error, and do not panic, on arbitrary input.
 
 use crate::support::{message, startup};
 use bytes::{Bytes, BytesMut};
@@ -7,7 +7,7 @@
 
 #[test]
 fn no_parser_panics_on_arbitrary_bytes() {
-    // A linear congruential generator: the same bytes at each run.
+    // A linear congruential generator with a fixed seed, so that each run tests the same bytes.
     let mut state = 0x2545_f491_4f6c_dd1d_u64;
     let mut byte = move || {
         state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
--- a/crates/gateway/tests/parsers/statements.rs
+++ b/crates/gateway/tests/parsers/statements.rs
@@ -1,4 +1,4 @@
-//! Statements that are routed, and their comments.
+//! The parser for supported statements and the comments with their parameters.
 
 use bytes::Bytes;
 use latchhaven_gateway::proto::pg::{self, Statement, StatementError};
--- a/crates/gateway/tests/parsers/support.rs
+++ b/crates/gateway/tests/parsers/support.rs
@@ -1,10 +1,13 @@
-//! Input for parsers, split at every position.
+//! Encodes messages, and parses input split at every position.
 
 use bytes::BytesMut;
 use latchhaven_gateway::proto::pg;
 use std::fmt::Debug;
 
-/// Parses bytes in one part, in two parts split at each position, and byte by byte. Checks that the results are equal.
+/// Parses `bytes` in one chunk, in two chunks split at each position, and byte by byte. Checks that the results are
+/// equal and that no input remains, and returns them.
+///
+/// `start` creates a parser, `next` calls it once, and `join` removes differences that may depend on the chunks.
 pub(crate) fn at_every_split<T: PartialEq + Debug, R>(
     bytes: &[u8], start: impl Fn() -> R, mut next: impl FnMut(&mut R, &mut BytesMut) -> Option<T>,
     join: impl Fn(Vec<T>) -> Vec<T>,
@@ -19,7 +22,7 @@
                 parts.push(part);
             }
         }
-        assert!(buffer.is_empty(), "left over: {buffer:?}");
+        assert!(buffer.is_empty(), "input that was not parsed: {buffer:?}");
         join(parts)
     };
     let unsplit = read(vec![bytes]);
