--- a/crates/gateway/src/net/discovery_calls.rs
+++ b/crates/gateway/src/net/discovery_calls.rs
@@ -86,7 +86,6 @@
     Ok(connection)
 }
 
-/// An open watch.
 struct Watch {
     /// The version after which the watch was requested.
     after: u64,
--- a/crates/gateway/src/net/platform/feed.rs
+++ b/crates/gateway/src/net/platform/feed.rs
@@ -168,7 +168,6 @@
     }
 }
 
-/// An open feed.
 struct Feed {
     connection: HttpConnection,
     body: BodyBuffer,
--- a/crates/gateway/src/proto/pg/encode.rs
+++ b/crates/gateway/src/proto/pg/encode.rs
@@ -1,5 +1,6 @@
 //! Encodes messages to endpoints and clients.
 
+use super::framing::LENGTH_FIELD_BYTES;
 use super::statement::Statement;
 use bytes::{BufMut, Bytes, BytesMut};
 use latchhaven_policy::Millis;
@@ -12,6 +13,14 @@
 /// without.
 pub const NO_ENCRYPTION: &[u8] = b"N";
 
+const QUERY: u8 = b'Q';
+const PARAMETER_STATUS: u8 = b'S';
+const ERROR_RESPONSE: u8 = b'E';
+/// Size in bytes of the type and the length of a message.
+const HEADER_BYTES: usize = 1 + LENGTH_FIELD_BYTES;
+/// Size of the zero byte that follows each text.
+const TERMINATOR_BYTES: usize = 1;
+
 const AUTHENTICATION_OK: &[u8] = b"R\0\0\0\x08\0\0\0\0";
 /// Process id and key are 0, as cancel requests are not supported.
 const BACKEND_KEY_DATA: &[u8] = b"K\0\0\0\x0c\0\0\0\0\0\0\0\0";
@@ -36,31 +45,28 @@
     let digits = format!("{}", timeout.max(1.0).floor());
     let text = &statement.text;
     let replaced = &statement.timeout_digits;
-    let length = text.len() - replaced.len() + digits.len() + 5;
-    let mut head = BytesMut::with_capacity(5);
-    head.put_u8(b'Q');
-    head.put_u32(length as u32);
-    let mut tail = BytesMut::with_capacity(text.len() - replaced.end + 1);
-    tail.put_slice(&text[replaced.end..]);
-    tail.put_u8(0);
+    let body_bytes = text.len() - replaced.len() + digits.len() + TERMINATOR_BYTES;
+    let mut head = BytesMut::with_capacity(HEADER_BYTES);
+    put_header(&mut head, QUERY, body_bytes);
+    let mut tail = BytesMut::with_capacity(text.len() - replaced.end + TERMINATOR_BYTES);
+    put_text(&mut tail, &text[replaced.end..]);
     [head.freeze(), text.slice(..replaced.start), Bytes::from(digits), tail.freeze()]
 }
 
 /// Encodes a simple query (`Query`). `text` contains no zero byte.
 #[must_use]
 pub fn query(text: &str) -> Bytes {
-    let mut message = BytesMut::with_capacity(text.len() + 6);
-    message.put_u8(b'Q');
-    message.put_u32(text.len() as u32 + 5);
-    message.put_slice(text.as_bytes());
-    message.put_u8(0);
+    let body_bytes = text.len() + TERMINATOR_BYTES;
+    let mut message = BytesMut::with_capacity(HEADER_BYTES + body_bytes);
+    put_header(&mut message, QUERY, body_bytes);
+    put_text(&mut message, text.as_bytes());
     message.freeze()
 }
 
 /// Encodes the `StartupMessage` to an endpoint.
 #[must_use]
 pub fn startup() -> Bytes {
-    let length = STARTUP_PARAMETERS.len() + 8;
+    let length = LENGTH_FIELD_BYTES + size_of_val(&PROTOCOL_VERSION) + STARTUP_PARAMETERS.len();
     let mut message = BytesMut::with_capacity(length);
     message.put_u32(length as u32);
     message.put_u32(PROTOCOL_VERSION);
@@ -75,12 +81,9 @@
     let mut messages = BytesMut::new();
     messages.put_slice(AUTHENTICATION_OK);
     for (name, value) in SERVER_PARAMETERS {
-        messages.put_u8(b'S');
-        messages.put_u32((name.len() + value.len() + 6) as u32);
-        for text in [name, value] {
-            messages.put_slice(text.as_bytes());
-            messages.put_u8(0);
-        }
+        put_header(&mut messages, PARAMETER_STATUS, name.len() + value.len() + 2 * TERMINATOR_BYTES);
+        put_text(&mut messages, name.as_bytes());
+        put_text(&mut messages, value.as_bytes());
     }
     messages.put_slice(BACKEND_KEY_DATA);
     messages.put_slice(READY);
@@ -97,15 +100,26 @@
     let severity = if is_fatal { "FATAL" } else { "ERROR" };
     let mut fields = vec![(b'S', severity), (b'V', severity), (b'C', code), (b'M', text)];
     fields.extend(detail.map(|detail| (b'D', detail)));
-    let length = 5 + fields.iter().map(|(_, value)| value.len() + 2).sum::<usize>();
-    let mut message = BytesMut::with_capacity(length + 1);
-    message.put_u8(b'E');
-    message.put_u32(length as u32);
+    // Each field has a type byte and a terminator; a terminator follows the last field.
+    let field_bytes = fields.iter().map(|(_, value)| 1 + value.len() + TERMINATOR_BYTES).sum::<usize>();
+    let body_bytes = field_bytes + TERMINATOR_BYTES;
+    let mut message = BytesMut::with_capacity(HEADER_BYTES + body_bytes);
+    put_header(&mut message, ERROR_RESPONSE, body_bytes);
     for (kind, value) in fields {
         message.put_u8(kind);
-        message.put_slice(value.as_bytes());
-        message.put_u8(0);
+        put_text(&mut message, value.as_bytes());
     }
     message.put_u8(0);
     message.freeze()
 }
+
+/// Writes the type and the length of a message.
+fn put_header(message: &mut BytesMut, kind: u8, body_bytes: usize) {
+    message.put_u8(kind);
+    message.put_u32((LENGTH_FIELD_BYTES + body_bytes) as u32);
+}
+
+fn put_text(message: &mut BytesMut, text: &[u8]) {
+    message.put_slice(text);
+    message.put_u8(0);
+}
