--- a/crates/gateway/src/serve/bind.rs
+++ b/crates/gateway/src/serve/bind.rs
@@ -1,4 +1,4 @@
-//! Binds the listener, and retries while the address is in use.
+//! Binds the listener.
 
 use crate::limits::start::{BIND_RETRY_INTERVAL, BIND_TIMEOUT, LISTEN_BACKLOG};
 use std::io;
@@ -8,13 +8,13 @@
 
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // Connections of an earlier process may still be closing.
+    // Otherwise binding fails while connections of an earlier process are in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// Binds, and retries while the address is in use.
+/// Binds the listener. While the address is in use, retries until [`BIND_TIMEOUT`].
 pub(super) async fn bind_with_retry(address: SocketAddr) -> io::Result<TcpListener> {
     let start = Instant::now();
     loop {
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -1,4 +1,4 @@
-//! Starts the gateway, handles signals, and shuts it down.
+//! The process of a gateway: start, signals and shutdown.
 
 mod bind;
 mod signals;
@@ -28,41 +28,42 @@
 use tokio::task::{JoinError, JoinHandle};
 use tokio::time::sleep;
 
-/// Why a gateway could not start, or stopped without a signal. The text is printed at the end of the process.
+/// Why a gateway could not start, or stopped without a signal. The process prints the text and exits.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// A signal handler cannot be installed.
+    /// The system did not install a signal handler.
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
-    /// The configuration is faulty.
+    /// The configuration is missing or invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The listener cannot be bound.
+    /// The listener could not be bound within [`BIND_TIMEOUT`](crate::limits::start::BIND_TIMEOUT).
     #[error("listen: {address}: {error}")]
     Listen {
         /// The configured address.
         address: SocketAddr,
-        /// What the system reported.
+        /// The error of the last attempt.
         error: io::Error,
     },
-    /// The event loop ended.
-    #[error("the gateway ended: {0:?}")]
-    EventLoopEnded(Result<(), JoinError>),
+    /// The task of the event loop returned or panicked while the gateway was serving.
+    #[error("event loop exited unexpectedly: {0:?}")]
+    EventLoopExited(Result<(), JoinError>),
 }
 
 fn environment(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
-/// Serves until SIGTERM or SIGINT, within a `LocalSet` on a runtime of one thread. With a `counters_interval` the
-/// counters are logged that often; the first time is drawn at random within it, so that gateways started together do
-/// not all log at the same moment.
+/// Runs a gateway until SIGTERM or SIGINT. Call within a `LocalSet` on a runtime with one thread.
+///
+/// With a `counters_interval` the counters are logged periodically. The first time is drawn at random within the
+/// interval, so that gateways that were started together do not all log at the same time.
 ///
 /// # Errors
-/// The gateway cannot start, or its event loop ended.
+/// The gateway could not start, or its event loop exited.
 pub async fn serve(counters_interval: Option<Duration>) -> Result<(), ServeError> {
     let clock = Clock::start();
-    // First: an unhandled signal ends the process.
+    // Before anything else: a signal without a handler terminates the process immediately.
     let signals = Signals::install().map_err(ServeError::Signals)?;
     let config = config::read(environment)?;
     let address = config.addresses.listen;
@@ -72,28 +73,26 @@
     let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
     let name = config.addresses.name.clone();
     let endpoints = config.initial_state.list.entries.len();
-    let Started { clients, mut gateway } = start(config, signals.reload, clock, &mut rng);
+    let GatewayTasks { clients, mut event_loop } = start_tasks(config, signals.reload, clock, &mut rng);
     tracing::info!(name, %listening, servers = endpoints, "gateway started");
     select! {
         () = accept_until_stopped(signals.stop, &clients) => {}
         () = clients.clone().accept(&listener) => {}
-        () = signals::print_counters(signals.print_counters) => {}
-        () = log_counters(counters_interval, &mut rng) => {}
-        ended = &mut gateway => return Err(ServeError::EventLoopEnded(ended)),
+        () = signals::log_counters_on_signal(signals.log_counters) => {}
+        () = log_counters_periodically(counters_interval, &mut rng) => {}
+        result = &mut event_loop => return Err(ServeError::EventLoopExited(result)),
     }
-    shut_down(&clients, listener, &gateway).await;
+    shut_down(&clients, listener, &event_loop).await;
     Ok(())
 }
 
-/// The tasks of a gateway, except for the listener.
-struct Started {
+struct GatewayTasks {
     clients: Rc<Clients>,
-    /// The event loop.
-    gateway: JoinHandle<()>,
+    event_loop: JoinHandle<()>,
 }
 
-/// Starts the event loop and the drivers.
-fn start(config: GatewayConfig, reload: Signal, clock: Clock, rng: &mut Pcg64Mcg) -> Started {
+/// Starts the event loop and the tasks of all connections except those of clients.
+fn start_tasks(config: GatewayConfig, reload: Signal, clock: Clock, rng: &mut Pcg64Mcg) -> GatewayTasks {
     let (events, event_receiver) = mpsc::channel(MAX_PENDING_EVENTS);
     let (platform_sender, platform_address) = watch::channel(config.addresses.platform);
     let connections = config.settings.upstream_connections();
@@ -120,11 +119,12 @@
         votes,
         events,
     });
-    let gateway = tokio::task::spawn_local(gateway.run(config.initial_state, event_receiver));
-    Started { clients, gateway }
+    let event_loop = tokio::task::spawn_local(gateway.run(config.initial_state, event_receiver));
+    GatewayTasks { clients, event_loop }
 }
 
-/// Waits for a stop signal, and then for the connections that the load balancer still hands out.
+/// Waits for a stop signal, and then for [`shutdown::ACCEPT_TIME`], during which the load balancer may still forward
+/// connections to this gateway.
 async fn accept_until_stopped(mut stop: StopSignals, clients: &Clients) {
     stop.received().await;
     tracing::info!("shutdown started");
@@ -132,8 +132,8 @@
     sleep(shutdown::ACCEPT_TIME).await;
 }
 
-/// Logs the counters periodically, if an interval is given.
-async fn log_counters(interval: Option<Duration>, rng: &mut Pcg64Mcg) {
+/// Never returns; without an interval, logs nothing.
+async fn log_counters_periodically(interval: Option<Duration>, rng: &mut Pcg64Mcg) {
     let Some(interval) = interval else { return std::future::pending().await };
     sleep(interval.mul_f64(rng.random())).await;
     loop {
@@ -142,17 +142,19 @@
     }
 }
 
-/// Closes the listener after the accepts of what it has queued, then waits until the last connection is closed.
-async fn shut_down(clients: &Rc<Clients>, listener: TcpListener, gateway: &JoinHandle<()>) {
+/// Accepts the connections that the kernel has queued, closes the listener, and waits until the last connection is
+/// closed.
+async fn shut_down(clients: &Rc<Clients>, listener: TcpListener, event_loop: &JoinHandle<()>) {
     if let Err(error) = clients.accept_rest(listener) {
         tracing::warn!(%error, "shutdown: final accept failed");
     }
-    // Without effect where the stop signal has begun the shutdown; required where the accept loop ended first.
+    // Has no effect after a stop signal, which has begun the shutdown; required if the accept loop returned before
+    // one.
     clients.shut_down();
     let connections = clients.open_sessions();
     let busy = clients.busy_sessions();
     tracing::info!(connections, busy, "shutdown: listener closed");
-    while clients.open_sessions() > 0 && !gateway.is_finished() {
+    while clients.open_sessions() > 0 && !event_loop.is_finished() {
         sleep(shutdown::POLL_INTERVAL).await;
     }
     tracing::info!("counters: {COUNTERS}");
--- a/crates/gateway/src/serve/signals.rs
+++ b/crates/gateway/src/serve/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: SIGTERM and SIGINT stop the gateway, SIGUSR1 logs the counters, SIGHUP reloads the configuration.
+//! Signal handlers: SIGTERM and SIGINT stop the gateway, SIGUSR1 logs the counters, SIGHUP reloads the configuration.
 
 use crate::config;
 use crate::counters::COUNTERS;
@@ -9,14 +9,13 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{mpsc, watch};
 
-/// SIGTERM and SIGINT.
 pub(super) struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl StopSignals {
-    /// Returns when one of them is received.
+    /// Returns when SIGTERM or SIGINT is received.
     pub(super) async fn received(&mut self) {
         select! {
             _ = self.terminate.recv() => {}
@@ -25,10 +24,12 @@
     }
 }
 
-/// The handled signals. Before [`Signals::install`] each of them ends the process.
+/// The handled signals. Before [`Signals::install`] each of them terminates the process.
 pub(super) struct Signals {
     pub(super) stop: StopSignals,
-    pub(super) print_counters: Signal,
+    /// SIGUSR1.
+    pub(super) log_counters: Signal,
+    /// SIGHUP.
     pub(super) reload: Signal,
 }
 
@@ -39,20 +40,21 @@
                 terminate: signal(SignalKind::terminate())?,
                 interrupt: signal(SignalKind::interrupt())?,
             },
-            print_counters: signal(SignalKind::user_defined1())?,
+            log_counters: signal(SignalKind::user_defined1())?,
             reload: signal(SignalKind::hangup())?,
         })
     }
 }
 
-/// Logs the counters at each signal.
-pub(super) async fn print_counters(mut signal: Signal) {
+pub(super) async fn log_counters_on_signal(mut signal: Signal) {
     while signal.recv().await.is_some() {
         tracing::info!("counters: {COUNTERS}");
     }
 }
 
-/// Reloads the configuration at each signal, and passes on changed addresses.
+/// Reloads the configuration at each signal. Sends the address of discovery to `events`, and the address of the
+/// platform to `platform` if it has changed. An invalid configuration is logged, and the current one remains in
+/// effect.
 pub(super) async fn reload_config(
     mut signal: Signal, events: mpsc::Sender<DriverEvent>, platform: watch::Sender<Option<SocketAddr>>,
 ) {
