--- a/crates/gateway/src/proto/pg/backend.rs
+++ b/crates/gateway/src/proto/pg/backend.rs
@@ -16,7 +16,7 @@
 const READY_FOR_QUERY: u8 = b'Z';
 const ROW_DESCRIPTION: u8 = b'T';
 
-/// The body of `AuthenticationOk`; any other code requests a password or another proof of identity.
+/// The body of `AuthenticationOk`; any other code requests a password or another form of authentication.
 const AUTHENTICATION_OK: [u8; 4] = [0; 4];
 /// The body of a `ReadyForQuery` outside of a transaction.
 const STATUS_IDLE: &[u8] = b"I";
@@ -30,7 +30,7 @@
 pub(super) const ROW_HEADER_BYTES: u32 = 10;
 /// The shortest `RowDescription`, as the value of its length field: number of columns, and a column with an empty
 /// name.
-const MIN_ROW_DESCRIPTION: usize = 4 + 2 + 1 + COLUMN_DESCRIPTION_BYTES;
+const MIN_ROW_DESCRIPTION: usize = LENGTH_FIELD_BYTES + 2 + 1 + COLUMN_DESCRIPTION_BYTES;
 
 /// A message of an endpoint that affects the query on its connection, or the state of the endpoint.
 #[derive(Clone, Debug, PartialEq)]
@@ -158,7 +158,8 @@
         if self.description.is_some() {
             return Err(ParseError::Malformed("expected the rest of a result, got ErrorResponse"));
         }
-        let code = error_code(body).ok_or(ParseError::Malformed("expected ErrorResponse with S, C and M"))?;
+        let code = error_code(body)
+            .ok_or(ParseError::Malformed("expected ErrorResponse with one severity, SQLSTATE and message"))?;
         Ok(BackendMessage::Error(code))
     }
 
--- a/crates/gateway/src/proto/pg/frontend.rs
+++ b/crates/gateway/src/proto/pg/frontend.rs
@@ -1,7 +1,7 @@
 //! Parser for messages of clients.
 
 use super::error::ParseError;
-use super::framing::split_message;
+use super::framing::{LENGTH_FIELD_BYTES, split_message};
 use crate::limits::messages::MAX_CLIENT_MESSAGE;
 use bytes::{Buf, Bytes, BytesMut};
 
@@ -65,8 +65,7 @@
             return self.next_startup(buffer);
         }
         loop {
-            // Checked before the length is received, so that input of another protocol is rejected with its first
-            // byte.
+            // Checked before the length is received, so that input of another protocol is rejected immediately.
             let Some(kind) = buffer.first().copied() else { return Ok(None) };
             if !MESSAGE_TYPES.contains(&kind) {
                 return Err(ParseError::Type(kind));
@@ -97,7 +96,7 @@
     }
 
     fn next_startup(&mut self, buffer: &mut BytesMut) -> Result<Option<FrontendMessage>, ParseError> {
-        let Some(length) = buffer.first_chunk::<4>() else { return Ok(None) };
+        let Some(length) = buffer.first_chunk::<LENGTH_FIELD_BYTES>() else { return Ok(None) };
         let length = u32::from_be_bytes(*length) as usize;
         if !STARTUP_LENGTHS.contains(&length) {
             return Err(ParseError::Length(length));
@@ -106,7 +105,7 @@
             return Ok(None);
         }
         let mut packet = buffer.split_to(length);
-        packet.advance(4);
+        packet.advance(LENGTH_FIELD_BYTES);
         match packet.get_u32() {
             SSL_REQUEST | GSS_REQUEST if packet.is_empty() => Ok(Some(FrontendMessage::EncryptionRequest)),
             CANCEL_REQUEST => Ok(Some(FrontendMessage::CancelRequest)),
@@ -125,6 +124,7 @@
             body.truncate(end);
             Ok(body)
         }
+        // The client receives this text.
         _ => Err(ParseError::Malformed("a query ends with its only zero byte")),
     }
 }
