--- a/crates/control-plane/src/control_plane/mod.rs
+++ b/crates/control-plane/src/control_plane/mod.rs
@@ -20,7 +20,7 @@
 use latchhaven_proxy_config::freshness::{KnownState, PublicationBlocked};
 use latchhaven_proxy_config::load_reports::LoadReportAggregator;
 use latchhaven_proxy_config::proxy_config::ProxyConfigSettings;
-use latchhaven_proxy_config::share_ledger::ShareLedger;
+use latchhaven_proxy_config::published_shares::PublishedShares;
 use latchhaven_proxy_config::version::VersionSigner;
 use latchhaven_xds::admission::Admission;
 use latchhaven_xds::resources::{ListenerConfig, ResourceConfig, ResourceSnapshot};
@@ -57,7 +57,7 @@
     admission: Admission,
     proxies: ProxyRegistry,
     load_reports: LoadReportAggregator,
-    shares: ShareLedger,
+    published_shares: PublishedShares,
     schedule: Schedule,
     /// Events that the decisions have not processed yet.
     pending_events: Vec<Event>,
@@ -108,7 +108,7 @@
             admission: Admission::new(config.max_streams),
             proxies: ProxyRegistry::default(),
             load_reports: LoadReportAggregator::new(class_names, config.platform_counts_only),
-            shares: ShareLedger::new(limits::max_share_entries(config.max_streams)),
+            published_shares: PublishedShares::new(limits::max_share_entries(config.max_streams)),
             schedule: Schedule::new(),
             pending_events: Vec::new(),
             snapshot: None,
@@ -132,7 +132,7 @@
         let mut effects = Effects { admitted_streams: self.admission.poll(now), ..Effects::default() };
         for stream in &effects.admitted_streams {
             if let Some(proxy) = self.proxies.open_discovery_stream(*stream) {
-                self.shares.on_connected(proxy);
+                self.published_shares.on_connected(proxy);
             }
         }
         if !self.schedule.is_due(now) {
--- a/crates/control-plane/src/control_plane/publication.rs
+++ b/crates/control-plane/src/control_plane/publication.rs
@@ -13,8 +13,8 @@
     /// Expires disconnected proxies, records a rejection of the canary by this process, and builds a configuration, which
     /// becomes the current snapshot; none while none may be published, or where version and resources equal the last one's.
     pub(super) fn publish(&mut self, now: Millis) -> Option<Publication> {
-        self.shares.remove_expired(now);
-        self.proxies.remove_disconnected_above(limits::max_registered_proxies(self.shares.len()));
+        self.published_shares.remove_expired(now);
+        self.proxies.remove_disconnected_above(limits::max_registered_proxies(self.published_shares.len()));
         let mut decisions = self.policy.snapshot(now);
         if decisions.is_canary_rejected {
             self.known_state.reject_canary();
@@ -27,7 +27,7 @@
             &self.settings,
             self.known_state.rolled_back_versions(),
             self.addresses.listed(),
-            &self.shares,
+            &self.published_shares,
             now,
         );
         let snapshot = self.build_snapshot(&config, version)?;
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -5,7 +5,7 @@
 use latchhaven_policy::{EndpointEntry, Event, Millis, RolloutState, UpdateFailure, UpdateKind, VoteOutcome};
 use latchhaven_proxy_config::freshness::UpdateResult;
 use latchhaven_proxy_config::load_reports::{ProxyReport, ReportError};
-use latchhaven_proxy_config::share_ledger::CanaryShares;
+use latchhaven_proxy_config::published_shares::CanaryShares;
 use latchhaven_proxy_config::version::{RolloutStatus, SignedVersion};
 use latchhaven_xds::admission::AdmissionResult;
 use latchhaven_xds::resources::ResourceType;
@@ -90,7 +90,7 @@
     pub fn on_stream_closed(&mut self, stream: u64, now: Millis) {
         self.admission.on_stream_closed(stream);
         if let Some(proxy) = self.proxies.close_stream(stream) {
-            self.shares.on_disconnected(proxy, now);
+            self.published_shares.on_disconnected(proxy, now);
             self.load_reports.on_disconnected(proxy);
         }
     }
@@ -103,7 +103,7 @@
                 StreamEvent::VersionReported { resource_type, version } => {
                     self.on_reported_version(proxy, resource_type, &version, now);
                 }
-                StreamEvent::Acknowledged(shares) => self.shares.on_acknowledged(proxy, &shares),
+                StreamEvent::Acknowledged(shares) => self.published_shares.on_acknowledged(proxy, &shares),
                 StreamEvent::Rejected { resource_type, nonce, message } => {
                     let node = self.proxies.node(stream);
                     tracing::warn!(
@@ -115,7 +115,7 @@
                         "xds: proxy rejected a configuration"
                     );
                     if resource_type == ResourceType::Route {
-                        self.shares.on_rejected(proxy);
+                        self.published_shares.on_rejected(proxy);
                     }
                 }
             }
@@ -125,7 +125,7 @@
     /// A stream is about to send routes.
     pub fn on_routes_sent(&mut self, stream: u64, canary_shares: &CanaryShares, now: Millis) {
         if let Some(proxy) = self.proxies.proxy_number(stream) {
-            self.shares.on_sent(proxy, canary_shares, now);
+            self.published_shares.on_sent(proxy, canary_shares, now);
         }
     }
 
@@ -147,7 +147,7 @@
                 let node = self.proxies.node(stream);
                 tracing::debug!(node, stream, %reason, "xds: load report rejected");
             })?;
-        self.shares.set_request_rate(proxy, request_rates);
+        self.published_shares.set_request_rate(proxy, request_rates);
         Ok(())
     }
 
@@ -157,7 +157,7 @@
     ) {
         if resource_type == ResourceType::Route {
             let max_share = limits::max_published_share(&version.version.rollout);
-            self.shares.on_reported(proxy, vec![max_share; self.settings.classes.len()]);
+            self.published_shares.on_reported(proxy, vec![max_share; self.settings.classes.len()]);
         }
         if let Some(rollout) = self.known_state.apply_proxy_version(version, now) {
             self.pending_events.push(Event::RolloutUpdate(rollout));
--- a/crates/proxy-config/src/lib.rs
+++ b/crates/proxy-config/src/lib.rs
@@ -5,7 +5,7 @@
 //! - [`freshness`]: the newest rollout state and endpoint list known, and whether a configuration may be published.
 //! - [`parts_per_million`]: the unit of shares, caps and drop rates.
 //! - [`canary_share`]: the largest share of requests for a canary at which random draws stay within its cap.
-//! - [`share_ledger`]: the shares that each proxy may still use, and the remaining share of the other proxies.
+//! - [`published_shares`]: the shares that each proxy may still use, and the remaining share of the other proxies.
 //! - [`load_reports`]: load reports of proxies, validated and aggregated into outcome reports.
 //! - [`proxy_config`]: the clusters, endpoints and routes built from a snapshot of the policy.
 //! - [`limits`]: limits and rules of all modules.
@@ -24,5 +24,5 @@
 pub mod load_reports;
 pub mod parts_per_million;
 pub mod proxy_config;
-pub mod share_ledger;
+pub mod published_shares;
 pub mod version;
--- a/crates/proxy-config/src/proxy_config/builder.rs
+++ b/crates/proxy-config/src/proxy_config/builder.rs
@@ -5,7 +5,7 @@
 use super::model::{ProxyConfig, ProxyConfigSettings};
 use crate::limits::SHARE_STEP;
 use crate::parts_per_million::PartsPerMillion;
-use crate::share_ledger::ShareLedger;
+use crate::published_shares::PublishedShares;
 use latchhaven_policy::{Millis, PolicySnapshot, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,9 +14,9 @@
 #[must_use]
 pub fn build_proxy_config(
     snapshot: &PolicySnapshot, settings: &ProxyConfigSettings, rolled_back: &BTreeSet<Version>,
-    addresses: &BTreeMap<String, SocketAddr>, share_ledger: &ShareLedger, now: Millis,
+    addresses: &BTreeMap<String, SocketAddr>, published_shares: &PublishedShares, now: Millis,
 ) -> ProxyConfig {
-    let context = ConfigContext::new(snapshot, settings, rolled_back, share_ledger, now);
+    let context = ConfigContext::new(snapshot, settings, rolled_back, published_shares, now);
     let endpoints = configured_endpoints(&context, addresses);
     let classes = 0..settings.classes.len();
     let class_routes: Vec<_> = classes.map(|class| context.route(class)).collect();
--- a/crates/proxy-config/src/proxy_config/clusters.rs
+++ b/crates/proxy-config/src/proxy_config/clusters.rs
@@ -21,7 +21,7 @@
 
     fn max_in_flight(&self, version: Version) -> u32 {
         let per_endpoint = self.settings.max_in_flight_per_endpoint;
-        limits::max_in_flight(per_endpoint, self.capacity(version), self.proxy_shares.len())
+        limits::max_in_flight(per_endpoint, self.capacity(version), self.published_shares.len())
     }
 
     fn is_capped_canary(&self, version: Version) -> bool {
--- a/crates/proxy-config/src/proxy_config/context.rs
+++ b/crates/proxy-config/src/proxy_config/context.rs
@@ -1,7 +1,7 @@
 //! The inputs of one configuration, and the capacities and baselines that all its parts use.
 
 use super::model::ProxyConfigSettings;
-use crate::share_ledger::ShareLedger;
+use crate::published_shares::PublishedShares;
 use latchhaven_policy::{EndpointSnapshot, Millis, PolicySnapshot, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,7 +16,7 @@
 pub(super) struct ConfigContext<'a> {
     pub(super) snapshot: &'a PolicySnapshot,
     pub(super) settings: &'a ProxyConfigSettings,
-    pub(super) proxy_shares: &'a ShareLedger,
+    pub(super) published_shares: &'a PublishedShares,
     pub(super) now: Millis,
     /// Versions whose ready endpoints are all ejected; these receive requests all the same.
     pub(super) fully_ejected: BTreeSet<Version>,
@@ -30,12 +30,12 @@
     /// The context of a snapshot of the policy at `now`, in ms.
     pub(super) fn new(
         snapshot: &'a PolicySnapshot, settings: &'a ProxyConfigSettings, rolled_back: &BTreeSet<Version>,
-        proxy_shares: &'a ShareLedger, now: Millis,
+        published_shares: &'a PublishedShares, now: Millis,
     ) -> Self {
         let fully_ejected = fully_ejected_versions(snapshot);
         let capacities = serving_capacities(snapshot, &fully_ejected);
         let baselines = baseline_capacities(snapshot, &capacities, rolled_back);
-        ConfigContext { snapshot, settings, proxy_shares, now, fully_ejected, capacities, baselines }
+        ConfigContext { snapshot, settings, published_shares, now, fully_ejected, capacities, baselines }
     }
 
     /// The capacity of a version's endpoints that receive requests.
--- a/crates/proxy-config/src/proxy_config/model.rs
+++ b/crates/proxy-config/src/proxy_config/model.rs
@@ -1,7 +1,7 @@
 //! The parts of a configuration, and the settings that it is built from.
 
 use crate::parts_per_million::PartsPerMillion;
-use crate::share_ledger::CanaryShares;
+use crate::published_shares::CanaryShares;
 use latchhaven_policy::{ExposureConfig, Millis, RequestClass, SlowStartConfig, Version};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/proxy-config/src/proxy_config/routes.rs
+++ b/crates/proxy-config/src/proxy_config/routes.rs
@@ -90,10 +90,10 @@
     fn min_requests_per_window(&self, class: usize) -> f64 {
         let exposure = &self.settings.exposure;
         let request_rate: f64 = if exposure.per_class {
-            self.proxy_shares.request_rate(class)
+            self.published_shares.request_rate(class)
         } else {
             let classes = 0..self.settings.classes.len();
-            classes.map(|class| self.proxy_shares.request_rate(class)).sum()
+            classes.map(|class| self.published_shares.request_rate(class)).sum()
         };
         limits::min_requests_per_window(request_rate, exposure.window)
     }
@@ -105,7 +105,7 @@
         let is_open = canary.stage >= exposure.closed_stages || is_idempotent;
         let safe_share =
             if is_open { max_safe_share(canary.traffic_cap, exposure.allowance, min_requests) } else { 0.0 };
-        self.proxy_shares.remaining_share(class, safe_share, self.now)
+        self.published_shares.remaining_share(class, safe_share, self.now)
     }
 }
 
--- a/crates/proxy-config/src/share_ledger.rs
+++ b/crates/proxy-config/src/published_shares.rs
@@ -50,17 +50,17 @@
 
 /// The shares of all proxies, by a number that the caller assigns to each proxy.
 #[derive(Clone, Debug, Default)]
-pub struct ShareLedger {
+pub struct PublishedShares {
     proxies: BTreeMap<u64, ProxyShares>,
     max_proxies: usize,
 }
 
-impl ShareLedger {
+impl PublishedShares {
     /// An empty ledger. Above `max_proxies` a new proxy replaces the one that has been disconnected the longest, whose share
     /// no longer counts; with none disconnected the ledger grows.
     #[must_use]
     pub fn new(max_proxies: usize) -> Self {
-        ShareLedger { proxies: BTreeMap::new(), max_proxies }
+        PublishedShares { proxies: BTreeMap::new(), max_proxies }
     }
 
     /// A proxy connected, again or for the first time.
--- a/crates/proxy-config/tests/proxy_config.rs
+++ b/crates/proxy-config/tests/proxy_config.rs
@@ -10,7 +10,7 @@
     EndpointHealth, ProxyConfig, ProxyConfigSettings, RetryScope, Route, RouteShare, RouteTarget,
     build_proxy_config,
 };
-use latchhaven_proxy_config::share_ledger::ShareLedger;
+use latchhaven_proxy_config::published_shares::PublishedShares;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -86,11 +86,11 @@
 }
 
 /// A connected proxy with this rate of each class, in requests per ms.
-fn connected_proxy(request_rate: f64) -> ShareLedger {
-    let mut proxies = ShareLedger::new(10);
-    proxies.on_connected(1);
-    proxies.set_request_rate(1, vec![request_rate; 4]);
-    proxies
+fn connected_proxy(request_rate: f64) -> PublishedShares {
+    let mut published_shares = PublishedShares::new(10);
+    published_shares.on_connected(1);
+    published_shares.set_request_rate(1, vec![request_rate; 4]);
+    published_shares
 }
 
 fn build(snapshot: &PolicySnapshot, rolled_back: &BTreeSet<Version>, request_rate: f64) -> ProxyConfig {
--- a/crates/proxy-config/tests/share_ledger.rs
+++ b/crates/proxy-config/tests/published_shares.rs
@@ -3,7 +3,7 @@
 use latchhaven_policy::Millis;
 use latchhaven_proxy_config::limits::{ACKNOWLEDGE_TIMEOUT, DISCONNECTED_RETENTION};
 use latchhaven_proxy_config::parts_per_million::PartsPerMillion;
-use latchhaven_proxy_config::share_ledger::ShareLedger;
+use latchhaven_proxy_config::published_shares::PublishedShares;
 use proptest::prelude::*;
 
 fn share(parts: u32) -> [PartsPerMillion; 1] {
@@ -12,23 +12,33 @@
 
 #[test]
 fn reachable_proxies_get_less_while_others_use_more() {
-    let mut proxies = ShareLedger::new(100);
+    let mut published_shares = PublishedShares::new(100);
     for proxy in 0..10 {
-        proxies.on_connected(proxy);
-        proxies.on_sent(proxy, &share(400_000), 0.0);
-        proxies.on_acknowledged(proxy, &share(400_000));
+        published_shares.on_connected(proxy);
+        published_shares.on_sent(proxy, &share(400_000), 0.0);
+        published_shares.on_acknowledged(proxy, &share(400_000));
     }
-    proxies.on_disconnected(3, 100.0);
-    assert!((proxies.remaining_share(0, 0.1, 200.0) - 0.06 / 0.9).abs() < 1e-9);
-    assert_eq!(proxies.remaining_share(0, 0.4, 200.0), 0.4);
-    assert_eq!(proxies.remaining_share(0, 0.02, 200.0), 0.0, "the disconnected one uses more than the cap");
+    published_shares.on_disconnected(3, 100.0);
+    assert!((published_shares.remaining_share(0, 0.1, 200.0) - 0.06 / 0.9).abs() < 1e-9);
+    assert_eq!(published_shares.remaining_share(0, 0.4, 200.0), 0.4);
+    assert_eq!(
+        published_shares.remaining_share(0, 0.02, 200.0),
+        0.0,
+        "the disconnected one uses more than the cap"
+    );
     // Nine were sent less; one of them does not acknowledge it.
-    (0..10).filter(|proxy| *proxy != 3).for_each(|proxy| proxies.on_sent(proxy, &share(66_000), 300.0));
-    (0..9).filter(|proxy| *proxy != 3).for_each(|proxy| proxies.on_acknowledged(proxy, &share(66_000)));
-    assert!((proxies.remaining_share(0, 0.1, 300.0) - 0.06 / 0.9).abs() < 1e-9);
-    assert!((proxies.remaining_share(0, 0.1, 300.0 + ACKNOWLEDGE_TIMEOUT) - 0.02 / 0.8).abs() < 1e-9);
-    proxies.remove_expired(100.0 + DISCONNECTED_RETENTION);
-    assert_eq!(proxies.len(), 9);
+    (0..10)
+        .filter(|proxy| *proxy != 3)
+        .for_each(|proxy| published_shares.on_sent(proxy, &share(66_000), 300.0));
+    (0..9)
+        .filter(|proxy| *proxy != 3)
+        .for_each(|proxy| published_shares.on_acknowledged(proxy, &share(66_000)));
+    assert!((published_shares.remaining_share(0, 0.1, 300.0) - 0.06 / 0.9).abs() < 1e-9);
+    assert!(
+        (published_shares.remaining_share(0, 0.1, 300.0 + ACKNOWLEDGE_TIMEOUT) - 0.02 / 0.8).abs() < 1e-9
+    );
+    published_shares.remove_expired(100.0 + DISCONNECTED_RETENTION);
+    assert_eq!(published_shares.len(), 9);
 }
 
 /// The share that a proxy may use, computed independently.
@@ -74,37 +84,37 @@
     fn sum_of_shares_stays_within_the_total(
         steps in prop::collection::vec((0u64..6, 0u8..5, 0u32..=1_000_000), 0..60), total in 0.0f64..1.0
     ) {
-        let mut proxies = ShareLedger::new(10);
+        let mut published_shares = PublishedShares::new(10);
         let mut model = [ModelProxy::default(); 6];
         let mut now = 0.0;
-        (0..6).for_each(|proxy| proxies.on_connected(proxy));
+        (0..6).for_each(|proxy| published_shares.on_connected(proxy));
         for (proxy, kind, parts) in steps {
             now += 100.0;
             let expected = &mut model[proxy as usize];
             match kind {
                 0 => {
-                    proxies.on_sent(proxy, &share(parts), now);
+                    published_shares.on_sent(proxy, &share(parts), now);
                     expected.sent(parts, now);
                 }
                 1 => {
-                    proxies.on_acknowledged(proxy, &share(parts));
+                    published_shares.on_acknowledged(proxy, &share(parts));
                     expected.acknowledged(parts);
                 }
                 2 => {
-                    proxies.on_rejected(proxy);
+                    published_shares.on_rejected(proxy);
                     expected.rejected();
                 }
                 3 => {
-                    proxies.on_disconnected(proxy, now);
+                    published_shares.on_disconnected(proxy, now);
                     expected.is_disconnected = true;
                 }
                 _ => {
-                    proxies.on_connected(proxy);
+                    published_shares.on_connected(proxy);
                     expected.is_disconnected = false;
                 }
             }
         }
-        let remaining = proxies.remaining_share(0, total, now);
+        let remaining = published_shares.remaining_share(0, total, now);
         let (mut unreachable, mut sum) = (0.0, 0.0);
         for proxy in &model {
             let used = proxy.highest_possible_share() / 6.0;
--- a/crates/xds/src/resources/snapshot.rs
+++ b/crates/xds/src/resources/snapshot.rs
@@ -11,7 +11,7 @@
 use crate::limits::RETIRED_MAX_IN_FLIGHT;
 use latchhaven_policy::Version;
 use latchhaven_proxy_config::proxy_config::{Cluster, ProxyConfig};
-use latchhaven_proxy_config::share_ledger::CanaryShares;
+use latchhaven_proxy_config::published_shares::CanaryShares;
 use latchhaven_proxy_config::version::{ConfigVersion, VersionSigner, join_label};
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/xds/src/server/context.rs
+++ b/crates/xds/src/server/context.rs
@@ -3,7 +3,7 @@
 use crate::resources::ResourceSnapshot;
 use crate::stream::StreamEvent;
 use latchhaven_proxy_config::load_reports::ProxyReport;
-use latchhaven_proxy_config::share_ledger::CanaryShares;
+use latchhaven_proxy_config::published_shares::CanaryShares;
 use latchhaven_proxy_config::version::VersionSigner;
 use std::fmt::Display;
 use std::sync::Arc;
--- a/crates/xds/src/stream/messages.rs
+++ b/crates/xds/src/stream/messages.rs
@@ -5,7 +5,7 @@
 use crate::pb::envoy::service::discovery::v3::{DeltaDiscoveryRequest, DiscoveryRequest};
 use crate::resources::ResourceType;
 use bytes::Bytes;
-use latchhaven_proxy_config::share_ledger::CanaryShares;
+use latchhaven_proxy_config::published_shares::CanaryShares;
 use latchhaven_proxy_config::version::SignedVersion;
 
 /// A discovery request in either form of the protocol.
--- a/crates/xds/src/stream/type_state.rs
+++ b/crates/xds/src/stream/type_state.rs
@@ -3,7 +3,7 @@
 use super::messages::StreamError;
 use crate::limits::MAX_SUBSCRIBED_NAMES;
 use crate::resources::{Resource, ResourceSet, ResourceType, content_hash};
-use latchhaven_proxy_config::share_ledger::CanaryShares;
+use latchhaven_proxy_config::published_shares::CanaryShares;
 use latchhaven_proxy_config::version::ConfigVersion;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
--- a/crates/xds/tests/convergence/control_service.rs
+++ b/crates/xds/tests/convergence/control_service.rs
@@ -7,7 +7,7 @@
 };
 use latchhaven_proxy_config::freshness::KnownState;
 use latchhaven_proxy_config::proxy_config::{self, ProxyConfig, ProxyConfigSettings};
-use latchhaven_proxy_config::share_ledger::ShareLedger;
+use latchhaven_proxy_config::published_shares::PublishedShares;
 use latchhaven_proxy_config::version::VersionSigner;
 use latchhaven_xds::resources::{ListenerConfig, ResourceConfig, ResourceSnapshot};
 use std::collections::BTreeMap;
@@ -103,11 +103,18 @@
     fn proxy_config(&self, platform: &PlatformState, policy: &PolicySnapshot) -> ProxyConfig {
         let addresses: BTreeMap<_, _> =
             (0..platform.hosts.len()).map(|index| (host_name(index), host_address(index))).collect();
-        let mut proxies = ShareLedger::new(10);
-        proxies.on_connected(1);
-        proxies.set_request_rate(1, vec![1.0, 1.0]);
+        let mut published_shares = PublishedShares::new(10);
+        published_shares.on_connected(1);
+        published_shares.set_request_rate(1, vec![1.0, 1.0]);
         let rolled_back = self.known.rolled_back_versions();
-        proxy_config::build_proxy_config(policy, &settings(), rolled_back, &addresses, &proxies, platform.now)
+        proxy_config::build_proxy_config(
+            policy,
+            &settings(),
+            rolled_back,
+            &addresses,
+            &published_shares,
+            platform.now,
+        )
     }
 }
 
