--- a/crates/control-plane/src/control_plane/mod.rs
+++ b/crates/control-plane/src/control_plane/mod.rs
@@ -17,7 +17,7 @@
 use crate::state_store::PersistedState;
 use address_directory::AddressDirectory;
 use latchhaven_policy::{Action, Event, Millis, Policy};
-use latchhaven_proxy_config::freshness::{KnownState, PublicationBlocked};
+use latchhaven_proxy_config::freshness::{PublicationBlocked, VersionTracker};
 use latchhaven_proxy_config::load_reports::LoadReportAggregator;
 use latchhaven_proxy_config::proxy_config::ProxyConfigSettings;
 use latchhaven_proxy_config::published_shares::PublishedShares;
@@ -52,7 +52,7 @@
     settings: ProxyConfigSettings,
     resource_config: Arc<ResourceConfig>,
     signer: VersionSigner,
-    known_state: KnownState,
+    version_tracker: VersionTracker,
     addresses: AddressDirectory,
     admission: Admission,
     proxies: ProxyRegistry,
@@ -91,9 +91,9 @@
     pub fn new(policy: Policy, config: ControlPlaneConfig, persisted: Option<PersistedState>) -> Self {
         let settings = config.proxy_config;
         let class_names = settings.classes.iter().map(|class| class.name.clone()).collect();
-        let known_state = match persisted {
-            Some(state) => KnownState::restore(Some(state.version), state.rolled_back_versions),
-            None => KnownState::restore(None, BTreeSet::new()),
+        let version_tracker = match persisted {
+            Some(state) => VersionTracker::restore(Some(state.version), state.rolled_back_versions),
+            None => VersionTracker::restore(None, BTreeSet::new()),
         };
         ControlPlane {
             policy,
@@ -103,7 +103,7 @@
             }),
             settings,
             signer: config.signer,
-            known_state,
+            version_tracker,
             addresses: AddressDirectory::default(),
             admission: Admission::new(config.max_streams),
             proxies: ProxyRegistry::default(),
@@ -139,7 +139,7 @@
             return effects;
         }
         effects.actions = self.decide(now);
-        if self.known_state.needs_list_snapshot() && self.schedule.start_snapshot_request(now) {
+        if self.version_tracker.needs_list_snapshot() && self.schedule.start_snapshot_request(now) {
             effects.actions.push(Action::FetchEndpoints);
         }
         if self.schedule.start_publish(now) {
--- a/crates/control-plane/src/control_plane/publication.rs
+++ b/crates/control-plane/src/control_plane/publication.rs
@@ -17,7 +17,7 @@
         self.proxies.remove_disconnected_above(limits::max_registered_proxies(self.published_shares.len()));
         let mut decisions = self.policy.snapshot(now);
         if decisions.is_canary_rejected {
-            self.known_state.reject_canary();
+            self.version_tracker.reject_canary();
         }
         let version = self.publishable_version()?;
         decisions.canary_share =
@@ -25,20 +25,20 @@
         let config = proxy_config::build_proxy_config(
             &decisions,
             &self.settings,
-            self.known_state.rolled_back_versions(),
+            self.version_tracker.rolled_back_versions(),
             self.addresses.listed(),
             &self.published_shares,
             now,
         );
         let snapshot = self.build_snapshot(&config, version)?;
         self.snapshot = Some(snapshot.clone());
-        let rolled_back_versions = self.known_state.rolled_back_versions().clone();
+        let rolled_back_versions = self.version_tracker.rolled_back_versions().clone();
         Some(Publication { snapshot, state: PersistedState { version, rolled_back_versions } })
     }
 
     /// The version of a configuration built now; none while none may be published, which is logged once per reason.
     fn publishable_version(&mut self) -> Option<ConfigVersion> {
-        match self.known_state.config_version() {
+        match self.version_tracker.config_version() {
             Ok(version) => {
                 self.blocked_by = None;
                 Some(version)
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -6,7 +6,7 @@
 use latchhaven_proxy_config::freshness::UpdateResult;
 use latchhaven_proxy_config::load_reports::{ProxyReport, ReportError};
 use latchhaven_proxy_config::published_shares::CanaryShares;
-use latchhaven_proxy_config::version::{RolloutStatus, SignedVersion};
+use latchhaven_proxy_config::version::{ReportedVersion, RolloutStatus};
 use latchhaven_xds::admission::AdmissionResult;
 use latchhaven_xds::resources::ResourceType;
 use latchhaven_xds::stream::StreamEvent;
@@ -18,7 +18,7 @@
     pub fn on_endpoint_list(
         &mut self, version: u64, is_snapshot: bool, entries: Vec<(EndpointEntry, SocketAddr)>, now: Millis,
     ) {
-        let result = self.known_state.apply_endpoint_list(version, is_snapshot, now);
+        let result = self.version_tracker.apply_endpoint_list(version, is_snapshot, now);
         if result == UpdateResult::Stale {
             return;
         }
@@ -31,7 +31,7 @@
 
     /// A request for the endpoint list failed, or its watch ended.
     pub fn on_endpoint_list_failed(&mut self) {
-        self.known_state.endpoint_list_failed();
+        self.version_tracker.on_endpoint_list_failed();
         self.pending_events.push(Event::EndpointUpdateFailed(UpdateFailure::default()));
     }
 
@@ -50,10 +50,10 @@
     pub fn on_rollout_state(&mut self, rollout: RolloutState, now: Millis) {
         // A rejection applies to the rejected version only, not to the next one.
         let is_rejected = self
-            .known_state
+            .version_tracker
             .rollout()
             .is_some_and(|known| known.version == rollout.version && known.status == RolloutStatus::Rejected);
-        let applied = self.known_state.apply_rollout_state(&rollout, is_rejected, now);
+        let applied = self.version_tracker.apply_rollout_state(&rollout, is_rejected, now);
         self.pending_events.extend(applied.map(Event::RolloutUpdate));
         self.schedule.schedule_publish(now);
     }
@@ -153,13 +153,13 @@
 
     /// A proxy that connected reported the version of the resources it uses.
     fn on_reported_version(
-        &mut self, proxy: u64, resource_type: ResourceType, version: &SignedVersion, now: Millis,
+        &mut self, proxy: u64, resource_type: ResourceType, version: &ReportedVersion, now: Millis,
     ) {
         if resource_type == ResourceType::Route {
             let max_share = limits::max_published_share(&version.version.rollout);
             self.published_shares.on_reported(proxy, vec![max_share; self.settings.classes.len()]);
         }
-        if let Some(rollout) = self.known_state.apply_proxy_version(version, now) {
+        if let Some(rollout) = self.version_tracker.apply_proxy_version(version, now) {
             self.pending_events.push(Event::RolloutUpdate(rollout));
             self.schedule.schedule_publish(now);
         }
--- a/crates/proxy-config/src/freshness.rs
+++ b/crates/proxy-config/src/freshness.rs
@@ -6,14 +6,14 @@
 //! at least as new as the newest known to have been published.
 
 use crate::limits::{self, MAX_ROLLED_BACK_VERSIONS};
-use crate::version::{ConfigVersion, EndpointListVersion, RolloutStatus, RolloutVersion, SignedVersion};
+use crate::version::{ConfigVersion, EndpointListVersion, ReportedVersion, RolloutStatus, RolloutVersion};
 use latchhaven_policy::{Millis, RolloutState, Version};
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
 
 /// The newest known versions, and whether the platform has confirmed them.
 #[derive(Clone, Debug, Default)]
-pub struct KnownState {
+pub struct VersionTracker {
     rollout: Option<RolloutVersion>,
     /// The platform has reported a state at least as new since this process started.
     confirmed_by_platform: bool,
@@ -52,11 +52,11 @@
     StaleEndpointList,
 }
 
-impl KnownState {
+impl VersionTracker {
     /// Continues from a stored version: nothing older is published.
     pub fn restore(stored: Option<ConfigVersion>, rolled_back: impl IntoIterator<Item = Version>) -> Self {
         let mut state =
-            KnownState { rolled_back: rolled_back.into_iter().collect(), ..KnownState::default() };
+            VersionTracker { rolled_back: rolled_back.into_iter().collect(), ..VersionTracker::default() };
         if let Some(stored) = stored {
             state.rollout = Some(stored.rollout);
             state.latest_seen = stored.endpoints;
@@ -90,9 +90,9 @@
 
     /// Applies the version of a proxy's resources, if its label is signed. Returns the rollout state in it, if it is
     /// newer than the known one.
-    pub fn apply_proxy_version(&mut self, label: &SignedVersion, now: Millis) -> Option<RolloutState> {
-        let ConfigVersion { rollout, endpoints } = label.version;
-        if !label.is_signed || limits::is_in_future(rollout.since, now) {
+    pub fn apply_proxy_version(&mut self, reported: &ReportedVersion, now: Millis) -> Option<RolloutState> {
+        let ConfigVersion { rollout, endpoints } = reported.version;
+        if !reported.is_signed || limits::is_in_future(rollout.since, now) {
             return None;
         }
         self.latest_seen = self.latest_seen.max(endpoints);
@@ -160,7 +160,7 @@
     }
 
     /// A watch or fetch of the list failed: discovery may have caught up meanwhile.
-    pub fn endpoint_list_failed(&mut self) {
+    pub fn on_endpoint_list_failed(&mut self) {
         self.stale_since = None;
     }
 
--- a/crates/proxy-config/src/version.rs
+++ b/crates/proxy-config/src/version.rs
@@ -163,19 +163,19 @@
 impl ConfigVersion {
     /// True where neither part is older than the other's.
     #[must_use]
-    pub fn dominates(&self, other: &Self) -> bool {
+    pub fn is_at_least_as_new_as(&self, other: &Self) -> bool {
         self.rollout.compare(&other.rollout) != Ordering::Less && self.endpoints >= other.endpoints
     }
 
     /// True where one part is newer than the other's, and none is older.
     #[must_use]
     pub fn is_newer_than(&self, other: &Self) -> bool {
-        self.dominates(other) && !other.dominates(self)
+        self.is_at_least_as_new_as(other) && !other.is_at_least_as_new_as(self)
     }
 
     /// The newer of each part.
     #[must_use]
-    pub fn join(&self, other: &Self) -> Self {
+    pub fn merge(&self, other: &Self) -> Self {
         let is_other_newer = other.rollout.compare(&self.rollout) == Ordering::Greater;
         ConfigVersion {
             rollout: if is_other_newer { other.rollout } else { self.rollout },
@@ -186,7 +186,7 @@
 
 /// A parsed label: the version and the content hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SignedVersion {
+pub struct ReportedVersion {
     /// The version of the labelled resource.
     pub version: ConfigVersion,
     /// The hash of the content; distinguishes resources of the same version.
@@ -197,7 +197,7 @@
 
 /// A parsed prefix of a label.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SignedPrefix {
+pub struct ParsedPrefix {
     /// The version in the prefix.
     pub version: ConfigVersion,
     /// A service with the same key signed the prefix.
@@ -288,16 +288,16 @@
 
     /// Parses a label; none if the text is not a label.
     #[must_use]
-    pub fn parse_label(&self, label: &str) -> Option<SignedVersion> {
+    pub fn parse_label(&self, label: &str) -> Option<ReportedVersion> {
         let LabelParts { prefix, content_hash } = split_label(label)?;
-        let SignedPrefix { version, is_signed } = self.parse_prefix(prefix)?;
-        Some(SignedVersion { version, content_hash, is_signed })
+        let ParsedPrefix { version, is_signed } = self.parse_prefix(prefix)?;
+        Some(ReportedVersion { version, content_hash, is_signed })
     }
 
     /// Parses a label's prefix; none if the text is not a prefix. An unsigned prefix, or one signed with another key, is
     /// valid: it protects the stream of the proxy that reports it.
     #[must_use]
-    pub fn parse_prefix(&self, prefix: &str) -> Option<SignedPrefix> {
+    pub fn parse_prefix(&self, prefix: &str) -> Option<ParsedPrefix> {
         if prefix.len() > limits::MAX_LABEL_LENGTH || !prefix.is_ascii() {
             return None;
         }
@@ -315,7 +315,7 @@
         };
         let rollout = parse_rollout(&fields)?;
         let endpoints = parse_endpoint_list(&fields)?;
-        Some(SignedPrefix { version: ConfigVersion { rollout, endpoints }, is_signed })
+        Some(ParsedPrefix { version: ConfigVersion { rollout, endpoints }, is_signed })
     }
 }
 
--- a/crates/proxy-config/tests/freshness.rs
+++ b/crates/proxy-config/tests/freshness.rs
@@ -1,7 +1,7 @@
 //! When a configuration may be published, and what replaces what is known.
 
 use latchhaven_policy::{Millis, RolloutPhase, RolloutState, Version};
-use latchhaven_proxy_config::freshness::{KnownState, UpdateResult};
+use latchhaven_proxy_config::freshness::{UpdateResult, VersionTracker};
 use latchhaven_proxy_config::parts_per_million::PartsPerMillion;
 use latchhaven_proxy_config::version::{
     ConfigVersion, EndpointListVersion, RolloutStatus, RolloutVersion, VersionSigner,
@@ -29,7 +29,7 @@
         rollout: rollout_version(7, RolloutStatus::RolledBack, 1, 5_000),
         endpoints: list_version(40),
     };
-    let mut state = KnownState::restore(Some(stored), [Version(7)]);
+    let mut state = VersionTracker::restore(Some(stored), [Version(7)]);
     assert!(state.config_version().is_err());
     // The list is 30 s old, and the platform's replica too.
     assert_eq!(state.apply_endpoint_list(31, true, 9_000.0), UpdateResult::Applied);
@@ -52,7 +52,7 @@
         endpoints: list_version(12),
     };
     let canary = rollout_state(9, 2, RolloutPhase::Canary, 0.5);
-    let mut state = KnownState::default();
+    let mut state = VersionTracker::default();
     state.apply_endpoint_list(11, true, 2_000.0);
     state.apply_rollout_state(&canary, false, 2_000.0);
     assert!(state.config_version().is_ok());
@@ -69,12 +69,12 @@
 
 #[test]
 fn list_that_stays_stale_while_discovery_answers_begins_an_epoch() {
-    let mut state = KnownState::default();
+    let mut state = VersionTracker::default();
     state.apply_endpoint_list(500, true, 0.0);
     state.apply_rollout_state(&rollout_state(1, 0, RolloutPhase::Promoted, 1.0), false, 0.0);
     assert_eq!(state.apply_endpoint_list(3, true, 1_000.0), UpdateResult::Stale);
     assert_eq!(state.apply_endpoint_list(4, true, 50_000.0), UpdateResult::Stale);
-    state.endpoint_list_failed();
+    state.on_endpoint_list_failed();
     assert_eq!(
         state.apply_endpoint_list(4, true, 62_000.0),
         UpdateResult::Stale,
@@ -96,7 +96,7 @@
         steps in prop::collection::vec((0u8..4, 0u32..3, 0u32..3, 0u8..4, 0u64..6, 0u32..=2), 1..60)
     ) {
         let signer = VersionSigner::new(Some(b"k".to_vec()));
-        let mut state = KnownState::default();
+        let mut state = VersionTracker::default();
         let mut last: Option<ConfigVersion> = None;
         let mut now: Millis = 10_000.0;
         for (kind, version, stage, phase, list, cap) in steps {
@@ -114,7 +114,8 @@
                 }
             }
             if let Ok(current) = state.config_version() {
-                prop_assert!(last.is_none_or(|last| current.dominates(&last)), "{current:?} after {last:?}");
+                let is_regression = last.is_some_and(|last| !current.is_at_least_as_new_as(&last));
+                prop_assert!(!is_regression, "{current:?} after {last:?}");
                 last = Some(current);
             }
         }
--- a/crates/proxy-config/tests/version.rs
+++ b/crates/proxy-config/tests/version.rs
@@ -3,7 +3,7 @@
 use latchhaven_policy::Version;
 use latchhaven_proxy_config::parts_per_million::PartsPerMillion;
 use latchhaven_proxy_config::version::{
-    ConfigVersion, EndpointListVersion, RolloutStatus, RolloutVersion, SignedVersion, VersionSigner,
+    ConfigVersion, EndpointListVersion, ReportedVersion, RolloutStatus, RolloutVersion, VersionSigner,
 };
 use proptest::prelude::*;
 use std::cmp::Ordering;
@@ -41,7 +41,7 @@
     fn label_is_read_as_it_was_written(version in config_versions(), content_hash: u64, key in "[a-z]{0,9}") {
         let signer = VersionSigner::new(Some(key.clone().into_bytes()));
         let read = signer.parse_label(&signer.label(&version, content_hash));
-        prop_assert_eq!(read, Some(SignedVersion { version, content_hash, is_signed: !key.is_empty() }));
+        prop_assert_eq!(read, Some(ReportedVersion { version, content_hash, is_signed: !key.is_empty() }));
     }
 
     #[test]
@@ -58,8 +58,11 @@
     }
 
     #[test]
-    fn join_dominates_both_and_nothing_is_newer_than_itself(left in config_versions(), right in config_versions()) {
-        prop_assert!(left.join(&right).dominates(&left) && left.join(&right).dominates(&right));
+    fn merge_is_an_upper_bound_and_nothing_is_newer_than_itself(
+        left in config_versions(), right in config_versions()
+    ) {
+        let merged = left.merge(&right);
+        prop_assert!(merged.is_at_least_as_new_as(&left) && merged.is_at_least_as_new_as(&right));
         prop_assert!(!left.is_newer_than(&left));
         prop_assert!(!left.is_newer_than(&right) || !right.is_newer_than(&left));
     }
--- a/crates/test-support/src/resource_cache/cache.rs
+++ b/crates/test-support/src/resource_cache/cache.rs
@@ -218,7 +218,8 @@
     fn record_response_version(&mut self, resource_type: ResourceType, label: &str) {
         let Some(label) = self.signer.parse_label(label) else { return };
         let state = self.types.entry(resource_type).or_default();
-        let is_regression = state.newest_version.is_some_and(|newest| !label.version.dominates(&newest));
+        let is_regression =
+            state.newest_version.is_some_and(|newest| !label.version.is_at_least_as_new_as(&newest));
         self.regressions += u64::from(is_regression);
         state.advance_version(label.version);
     }
@@ -229,7 +230,8 @@
         let state = self.types.entry(resource_type).or_default();
         let previous = state.resources.get(name);
         let previous = previous.and_then(|previous| self.signer.parse_label(&previous.version_label));
-        let is_regression = previous.is_some_and(|previous| !label.version.dominates(&previous.version));
+        let is_regression =
+            previous.is_some_and(|previous| !label.version.is_at_least_as_new_as(&previous.version));
         self.regressions += u64::from(is_regression);
         state.advance_version(label.version);
     }
@@ -288,7 +290,7 @@
 
 impl CachedType {
     fn advance_version(&mut self, version: ConfigVersion) {
-        let joined = self.newest_version.map_or(version, |newest| newest.join(&version));
+        let joined = self.newest_version.map_or(version, |newest| newest.merge(&version));
         self.newest_version = Some(joined);
     }
 }
--- a/crates/xds/src/stream/dependencies.rs
+++ b/crates/xds/src/stream/dependencies.rs
@@ -44,7 +44,8 @@
     /// proxy's resources, and the proxy has accepted the resources that the response references.
     pub(super) fn may_respond(&self, resource_type: ResourceType, snapshot: &ResourceSnapshot) -> bool {
         let Some(state) = self.subscribed(resource_type) else { return false };
-        let is_too_old = state.minimum_version.is_some_and(|minimum| !snapshot.version.dominates(&minimum));
+        let is_too_old =
+            state.minimum_version.is_some_and(|minimum| !snapshot.version.is_at_least_as_new_as(&minimum));
         if state.pending.is_some() || is_too_old {
             return false;
         }
--- a/crates/xds/src/stream/messages.rs
+++ b/crates/xds/src/stream/messages.rs
@@ -6,7 +6,7 @@
 use crate::resources::ResourceType;
 use bytes::Bytes;
 use latchhaven_proxy_config::published_shares::CanaryShares;
-use latchhaven_proxy_config::version::SignedVersion;
+use latchhaven_proxy_config::version::ReportedVersion;
 
 /// A discovery request in either form of the protocol.
 #[derive(Clone, Debug, Default)]
@@ -139,7 +139,7 @@
         /// The type of the resources.
         resource_type: ResourceType,
         /// The join of their versions.
-        version: SignedVersion,
+        version: ReportedVersion,
     },
     /// The proxy accepted routes with these shares of the canary.
     Acknowledged(CanaryShares),
--- a/crates/xds/src/stream/request_handling.rs
+++ b/crates/xds/src/stream/request_handling.rs
@@ -9,7 +9,7 @@
 };
 use crate::resources::ResourceType;
 use latchhaven_proxy_config::version::{
-    ConfigVersion, LabelParts, SignedPrefix, SignedVersion, VersionSigner, split_label,
+    ConfigVersion, LabelParts, ParsedPrefix, ReportedVersion, VersionSigner, split_label,
 };
 use std::collections::BTreeMap;
 
@@ -124,7 +124,7 @@
         &mut self, resource_type: ResourceType, version: Option<ConfigVersion>, is_signed: bool,
     ) {
         let Some(version) = version else { return };
-        let version = SignedVersion { version, content_hash: 0, is_signed };
+        let version = ReportedVersion { version, content_hash: 0, is_signed };
         self.events.push(StreamEvent::VersionReported { resource_type, version });
     }
 
@@ -169,7 +169,7 @@
 /// The versions in the labels of a request. Many labels have the same prefix; each prefix is parsed once.
 #[derive(Default)]
 struct InitialVersions<'a> {
-    by_prefix: BTreeMap<&'a str, Option<SignedPrefix>>,
+    by_prefix: BTreeMap<&'a str, Option<ParsedPrefix>>,
 }
 
 impl<'a> InitialVersions<'a> {
@@ -191,8 +191,8 @@
     }
 }
 
-fn join<'a>(prefixes: impl Iterator<Item = &'a SignedPrefix>) -> Option<ConfigVersion> {
-    prefixes.map(|prefix| prefix.version).reduce(|newest, version| newest.join(&version))
+fn join<'a>(prefixes: impl Iterator<Item = &'a ParsedPrefix>) -> Option<ConfigVersion> {
+    prefixes.map(|prefix| prefix.version).reduce(|newest, version| newest.merge(&version))
 }
 
 fn check_limits(request: &SubscriptionRequest) -> Result<(), StreamError> {
--- a/crates/xds/tests/convergence/control_service.rs
+++ b/crates/xds/tests/convergence/control_service.rs
@@ -5,7 +5,7 @@
     Canary, DedupScope, EndpointSnapshot, ExposureConfig, Idempotency, PolicySnapshot, RequestClass,
     RolloutPhase, RolloutState, SlowStartConfig,
 };
-use latchhaven_proxy_config::freshness::KnownState;
+use latchhaven_proxy_config::freshness::VersionTracker;
 use latchhaven_proxy_config::proxy_config::{self, ProxyConfig, ProxyConfigSettings};
 use latchhaven_proxy_config::published_shares::PublishedShares;
 use latchhaven_proxy_config::version::VersionSigner;
@@ -70,7 +70,7 @@
 
 /// One control service.
 pub(crate) struct ControlService {
-    pub(crate) known: KnownState,
+    pub(crate) version_tracker: VersionTracker,
     pub(crate) snapshot: Option<ResourceSnapshot>,
     /// The index of the last platform state that it has seen.
     pub(crate) last_seen: usize,
@@ -78,18 +78,18 @@
 
 impl ControlService {
     pub(crate) fn new(last_seen: usize) -> Self {
-        ControlService { known: KnownState::default(), snapshot: None, last_seen }
+        ControlService { version_tracker: VersionTracker::default(), snapshot: None, last_seen }
     }
 
     pub(crate) fn observe(&mut self, platform: &PlatformState, setup: &Setup) {
         let rollout = RolloutState { age: platform.now - platform.rollout_since, ..platform.rollout };
-        self.known.apply_rollout_state(&rollout, false, platform.now);
-        self.known.apply_endpoint_list(platform.list_version, true, platform.now);
+        self.version_tracker.apply_rollout_state(&rollout, false, platform.now);
+        self.version_tracker.apply_endpoint_list(platform.list_version, true, platform.now);
         self.publish(platform, setup);
     }
 
     fn publish(&mut self, platform: &PlatformState, setup: &Setup) {
-        let Ok(version) = self.known.config_version() else { return };
+        let Ok(version) = self.version_tracker.config_version() else { return };
         // The versions that proxies report may be newer than the platform's state.
         let policy = policy_snapshot(platform, version.rollout.to_state(platform.now));
         let proxy_config = self.proxy_config(platform, &policy);
@@ -106,7 +106,7 @@
         let mut published_shares = PublishedShares::new(10);
         published_shares.on_connected(1);
         published_shares.set_request_rate(1, vec![1.0, 1.0]);
-        let rolled_back = self.known.rolled_back_versions();
+        let rolled_back = self.version_tracker.rolled_back_versions();
         proxy_config::build_proxy_config(
             policy,
             &settings(),
--- a/crates/xds/tests/convergence/proxy.rs
+++ b/crates/xds/tests/convergence/proxy.rs
@@ -44,7 +44,7 @@
         connection.stream.on_request(request.into()).expect("the proxy's requests are valid");
         for event in connection.stream.take_events() {
             if let StreamEvent::VersionReported { version, .. } = event {
-                services[connection.service].known.apply_proxy_version(&version, now);
+                services[connection.service].version_tracker.apply_proxy_version(&version, now);
             }
         }
     }
@@ -88,7 +88,7 @@
             None,
             "the proxy has the resources of the service: {:?}\n {:?}\n{:?} {:?}",
             self.cache,
-            service.known,
+            service.version_tracker,
             snapshot.version,
             platform
         );
