--- a/crates/proxy-config/src/version.rs
+++ b/crates/proxy-config/src/version.rs
@@ -163,14 +163,14 @@
 impl ConfigVersion {
     /// True where neither part is older than the other's.
     #[must_use]
-    pub fn is_at_least_as_new_as(&self, other: &Self) -> bool {
+    pub fn is_up_to_date_with(&self, other: &Self) -> bool {
         self.rollout.compare(&other.rollout) != Ordering::Less && self.endpoints >= other.endpoints
     }
 
     /// True where one part is newer than the other's, and none is older.
     #[must_use]
     pub fn is_newer_than(&self, other: &Self) -> bool {
-        self.is_at_least_as_new_as(other) && !other.is_at_least_as_new_as(self)
+        self.is_up_to_date_with(other) && !other.is_up_to_date_with(self)
     }
 
     /// The newer of each part.
--- a/crates/proxy-config/tests/freshness.rs
+++ b/crates/proxy-config/tests/freshness.rs
@@ -114,7 +114,7 @@
                 }
             }
             if let Ok(current) = state.config_version() {
-                let is_regression = last.is_some_and(|last| !current.is_at_least_as_new_as(&last));
+                let is_regression = last.is_some_and(|last| !current.is_up_to_date_with(&last));
                 prop_assert!(!is_regression, "{current:?} after {last:?}");
                 last = Some(current);
             }
--- a/crates/proxy-config/tests/version.rs
+++ b/crates/proxy-config/tests/version.rs
@@ -62,7 +62,7 @@
         left in config_versions(), right in config_versions()
     ) {
         let merged = left.merge(&right);
-        prop_assert!(merged.is_at_least_as_new_as(&left) && merged.is_at_least_as_new_as(&right));
+        prop_assert!(merged.is_up_to_date_with(&left) && merged.is_up_to_date_with(&right));
         prop_assert!(!left.is_newer_than(&left));
         prop_assert!(!left.is_newer_than(&right) || !right.is_newer_than(&left));
     }
--- a/crates/test-support/src/resource_cache/cache.rs
+++ b/crates/test-support/src/resource_cache/cache.rs
@@ -219,7 +219,7 @@
         let Some(label) = self.signer.parse_label(label) else { return };
         let state = self.types.entry(resource_type).or_default();
         let is_regression =
-            state.newest_version.is_some_and(|newest| !label.version.is_at_least_as_new_as(&newest));
+            state.newest_version.is_some_and(|newest| !label.version.is_up_to_date_with(&newest));
         self.regressions += u64::from(is_regression);
         state.advance_version(label.version);
     }
@@ -231,7 +231,7 @@
         let previous = state.resources.get(name);
         let previous = previous.and_then(|previous| self.signer.parse_label(&previous.version_label));
         let is_regression =
-            previous.is_some_and(|previous| !label.version.is_at_least_as_new_as(&previous.version));
+            previous.is_some_and(|previous| !label.version.is_up_to_date_with(&previous.version));
         self.regressions += u64::from(is_regression);
         state.advance_version(label.version);
     }
--- a/crates/xds/src/stream/dependencies.rs
+++ b/crates/xds/src/stream/dependencies.rs
@@ -45,7 +45,7 @@
     pub(super) fn may_respond(&self, resource_type: ResourceType, snapshot: &ResourceSnapshot) -> bool {
         let Some(state) = self.subscribed(resource_type) else { return false };
         let is_too_old =
-            state.minimum_version.is_some_and(|minimum| !snapshot.version.is_at_least_as_new_as(&minimum));
+            state.minimum_version.is_some_and(|minimum| !snapshot.version.is_up_to_date_with(&minimum));
         if state.pending.is_some() || is_too_old {
             return false;
         }
