--- a/crates/proxy-config/src/published_shares.rs
+++ b/crates/proxy-config/src/published_shares.rs
@@ -1,22 +1,31 @@
-//! The canary shares that each proxy may still be using.
+//! The canary shares that were published to each proxy, and that it may still be using.
 //!
-//! Problem: a proxy that has not acknowledged a lower share, or that disconnected, continues to use its old share, which
-//! cannot be revoked. Method: the other proxies get less, so that the sum over all proxies, weighted by their request
-//! rates, stays within the cap.
+//! Problem: a proxy that has not acknowledged a lower share, or that disconnected, continues to use its old share,
+//! which cannot be revoked. Method: such a proxy counts as unreachable, with the highest share that it may be using.
+//! The reachable proxies get less, so that the sum over all proxies, weighted by their request rates, stays within
+//! the cap.
 
 use crate::limits::{self, ShareUsage};
 use crate::parts_per_million::PartsPerMillion;
 use latchhaven_policy::Millis;
 use std::collections::BTreeMap;
 
-/// The canary's share of the requests of each class, by the index of the class.
+/// The share of requests that canaries get, for each request class by its index.
 pub type CanaryShares = Vec<PartsPerMillion>;
 
-/// Shares that were sent and not yet acknowledged or rejected.
+/// Whether a proxy may still acknowledge the shares sent to it.
+#[derive(Clone, Copy, Debug)]
+enum Acknowledgement {
+    /// The first unacknowledged shares were sent at `first_sent_at`.
+    Awaited { first_sent_at: Millis },
+    /// The proxy rejected shares and has acknowledged none since.
+    Rejected,
+}
+
+/// Shares that were sent and not yet acknowledged.
 #[derive(Clone, Debug)]
 struct PendingShares {
-    /// When the first of them was sent, in ms.
-    since: Millis,
+    acknowledgement: Acknowledgement,
     /// The highest share of each class among them.
     highest: CanaryShares,
 }
@@ -32,15 +41,19 @@
 }
 
 impl ProxyShares {
-    /// True where the proxy may continue to use an outdated share.
+    /// Returns `true` if the proxy may continue to use outdated shares: it is disconnected, it rejected the last sent
+    /// shares, or its acknowledgement is overdue.
     fn is_unreachable(&self, now: Millis) -> bool {
-        let pending = self.pending.as_ref();
-        let is_overdue =
-            pending.is_some_and(|pending| limits::is_acknowledgement_overdue(now, pending.since));
-        is_overdue || self.disconnected_at.is_some()
+        let is_unacknowledged = self.pending.as_ref().is_some_and(|pending| match pending.acknowledgement {
+            Acknowledgement::Awaited { first_sent_at } => {
+                limits::is_acknowledgement_overdue(now, first_sent_at)
+            }
+            Acknowledgement::Rejected => true,
+        });
+        is_unacknowledged || self.disconnected_at.is_some()
     }
 
-    /// The highest share of a class that the proxy may be using.
+    /// The highest share of a class that the proxy may be using: the acknowledged one, or a higher one sent since.
     fn highest_possible_share(&self, class: usize) -> PartsPerMillion {
         let share_of = |shares: &CanaryShares| shares.get(class).copied().unwrap_or_default();
         let pending = self.pending.as_ref().map(|pending| share_of(&pending.highest));
@@ -48,7 +61,7 @@
     }
 }
 
-/// The shares of all proxies, by a number that the caller assigns to each proxy.
+/// The shares published to each proxy, and its request rates. The caller assigns a number to each proxy.
 #[derive(Clone, Debug, Default)]
 pub struct PublishedShares {
     proxies: BTreeMap<u64, ProxyShares>,
@@ -56,14 +69,15 @@
 }
 
 impl PublishedShares {
-    /// An empty ledger. Above `max_proxies` a new proxy replaces the one that has been disconnected the longest, whose share
-    /// no longer counts; with none disconnected the ledger grows.
+    /// Creates the collection without any proxy. When it has `max_proxies` proxies, a new one replaces the proxy that
+    /// has been disconnected the longest, whose share then no longer counts. If none is disconnected, the limit is
+    /// exceeded.
     #[must_use]
     pub fn new(max_proxies: usize) -> Self {
         PublishedShares { proxies: BTreeMap::new(), max_proxies }
     }
 
-    /// A proxy connected, again or for the first time.
+    /// Adds a proxy that connected for the first time, or marks one that connected again as connected.
     pub fn on_connected(&mut self, proxy: u64) {
         if self.proxies.len() >= self.max_proxies && !self.proxies.contains_key(&proxy) {
             self.remove_longest_disconnected();
@@ -81,26 +95,26 @@
         }
     }
 
-    /// A proxy reported shares that it uses and that this process did not send.
+    /// Records shares that a proxy reports to use although this process did not send them.
     pub fn on_reported(&mut self, proxy: u64, shares: CanaryShares) {
         self.proxies.entry(proxy).or_default().acknowledged = shares;
     }
 
-    /// Shares were sent; until they are acknowledged the proxy may use these or earlier ones.
+    /// Records that shares were sent. Until they are acknowledged, the proxy may use these or earlier ones.
     pub fn on_sent(&mut self, proxy: u64, shares: &[PartsPerMillion], now: Millis) {
         let Some(proxy_shares) = self.proxies.get_mut(&proxy) else { return };
-        match &mut proxy_shares.pending {
-            Some(PendingShares { highest, .. }) => {
-                highest.resize(highest.len().max(shares.len()), PartsPerMillion::ZERO);
-                for (highest, share) in highest.iter_mut().zip(shares) {
-                    *highest = (*highest).max(*share);
-                }
+        if let Some(PendingShares { highest, .. }) = &mut proxy_shares.pending {
+            highest.resize(highest.len().max(shares.len()), PartsPerMillion::ZERO);
+            for (highest, share) in highest.iter_mut().zip(shares) {
+                *highest = (*highest).max(*share);
             }
-            None => proxy_shares.pending = Some(PendingShares { since: now, highest: shares.to_vec() }),
+        } else {
+            let acknowledgement = Acknowledgement::Awaited { first_sent_at: now };
+            proxy_shares.pending = Some(PendingShares { acknowledgement, highest: shares.to_vec() });
         }
     }
 
-    /// A proxy acknowledged the last sent shares: it uses no others.
+    /// Records that a proxy acknowledged `shares`, the last ones sent: from now on it uses no others.
     pub fn on_acknowledged(&mut self, proxy: u64, shares: &[PartsPerMillion]) {
         if let Some(proxy_shares) = self.proxies.get_mut(&proxy) {
             proxy_shares.acknowledged = shares.to_vec();
@@ -108,43 +122,45 @@
         }
     }
 
-    /// A proxy rejected the last sent shares: it continues to use the ones before.
+    /// Records that a proxy rejected the last sent shares. The proxy continues to use the acknowledged ones, and
+    /// counts as unreachable until it acknowledges others.
     pub fn on_rejected(&mut self, proxy: u64) {
         if let Some(proxy_shares) = self.proxies.get_mut(&proxy) {
-            // Overdue from the start: the proxy counts as unreachable immediately.
+            let highest = proxy_shares.acknowledged.clone();
             proxy_shares.pending =
-                Some(PendingShares { since: f64::NEG_INFINITY, highest: proxy_shares.acknowledged.clone() });
+                Some(PendingShares { acknowledgement: Acknowledgement::Rejected, highest });
         }
     }
 
-    /// A proxy disconnected; it continues to use its shares.
+    /// Records that a proxy disconnected. The proxy continues to use its shares, which count until
+    /// [`Self::remove_expired`] removes it.
     pub fn on_disconnected(&mut self, proxy: u64, now: Millis) {
         if let Some(proxy_shares) = self.proxies.get_mut(&proxy) {
             proxy_shares.disconnected_at = Some(now);
         }
     }
 
-    /// Sets the request rates of a proxy, in requests per ms by class.
+    /// Sets a proxy's request rates, in requests per ms by class. A proxy without rates counts like the busiest one.
     pub fn set_request_rate(&mut self, proxy: u64, request_rate: Vec<f64>) {
         if let Some(proxy_shares) = self.proxies.get_mut(&proxy) {
             proxy_shares.request_rate = request_rate;
         }
     }
 
-    /// Requests per ms of one class over all connected proxies, as last reported.
+    /// Sum of the request rates of one class over all connected proxies, in requests per ms.
     #[must_use]
     pub fn request_rate(&self, class: usize) -> f64 {
         let connected = self.proxies.values().filter(|proxy_shares| proxy_shares.disconnected_at.is_none());
         connected.filter_map(|proxy_shares| proxy_shares.request_rate.get(class)).sum()
     }
 
-    /// The number of proxies, disconnected ones included.
+    /// Number of proxies, including disconnected ones that have not expired.
     #[must_use]
     pub fn len(&self) -> usize {
         self.proxies.len()
     }
 
-    /// True where there is no proxy.
+    /// Returns `true` if there is neither a connected proxy nor a disconnected one that has not expired.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.proxies.is_empty()
@@ -157,14 +173,13 @@
         });
     }
 
-    /// The share of a class, from 0 to 1, that each reachable proxy may use, so that the sum over all proxies is at most
-    /// `total_share` of the requests.
+    /// The share of a class, from 0 to `total_share`, that each reachable proxy may use. With it the sum over all
+    /// proxies is at most `total_share` of the requests, unless the unreachable proxies alone exceed that.
     #[must_use]
     pub fn remaining_share(&self, class: usize, total_share: f64, now: Millis) -> f64 {
         limits::remaining_share(total_share, self.usage(class, now))
     }
 
-    /// The weights of all proxies, and the usage of the unreachable ones.
     fn usage(&self, class: usize, now: Millis) -> ShareUsage {
         let rate_of = |proxy: &ProxyShares| proxy.request_rate.get(class).copied();
         let busiest_rate = self.proxies.values().filter_map(rate_of).fold(0.0, f64::max);
--- a/crates/proxy-config/tests/published_shares.rs
+++ b/crates/proxy-config/tests/published_shares.rs
@@ -1,4 +1,4 @@
-//! The remaining share of reachable proxies while others may use more.
+//! The share of reachable proxies while unreachable ones may be using more.
 
 use latchhaven_policy::Millis;
 use latchhaven_proxy_config::limits::{ACKNOWLEDGE_TIMEOUT, DISCONNECTED_RETENTION};
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn reachable_proxies_get_less_while_others_use_more() {
+fn reachable_proxies_get_less_while_unreachable_ones_use_more() {
     let mut published_shares = PublishedShares::new(100);
     for proxy in 0..10 {
         published_shares.on_connected(proxy);
@@ -24,7 +24,7 @@
     assert_eq!(
         published_shares.remaining_share(0, 0.02, 200.0),
         0.0,
-        "the disconnected one uses more than the cap"
+        "the disconnected proxy alone exceeds the cap"
     );
     // Nine were sent less; one of them does not acknowledge it.
     (0..10)
@@ -41,19 +41,27 @@
     assert_eq!(published_shares.len(), 9);
 }
 
-/// The share that a proxy may use, computed independently.
+/// Shares that were sent and not yet acknowledged.
+#[derive(Clone, Copy)]
+struct ModelPending {
+    /// When the first of them was sent. `None` after a rejection.
+    first_sent_at: Option<Millis>,
+    /// The highest of them, in parts per million.
+    highest: u32,
+}
+
+/// An independent model of the shares that one proxy may be using, in parts per million.
 #[derive(Clone, Copy, Default)]
 struct ModelProxy {
     acknowledged: u32,
-    /// The highest unacknowledged share, and when the first was sent.
-    pending: Option<(Millis, u32)>,
+    pending: Option<ModelPending>,
     is_disconnected: bool,
 }
 
 impl ModelProxy {
     fn sent(&mut self, parts: u32, now: Millis) {
-        let (since, highest) = self.pending.unwrap_or((now, 0));
-        self.pending = Some((since, highest.max(parts)));
+        let pending = self.pending.get_or_insert(ModelPending { first_sent_at: Some(now), highest: 0 });
+        pending.highest = pending.highest.max(parts);
     }
 
     fn acknowledged(&mut self, parts: u32) {
@@ -62,15 +70,18 @@
     }
 
     fn rejected(&mut self) {
-        self.pending = Some((f64::NEG_INFINITY, self.acknowledged));
+        self.pending = Some(ModelPending { first_sent_at: None, highest: self.acknowledged });
     }
 
     fn is_unreachable(&self, now: Millis) -> bool {
-        self.is_disconnected || self.pending.is_some_and(|(since, _)| now - since >= ACKNOWLEDGE_TIMEOUT)
+        let is_overdue = |pending: ModelPending| {
+            pending.first_sent_at.is_none_or(|sent_at| now - sent_at >= ACKNOWLEDGE_TIMEOUT)
+        };
+        self.is_disconnected || self.pending.is_some_and(is_overdue)
     }
 
     fn highest_possible_share(&self) -> f64 {
-        let pending = self.pending.map_or(0, |(_, highest)| highest);
+        let pending = self.pending.map_or(0, |pending| pending.highest);
         f64::from(self.acknowledged.max(pending)) / 1e6
     }
 }
