--- a/crates/proxy-config/src/freshness.rs
+++ b/crates/proxy-config/src/freshness.rs
@@ -1,9 +1,10 @@
-//! The newest rollout state and endpoint list known, and whether a configuration may be published at all.
+//! Tracks the newest known rollout state and endpoint list, and decides whether a configuration may be published.
 //!
-//! Discovery sends endpoint lists, the platform sends states of the newest version. The versions that proxies report, and
-//! the version in the state store, give lower bounds for both. An older state never replaces a newer one. Nothing is
-//! published before a full endpoint list was received and the platform has reported the state of the newest version, each
-//! at least as new as the newest known to have been published.
+//! Problem: a control service that has just started, or that reads from a lagging replica, may receive states older
+//! than those from which another service already built configurations. Publishing them would return proxies to an
+//! older configuration. Method: the versions that proxies report, and the version in the state store, are lower
+//! bounds. An older state never replaces a newer one. Nothing is published until discovery has sent a full endpoint
+//! list and the platform has reported the state of the newest version, each at least as new as its lower bound.
 
 use crate::limits::{self, MAX_ROLLED_BACK_VERSIONS};
 use crate::version::{ConfigVersion, EndpointListVersion, ReportedVersion, RolloutStatus, RolloutVersion};
@@ -11,19 +12,21 @@
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
 
-/// The newest known versions, and whether the platform has confirmed them.
+/// Tracks the newest known rollout state and endpoint list, and whether a configuration based on them may be published.
 #[derive(Clone, Debug, Default)]
 pub struct VersionTracker {
+    /// The newest known rollout state, also if only a proxy or the state store has reported it.
     rollout: Option<RolloutVersion>,
-    /// The platform has reported a state at least as new since this process started.
-    confirmed_by_platform: bool,
-    /// The list in use, once a full one was received.
+    /// Set when the platform has reported a state since this process started, as new as `rollout` or newer.
+    is_confirmed_by_platform: bool,
+    /// The list in use. `None` until a full list was received.
     endpoint_list: Option<EndpointListVersion>,
-    /// The newest list known to exist.
-    latest_seen: EndpointListVersion,
-    /// Since when all full lists were older than [`Self::latest_seen`].
+    /// The newest list known to exist, also if it was not received.
+    newest_list: EndpointListVersion,
+    /// When the first of an unbroken sequence of stale full lists was received. `None` if the last full list was not
+    /// older than `newest_list`, or a call to discovery failed since.
     stale_since: Option<Millis>,
-    /// The last received list was a full one, and stale.
+    /// Set when the last received list was a full one that was not applied because it is stale.
     is_last_snapshot_stale: bool,
     rolled_back: BTreeSet<Version>,
 }
@@ -31,40 +34,42 @@
 /// Whether an endpoint list was applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateResult {
-    /// It is in use.
+    /// The list is in use.
     Applied,
-    /// It was not applied: a full list older than the newest known one, a change older than the list in use, or a change
-    /// before any full list.
+    /// The list was ignored: a full list older than the newest known one, a change older than the list in use, or a
+    /// change received before any full list.
     Stale,
 }
 
 /// Why no configuration can be published yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PublicationBlocked {
-    /// No full endpoint list was received.
+    /// Discovery has not sent a full endpoint list since this process started.
     #[error("no full endpoint list was received yet")]
     NoEndpointList,
-    /// The platform has not reported the state of the newest version.
+    /// Since this process started, the platform has not reported a rollout state as new as the newest known one.
     #[error("the platform has not reported the rollout state of the newest version")]
     RolloutUnconfirmed,
-    /// A newer endpoint list was published before.
+    /// A configuration with a newer endpoint list was published before, by this service or another one.
     #[error("the endpoint list is older than a published one")]
     StaleEndpointList,
 }
 
 impl VersionTracker {
-    /// Continues from a stored version: nothing older is published.
+    /// Creates a tracker with the version and the rolled-back versions from the state store as lower bounds. Without
+    /// a stored version there is no lower bound yet.
     pub fn restore(stored: Option<ConfigVersion>, rolled_back: impl IntoIterator<Item = Version>) -> Self {
         let mut state =
             VersionTracker { rolled_back: rolled_back.into_iter().collect(), ..VersionTracker::default() };
         if let Some(stored) = stored {
             state.rollout = Some(stored.rollout);
-            state.latest_seen = stored.endpoints;
+            state.newest_list = stored.endpoints;
         }
         state
     }
 
-    /// Applies a state that the platform reported. Returns the state to use, unless a newer one is known.
+    /// Applies a rollout state that the platform reported at `now`, a Unix time. `is_rejected` is set if the canary
+    /// analysis has rejected its version. Returns the state, or `None` if a newer one is known.
     pub fn apply_rollout_state(
         &mut self, state: &RolloutState, is_rejected: bool, now: Millis,
     ) -> Option<RolloutState> {
@@ -72,15 +77,16 @@
         let order = self.rollout.map_or(Ordering::Greater, |known| reported.compare(&known));
         match order {
             Ordering::Less => return None,
-            // The first labelled begin stays, so that labels of one state stay equal.
+            // The start time that was published first stays, so that all labels of one state are equal.
             Ordering::Equal => {}
             Ordering::Greater => self.set_rollout(reported),
         }
-        self.confirmed_by_platform = true;
+        self.is_confirmed_by_platform = true;
         Some(*state)
     }
 
-    /// The canary analysis of this process rejected the newest version: it is published as rejected.
+    /// Marks the newest version as rejected by the canary analysis of this process, unless its rollout is past the
+    /// canary phase.
     pub fn reject_canary(&mut self) {
         if let Some(known) = self.rollout {
             let status = known.status.max(RolloutStatus::Rejected);
@@ -88,14 +94,15 @@
         }
     }
 
-    /// Applies the version of a proxy's resources, if its label is signed. Returns the rollout state in it, if it is
-    /// newer than the known one.
+    /// Applies the version of a resource that a proxy uses, as lower bounds. Versions that are unsigned, or too far
+    /// in the future, are ignored. `now` is a Unix time. Returns the rollout state of the version, or `None` if that
+    /// is not newer than the known one.
     pub fn apply_proxy_version(&mut self, reported: &ReportedVersion, now: Millis) -> Option<RolloutState> {
         let ConfigVersion { rollout, endpoints } = reported.version;
-        if !reported.is_signed || limits::is_in_future(rollout.since, now) {
+        if !reported.is_signed || limits::is_too_far_in_future(rollout.since, now) {
             return None;
         }
-        self.latest_seen = self.latest_seen.max(endpoints);
+        self.newest_list = self.newest_list.max(endpoints);
         let is_newer = self.rollout.is_none_or(|known| rollout.compare(&known) == Ordering::Greater);
         if !is_newer {
             return None;
@@ -114,7 +121,8 @@
         self.rollout = Some(rollout);
     }
 
-    /// Applies an endpoint list of discovery. Changes apply to the list in use; the first list must be a full one.
+    /// Applies an endpoint list with the version that discovery assigned. With `is_snapshot` the list is a full one,
+    /// else it has changes to the list in use. The first list must be a full one.
     pub fn apply_endpoint_list(&mut self, version: u64, is_snapshot: bool, now: Millis) -> UpdateResult {
         let result = self.apply_list_version(version, is_snapshot, now);
         self.is_last_snapshot_stale = is_snapshot && result == UpdateResult::Stale;
@@ -131,35 +139,37 @@
             return UpdateResult::Stale;
         }
         self.endpoint_list = Some(changed);
-        self.latest_seen = self.latest_seen.max(changed);
+        self.newest_list = self.newest_list.max(changed);
         UpdateResult::Applied
     }
 
     fn apply_list_snapshot(&mut self, version: u64, now: Millis) -> UpdateResult {
-        let received = EndpointListVersion { epoch: self.latest_seen.epoch, version };
-        if received >= self.latest_seen {
+        let received = EndpointListVersion { epoch: self.newest_list.epoch, version };
+        if received >= self.newest_list {
             return self.use_list_snapshot(received);
         }
         let stale_since = *self.stale_since.get_or_insert(now);
-        if limits::begins_new_epoch(now, stale_since) {
+        if limits::was_discovery_restarted(now, stale_since) {
             return self.use_list_snapshot(EndpointListVersion { epoch: received.epoch + 1, version });
         }
         if self.endpoint_list.is_some() {
             return UpdateResult::Stale;
         }
-        // A stale first list is used, since changes may bring it up to date.
+        // The first list is used even if it is stale, since changes may bring it up to date. Nothing is published
+        // until then.
         self.endpoint_list = Some(received);
         UpdateResult::Applied
     }
 
     fn use_list_snapshot(&mut self, list: EndpointListVersion) -> UpdateResult {
         self.endpoint_list = Some(list);
-        self.latest_seen = list;
+        self.newest_list = list;
         self.stale_since = None;
         UpdateResult::Applied
     }
 
-    /// A watch or fetch of the list failed: discovery may have caught up meanwhile.
+    /// Records that a call to discovery failed. Stale lists before and after the failure do not show that discovery was
+    /// restarted, so that the delay until a new epoch begins again.
     pub fn on_endpoint_list_failed(&mut self) {
         self.stale_since = None;
     }
@@ -170,30 +180,30 @@
         self.rollout
     }
 
-    /// Versions that were rolled back.
+    /// The versions that were rolled back, as far as they are retained: the highest `MAX_ROLLED_BACK_VERSIONS`.
     #[must_use]
     pub fn rolled_back_versions(&self) -> &BTreeSet<Version> {
         &self.rolled_back
     }
 
-    /// True where a full list must be fetched: the list in use is older than the newest known one, or the last full list
-    /// was stale.
+    /// Returns `true` if a full list must be requested: the list in use is older than the newest known one, or the
+    /// last full list was ignored as stale.
     #[must_use]
     pub fn needs_list_snapshot(&self) -> bool {
         self.is_endpoint_list_stale() || self.is_last_snapshot_stale
     }
 
     fn is_endpoint_list_stale(&self) -> bool {
-        self.endpoint_list.is_some_and(|list| list < self.latest_seen)
+        self.endpoint_list.is_some_and(|list| list < self.newest_list)
     }
 
-    /// The version of a configuration that is published now.
+    /// The version of a configuration built now, from the newest known rollout state and the list in use.
     ///
     /// # Errors
-    /// No configuration may be published yet.
+    /// Why no configuration may be published yet.
     pub fn config_version(&self) -> Result<ConfigVersion, PublicationBlocked> {
         let endpoints = self.endpoint_list.ok_or(PublicationBlocked::NoEndpointList)?;
-        let confirmed = self.rollout.filter(|_| self.confirmed_by_platform);
+        let confirmed = self.rollout.filter(|_| self.is_confirmed_by_platform);
         let rollout = confirmed.ok_or(PublicationBlocked::RolloutUnconfirmed)?;
         if self.is_endpoint_list_stale() {
             return Err(PublicationBlocked::StaleEndpointList);
--- a/crates/proxy-config/src/load_reports.rs
+++ b/crates/proxy-config/src/load_reports.rs
@@ -1,9 +1,9 @@
-//! Load reports of proxies: validated, limited per proxy and endpoint, and aggregated into outcome reports for the policy.
-//! The aggregate contains only outcomes that a proxy observed.
+//! Load reports of proxies: validated, limited per proxy and endpoint, and aggregated into outcome reports for the
+//! policy. The aggregate contains only outcomes that a proxy observed.
 //!
-//! - `report`: the reports.
-//! - `validation`: checks a report.
-//! - `outcome_sum`: weighted sums of outcomes.
+//! - `report`: the counts that a report contains.
+//! - `validation`: rejects reports that are implausible or contradict an earlier one.
+//! - `outcome_sum`: sums of outcomes with a limited weight.
 
 mod outcome_sum;
 mod report;
@@ -26,12 +26,12 @@
     class: usize,
 }
 
-/// The state of one reporting proxy.
+/// What is known about a proxy from its load reports.
 #[derive(Clone, Debug, Default)]
 struct ReportingProxy {
-    /// Smoothed request rates, in requests per ms by class.
+    /// Moving average of the request rate of each class, in requests per ms. Empty before the first report.
     request_rate: Vec<f64>,
-    /// Attempts in flight at each cluster at the time of the last report.
+    /// Attempts in flight in each cluster at the time of the last report.
     in_flight: BTreeMap<ClusterKey, u64>,
 }
 
@@ -47,23 +47,25 @@
     }
 }
 
-/// Aggregates the reports since the events were last drained.
+/// Aggregates load reports into events for the policy, which [`Self::drain_events`] returns once in each period.
 #[derive(Clone, Debug)]
 pub struct LoadReportAggregator {
+    /// The names of the request classes, by their index.
     class_names: Vec<String>,
-    /// The sums of each cluster, by proxy.
+    /// The sums of each cluster, by proxy, since the events were last drained.
     cluster_sums: BTreeMap<ClusterKey, BTreeMap<u64, OutcomeSum>>,
     endpoint_sums: BTreeMap<EndpointClassKey, OutcomeSum>,
     proxies: BTreeMap<u64, ReportingProxy>,
     last_report_at: Option<Millis>,
     last_drained_at: Millis,
-    platform_only: bool,
+    uses_platform_only: bool,
 }
 
 impl LoadReportAggregator {
-    /// Aggregates by these request classes. With `platform_only` proxies' counts are not used to judge versions.
+    /// Creates an aggregator without reports. Clusters refer to the request classes by the index in `class_names`. With
+    /// `uses_platform_only` only the platform's counts judge versions; proxies' counts still judge endpoints.
     #[must_use]
-    pub fn new(class_names: Vec<String>, platform_only: bool) -> Self {
+    pub fn new(class_names: Vec<String>, uses_platform_only: bool) -> Self {
         LoadReportAggregator {
             class_names,
             cluster_sums: BTreeMap::new(),
@@ -71,15 +73,16 @@
             proxies: BTreeMap::new(),
             last_report_at: None,
             last_drained_at: 0.0,
-            platform_only,
+            uses_platform_only,
         }
     }
 
-    /// Adds a report; a rejected one changes nothing. `endpoint_at` returns the endpoint at an address, if it runs or
-    /// recently ran the version. Returns the proxy's smoothed request rates, in requests per ms by class.
+    /// Adds a report of a proxy and returns the moving average of the proxy's request rate of each class, in requests
+    /// per ms. `endpoint_at` returns the id of the endpoint at an address, if it runs or recently ran the version.
     ///
     /// # Errors
-    /// The report has implausible values, contradicts an earlier one, or names endpoints that are not in their cluster.
+    /// The report has implausible values, contradicts an earlier one, or names endpoints that are not in their
+    /// cluster. Nothing of a rejected report is added.
     pub fn add_report<'a>(
         &mut self, proxy: u64, report: &ProxyReport,
         endpoint_at: impl Fn(&SocketAddr, Version) -> Option<&'a str>, now: Millis,
@@ -94,10 +97,10 @@
             let proxy_sum = proxy_sums.entry(proxy).or_default();
             for EndpointReport { address, counts } in &cluster.endpoints {
                 let outcomes = OutcomeSum::from_counts(counts);
-                proxy_sum.add(&outcomes, f64::INFINITY);
+                proxy_sum.add(&outcomes, None);
                 if let Some(endpoint) = endpoint_at(address, cluster.version) {
                     let key = EndpointClassKey { endpoint: endpoint.to_string(), class: cluster.class };
-                    self.endpoint_sums.entry(key).or_default().add(&outcomes, MAX_ENDPOINT_ATTEMPTS);
+                    self.endpoint_sums.entry(key).or_default().add(&outcomes, Some(MAX_ENDPOINT_ATTEMPTS));
                 }
                 let requests = outcomes.attempts().max(counts.started as f64);
                 request_rate[cluster.class] += requests / report.interval;
@@ -112,28 +115,30 @@
         Ok(reporting.request_rate.clone())
     }
 
-    /// A proxy disconnected.
+    /// Forgets a disconnected proxy's request rates and attempts in flight. Its counts of the current period remain.
     pub fn on_disconnected(&mut self, proxy: u64) {
         self.proxies.remove(&proxy);
     }
 
-    /// True where the platform's counts are used. Platform and proxies count the same attempts, so that only one of them
-    /// is used at any time.
+    /// Returns `true` if the platform's counts are to be used at `now`: by configuration, or since no proxy reports.
+    /// Platform and proxies count the same attempts, so that only one of them is used at any time.
     #[must_use]
     pub fn uses_platform_counts(&self, now: Millis) -> bool {
-        self.platform_only || limits::have_reports_stopped(now, self.last_report_at)
+        self.uses_platform_only || limits::have_reports_stopped(now, self.last_report_at)
     }
 
-    /// The outcomes of the last period as events for the policy; none before [`limits::REPORT_PERIOD`] has passed.
+    /// Returns the outcomes of the last period as events for the policy, and begins a new period. Returns no events,
+    /// and continues the period, until it has lasted for [`limits::REPORT_PERIOD`].
     pub fn drain_events(&mut self, now: Millis) -> Vec<Event> {
         if !limits::is_report_period_complete(now, self.last_drained_at) {
             return Vec::new();
         }
+        // The mean age of outcomes that are spread evenly over the period.
         let age = (now - self.last_drained_at) / 2.0;
         self.last_drained_at = now;
         let mut events = self.drain_endpoint_outcomes();
         let cluster_sums = std::mem::take(&mut self.cluster_sums);
-        if !self.platform_only {
+        if !self.uses_platform_only {
             let reports = cluster_sums.iter().map(|(key, sums)| self.outcome_report(*key, sums, age));
             events.extend(reports);
         }
@@ -168,7 +173,7 @@
     }
 }
 
-/// The sum over all proxies, each limited to a multiple of their mean.
+/// The sum over all proxies. Each proxy's weight is limited to a multiple of their mean number of attempts.
 fn sum_of_proxies(sums: &BTreeMap<u64, OutcomeSum>) -> OutcomeSum {
     let total_attempts = sums.values().map(OutcomeSum::attempts).sum::<f64>();
     let max_attempts = limits::max_attempts_per_proxy(sums.len(), total_attempts);
--- a/crates/proxy-config/src/load_reports/report.rs
+++ b/crates/proxy-config/src/load_reports/report.rs
@@ -1,57 +1,57 @@
-//! Load reports of proxies.
+//! The counts that a proxy's load report contains.
 
 use latchhaven_policy::{Millis, Version};
 use std::net::SocketAddr;
 
-/// Counts of a proxy at one endpoint since its last report.
+/// Counts of one proxy at one endpoint since the proxy's last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointCounts {
-    /// Attempts started; 0 where the proxy does not count them.
+    /// Attempts that started since the last report. 0 if the proxy does not count them.
     pub started: u64,
-    /// Attempts that succeeded.
+    /// Attempts that succeeded since the last report.
     pub succeeded: u64,
-    /// Attempts that failed.
+    /// Attempts that failed since the last report.
     pub failed: u64,
     /// Attempts in flight at the time of the report.
     pub in_flight: u64,
-    /// The sum of the latencies in ms of `latency_samples` succeeded attempts.
+    /// The sum of the latencies of `latency_samples` succeeded attempts, in milliseconds.
     pub total_latency: f64,
-    /// Attempts in `total_latency`.
+    /// Number of succeeded attempts whose latency is part of `total_latency`.
     pub latency_samples: u64,
 }
 
-/// The counts at one endpoint, with its address.
+/// The part of a load report about one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointReport {
-    /// The address of the endpoint.
+    /// The address at which the proxy connects to the endpoint; identifies it in the report.
     pub address: SocketAddr,
-    /// The counts.
+    /// Outcomes and latencies of the proxy's attempts at the endpoint.
     pub counts: EndpointCounts,
 }
 
-/// Counts of a proxy in one cluster.
+/// The part of a load report about one cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClusterReport {
     /// The version that the cluster's endpoints run.
     pub version: Version,
     /// The index of the cluster's request class.
     pub class: usize,
-    /// The counts by endpoint.
+    /// Counts of each endpoint to which the proxy sent attempts.
     pub endpoints: Vec<EndpointReport>,
-    /// Requests that the proxy rejected without an attempt.
+    /// Requests that the proxy rejected without an attempt since its last report.
     pub dropped: u64,
 }
 
 /// A load report of one proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxyReport {
-    /// The period in ms that the report covers.
+    /// Time since the proxy's previous report.
     pub interval: Millis,
-    /// The counts by cluster.
+    /// Counts of each cluster, at most one entry for each.
     pub clusters: Vec<ClusterReport>,
 }
 
-/// A cluster: the endpoints of one version, for one request class.
+/// Identifies a cluster: the endpoints of one version, for the requests of one class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ClusterKey {
     pub(super) version: Version,
--- a/crates/proxy-config/src/load_reports/validation.rs
+++ b/crates/proxy-config/src/load_reports/validation.rs
@@ -6,37 +6,39 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Why a load report is rejected. The text is sent to the proxy.
+/// Why a load report is rejected. The text is sent to the proxy in the status that closes its stream.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReportError {
-    /// The covered period is too short, too long, or not a number.
+    /// The period that the report covers is too short, too long, or not a number.
     #[error("load_report_interval: not from 1 ms to 1 h")]
     InvalidInterval,
-    /// The request class of a cluster is unknown, or the report has the cluster twice.
+    /// The request class of a cluster is unknown, or the report has more than one entry for the cluster.
     #[error("cluster_stats: unknown cluster, or the same cluster twice")]
     UnknownOrRepeatedCluster,
-    /// A count at this endpoint is too large.
+    /// A count of this endpoint, or of the requests dropped in its cluster, is larger than any plausible one.
     #[error("{0}: count above the limit")]
     InvalidCounts(SocketAddr),
-    /// The latency at this endpoint is negative, too large, not a number, or without samples.
+    /// The mean latency at this endpoint is negative, too large, or not a number, or there is a latency without
+    /// samples.
     #[error("{0}: implausible latency")]
     InvalidLatency(SocketAddr),
-    /// No endpoint of the cluster's version is at this address.
+    /// No endpoint at this address runs or recently ran the cluster's version.
     #[error("{0}: not an endpoint of its cluster")]
     UnknownEndpoint(SocketAddr),
-    /// More attempts completed in a cluster than had started.
+    /// More attempts completed in a cluster than started, including those in flight at the time of the last report.
     #[error("cluster_stats: more attempts completed than started")]
-    MoreEndedThanStarted,
+    MoreCompletedThanStarted,
 }
 
 /// Attempts of one cluster, over all its endpoints.
 #[derive(Default)]
 struct AttemptTotals {
     started: u64,
-    ended: u64,
+    completed: u64,
 }
 
-/// Checks a report of a proxy. `in_flight_before`: the attempts in flight in its last report, if there was one.
+/// Checks a report of a proxy. `in_flight_before` has the attempts in flight in the proxy's last report, `None` if
+/// this is its first one. `is_known` returns `true` if an endpoint at the address runs or recently ran the version.
 pub(super) fn validate(
     report: &ProxyReport, class_count: usize, in_flight_before: Option<&BTreeMap<ClusterKey, u64>>,
     is_known: impl Fn(&SocketAddr, Version) -> bool,
@@ -51,12 +53,12 @@
         }
         let totals = validate_endpoints(cluster, &is_known)?;
         let in_flight_before = in_flight_before.and_then(|in_flight| in_flight.get(&cluster.key()));
-        // Skipped for proxies that do not count started attempts.
+        // Skipped if no attempt started, since some proxies do not count started attempts.
         if let Some(in_flight_before) = in_flight_before
             && totals.started > 0
-            && totals.ended > totals.started + in_flight_before
+            && totals.completed > totals.started + in_flight_before
         {
-            return Err(ReportError::MoreEndedThanStarted);
+            return Err(ReportError::MoreCompletedThanStarted);
         }
     }
     Ok(())
@@ -77,7 +79,7 @@
             return Err(ReportError::UnknownEndpoint(*address));
         }
         totals.started += counts.started;
-        totals.ended += counts.succeeded + counts.failed;
+        totals.completed += counts.succeeded + counts.failed;
     }
     Ok(totals)
 }
--- a/crates/proxy-config/src/proxy_config/builder.rs
+++ b/crates/proxy-config/src/proxy_config/builder.rs
@@ -1,4 +1,4 @@
-//! Builds a configuration from its parts.
+//! Combines endpoints, clusters and routes into a configuration.
 
 use super::context::ConfigContext;
 use super::endpoints::configured_endpoints;
@@ -10,7 +10,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Builds the configuration for a snapshot of the policy at `now`, in ms. `addresses`: the address of each endpoint.
+/// Builds the configuration for a snapshot of the policy at `now`.
+///
+/// `rolled_back` has the versions that get requests only as canaries. `addresses` has the address of each endpoint by
+/// its id; endpoints without an address are left out. `published_shares` reduces the shares of canaries by what
+/// unreachable proxies may be using.
 #[must_use]
 pub fn build_proxy_config(
     snapshot: &PolicySnapshot, settings: &ProxyConfigSettings, rolled_back: &BTreeSet<Version>,
@@ -24,7 +28,8 @@
     ProxyConfig {
         clusters: context.clusters(endpoints.keys().copied()),
         endpoints,
-        shed_share: PartsPerMillion::from_fraction_floor(snapshot.shed_probability).floor_to(SHARE_STEP),
+        shed_share: PartsPerMillion::from_fraction_floor(snapshot.shed_probability)
+            .round_down_to_multiple_of(SHARE_STEP),
         routes: class_routes.into_iter().map(|class_route| class_route.route).collect(),
         canary_shares,
     }
--- a/crates/proxy-config/src/proxy_config/clusters.rs
+++ b/crates/proxy-config/src/proxy_config/clusters.rs
@@ -6,7 +6,7 @@
 use latchhaven_policy::Version;
 
 impl ConfigContext<'_> {
-    /// The clusters of these versions.
+    /// One cluster for each of these versions and each request class, in this order.
     pub(super) fn clusters(&self, versions: impl Iterator<Item = Version>) -> Vec<Cluster> {
         let mut clusters = Vec::new();
         for version in versions {
--- a/crates/proxy-config/src/proxy_config/context.rs
+++ b/crates/proxy-config/src/proxy_config/context.rs
@@ -5,7 +5,7 @@
 use latchhaven_policy::{EndpointSnapshot, Millis, PolicySnapshot, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The capacity of a baseline version's endpoints that receive requests.
+/// A baseline version, and the total capacity of those of its endpoints that receive requests.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BaselineCapacity {
     pub(super) version: Version,
@@ -18,16 +18,17 @@
     pub(super) settings: &'a ProxyConfigSettings,
     pub(super) published_shares: &'a PublishedShares,
     pub(super) now: Millis,
-    /// Versions whose ready endpoints are all ejected; these receive requests all the same.
+    /// Versions whose ready endpoints are all ejected. These endpoints receive requests all the same, since no other
+    /// endpoint of the version could.
     pub(super) fully_ejected: BTreeSet<Version>,
-    /// The capacity of each version's endpoints that receive requests.
+    /// The total capacity of each version's endpoints that receive requests.
     pub(super) capacities: BTreeMap<Version, f64>,
-    /// Versions that receive all requests beside the canaries' shares: neither canaries nor rolled back.
+    /// Versions with capacity that are neither canaries nor rolled back. They share the requests that no canary gets.
     pub(super) baselines: Vec<BaselineCapacity>,
 }
 
 impl<'a> ConfigContext<'a> {
-    /// The context of a snapshot of the policy at `now`, in ms.
+    /// Derives capacities and baselines from a snapshot of the policy at `now`.
     pub(super) fn new(
         snapshot: &'a PolicySnapshot, settings: &'a ProxyConfigSettings, rolled_back: &BTreeSet<Version>,
         published_shares: &'a PublishedShares, now: Millis,
@@ -38,7 +39,7 @@
         ConfigContext { snapshot, settings, published_shares, now, fully_ejected, capacities, baselines }
     }
 
-    /// The capacity of a version's endpoints that receive requests.
+    /// The total capacity of a version's endpoints that receive requests, 0 if there is none.
     pub(super) fn capacity(&self, version: Version) -> f64 {
         self.capacities.get(&version).copied().unwrap_or(0.0)
     }
--- a/crates/proxy-config/src/proxy_config/endpoints.rs
+++ b/crates/proxy-config/src/proxy_config/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints of each version, with their health and weight.
+//! The endpoints of each version, with health and weight.
 
 use super::context::ConfigContext;
 use super::model::{ConfiguredEndpoint, EndpointHealth};
@@ -7,7 +7,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// All endpoints with a known address, by version and in the order of their ids.
+/// All endpoints with a known address, by version. The endpoints of a version are sorted by their ids, so that equal
+/// lists of endpoints give equal configurations.
 pub(super) fn configured_endpoints(
     context: &ConfigContext<'_>, addresses: &BTreeMap<String, SocketAddr>,
 ) -> BTreeMap<Version, Vec<ConfiguredEndpoint>> {
--- a/crates/proxy-config/src/proxy_config/routes.rs
+++ b/crates/proxy-config/src/proxy_config/routes.rs
@@ -1,13 +1,13 @@
-//! The route of each request class: the canary's share, the baselines' shares, and retries.
+//! The route of each request class: the shares of canaries and baselines, and the retries.
 
 use super::context::{BaselineCapacity, ConfigContext};
 use super::model::{RetryScope, Route, RouteShare, RouteTarget};
-use crate::canary_share::{max_safe_share, max_warmup_share};
+use crate::canary_share::{max_share_within_cap, max_warmup_share};
 use crate::limits::{self, SHARE_STEP};
 use crate::parts_per_million::PartsPerMillion;
 use latchhaven_policy::{Canary, DedupScope, Idempotency, Millis, RequestClass, Version};
 
-/// The route of one class, and the canaries' share in it.
+/// The route of one class, and the sum of the canaries' shares in it.
 pub(super) struct ClassRoute {
     pub(super) route: Route,
     pub(super) canary_share: PartsPerMillion,
@@ -21,7 +21,6 @@
 }
 
 impl ConfigContext<'_> {
-    /// The route of a class.
     pub(super) fn route(&self, class: usize) -> ClassRoute {
         let request_class = &self.settings.classes[class];
         let canary_shares = self.canary_shares(class);
@@ -31,7 +30,7 @@
         let retries = retry_policy(request_class, self.settings.max_attempts);
         let route = Route {
             class,
-            shares: fill_with_baselines(canary_shares, &self.baselines),
+            shares: add_baseline_shares(canary_shares, &self.baselines),
             sticky_shares,
             timeout: request_class.timeout,
             attempt_timeout: retries.attempt_timeout,
@@ -41,34 +40,35 @@
         ClassRoute { route, canary_share }
     }
 
-    /// The shares of requests with a key. A key must not return from the canary to a baseline: all requests with a key
-    /// stay with the baselines while there are any, then migrate once.
+    /// The shares for requests with a sticky key. A key must not return from the canary to a baseline. All requests
+    /// with a key therefore go to the baselines while there are any, and to the canaries after that.
     fn sticky_shares(&self, canary_shares: &[RouteShare]) -> Vec<RouteShare> {
         let canary_shares = if self.baselines.is_empty() { canary_shares.to_vec() } else { Vec::new() };
-        fill_with_baselines(canary_shares, &self.baselines)
+        add_baseline_shares(canary_shares, &self.baselines)
     }
 
-    /// Each canary's share of a class.
+    /// Each canary's share of a class: its part, by capacity, of the share that the policy requests, within the limits.
     fn canary_shares(&self, class: usize) -> Vec<RouteShare> {
         let canaries = &self.snapshot.canaries;
         let canary_capacity = canaries.iter().map(|canary| self.capacity(canary.version)).sum::<f64>();
-        let wanted_share = self.snapshot.canary_share.min(self.warmup_limit(canary_capacity));
+        let requested_share = self.snapshot.canary_share.min(self.warmup_limit(canary_capacity));
         let min_requests = self.min_requests_per_window(class);
         let mut shares = Vec::new();
         for canary in canaries {
             let capacity = self.capacity(canary.version);
             if capacity > 0.0 {
                 let max_share = self.max_canary_share(canary, class, min_requests);
-                let share = (wanted_share * capacity / canary_capacity).min(max_share);
+                let share = (requested_share * capacity / canary_capacity).min(max_share);
                 let step = limits::canary_share_step(canary.traffic_cap);
-                let share = PartsPerMillion::from_fraction_floor(share).floor_to(step);
+                let share = PartsPerMillion::from_fraction_floor(share).round_down_to_multiple_of(step);
                 shares.push(RouteShare { target: RouteTarget::Version(canary.version), share });
             }
         }
         shares
     }
 
-    /// The largest share for all canaries; limited while one of them warms up and there is a baseline.
+    /// The largest share for all canaries together, from 0 to 1. Below 1 only while one of them is warming up and a
+    /// baseline could get the requests instead.
     fn warmup_limit(&self, canary_capacity: f64) -> f64 {
         let canaries = &self.snapshot.canaries;
         let is_any_warming_up = canaries.iter().any(|canary| self.is_warming_up(canary.version));
@@ -86,7 +86,8 @@
             .any(|endpoint| endpoint.version == version && endpoint.is_ready && endpoint.is_warming_up)
     }
 
-    /// Requests that a window of the exposure rule has at least: of the class, or of all classes where it counts all.
+    /// The fewest requests that a window of the exposure rule is expected to have. Counts the requests of `class` if
+    /// the rule counts each class separately, else those of all classes.
     fn min_requests_per_window(&self, class: usize) -> f64 {
         let exposure = &self.settings.exposure;
         let request_rate: f64 = if exposure.per_class {
@@ -98,19 +99,24 @@
         limits::min_requests_per_window(request_rate, exposure.window)
     }
 
-    /// The largest share of a class for a canary: safe under its cap, reduced by the usage of unreachable proxies.
+    /// The largest share of a class for a canary, from 0 to 1: within its traffic cap, reduced by what unreachable
+    /// proxies may be using. 0 if the canary's stage does not permit the class.
     fn max_canary_share(&self, canary: &Canary, class: usize, min_requests: f64) -> f64 {
         let exposure = &self.settings.exposure;
         let is_idempotent = self.settings.classes[class].idempotency == Idempotency::Idempotent;
-        let is_open = canary.stage >= exposure.closed_stages || is_idempotent;
-        let safe_share =
-            if is_open { max_safe_share(canary.traffic_cap, exposure.allowance, min_requests) } else { 0.0 };
-        self.published_shares.remaining_share(class, safe_share, self.now)
+        let is_class_allowed = canary.stage >= exposure.closed_stages || is_idempotent;
+        let total_share = if is_class_allowed {
+            max_share_within_cap(canary.traffic_cap, exposure.allowance, min_requests)
+        } else {
+            0.0
+        };
+        self.published_shares.remaining_share(class, total_share, self.now)
     }
 }
 
-/// Assigns the remaining share to the baselines, by capacity; without a baseline it is rejected.
-fn fill_with_baselines(mut shares: Vec<RouteShare>, baselines: &[BaselineCapacity]) -> Vec<RouteShare> {
+/// Adds targets for the requests that no canary gets: the baselines, in proportion to their capacities. The last
+/// baseline also gets what rounding leaves over. Without a baseline these requests are rejected.
+fn add_baseline_shares(mut shares: Vec<RouteShare>, baselines: &[BaselineCapacity]) -> Vec<RouteShare> {
     let canary_share: PartsPerMillion = shares.iter().map(|share| share.share).sum();
     let mut unassigned = PartsPerMillion::FULL.saturating_sub(canary_share);
     let baseline_parts = f64::from(unassigned.get());
@@ -123,7 +129,8 @@
     };
     for baseline in others {
         let exact_parts = baseline_parts * baseline.capacity / total_capacity.max(f64::MIN_POSITIVE);
-        let share = PartsPerMillion::new(exact_parts as u32).floor_to(SHARE_STEP).min(unassigned);
+        let share =
+            PartsPerMillion::new(exact_parts as u32).round_down_to_multiple_of(SHARE_STEP).min(unassigned);
         unassigned = unassigned.saturating_sub(share);
         shares.push(RouteShare { target: RouteTarget::Version(baseline.version), share });
     }
@@ -131,7 +138,7 @@
     shares
 }
 
-/// The attempts of a class that a proxy may retry, how often, and the timeout of each attempt.
+/// The retries that are safe for a class: without duplicate effects, and not more than `max_attempts` permits.
 fn retry_policy(class: &RequestClass, max_attempts: usize) -> RetryPolicy {
     let max_retries = u32::try_from(max_attempts.saturating_sub(1)).unwrap_or(u32::MAX);
     match class.idempotency {
@@ -140,7 +147,8 @@
             max_retries,
             attempt_timeout: Some(class.latency_objective),
         },
-        // A proxy chooses the endpoint of a retry by itself, possibly outside a smaller deduplication scope.
+        // A proxy may choose any endpoint for a retry. Only endpoints that all deduplicate by the same keys detect
+        // the repeat.
         Idempotency::IdempotencyKey if class.dedup_scope == DedupScope::All => RetryPolicy {
             scope: RetryScope::Any,
             max_retries: max_retries
--- a/crates/proxy-config/src/version.rs
+++ b/crates/proxy-config/src/version.rs
@@ -1,9 +1,17 @@
 //! Versions of a proxy configuration, their order, and the text labels that carry them.
 //!
-//! A configuration is based on a state of the newest version's rollout and on a version of the endpoint list. The order
-//! of two configurations follows from these two parts, never from the publishing service or the time: one is newer only
-//! where neither part is older. A label contains both parts as text, signed where control services share a key. From the
-//! label that a proxy reports, another service reads which rollout state and endpoint list were published before.
+//! A configuration is based on a state of the newest version's rollout and on a version of the endpoint list. Its
+//! version consists of these two parts. The order of versions is partial: one is newer only if neither of its parts
+//! is older. Neither the publishing service nor the time of publication matters.
+//!
+//! A label is the version of a resource as text: a prefix with both parts, and a hash of the resource's content.
+//! Control services that share a key sign the prefix. From the label that a proxy reports, another service reads
+//! which rollout state and endpoint list were published before. The status is one letter, the traffic cap is in parts
+//! per million, and the signature is optional:
+//!
+//! ```text
+//! b<version>.<status><stage>.<traffic cap>.<since>.l<list epoch>.<list version>[.<signature>].<content hash>
+//! ```
 
 use crate::limits;
 use crate::parts_per_million::PartsPerMillion;
@@ -14,43 +22,34 @@
 use std::cmp::Ordering;
 use std::fmt;
 
-/// Hexadecimal digits of a signature in a label: 64 bits.
+/// Hexadecimal digits of a signature in a label: the leading 64 bits of an HMAC-SHA256.
 const SIGNATURE_LENGTH: usize = 16;
-/// Hexadecimal digits of a content hash in a label.
+/// Hexadecimal digits of a content hash in a label: 64 bits.
 const CONTENT_HASH_LENGTH: usize = 16;
-/// Fields of a label's prefix without a signature.
+/// Number of fields of an unsigned prefix. A signed one has one more.
 const PREFIX_FIELDS: usize = 6;
 
-/// The status of a version's rollout, in the order in which a rollout can pass through them. A rejected version is not
-/// published as a canary again, whatever another service decides.
+/// The status of a version's rollout, in the order in which a rollout can pass through them: a later status is newer. A
+/// rejected version is therefore not published as a canary again, even if another service has not rejected it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RolloutStatus {
-    /// The platform runs it as a canary.
+    /// The platform runs the version as a canary.
     #[serde(rename = "OnTrial")]
     Canary,
-    /// A canary that the analysis has rejected.
+    /// The platform runs the version as a canary, and the canary analysis of a control service has rejected it.
     #[serde(rename = "Condemned")]
     Rejected,
-    /// It serves all requests.
+    /// The version serves all requests.
     #[serde(rename = "Released")]
     Promoted,
-    /// The platform is rolling it back.
+    /// The platform is rolling the version back.
     #[serde(rename = "GoingBack")]
     RollingBack,
-    /// It was rolled back.
+    /// The platform has rolled the version back.
     #[serde(rename = "Withdrawn")]
     RolledBack,
 }
 
-/// The letter of each status in labels.
-const STATUS_LETTERS: [(RolloutStatus, char); 5] = [
-    (RolloutStatus::Canary, 't'),
-    (RolloutStatus::Rejected, 'c'),
-    (RolloutStatus::Promoted, 'r'),
-    (RolloutStatus::RollingBack, 'b'),
-    (RolloutStatus::RolledBack, 'w'),
-];
-
 impl RolloutStatus {
     fn from_phase(phase: RolloutPhase, is_rejected: bool) -> Self {
         match phase {
@@ -71,37 +70,51 @@
         }
     }
 
+    /// The letter of the status in labels: an initial of its name in stored records, which is `OnTrial`, `Condemned`,
+    /// `Released`, `GoingBack` or `Withdrawn`. Must not change: proxies may report labels of other releases.
     fn letter(self) -> char {
-        let entry = STATUS_LETTERS.iter().find(|(status, _)| *status == self);
-        entry.map_or('?', |(_, letter)| *letter)
+        match self {
+            RolloutStatus::Canary => 't',
+            RolloutStatus::Rejected => 'c',
+            RolloutStatus::Promoted => 'r',
+            RolloutStatus::RollingBack => 'b',
+            RolloutStatus::RolledBack => 'w',
+        }
     }
 
     fn from_letter(letter: char) -> Option<Self> {
-        let entry = STATUS_LETTERS.iter().find(|(_, of)| *of == letter);
-        entry.map(|(status, _)| *status)
+        match letter {
+            't' => Some(RolloutStatus::Canary),
+            'c' => Some(RolloutStatus::Rejected),
+            'r' => Some(RolloutStatus::Promoted),
+            'b' => Some(RolloutStatus::RollingBack),
+            'w' => Some(RolloutStatus::RolledBack),
+            _ => None,
+        }
     }
 }
 
-/// A state of the newest version's rollout.
+/// A state of the newest version's rollout, as one part of a configuration's version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutVersion {
-    /// The newest version.
+    /// The newest version of the software that the endpoints run.
     #[serde(rename = "build")]
     pub version: Version,
-    /// The status of its rollout.
+    /// How far the rollout is, or whether the version was rejected or rolled back.
     #[serde(rename = "way")]
     pub status: RolloutStatus,
-    /// The stage of its rollout, from 0.
+    /// The stage of the rollout, from 0. Later stages have higher traffic caps.
     pub stage: u32,
-    /// The share of requests that it may receive at this stage.
+    /// The share of requests that the version may receive at this stage.
     #[serde(rename = "cap")]
     pub traffic_cap: PartsPerMillion,
-    /// Unix time in ms at which the state began.
+    /// Start of the state, as Unix time in milliseconds.
     pub since: u64,
 }
 
 impl RolloutVersion {
-    /// The version of a state that was reported at the time `now`, in Unix ms.
+    /// Converts a state that the platform reported at `now`, a Unix time. `is_rejected` is set if the canary analysis
+    /// has rejected the version, which the platform may not report yet.
     #[must_use]
     pub fn from_state(state: &RolloutState, is_rejected: bool, now: Millis) -> Self {
         RolloutVersion {
@@ -113,7 +126,7 @@
         }
     }
 
-    /// The state of this version as it is at the time `now`, in Unix ms.
+    /// Converts to the state that the platform would report at `now`, a Unix time.
     #[must_use]
     pub fn to_state(&self, now: Millis) -> RolloutState {
         RolloutState {
@@ -125,13 +138,13 @@
         }
     }
 
-    /// Compares two versions by version, status and stage; within a stage by begin. Not a total order, since begins within a
-    /// tolerance are equal. Where the begins cannot be distinguished, the lower
-    /// cap counts as newer, since a mistake then exceeds no cap.
+    /// Compares two states by version, status and stage, and within a stage by start time. Two start times may be
+    /// equal within the tolerance of clocks; then the lower traffic cap counts as newer, so that a wrong order
+    /// exceeds no cap. Because of the tolerance this is not a total order: the comparison is not transitive.
     #[must_use]
     pub fn compare(&self, other: &Self) -> Ordering {
         let progress = |rollout: &Self| (rollout.version, rollout.status, rollout.stage);
-        let within_stage = if limits::is_same_begin(self.since, other.since) {
+        let within_stage = if limits::is_same_start_time(self.since, other.since) {
             other.traffic_cap.cmp(&self.traffic_cap)
         } else {
             self.since.cmp(&other.since)
@@ -140,40 +153,42 @@
     }
 }
 
-/// A version of the endpoint list. Discovery restarts its count when it restarts itself: that begins a new epoch.
+/// A version of the endpoint list. Discovery counts from the beginning again after a restart; a new epoch makes lists
+/// received after the restart newer than all lists before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EndpointListVersion {
-    /// The number of detected restarts of discovery.
+    /// Number of restarts of discovery that control services have detected.
     pub epoch: u32,
-    /// The version that discovery assigned to the list.
+    /// The number that discovery assigned to the list; higher is newer within an epoch.
     pub version: u64,
 }
 
-/// The version of a configuration: the states that it is based on.
+/// The version of a configuration: the rollout state and the endpoint list on which it is based.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigVersion {
-    /// The state of the newest version's rollout.
+    /// The state of the newest version's rollout on which the configuration is based.
     #[serde(rename = "news")]
     pub rollout: RolloutVersion,
-    /// The version of the endpoint list.
+    /// The endpoint list on which the configuration is based.
     #[serde(rename = "list")]
     pub endpoints: EndpointListVersion,
 }
 
 impl ConfigVersion {
-    /// True where neither part is older than the other's.
+    /// Returns `true` if neither part is older than that of `other`. If each of two versions has one newer part,
+    /// neither is up to date with the other.
     #[must_use]
     pub fn is_up_to_date_with(&self, other: &Self) -> bool {
         self.rollout.compare(&other.rollout) != Ordering::Less && self.endpoints >= other.endpoints
     }
 
-    /// True where one part is newer than the other's, and none is older.
+    /// Returns `true` if at least one part is newer than that of `other`, and none is older.
     #[must_use]
     pub fn is_newer_than(&self, other: &Self) -> bool {
         self.is_up_to_date_with(other) && !other.is_up_to_date_with(self)
     }
 
-    /// The newer of each part.
+    /// Combines the newer rollout state and the newer endpoint list of two versions. Up to date with both of them.
     #[must_use]
     pub fn merge(&self, other: &Self) -> Self {
         let is_other_newer = other.rollout.compare(&self.rollout) == Ordering::Greater;
@@ -184,36 +199,37 @@
     }
 }
 
-/// A parsed label: the version and the content hash.
+/// The version of a resource that a proxy uses, read from the label that the proxy reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedVersion {
-    /// The version of the labelled resource.
+    /// The version of the configuration to which the resource belongs.
     pub version: ConfigVersion,
-    /// The hash of the content; distinguishes resources of the same version.
+    /// The hash of the resource's content, which distinguishes resources of the same version.
     pub content_hash: u64,
-    /// A service with the same key signed the label.
+    /// Set when the label is signed with this service's key.
     pub is_signed: bool,
 }
 
-/// A parsed prefix of a label.
+/// The version read from a label's prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ParsedPrefix {
-    /// The version in the prefix.
+    /// The version of the configuration to which resources with this prefix belong.
     pub version: ConfigVersion,
-    /// A service with the same key signed the prefix.
+    /// Set when the prefix is signed with this service's key.
     pub is_signed: bool,
 }
 
-/// The two parts of a label's text.
+/// A label split into its two parts, neither of which has been verified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LabelParts<'a> {
-    /// The version, with its signature if it is signed.
+    /// The text of the version, followed by the signature if there is one.
     pub prefix: &'a str,
     /// The hash of the labelled content.
     pub content_hash: u64,
 }
 
-/// Splits a label into its prefix and its content hash; none if it is not a label.
+/// Splits a label into its prefix and its content hash. Returns `None` if the text does not end in a content hash. The
+/// prefix is not parsed.
 #[must_use]
 pub fn split_label(label: &str) -> Option<LabelParts<'_>> {
     let (prefix, digits) = label.rsplit_once('.')?;
@@ -224,28 +240,28 @@
     Some(LabelParts { prefix, content_hash })
 }
 
-/// The label of a content under a prefix.
+/// The label of a resource, from the prefix for its version and the hash of its content.
 #[must_use]
 pub fn join_label(prefix: &str, content_hash: u64) -> String {
     format!("{prefix}.{content_hash:016x}")
 }
 
-/// Writes and parses labels, and signs them if it has a key.
+/// Writes and parses labels. With a key, also signs them and verifies their signatures.
 #[derive(Clone, Default)]
 pub struct VersionSigner {
     key: Option<Vec<u8>>,
 }
 
 impl fmt::Debug for VersionSigner {
-    /// Never shows the key.
+    /// Shows only whether there is a key, which is secret.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("VersionSigner").field("has_key", &self.key.is_some()).finish()
     }
 }
 
 impl VersionSigner {
-    /// Signs labels with a key. Without a key, or with an empty one, labels are unsigned: then a version that a proxy
-    /// reports protects the proxy's own stream only.
+    /// Creates a signer with the key that control services share. Without a key, or with an empty one, labels are
+    /// unsigned: then a version that a proxy reports protects only the proxy's own stream from older configurations.
     #[must_use]
     pub fn new(key: Option<Vec<u8>>) -> Self {
         VersionSigner { key: key.filter(|key| !key.is_empty()) }
@@ -259,15 +275,15 @@
         Some(format!("{leading_bytes:016x}"))
     }
 
-    /// Compares a signature with that of this signer's key, in constant time. The caller checks its length: a shorter one would
-    /// match.
+    /// Compares a signature with that of this signer's key, in constant time. The caller checks the signature's
+    /// length: only the digits of the shorter text are compared, so that an empty signature would match.
     fn verify(&self, body: &str, signature: &str) -> bool {
         let Some(expected) = self.sign(body) else { return false };
         let pairs = signature.bytes().zip(expected.bytes());
         pairs.fold(0, |difference, (given, expected)| difference | (given ^ expected)) == 0
     }
 
-    /// The prefix of all labels of a version; signed once for all resources of that version.
+    /// The prefix of the labels of a version, signed if there is a key. One prefix serves all resources of the version.
     #[must_use]
     pub fn prefix(&self, version: &ConfigVersion) -> String {
         let RolloutVersion { version: newest, status, stage, traffic_cap, since } = version.rollout;
@@ -280,13 +296,13 @@
         }
     }
 
-    /// The label of a content of a version.
+    /// The label of one resource of a version, signed if there is a key. Each call signs, unlike [`join_label`].
     #[must_use]
     pub fn label(&self, version: &ConfigVersion, content_hash: u64) -> String {
         join_label(&self.prefix(version), content_hash)
     }
 
-    /// Parses a label; none if the text is not a label.
+    /// Parses the label of a resource and verifies its signature. Returns `None` if the text is not a label.
     #[must_use]
     pub fn parse_label(&self, label: &str) -> Option<ReportedVersion> {
         let LabelParts { prefix, content_hash } = split_label(label)?;
@@ -294,11 +310,12 @@
         Some(ReportedVersion { version, content_hash, is_signed })
     }
 
-    /// Parses a label's prefix; none if the text is not a prefix. An unsigned prefix, or one signed with another key, is
-    /// valid: it protects the stream of the proxy that reports it.
+    /// Parses a label's prefix and verifies its signature. Returns `None` if the text is not a prefix. A prefix that
+    /// is unsigned, or signed with another key, is parsed too: the version in it protects the stream of the proxy
+    /// that reports it from older configurations.
     #[must_use]
     pub fn parse_prefix(&self, prefix: &str) -> Option<ParsedPrefix> {
-        if prefix.len() > limits::MAX_LABEL_LENGTH || !prefix.is_ascii() {
+        if prefix.len() > limits::MAX_LABEL_PREFIX_LENGTH || !prefix.is_ascii() {
             return None;
         }
         let fields: Vec<&str> = prefix.split('.').collect();
@@ -319,7 +336,7 @@
     }
 }
 
-/// Parses the first four fields of a prefix.
+/// Parses the first four fields of a prefix: version, status with stage, traffic cap and start time.
 fn parse_rollout(fields: &[&str]) -> Option<RolloutVersion> {
     let version = fields[0].strip_prefix('b')?.parse().ok()?;
     let status = RolloutStatus::from_letter(fields[1].chars().next()?)?;
@@ -332,7 +349,7 @@
     Some(RolloutVersion { version, status, stage, traffic_cap, since })
 }
 
-/// Parses the last two fields of a prefix.
+/// Parses the fifth and sixth field of a prefix: epoch and version of the endpoint list.
 fn parse_endpoint_list(fields: &[&str]) -> Option<EndpointListVersion> {
     let epoch = fields[4].strip_prefix('l')?.parse().ok()?;
     let version = fields[5].parse().ok()?;
--- a/crates/proxy-config/tests/load_reports.rs
+++ b/crates/proxy-config/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! Which load reports are accepted, and the events for the policy.
+//! Which load reports are valid, and the events for the policy.
 
 use latchhaven_policy::{EndpointOutcomes, Event, OutcomeReport, Version};
 use latchhaven_proxy_config::load_reports::{
@@ -7,17 +7,17 @@
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
-/// The largest accepted count.
+/// The largest count of a valid report.
 const MAX_COUNT: u64 = 1_000_000_000;
 
-/// Endpoints at the ports 1 to 3 run version 1.
+/// The endpoints at the ports 1 to 3, which run version 1.
 fn endpoint_at(address: &SocketAddr, version: Version) -> Option<&'static str> {
     let names = ["s1", "s2", "s3"];
     names.get(usize::from(address.port().wrapping_sub(1))).copied().filter(|_| version == Version(1))
 }
 
-fn aggregator(platform_only: bool) -> LoadReportAggregator {
-    LoadReportAggregator::new(vec!["look".to_string()], platform_only)
+fn aggregator(uses_platform_only: bool) -> LoadReportAggregator {
+    LoadReportAggregator::new(vec!["look".to_string()], uses_platform_only)
 }
 
 fn address(port: u16) -> SocketAddr {
@@ -65,7 +65,7 @@
     assert_eq!(observed, Some((6, 1)), "only the valid report");
 }
 
-/// These texts are sent to proxies.
+/// These texts are sent to proxies, so that they must not change unnoticed.
 #[test]
 fn report_error_text_names_field_and_problem() {
     let mut aggregator = aggregator(false);
@@ -100,7 +100,7 @@
         assert_eq!(error.to_string(), text);
         assert_eq!(error, expected);
     }
-    let text = ReportError::MoreEndedThanStarted.to_string();
+    let text = ReportError::MoreCompletedThanStarted.to_string();
     assert_eq!(text, "cluster_stats: more attempts completed than started");
 }
 
@@ -121,7 +121,7 @@
             _ => {}
         }
     }
-    // An endpoint is ejected from 0.6 on.
+    // Both are below 0.6, the failure rate from which an endpoint is ejected.
     assert!(failure_rates.len() == 2 && failure_rates[0] < 0.2, "{failure_rates:?}");
 }
 
--- a/crates/proxy-config/tests/parts_per_million.rs
+++ b/crates/proxy-config/tests/parts_per_million.rs
@@ -18,16 +18,16 @@
 }
 
 #[test]
-fn parts_are_shown_as_a_plain_number() {
+fn display_and_debug_format_the_number_of_parts() {
     let parts = PartsPerMillion::new(125_000);
     assert_eq!(format!("{parts} {parts:?}"), "125000 125000");
     assert_eq!(format!("{:?}", vec![parts, PartsPerMillion::ZERO]), "[125000, 0]");
 }
 
 #[test]
-fn step_rounds_down_and_difference_ends_at_zero() {
+fn steps_round_down_and_differences_are_never_negative() {
     let step = PartsPerMillion::new(10_000);
-    assert_eq!(PartsPerMillion::new(29_999).floor_to(step), PartsPerMillion::new(20_000));
+    assert_eq!(PartsPerMillion::new(29_999).round_down_to_multiple_of(step), PartsPerMillion::new(20_000));
     assert_eq!(PartsPerMillion::FULL.saturating_sub(step), PartsPerMillion::new(990_000));
     assert_eq!(step.saturating_sub(PartsPerMillion::FULL), PartsPerMillion::ZERO);
 }
--- a/crates/proxy-config/tests/proxy_config.rs
+++ b/crates/proxy-config/tests/proxy_config.rs
@@ -1,10 +1,10 @@
-//! The limits and routes of a configuration, for a snapshot of the policy.
+//! The routes, limits and endpoints of a configuration built from a snapshot of the policy.
 
 use latchhaven_policy::{
     Canary, DedupScope, EndpointSnapshot, ExposureConfig, Idempotency, Millis, PolicySnapshot, RequestClass,
     SlowStartConfig, Version,
 };
-use latchhaven_proxy_config::canary_share::max_safe_share;
+use latchhaven_proxy_config::canary_share::max_share_within_cap;
 use latchhaven_proxy_config::parts_per_million::PartsPerMillion;
 use latchhaven_proxy_config::proxy_config::{
     EndpointHealth, ProxyConfig, ProxyConfigSettings, RetryScope, Route, RouteShare, RouteTarget,
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The fraction of the recent request rate that a window has at least.
+/// The fraction of the recent request rate that a window is expected to have at least.
 const MIN_TRAFFIC_RATIO: f64 = 0.5;
 
 fn request_class(idempotency: Idempotency, dedup_scope: DedupScope, dedup_window: Millis) -> RequestClass {
@@ -85,7 +85,7 @@
     (0..count).map(|number| (format!("s{number}"), address(number))).collect()
 }
 
-/// A connected proxy with this rate of each class, in requests per ms.
+/// One connected proxy that has this request rate of each class, in requests per ms.
 fn connected_proxy(request_rate: f64) -> PublishedShares {
     let mut published_shares = PublishedShares::new(10);
     published_shares.on_connected(1);
@@ -159,7 +159,7 @@
     assert_eq!(scoped_key.0, RetryScope::NotExecuted);
     let key = |dedup_window| retries(Idempotency::IdempotencyKey, DedupScope::All, dedup_window);
     assert_eq!(key(9000.0), (RetryScope::Any, 2, Some(600.0)));
-    // Only one retry begins within the window, or none.
+    // The deduplication window has time for only one retry, or for none.
     assert_eq!(key(900.0).1, 1);
     assert_eq!(key(700.0).1, 0);
 }
@@ -173,26 +173,26 @@
     }
 }
 
-/// The safe share of a canary at this rate of each of the four classes, in requests per ms.
-fn safe_share(traffic_cap: f64, request_rate: f64) -> PartsPerMillion {
+/// The largest share of a canary within its cap, at this request rate of each of the four classes, in requests per ms.
+fn max_share(traffic_cap: f64, request_rate: f64) -> PartsPerMillion {
     let min_requests = request_rate * 4.0 * 2000.0 * MIN_TRAFFIC_RATIO;
-    PartsPerMillion::from_fraction_floor(max_safe_share(traffic_cap, 2.0, min_requests))
+    PartsPerMillion::from_fraction_floor(max_share_within_cap(traffic_cap, 2.0, min_requests))
 }
 
 /// The expected limits of one configuration.
 struct Rules {
     canary_versions: BTreeSet<Version>,
     rolled_back: BTreeSet<Version>,
-    /// The largest share of a canary.
-    safe_share: PartsPerMillion,
-    /// Canaries get idempotent requests only.
+    /// The largest share of one canary.
+    max_share: PartsPerMillion,
+    /// Set when canaries get idempotent requests only.
     is_stage_closed: bool,
 }
 
 impl Rules {
     fn check_route(&self, config: &ProxyConfig, route: &Route) -> Result<(), TestCaseError> {
         let is_idempotent = settings().classes[route.class].idempotency == Idempotency::Idempotent;
-        let is_closed = self.is_stage_closed && !is_idempotent;
+        let is_class_allowed = is_idempotent || !self.is_stage_closed;
         for shares in [Some(&route.shares), route.sticky_shares.as_ref()].into_iter().flatten() {
             let total: PartsPerMillion = shares.iter().map(|share| share.share).sum();
             prop_assert_eq!(total, PartsPerMillion::FULL);
@@ -201,8 +201,8 @@
                 let is_zero = *share == PartsPerMillion::ZERO;
                 let is_canary = self.canary_versions.contains(version);
                 prop_assert!(is_zero || !self.rolled_back.contains(version) || is_canary);
-                prop_assert!(!is_canary || (*share <= self.safe_share && (is_zero || !is_closed)));
-                prop_assert!(config.endpoints.contains_key(version), "no reference dangles");
+                prop_assert!(!is_canary || (*share <= self.max_share && (is_zero || is_class_allowed)));
+                prop_assert!(config.endpoints.contains_key(version), "no endpoints of {version}");
             }
         }
         Ok(())
@@ -224,8 +224,8 @@
 proptest! {
     #![proptest_config(latchhaven_proptest_config::deterministic())]
 
-    /// For any fleet: the shares of each route sum to 1, the canary is within its cap and receives only permitted classes,
-    /// and a rolled-back version receives nothing.
+    /// For any fleet: the shares of each route sum to 1, the canary is within its cap and receives only permitted
+    /// classes, and a rolled-back version receives nothing.
     #[test]
     fn every_configuration_is_within_its_limits(
         mut endpoints in prop::collection::vec(any_endpoint(), 0..12),
@@ -248,7 +248,7 @@
         };
         let config = build(&snapshot, &rolled_back, rate);
         let rules =
-            Rules { canary_versions, rolled_back, safe_share: safe_share(cap, rate), is_stage_closed: stage < 1 };
+            Rules { canary_versions, rolled_back, max_share: max_share(cap, rate), is_stage_closed: stage < 1 };
         for route in &config.routes {
             rules.check_route(&config, route)?;
         }
--- a/crates/proxy-config/tests/version.rs
+++ b/crates/proxy-config/tests/version.rs
@@ -38,7 +38,7 @@
     #![proptest_config(latchhaven_proptest_config::deterministic())]
 
     #[test]
-    fn label_is_read_as_it_was_written(version in config_versions(), content_hash: u64, key in "[a-z]{0,9}") {
+    fn parsed_label_equals_the_written_one(version in config_versions(), content_hash: u64, key in "[a-z]{0,9}") {
         let signer = VersionSigner::new(Some(key.clone().into_bytes()));
         let read = signer.parse_label(&signer.label(&version, content_hash));
         prop_assert_eq!(read, Some(ReportedVersion { version, content_hash, is_signed: !key.is_empty() }));
@@ -68,9 +68,9 @@
     }
 }
 
-/// The text of labels is read by proxies and by services of earlier versions.
+/// Proxies store labels, and services of earlier releases parse them.
 #[test]
-fn label_text_stays_as_it_is() {
+fn label_text_has_the_documented_format() {
     let version = |status| ConfigVersion {
         rollout: RolloutVersion {
             version: Version(7),
@@ -120,7 +120,8 @@
     }
     let next = RolloutVersion { version: Version(5), ..earlier };
     assert_eq!(next.compare(&canary), Ordering::Greater);
-    // At the same stage: the cap fell, reported a moment apart on two clocks; then rose again much later.
+    // Within a stage the cap was lowered. Two services compute start times that differ by less than the tolerance of
+    // clocks, so that the lower cap is newer. A cap raised again much later is newer than both.
     let lowered = RolloutVersion { traffic_cap: PartsPerMillion::ZERO, since: 89_500, ..canary };
     assert_eq!(lowered.compare(&canary), Ordering::Greater);
     assert_eq!(RolloutVersion { since: 120_000, ..canary }.compare(&lowered), Ordering::Greater);
