--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,4 +1,4 @@
-//! The `check` command: validates configurations as at startup, and prints each error.
+//! The `check` command: validates configuration files by the rules that apply at startup, and prints each error.
 
 use latchhaven_gateway::config;
 use latchhaven_operator_config::line_of;
@@ -8,7 +8,9 @@
 /// The file extension of operators' scripts.
 const SCRIPT_EXTENSION: &str = "star";
 
-/// Validates each file: an operator's script by its extension, any other file as a gateway's configuration.
+/// Validates each file: an operator's script if it has [`SCRIPT_EXTENSION`], otherwise a gateway's configuration. The
+/// exit code is a failure if there is any error. With `prints_schema`, prints the JSON schema of operators' scripts
+/// instead.
 pub(crate) fn check(files: &[PathBuf], prints_schema: bool) -> ExitCode {
     if prints_schema {
         println!("{:#}", latchhaven_operator_config::schema());
@@ -41,12 +43,13 @@
 
 fn gateway_config_errors(file: &Path) -> Vec<String> {
     let path = file.display().to_string();
-    // The environment of this process is ignored: only the file is validated.
+    // Only the file is validated: other variables in the environment of this process would override its values.
     let environment = |name: &str| (name == "BALANCER_CONFIG").then(|| path.clone());
     let Err(error) = config::read(environment) else { return Vec::new() };
     let error = error.to_string();
     let text = std::fs::read_to_string(file).unwrap_or_default();
-    let line = line_of(&text, error.split(':').next().unwrap_or_default());
+    let key = error.split(':').next().unwrap_or_default();
+    let line = line_of(&text, key);
     let line = line.map(|line| format!(":{line}")).unwrap_or_default();
     vec![format!("{path}{line}: {error}")]
 }
--- a/crates/cli/src/demo/clients.rs
+++ b/crates/cli/src/demo/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of the demo's gateway: each sends one request after another, and counts the outcomes.
+//! Clients of the demo's gateway. Each sends one request after another and counts the outcomes.
 
 use latchhaven_test_support::postgres::{Client, outcome, select, startup};
 use std::net::SocketAddr;
@@ -6,14 +6,13 @@
 use std::thread;
 use std::time::Duration;
 
-/// Pause between two requests of one client.
+/// Pause of a client after each response.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(8);
-/// The timeout of a request, in ms.
-const REQUEST_TIMEOUT: u32 = 1500;
-/// SQLSTATEs with which a request is rejected without being executed.
-const REJECTED: [&str; 2] = ["53300", "57P03"];
+const REQUEST_TIMEOUT_MS: u32 = 1500;
+/// SQLSTATEs of requests that were rejected and not executed.
+const REJECTED_SQLSTATES: [&str; 2] = ["53300", "57P03"];
 
-/// Outcomes of requests so far, shared by all clients.
+/// Numbers of completed requests by outcome; shared by the threads of all clients.
 #[derive(Default)]
 pub(super) struct OutcomeCounters {
     succeeded: AtomicU64,
@@ -22,7 +21,6 @@
 }
 
 impl OutcomeCounters {
-    /// The counts now.
     pub(super) fn counts(&self) -> OutcomeCounts {
         OutcomeCounts {
             succeeded: self.succeeded.load(Relaxed),
@@ -32,7 +30,7 @@
     }
 }
 
-/// Requests by their outcome.
+/// Numbers of completed requests by outcome, at one time or in one period.
 #[derive(Clone, Copy)]
 pub(super) struct OutcomeCounts {
     pub(super) succeeded: u64,
@@ -41,7 +39,7 @@
 }
 
 impl OutcomeCounts {
-    /// The counts since earlier ones.
+    /// The requests that were completed after `earlier`.
     pub(super) fn since(self, earlier: OutcomeCounts) -> OutcomeCounts {
         OutcomeCounts {
             succeeded: self.succeeded - earlier.succeeded,
@@ -50,13 +48,13 @@
         }
     }
 
-    /// All requests.
     pub(super) fn total(self) -> u64 {
         self.succeeded + self.rejected + self.failed
     }
 }
 
-/// Sends requests until stopped; reconnects if the gateway closes the connection.
+/// Sends requests until `stopped` is set; reconnects when the gateway has closed the connection. Request ids contain
+/// `number`, which differs between clients.
 pub(super) fn run_client(
     gateway: SocketAddr, number: usize, counters: &OutcomeCounters, stopped: &AtomicBool,
 ) {
@@ -68,13 +66,14 @@
         while !stopped.load(Relaxed) {
             requests += 1;
             let id = format!("c{number}n{requests}");
-            let response = client.query(&select(&id, "look", REQUEST_TIMEOUT));
+            let response = client.query(&select(&id, "look", REQUEST_TIMEOUT_MS));
+            // The connection was closed.
             if response.is_empty() {
                 break;
             }
             let counter = match outcome(&response) {
                 Ok(_) => &counters.succeeded,
-                Err(code) if REJECTED.contains(&code.0.as_str()) => &counters.rejected,
+                Err(code) if REJECTED_SQLSTATES.contains(&code.0.as_str()) => &counters.rejected,
                 Err(_) => &counters.failed,
             };
             counter.fetch_add(1, Relaxed);
--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -1,7 +1,8 @@
-//! The `demo` command: a rollout of a bad and of a good version on loopback, between fakes.
+//! The `demo` command: rolls out a bad and then a good version on loopback. Gateway and control service are processes;
+//! their clients, servers, proxies, discovery service and platform are fakes.
 //!
-//! - `clients`: clients of the gateway, and the counts of their outcomes.
-//! - `rollout`: the platform: one version from its first stage to promotion or rollback.
+//! - `clients`: sends requests to the gateway, and counts their outcomes.
+//! - `rollout`: acts as the platform for one version, from the first stage to promotion or rollback.
 
 mod clients;
 mod rollout;
@@ -14,7 +15,7 @@
 use latchhaven_test_support::gateway::{GatewayProcess, gateway_config, spawn_gateway};
 use latchhaven_test_support::platform_messages::rollout_state;
 use latchhaven_test_support::process::{Process, wait_for_address};
-use rollout::{DemoVersion, FIRST_VERSION, Rollout, RolloutEnd, STAGE_CAPS, endpoint};
+use rollout::{DemoVersion, FIRST_VERSION, Rollout, RolloutEnd, SERVER_LATENCY_MS, STAGE_CAPS, endpoint};
 use serde_json::{Value, json};
 use std::fmt::Write;
 use std::io;
@@ -22,46 +23,46 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, AtomicU32, Ordering::Relaxed};
+use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::thread;
 use std::time::Instant;
 use tokio::runtime::Runtime;
 use tokio::sync::watch;
 
-/// Servers behind the gateway and the proxies.
-const SERVERS: usize = 6;
-/// Proxies of the control service.
-const PROXIES: usize = 3;
-/// Clients of the gateway.
-const CLIENTS: usize = 6;
-/// The versions that are rolled out, one after the other.
+/// Servers behind the gateway; their endpoints are published to the proxies as well.
+const SERVER_COUNT: usize = 6;
+const PROXY_COUNT: usize = 3;
+const CLIENT_COUNT: usize = 6;
+/// The versions that are rolled out, in this order.
 const VERSIONS: [DemoVersion; 2] =
     [DemoVersion { number: 2, is_bad: true }, DemoVersion { number: 3, is_bad: false }];
-/// Classes of requests that the proxies report.
-const CLASSES: &[&str] = &["look", "book", "pay"];
-/// Requests of each class that each proxy reports in one interval.
-const REPORTED_REQUESTS: u64 = 200;
-/// Failures among the requests that proxies report for a bad version, as a share.
+/// The request classes in the load reports of the proxies.
+const REPORTED_CLASSES: &[&str] = &["look", "book", "pay"];
+/// Requests of one class that one proxy reports.
+const REPORTED_REQUESTS_PER_SECOND: u64 = 200;
+/// The share of failures, from 0 to 1, among the requests that proxies report for a bad version.
 const BAD_VERSION_FAILURE_SHARE: f64 = 0.33;
-/// Mean latency that proxies report, in ms.
-const REPORTED_LATENCY: f64 = 4.0;
+/// The mean latency that proxies report.
+const REPORTED_LATENCY_MS: f64 = 4.0;
+/// The version of the first endpoint list: that of the list in the gateway's configuration.
+const FIRST_LIST_VERSION: u64 = 5;
 
-/// The result of one rollout.
+/// How the rollout of a version ended, and the requests to the gateway during that rollout.
 struct RolloutSummary {
     version: DemoVersion,
     end: RolloutEnd,
     outcomes: OutcomeCounts,
 }
 
-/// Runs the demo; exit code 1 if the bad version was not rolled back or the good one not promoted.
+/// Runs the demo. The exit code is 1 if the bad version was not rolled back or the good one was not promoted.
 ///
 /// # Errors
-/// A temporary file or the runtime of the fakes cannot be created.
+/// A temporary file cannot be written, or the runtime of the fake proxies cannot be created.
 pub(crate) fn demo(seed: u64) -> io::Result<ExitCode> {
     let environment = Environment::start(seed)?;
     let clients = Clients::start(environment.gateway_address);
     let proxies = Proxies::start(environment.control.addr, seed)?;
-    let start = Instant::now();
+    let demo_started_at = Instant::now();
     let mut summaries = Vec::new();
     for version in VERSIONS {
         proxies.set_bad_version(version);
@@ -72,7 +73,7 @@
             proxies: &proxies.fakes,
             counters: &clients.counters,
             version,
-            start,
+            demo_started_at,
         };
         let end = rollout.run();
         let outcomes = clients.counters.counts().since(outcomes_before);
@@ -99,7 +100,8 @@
     table
 }
 
-/// A gateway, a control service and the fakes around them. Dropping it ends the processes and removes their files.
+/// A gateway process, a control service process, and their fake servers and platform. Kills the processes and removes
+/// their files when dropped.
 struct Environment {
     servers: Vec<FakeServer>,
     platform: FakePlatform,
@@ -111,15 +113,19 @@
 
 impl Environment {
     fn start(seed: u64) -> io::Result<Self> {
-        let servers: Vec<FakeServer> =
-            (0..SERVERS).map(|_| FakeServer::start(ServerBehavior::SucceedAfter(2))).collect();
+        let servers: Vec<FakeServer> = (0..SERVER_COUNT)
+            .map(|_| FakeServer::start(ServerBehavior::SucceedAfter(SERVER_LATENCY_MS)))
+            .collect();
         let hosts: Vec<Value> = servers
             .iter()
             .enumerate()
             .map(|(index, server)| endpoint(index, server, FIRST_VERSION, 0))
             .collect();
-        let platform =
-            FakePlatform::start(5, hosts.clone(), rollout_state(FIRST_VERSION, 0, "COMPLETE", 1.0));
+        let platform = FakePlatform::start(
+            FIRST_LIST_VERSION,
+            hosts.clone(),
+            rollout_state(FIRST_VERSION, 0, "COMPLETE", 1.0),
+        );
         let mut config = gateway_config(&hosts, platform.discovery.addr, platform.feed.addr);
         config["seed"] = json!(format!("{seed:x}"));
         config["settings"]["domain"]["caps"] = json!(STAGE_CAPS);
@@ -128,8 +134,8 @@
         let control_file = write_control_file(&platform)?;
         let control = Process::start_control(&control_file);
         println!(
-            "gateway on {gateway_address}, control service on {}, {SERVERS} servers, {PROXIES} proxies",
-            control.addr
+            "gateway on {gateway_address}, control service on {}, {} servers, {} proxies",
+            control.addr, SERVER_COUNT, PROXY_COUNT
         );
         Ok(Environment { servers, platform, gateway, gateway_address, control, control_file })
     }
@@ -153,7 +159,7 @@
     Ok(file)
 }
 
-/// Threads that send requests to the gateway until they are dropped.
+/// Threads that send requests to the gateway; they stop after this is dropped.
 struct Clients {
     counters: Arc<OutcomeCounters>,
     stopped: Arc<AtomicBool>,
@@ -162,7 +168,7 @@
 impl Clients {
     fn start(gateway: SocketAddr) -> Self {
         let clients = Clients { counters: Arc::default(), stopped: Arc::default() };
-        for number in 0..CLIENTS {
+        for number in 0..CLIENT_COUNT {
             let counters = clients.counters.clone();
             let stopped = clients.stopped.clone();
             thread::spawn(move || run_client(gateway, number, &counters, &stopped));
@@ -177,12 +183,12 @@
     }
 }
 
-/// Proxies that subscribe to the control service and report load to it; they stop when dropped.
+/// Fake proxies that subscribe to the control service and report load to it; they stop when this is dropped.
 struct Proxies {
     fakes: Vec<FakeProxy>,
     behavior: watch::Sender<ProxyBehavior>,
-    /// The version whose requests fail at the proxies; 0 if there is none.
-    bad_version: Arc<AtomicU32>,
+    /// The version of which the proxies report failures.
+    bad_version: watch::Sender<Option<u32>>,
     runtime: Option<Runtime>,
 }
 
@@ -191,22 +197,24 @@
         let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
         let behavior = ProxyBehavior { service: Some(control), ..ProxyBehavior::default() };
         let (behavior, behavior_receiver) = watch::channel(behavior);
-        let bad_version = Arc::new(AtomicU32::new(0));
-        let outcomes = reported_outcomes(bad_version.clone());
+        let (bad_version, bad_version_receiver) = watch::channel(None);
+        let outcomes = reported_outcomes(bad_version_receiver);
         let fakes: Vec<FakeProxy> =
-            (0..PROXIES).map(|number| FakeProxy::new(number, number % 2 == 1)).collect();
+            (0..PROXY_COUNT).map(|number| FakeProxy::new(number, number % 2 == 1)).collect();
         for proxy in &fakes {
             runtime.spawn(proxy.clone().run(behavior_receiver.clone(), seed, Arc::new(|_, _, _| ())));
-            let load =
-                ReportedLoad { classes: CLASSES, requests: REPORTED_REQUESTS, outcomes: outcomes.clone() };
+            let load = ReportedLoad {
+                classes: REPORTED_CLASSES,
+                requests: REPORTED_REQUESTS_PER_SECOND,
+                outcomes: outcomes.clone(),
+            };
             runtime.spawn(proxy.clone().run_load_reports(behavior_receiver.clone(), seed, load));
         }
         Ok(Proxies { fakes, behavior, bad_version, runtime: Some(runtime) })
     }
 
     fn set_bad_version(&self, version: DemoVersion) {
-        let bad_version = if version.is_bad { version.number } else { 0 };
-        self.bad_version.store(bad_version, Relaxed);
+        self.bad_version.send_replace(version.is_bad.then_some(version.number));
     }
 }
 
@@ -219,11 +227,13 @@
     }
 }
 
-/// The outcomes that proxies report: some requests to clusters of the bad version fail.
-fn reported_outcomes(bad_version: Arc<AtomicU32>) -> ClusterOutcomes {
+/// The outcomes that proxies report. In clusters of the bad version, which are named `b<version>/<class>`, a share of
+/// the requests fails.
+fn reported_outcomes(bad_version: watch::Receiver<Option<u32>>) -> ClusterOutcomes {
     Arc::new(move |cluster| {
-        let is_bad = cluster.starts_with(&format!("b{}/", bad_version.load(Relaxed)));
+        let bad_version = *bad_version.borrow();
+        let is_bad = bad_version.is_some_and(|version| cluster.starts_with(&format!("b{version}/")));
         let failure_share = if is_bad { BAD_VERSION_FAILURE_SHARE } else { 0.0 };
-        ClusterOutcome { failure_share, mean_latency: REPORTED_LATENCY }
+        ClusterOutcome { failure_share, mean_latency: REPORTED_LATENCY_MS }
     })
 }
--- a/crates/cli/src/demo/rollout.rs
+++ b/crates/cli/src/demo/rollout.rs
@@ -1,4 +1,5 @@
-//! The platform: it starts servers with the new version stage by stage, and acts on the votes.
+//! Acts as the platform: restarts servers with the new version stage by stage, and promotes it or rolls it back as the
+//! votes decide.
 
 use super::clients::OutcomeCounters;
 use latchhaven_test_support::fake_platform::{FakePlatform, Vote};
@@ -11,24 +12,26 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The baseline: all servers run it at the start, and again after a rollback.
+/// The version of all servers at the start of the demo, and of restarted servers in a rollback.
 pub(super) const FIRST_VERSION: u32 = 1;
-/// The largest share of requests that a version may get in each stage.
+/// The cap of canary traffic in each stage, as a share of all requests.
 pub(super) const STAGE_CAPS: [f64; 2] = [0.3, 1.0];
-/// Servers that run the version in each stage.
+/// How many servers run the new version in each stage.
 const STAGE_SERVERS: [usize; 2] = [2, 4];
-/// The shortest time in a stage, and the duration of a rollback.
+/// The shortest time in a stage, and the pause after each step of a promotion or rollback.
 const SOAK_TIME: Duration = Duration::from_secs(1);
-/// The longest time of a rollout; without a decision it then ends as undecided.
+/// A rollout without a decision ends as undecided after this.
 const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(25);
-/// Time between two checks of the votes.
 const VOTE_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between two printed lines.
-const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// The interval of failures among requests to a bad version.
+/// The interval at which the progress of a stage is printed.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
+/// One of this many requests to a server with a bad version fails.
 const BAD_VERSION_FAILS_ONE_IN: usize = 3;
-/// Parts per million in one percent.
-const PARTS_PER_PERCENT: f64 = 1e4;
+const PARTS_PER_MILLION_PER_PERCENT: f64 = 1e4;
+/// How long a server takes to respond.
+pub(super) const SERVER_LATENCY_MS: u64 = 2;
+/// The SQLSTATE with which requests to a bad version fail.
+const INTERNAL_ERROR: &str = "XX000";
 
 /// A version that the demo rolls out.
 #[derive(Clone, Copy)]
@@ -38,7 +41,7 @@
 }
 
 impl DemoVersion {
-    /// True if the rollout ended as expected: a bad version rolled back, a good one promoted.
+    /// Returns `true` if this is how the rollout should end: a bad version rolled back, a good one promoted.
     pub(super) fn expects(self, end: RolloutEnd) -> bool {
         end == if self.is_bad { RolloutEnd::RolledBack } else { RolloutEnd::Promoted }
     }
@@ -62,7 +65,7 @@
     }
 }
 
-/// The endpoint of a server that started with a version at this time, in Unix ms.
+/// The list entry of a server that was started with a version. `started_at`: Unix time in ms.
 pub(super) fn endpoint(index: usize, server: &FakeServer, version: u32, started_at: u64) -> Value {
     let mut endpoint = host(&format!("s{index}"), server.addr, "up", version);
     endpoint["born_ms"] = json!(started_at);
@@ -73,26 +76,25 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// The rollout of one version.
+/// The rollout of one version, and what it acts on.
 pub(super) struct Rollout<'a> {
     pub(super) platform: &'a FakePlatform,
     pub(super) servers: &'a [FakeServer],
     pub(super) proxies: &'a [FakeProxy],
     pub(super) counters: &'a OutcomeCounters,
     pub(super) version: DemoVersion,
-    /// The start of printed times.
-    pub(super) start: Instant,
+    /// Printed times are relative to this.
+    pub(super) demo_started_at: Instant,
 }
 
-/// The stage of a rollout, and when it began.
 struct CurrentStage {
     index: usize,
-    since: Instant,
+    entered_at: Instant,
 }
 
 impl CurrentStage {
     fn new(index: usize) -> Self {
-        CurrentStage { index, since: Instant::now() }
+        CurrentStage { index, entered_at: Instant::now() }
     }
 
     fn is_last(&self) -> bool {
@@ -103,28 +105,28 @@
 impl Rollout<'_> {
     /// Runs the rollout until the votes decide on it, or until its timeout.
     pub(super) fn run(&self) -> RolloutEnd {
-        let begin = Instant::now();
-        let mut last_report = begin;
+        let rollout_started_at = Instant::now();
+        let mut last_printed_at = rollout_started_at;
         let mut stage = CurrentStage::new(0);
         self.enter_stage(&stage);
-        self.report("canary, stage 0");
-        while begin.elapsed() < ROLLOUT_TIMEOUT {
+        self.print_progress("canary, stage 0");
+        while rollout_started_at.elapsed() < ROLLOUT_TIMEOUT {
             thread::sleep(VOTE_POLL_INTERVAL);
             let votes = self.platform.votes();
-            if last_report.elapsed() >= REPORT_INTERVAL {
-                last_report = Instant::now();
-                self.report(&format!("canary, stage {}", stage.index));
+            if last_printed_at.elapsed() >= PROGRESS_INTERVAL {
+                last_printed_at = Instant::now();
+                self.print_progress(&format!("canary, stage {}", stage.index));
             }
             if self.has_vote(&votes, &stage, "reject") {
                 return self.roll_back(&stage);
             }
-            if self.has_vote(&votes, &stage, "approve") && stage.since.elapsed() >= SOAK_TIME {
+            if self.has_vote(&votes, &stage, "approve") && stage.entered_at.elapsed() >= SOAK_TIME {
                 if stage.is_last() {
                     return self.promote(&stage);
                 }
                 stage = CurrentStage::new(stage.index + 1);
                 self.enter_stage(&stage);
-                self.report(&format!("advanced to stage {}", stage.index));
+                self.print_progress(&format!("advanced to stage {}", stage.index));
             }
         }
         RolloutEnd::Undecided
@@ -141,26 +143,26 @@
     fn enter_stage(&self, stage: &CurrentStage) {
         self.update_state(stage, "IN_PROGRESS", STAGE_CAPS[stage.index]);
         let first = if stage.index == 0 { 0 } else { STAGE_SERVERS[stage.index - 1] };
-        self.start_servers(first..STAGE_SERVERS[stage.index], self.version);
+        self.restart_servers(first..STAGE_SERVERS[stage.index], self.version);
     }
 
     fn roll_back(&self, stage: &CurrentStage) -> RolloutEnd {
         self.update_state(stage, "ROLLING_BACK", 0.0);
-        self.report("rejected by vote");
+        self.print_progress("rejected by vote");
         thread::sleep(SOAK_TIME);
         let baseline = DemoVersion { number: FIRST_VERSION, is_bad: false };
-        self.start_servers(0..STAGE_SERVERS[stage.index], baseline);
+        self.restart_servers(0..STAGE_SERVERS[stage.index], baseline);
         self.update_state(stage, "ROLLED_BACK", 0.0);
         thread::sleep(SOAK_TIME);
-        self.report("rolled back");
+        self.print_progress("rolled back");
         RolloutEnd::RolledBack
     }
 
     fn promote(&self, stage: &CurrentStage) -> RolloutEnd {
         self.update_state(stage, "COMPLETE", 1.0);
-        self.start_servers(STAGE_SERVERS[stage.index]..self.servers.len(), self.version);
+        self.restart_servers(STAGE_SERVERS[stage.index]..self.servers.len(), self.version);
         thread::sleep(SOAK_TIME);
-        self.report("promoted");
+        self.print_progress("promoted");
         RolloutEnd::Promoted
     }
 
@@ -168,8 +170,8 @@
         self.platform.update_rollout(self.version.number, stage.index as u32, status, cap);
     }
 
-    /// Restarts servers with a version.
-    fn start_servers(&self, indices: Range<usize>, version: DemoVersion) {
+    /// Changes these servers to a version and publishes them as restarted just now.
+    fn restart_servers(&self, indices: Range<usize>, version: DemoVersion) {
         let started_at = unix_time_ms();
         let endpoints: Vec<Value> = indices
             .clone()
@@ -177,27 +179,30 @@
             .collect();
         for server in &self.servers[indices] {
             server.set_behavior(if version.is_bad {
-                ServerBehavior::FailOneIn(BAD_VERSION_FAILS_ONE_IN, "XX000")
+                ServerBehavior::FailOneIn(BAD_VERSION_FAILS_ONE_IN, INTERNAL_ERROR)
             } else {
-                ServerBehavior::SucceedAfter(2)
+                ServerBehavior::SucceedAfter(SERVER_LATENCY_MS)
             });
         }
         self.platform.update_hosts(&endpoints);
     }
 
-    /// Prints one line: the time, the event, and the share of requests that each proxy routes to the version.
-    fn report(&self, event: &str) {
+    /// Prints one line: the time, the event, the share of requests that each proxy routes to the version, and the
+    /// outcomes at the gateway so far.
+    fn print_progress(&self, event: &str) {
         let version = self.version.number;
         let shares: Vec<String> = self
             .proxies
             .iter()
-            .map(|proxy| f64::from(proxy.cache().version_share("look", version)) / PARTS_PER_PERCENT)
+            .map(|proxy| {
+                f64::from(proxy.cache().version_share("look", version)) / PARTS_PER_MILLION_PER_PERCENT
+            })
             .map(|percent| format!("{percent:.0}%"))
             .collect();
         let counts = self.counters.counts();
         println!(
             "{:6.1} s  version {version}: {event:<21} share at proxies {}  succeeded {}, failed {}",
-            self.start.elapsed().as_secs_f64(),
+            self.demo_started_at.elapsed().as_secs_f64(),
             shares.join(" "),
             counts.succeeded,
             counts.failed
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -19,11 +19,11 @@
 use tracing::Level;
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
 
-/// Log lines that are buffered for a slow reader; further ones are dropped, so that logging never blocks.
+/// Log lines that are buffered while standard error is not read; more are dropped, so that logging never blocks.
 const MAX_BUFFERED_LOG_LINES: usize = 2048;
-/// The longest time that the process waits for the last log lines to be written before it exits.
+/// How long the process waits before it exits for the last log lines to be written.
 const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
-/// The environment variable that sets the log level without a flag.
+/// The environment variable that sets the log level if `--log-level` is not given.
 const LOG_LEVEL_VARIABLE: &str = "LATCHHAVEN_LOG";
 
 /// Routes requests while software versions roll out, and analyses the canaries.
@@ -68,7 +68,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs one gateway, configured by BALANCER_CONFIG and the other variables; the default command.
+    /// Runs a gateway, configured by the file in BALANCER_CONFIG and by other BALANCER_ variables; the default command.
     Serve,
     /// Runs a control service that publishes decisions to other proxies over xDS.
     Control {
@@ -83,9 +83,9 @@
         #[arg(long, conflicts_with = "files")]
         schema: bool,
     },
-    /// Rolls out a bad and a good version between fakes on loopback, in about 30 s.
+    /// Rolls out a bad and a good version among fake clients, servers and proxies on loopback, in about 30 s.
     Demo {
-        /// The seed of the random numbers.
+        /// The seed of random numbers in the gateway and the fake proxies.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
@@ -111,7 +111,7 @@
     }
 }
 
-/// Starts the log on standard error; a slow reader blocks no other task.
+/// Logs to standard error from a thread of its own, so that a slow reader of the log blocks no task.
 fn start_log(format: LogFormat, level: Option<LogLevel>) -> WorkerGuard {
     let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_BUFFERED_LOG_LINES);
     let (writer, worker) = builder.finish(io::stderr());
@@ -132,7 +132,8 @@
     }
 }
 
-/// Writes the last log lines. Dropping the writer can block on a full pipe, so this runs on a thread with a time limit.
+/// Writes the last log lines. Dropping the writer blocks while a pipe is full, so a thread does it, and the wait for it
+/// ends after [`LOG_FLUSH_TIMEOUT`].
 fn flush_log(log_writer: WorkerGuard) {
     let (flushed, wait) = mpsc::channel();
     thread::spawn(move || {
@@ -152,7 +153,7 @@
     run_on_one_thread(latchhaven_control_plane::serve(loaded.config)).map(|()| ExitCode::SUCCESS)
 }
 
-/// Runs all tasks of a gateway or control service on one thread, without locks.
+/// Runs all tasks of a gateway or control service on this thread; they share state without locks.
 fn run_on_one_thread(work: impl Future<Output = io::Result<()>>) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, work)
