--- a/crates/cli/tests/control.rs
+++ b/crates/cli/tests/control.rs
@@ -1,4 +1,4 @@
-//! The control service as a process on loopback: malformed input, disallowed peers, restarts, and `check`.
+//! The control service as a process on loopback: malformed input, disallowed peers and restarts; and `check`.
 
 #![allow(clippy::unwrap_used, reason = "a test fails where it unwraps")]
 
@@ -7,8 +7,7 @@
 use latchhaven_test_support::fake_platform::{FakePlatform, control_config};
 use latchhaven_test_support::fake_proxy::{FakeProxy, ProxyBehavior, connect};
 use latchhaven_test_support::platform_messages::{host, rollout_state};
-use latchhaven_test_support::process::Process;
-use latchhaven_test_support::process::program;
+use latchhaven_test_support::process::{Process, program};
 use latchhaven_test_support::resource_cache::ResourceCache;
 use latchhaven_test_support::wait::wait_until;
 use latchhaven_xds::codec::ChunkCodec;
@@ -31,10 +30,14 @@
 use tonic::codegen::http::uri::PathAndQuery;
 use tonic::{Code, Status};
 
-const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
-const ADS: &str = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources";
+/// Loopback, with a port that the kernel chooses.
+const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+/// The method of aggregated streams.
+const ADS_PATH: &str = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources";
+/// How long a stream may stay open after its requests were sent.
+const STREAM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A control service with a platform of three endpoints. Its folder is removed when it is dropped.
+/// A control service, and a fake platform and discovery service with three endpoints. Removes its files when dropped.
 struct ControlPlaneFixture {
     platform: FakePlatform,
     control: Process,
@@ -43,6 +46,7 @@
 }
 
 impl ControlPlaneFixture {
+    /// `extra_config`: further settings, by the folder of the script. `change`: edits the script.
     fn start(name: &str, extra_config: impl Fn(&str) -> String, change: impl Fn(String) -> String) -> Self {
         let folder = std::env::temp_dir().join(format!("latchhaven-control-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
@@ -55,7 +59,7 @@
             name,
             platform.discovery.addr,
             platform.feed.addr,
-            ANY,
+            ANY_PORT,
             false,
             &extra_config,
         ));
@@ -70,8 +74,8 @@
         ControlPlaneFixture::start(name, |_| String::new(), |text| text)
     }
 
-    /// A well-behaved proxy, which has to be served whatever others do.
-    fn proxy(&self, number: usize) -> (FakeProxy, watch::Sender<ProxyBehavior>) {
+    /// Starts a proxy that follows the protocol: it has to be served whatever others do.
+    fn start_proxy(&self, number: usize) -> (FakeProxy, watch::Sender<ProxyBehavior>) {
         let behavior = ProxyBehavior { service: Some(self.control.addr), ..ProxyBehavior::default() };
         let (behavior, behavior_receiver) = watch::channel(behavior);
         let proxy = FakeProxy::new(number, number % 2 == 1);
@@ -79,8 +83,8 @@
         (proxy, behavior)
     }
 
-    /// Checks that the proxy receives a change that is made now; one of the two states is new to it. Compares its cache
-    /// and not versions: a proxy that reconnects with current resources receives no response.
+    /// Checks that the proxy receives changes that are made now; one of the two states differs from the cached one.
+    /// Reads its cache instead of counting responses: a proxy that reconnects with current resources receives none.
     fn assert_served(&self, proxy: &FakeProxy) {
         let addr = SocketAddr::from(([127, 0, 0, 9], 5000));
         for health in ["draining", "up"] {
@@ -96,7 +100,8 @@
         }
     }
 
-    /// Sends requests on one stream. Returns the status that ends it. None: it stays open for 3 s.
+    /// Sends requests on one stream. Returns the status with which the service closes it; `None` if it is still open
+    /// after [`STREAM_TIMEOUT`].
     fn stream_status(&self, path: &'static str, requests: Vec<Bytes>) -> Option<Status> {
         let addr = self.control.addr;
         self.runtime.block_on(async move {
@@ -108,20 +113,21 @@
             }
             let stream = tonic::Request::new(ReceiverStream::new(request_receiver));
             let codec = ChunkCodec::<DiscoveryResponse>::default();
-            let ended = async {
-                let mut answers = match grpc.streaming(stream, PathAndQuery::from_static(path), codec).await {
-                    Ok(answers) => answers.into_inner(),
+            let final_status = async {
+                let mut responses = match grpc.streaming(stream, PathAndQuery::from_static(path), codec).await
+                {
+                    Ok(responses) => responses.into_inner(),
                     Err(status) => return status,
                 };
                 loop {
-                    match answers.message().await {
+                    match responses.message().await {
                         Ok(Some(_)) => {}
-                        Ok(None) => return Status::ok("the stream ended"),
+                        Ok(None) => return Status::ok("the service closed the stream"),
                         Err(status) => return status,
                     }
                 }
             };
-            timeout(Duration::from_secs(3), ended).await.ok().inspect(|_| drop(request_sender))
+            timeout(STREAM_TIMEOUT, final_status).await.ok().inspect(|_| drop(request_sender))
         })
     }
 }
@@ -149,7 +155,7 @@
     Bytes::from(request.encode_to_vec())
 }
 
-/// Requests on one stream, and the status that has to end it.
+/// Requests on one stream, and the status with which the service has to close it.
 struct MalformedRequests {
     description: &'static str,
     path: &'static str,
@@ -159,9 +165,9 @@
 }
 
 impl MalformedRequests {
-    /// Requests on an aggregated stream.
+    /// Requests on an aggregated stream; [`Self::on`] sets another method.
     fn new(description: &'static str, requests: Vec<Bytes>, code: Code, expected_text: &'static str) -> Self {
-        MalformedRequests { description, path: ADS, requests, code, expected_text }
+        MalformedRequests { description, path: ADS_PATH, requests, code, expected_text }
     }
 
     fn on(self, path: &'static str) -> Self {
@@ -203,10 +209,11 @@
     ]
 }
 
+/// A malformed request must not disturb other streams, and its sender has to learn which field is at fault.
 #[test]
-fn malformed_requests_end_their_stream_with_a_clear_status() {
+fn malformed_requests_close_their_stream_with_a_clear_status() {
     let fixture = ControlPlaneFixture::new("bad-input");
-    let (proxy, _behavior) = fixture.proxy(0);
+    let (proxy, _behavior) = fixture.start_proxy(0);
     fixture.assert_served(&proxy);
     for MalformedRequests { description, path, requests, code, expected_text } in malformed_requests() {
         let status = fixture.stream_status(path, requests);
@@ -221,10 +228,11 @@
     assert!(cache_matches(&proxy, |cache| cache.regressions + cache.dangling == 0));
 }
 
+/// An invalid load report would distort the analysis of the canary if it were counted.
 #[test]
-fn invalid_load_reports_end_their_stream_with_the_reason() {
+fn invalid_load_reports_close_their_stream_with_the_reason() {
     let fixture = ControlPlaneFixture::new("bad-loads");
-    let (proxy, _behavior) = fixture.proxy(1);
+    let (proxy, _behavior) = fixture.start_proxy(1);
     fixture.assert_served(&proxy);
     let stats = |cluster: &str, interval| ClusterStats {
         cluster_name: cluster.to_string(),
@@ -249,7 +257,7 @@
             report_sender.send(LoadStatsRequest { node, cluster_stats }).await.unwrap();
             timeout(Duration::from_secs(10), send_load_reports(fixture.control.addr, report_receiver))
                 .await
-                .expect("it ends")
+                .expect("the service closes the stream")
         });
         let status = status.expect_err(expected_text);
         assert!(
@@ -260,18 +268,19 @@
     }
 }
 
+/// A proxy that reconnects after each rejection must not occupy the service so that others receive no changes.
 #[test]
-fn reconnecting_streams_starve_no_other_proxy() {
+fn proxy_that_keeps_reconnecting_does_not_starve_others() {
     let fixture = ControlPlaneFixture::new("loop");
-    let (other_proxy, _behavior) = fixture.proxy(0);
+    let (other_proxy, _behavior) = fixture.start_proxy(0);
     fixture.assert_served(&other_proxy);
     for _ in 0..60 {
         let status = fixture
-            .stream_status(ADS, vec![encode(&discovery_request("loop", "type.googleapis.com/x.Y", 0))]);
+            .stream_status(ADS_PATH, vec![encode(&discovery_request("loop", "type.googleapis.com/x.Y", 0))]);
         assert_eq!(status.map(|status| status.code()), Some(Code::InvalidArgument));
     }
     fixture.assert_served(&other_proxy);
-    let (late, _late_behavior) = fixture.proxy(1);
+    let (late, _late_behavior) = fixture.start_proxy(1);
     wait_until("a new proxy receives its resources", || {
         cache_matches(&late, |cache| cache.route("pay", false).is_some())
     });
@@ -302,16 +311,17 @@
             .unwrap();
         let codec = ChunkCodec::<DiscoveryResponse>::default();
         let stream = tonic::Request::new(ReceiverStream::new(request_receiver));
-        grpc.streaming(stream, PathAndQuery::from_static(ADS), codec).await.is_ok()
+        grpc.streaming(stream, PathAndQuery::from_static(ADS_PATH), codec).await.is_ok()
     });
     assert!(!connected);
 }
 
+/// A restarted service without its stored record would send resources with older versions, or remove some.
 #[test]
 fn proxies_keep_their_resources_while_the_service_restarts() {
     let extra_config = |folder: &str| format!("\"state\": \"{folder}/state.redb\",");
     let mut fixture = ControlPlaneFixture::start("restart", extra_config, |text| text);
-    let (proxies, behaviors): (Vec<FakeProxy>, Vec<_>) = (0..4).map(|n| fixture.proxy(n)).unzip();
+    let (proxies, behaviors): (Vec<FakeProxy>, Vec<_>) = (0..4).map(|n| fixture.start_proxy(n)).unzip();
     proxies.iter().for_each(|proxy| fixture.assert_served(proxy));
     let has_all_resources = |proxy: &FakeProxy| {
         cache_matches(proxy, |cache| {
@@ -338,13 +348,14 @@
     );
 }
 
+/// Endless loops and recursion are among the errors: `check` must not hang or crash on them.
 #[test]
 fn check_names_file_line_and_key_of_each_error() {
     let folder = std::env::temp_dir().join(format!("latchhaven-check-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("control.star");
-    let valid = control_config("a", ANY, ANY, ANY, false, "");
-    let endless = format!(
+    let valid = control_config("a", ANY_PORT, ANY_PORT, ANY_PORT, false, "");
+    let endless_script = format!(
         "def f():\n    for a in range(100000):\n        for b in range(100000):\n            pass\nf()\n{valid}"
     );
     let cases = [
@@ -364,7 +375,7 @@
         (valid.replace("control = ", "contrl = "), 1, "control: not set"),
         ("load(\"../other.star\", \"a\")\n".to_string() + &valid, 1, "only files in the same folder"),
         ("load(\"control.star\", \"control\")\n".to_string(), 1, "circle"),
-        (endless, 1, "control.star"),
+        (endless_script, 1, "control.star"),
         ("x = [0]\ndef g():\n    return g()\ng()\n".to_string() + &valid, 1, "control.star:"),
         ("control = {".to_string(), 1, "control.star:1"),
     ];
