--- a/crates/cli/tests/gateway/discovery.rs
+++ b/crates/cli/tests/gateway/discovery.rs
@@ -1,4 +1,4 @@
-//! Service discovery: watches, retries, list versions and address changes.
+//! Service discovery: watches and their retries, versions of the endpoint list, and a new address of the service.
 
 use crate::support::{assert_others_are_served, assert_served};
 use latchhaven_test_support::fake_http::{FakeHttpService, HttpReply, STREAM_HEAD, chunk, response};
@@ -13,34 +13,35 @@
 use std::thread;
 use std::time::Duration;
 
-/// An endpoint list with an unknown health.
+/// A line with an endpoint list that contains an unknown health.
 const UNKNOWN_HEALTH: &str =
     "{\"seq\":7,\"whole\":true,\"hosts\":[{\"host\":\"a\",\"dial\":\"1.2.3.4:5\",\"health\":\"odd\"}]}\n";
 
-/// A discovery service that replies to a call only when it is released.
-fn delayed_discovery(answer: String) -> (FakeHttpService, mpsc::Sender<()>) {
+/// A discovery service that delays its reply to each call until a message is sent to the channel, or its sender is
+/// dropped.
+fn delayed_discovery(reply: String) -> (FakeHttpService, mpsc::Sender<()>) {
     let (release, released) = mpsc::channel();
     let released = Mutex::new(released);
-    let list = FakeHttpService::start(move |_| {
+    let service = FakeHttpService::start(move |_| {
         let _ = released.lock().unwrap().recv();
-        HttpReply::KeepOpen(answer.clone())
+        HttpReply::KeepOpen(reply.clone())
     });
-    (list, release)
+    (service, release)
 }
 
-/// One line of a watch, as a chunk.
+/// One line of a watch, encoded as an HTTP chunk.
 fn line_chunk(value: &Value) -> String {
     chunk(&format!("{value}\n"))
 }
 
-/// Reloads the configuration with another address of the discovery service.
-fn move_discovery(gateway: &Gateway, to: &FakeHttpService) {
+/// Reloads the configuration with the address of another discovery service.
+fn reload_with_discovery(gateway: &Gateway, service: &FakeHttpService) {
     let mut config = gateway.config.clone();
-    config["discovery"] = json!(to.addr.to_string());
+    config["discovery"] = json!(service.addr.to_string());
     gateway.reconfigure(&config.to_string());
 }
 
-/// Sends a request, checks that it is served, and checks the number of queries that each server has received so far.
+/// Sends a request, checks that it is served, and checks how many queries each server has received since its start.
 #[track_caller]
 fn assert_served_by(gateway: &Gateway, id: &str, received: [(&FakeServer, usize); 2]) {
     assert_served(&mut gateway.client(), id, 1900);
@@ -49,6 +50,8 @@
     }
 }
 
+/// If the watch started at another version, changes would be lost, or a full list would be sent without need. A
+/// draining endpoint receives no request after its change is applied.
 #[test]
 fn watch_starts_at_the_current_version_and_changes_apply_immediately() {
     let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
@@ -56,9 +59,9 @@
     let changes = [host("s0", old.addr, "draining", 1), host("s1", new.addr, "up", 1)];
     let line = endpoint_list(6, false, &changes).to_string() + "\n";
     // A line may be split into chunks.
-    let (one, two) = line.split_at(line.len() / 2);
-    gateway.discovery.write(&chunk(one));
-    gateway.discovery.write(&chunk(two));
+    let (first_half, second_half) = line.split_at(line.len() / 2);
+    gateway.discovery.write(&chunk(first_half));
+    gateway.discovery.write(&chunk(second_half));
     wait_until("the list is applied", || gateway.counter("endpoint_list_updates_total") == 2);
     let mut client = gateway.client();
     for n in 0..4 {
@@ -67,6 +70,7 @@
     assert_eq!((old.queries().len(), new.queries().len()), (0, 4));
 }
 
+/// A connection to the earlier address may lead to another process.
 #[test]
 fn endpoint_with_a_new_address_is_reached_there() {
     let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
@@ -75,11 +79,12 @@
     client.query(&select("a1", "look", 900));
     wait_until("the list is watched", || gateway.discovery.count_calls("watch") == 1);
     gateway.discovery.send_line(&endpoint_list(9, true, &[host("s0", new.addr, "up", 1)]));
-    wait_until("the old connection is dropped", || old.seen.lock().unwrap().ended == [0]);
+    wait_until("the earlier connection is closed", || old.seen.lock().unwrap().ended == [0]);
     assert_served(&mut client, "a2", 1900);
     assert_eq!((old.queries().len(), new.queries().len()), (1, 1));
 }
 
+/// A failure of the discovery service must affect neither requests nor later attempts to watch it.
 #[rstest]
 #[case::unavailable(HttpReply::Close(response(503, "")))]
 #[case::broken_json(HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", chunk("{\"seq\":7,\n"))))]
@@ -92,12 +97,13 @@
     let gateway = Gateway::start_watching(&[&server], |_| ());
     gateway.discovery.set_reply(move |_| reply.clone());
     gateway.discovery.close_streams();
-    wait_until("it is retried repeatedly", || {
+    wait_until("the watch is retried repeatedly", || {
         gateway.discovery.count_calls("watch") >= 3 && gateway.counter("discovery_failures_total") >= 2
     });
     assert_served(&mut gateway.client(), "a1", 900);
 }
 
+/// A connection whose peer has vanished stays open without an error, and no update arrives.
 #[test]
 fn silent_watch_is_closed_and_retried() {
     let server = FakeServer::start(ServerBehavior::Succeed);
@@ -107,6 +113,8 @@
     });
 }
 
+/// After a suspension, requests and an update wait in the sockets. Requests that are routed first would go to a
+/// draining endpoint.
 #[test]
 fn pending_updates_apply_before_requests_after_a_pause() {
     let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
@@ -125,23 +133,25 @@
     assert!(old.queries().is_empty() && !new.queries().is_empty());
 }
 
+/// A retry that waits for its backoff must use the new address, and not one that is no longer configured.
 #[test]
 fn pending_watch_retry_moves_to_a_new_address_immediately() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start_watching(&[&server], |_| ());
     gateway.discovery.set_reply(|_| HttpReply::Nothing);
     gateway.discovery.close_streams();
-    wait_until("it is retried", || gateway.discovery.count_calls("watch") == 2);
+    wait_until("the watch is retried", || gateway.discovery.count_calls("watch") == 2);
     let new = FakeHttpService::start(|_| HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", chunk("\n"))));
-    move_discovery(&gateway, &new);
+    reload_with_discovery(&gateway, &new);
     wait_until("the new address is called", || new.count_calls("watch") == 1);
-    // The end of the earlier call does not count as a failure.
+    // The close of the aborted call does not count as a failure.
     let failures = gateway.counter("discovery_failures_total");
     gateway.discovery.close_streams();
     thread::sleep(Duration::from_millis(300));
     assert_eq!((gateway.counter("discovery_failures_total"), new.count_calls("watch")), (failures, 1));
 }
 
+/// A service that sends bytes but never a complete line delivers no update.
 #[test]
 fn incomplete_line_does_not_keep_a_watch_alive() {
     let server = FakeServer::start(ServerBehavior::Succeed);
@@ -155,14 +165,15 @@
     });
 }
 
+/// While the address changes, two watches are open: a delayed list of one may be older than a list of the other.
 #[test]
 fn older_endpoint_list_does_not_replace_a_newer_one() {
     let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
     let gateway = Gateway::start_watching(&[&old], |_| ());
     let earlier = endpoint_list(6, true, &[host("s0", old.addr, "up", 1)]);
-    let (late, release) = delayed_discovery(format!("{STREAM_HEAD}{}", line_chunk(&earlier)));
-    move_discovery(&gateway, &late);
-    wait_until("the new address is called", || late.received_calls() == 1);
+    let (delayed, release) = delayed_discovery(format!("{STREAM_HEAD}{}", line_chunk(&earlier)));
+    reload_with_discovery(&gateway, &delayed);
+    wait_until("the new address is called", || delayed.received_calls() == 1);
     gateway.discovery.send_line(&endpoint_list(7, true, &[host("s1", new.addr, "up", 1)]));
     wait_until("the newer list is applied", || gateway.counter("endpoint_list_updates_total") == 2);
     release.send(()).unwrap();
@@ -173,9 +184,11 @@
     assert_eq!((old.queries().len(), new.queries().len()), (0, 4));
     // The list is requested again, from the current version.
     drop(release);
-    wait_until("it is requested again", || late.count_calls("after=7 ") > 0);
+    wait_until("the list is requested again", || delayed.count_calls("after=7 ") > 0);
 }
 
+/// A discovery service that is restarted may count versions from the beginning. If these counted as old, no list
+/// would be applied any more.
 #[test]
 fn endpoint_list_with_restarted_versions_is_accepted() {
     let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
@@ -187,7 +200,7 @@
     gateway.discovery.close_streams();
     wait_until("the list is applied", || gateway.counter("endpoint_list_updates_total") == 2);
     assert_served_by(&gateway, "a1", [(&old, 0), (&new, 1)]);
-    // Versions of changes continue from there.
+    // Changes continue from the version of the new list.
     gateway.discovery.send_line(&endpoint_list(
         3,
         false,
@@ -197,6 +210,8 @@
     assert_served_by(&gateway, "a2", [(&old, 1), (&new, 1)]);
 }
 
+/// A delta that starts from a list that the gateway never received would yield a list that never existed. The full
+/// list has to be requested.
 #[test]
 fn changes_to_an_unknown_endpoint_list_are_ignored() {
     let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
@@ -211,6 +226,8 @@
     assert_served_by(&gateway, "a1", [(&old, 0), (&new, 1)]);
 }
 
+/// A new address may be wrong: until it delivers a list, the gateway needs the updates of the earlier watch, also
+/// when the address changes twice.
 #[test]
 fn watch_stays_open_until_a_new_one_delivers_a_list() {
     let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
@@ -219,7 +236,7 @@
     let silent: Vec<FakeHttpService> =
         (0..2).map(|_| FakeHttpService::start(|_| HttpReply::Nothing)).collect();
     for service in &silent {
-        move_discovery(&gateway, service);
+        reload_with_discovery(&gateway, service);
         wait_until("the new address is called", || service.count_calls("watch") == 1);
     }
     gateway.discovery.send_line(&endpoint_list(6, true, &[host("s1", new.addr, "up", 1)]));
@@ -227,6 +244,7 @@
     assert_served_by(&gateway, "a1", [(&old, 0), (&new, 1)]);
 }
 
+/// Lists are JSON objects and may span lines; after a truncated one, the start of the next is uncertain.
 #[test]
 fn multi_line_list_is_read_and_a_truncated_one_closes_the_watch() {
     let (old, new) = (FakeServer::start(ServerBehavior::Succeed), FakeServer::start(ServerBehavior::Succeed));
@@ -240,16 +258,17 @@
     wait_until("the watch is restarted", || gateway.discovery.count_calls("after=6 ") == 1);
 }
 
+/// The watch and the sessions share a thread: a watch whose input never ends has to yield to them.
 #[test]
-fn flooding_watch_delays_no_client() {
+fn flooding_watch_does_not_delay_clients() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start_watching(&[&server], use_long_timeouts);
-    let (list, stop) = (gateway.discovery.clone(), Arc::new(Mutex::new(false)));
+    let (service, stop) = (gateway.discovery.clone(), Arc::new(Mutex::new(false)));
     let stopped = stop.clone();
-    let many = chunk(&" \r\n".repeat(20_000));
+    let empty_lines = chunk(&" \r\n".repeat(20_000));
     let flood = thread::spawn(move || {
         while !*stopped.lock().unwrap() {
-            list.write(&many)
+            service.write(&empty_lines)
         }
     });
     assert_others_are_served(&gateway);
--- a/crates/cli/tests/gateway/main.rs
+++ b/crates/cli/tests/gateway/main.rs
@@ -1,5 +1,5 @@
-//! The gateway as a process on loopback, with fake servers, clients, discovery service and platform. Each test enforces one
-//! order of events, by blocking sockets or by stopping the process with signals; no test depends on a short wait.
+//! The gateway as a process on loopback, with fake servers, clients, discovery service and platform. Tests enforce
+//! the order of events by blocking sockets or by stopping the process with signals; no test depends on a short wait.
 
 #![allow(clippy::unwrap_used, reason = "a test fails where it unwraps")]
 
--- a/crates/cli/tests/gateway/readiness.rs
+++ b/crates/cli/tests/gateway/readiness.rs
@@ -1,4 +1,4 @@
-//! When a new process answers health checks of the load balancer in front, which are empty queries.
+//! When a new gateway responds to the load balancer in front, whose health checks are empty queries.
 
 use crate::support::assert_served;
 use latchhaven_test_support::fake_http::{FakeHttpService, HttpReply, STREAM_HEAD, chunk};
@@ -11,7 +11,10 @@
 use std::sync::{Arc, mpsc};
 use std::thread;
 
-/// A gateway whose discovery service answers no call.
+/// The message types of the response to an empty query: `EmptyQueryResponse` and `ReadyForQuery`.
+const EMPTY_QUERY_RESPONSE: &[u8] = b"IZ";
+
+/// A gateway whose discovery service accepts calls but never replies.
 fn start_without_list(server: &FakeServer) -> (Gateway, FakeHttpService) {
     let discovery = FakeHttpService::start(|_| HttpReply::Nothing);
     let gateway = Gateway::start_with(&[server], |config| {
@@ -21,57 +24,69 @@
     (gateway, discovery)
 }
 
-fn kinds(response: &QueryResponse) -> Vec<u8> {
+fn message_types(response: &QueryResponse) -> Vec<u8> {
     response.iter().map(|message| message.kind).collect()
 }
 
-/// Sends a health check and reads its response on another thread. Returns whether it was received, and the response.
-fn probe(gateway: &Gateway) -> (Arc<AtomicBool>, mpsc::Receiver<QueryResponse>) {
+/// A health check that was sent.
+struct HealthCheck {
+    /// Set when its response was received.
+    is_complete: Arc<AtomicBool>,
+    response: mpsc::Receiver<QueryResponse>,
+}
+
+/// Sends a health check and reads its response on another thread.
+fn send_health_check(gateway: &Gateway) -> HealthCheck {
     let mut client = gateway.client();
     client.send(&query(""));
-    let is_answered = Arc::new(AtomicBool::new(false));
-    let answered = is_answered.clone();
-    let (sender, response) = mpsc::channel();
+    let is_complete = Arc::new(AtomicBool::new(false));
+    let completed = is_complete.clone();
+    let (response_sender, response) = mpsc::channel();
     thread::spawn(move || {
-        let read = client.read_response();
-        answered.store(true, SeqCst);
-        let _ = sender.send(read);
+        let received = client.read_response();
+        completed.store(true, SeqCst);
+        let _ = response_sender.send(received);
     });
-    (is_answered, response)
+    HealthCheck { is_complete, response }
 }
 
+/// A new gateway has a list of unknown age. If it reported ready immediately, the load balancer would replace a
+/// gateway that knows the current list by one that does not. Clients that are already connected are served meanwhile.
 #[test]
-fn probe_is_answered_once_a_list_is_confirmed_and_requests_are_served_before() {
+fn health_check_completes_once_a_list_is_confirmed_and_requests_are_served_before() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let (gateway, discovery) = start_without_list(&server);
-    let (is_answered, response) = probe(&gateway);
+    let health_check = send_health_check(&gateway);
     assert_served(&mut gateway.client(), "a1", 900);
-    assert!(!is_answered.load(SeqCst), "answered without a confirmed list");
-    // Another discovery service immediately confirms the list.
+    assert!(!health_check.is_complete.load(SeqCst), "completed without a confirmed list");
+    // The discovery service at another address confirms the list immediately.
     let ready = FakeHttpService::start(|_| HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", chunk("\n"))));
     let mut config = gateway.config.clone();
     config["discovery"] = json!(ready.addr.to_string());
     gateway.reconfigure(&config.to_string());
-    assert_eq!(kinds(&response.recv().unwrap()), b"IZ");
+    assert_eq!(message_types(&health_check.response.recv().unwrap()), EMPTY_QUERY_RESPONSE);
     drop(discovery);
 }
 
+/// If discovery is down, no list is confirmed: new gateways would never become ready, and a restart of all would stop
+/// service.
 #[test]
-fn probe_is_answered_in_bounded_time_without_a_list() {
+fn health_check_completes_in_bounded_time_without_a_list() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let (gateway, _discovery) = start_without_list(&server);
-    let (_, response) = probe(&gateway);
-    assert_eq!(kinds(&response.recv().unwrap()), b"IZ");
+    let health_check = send_health_check(&gateway);
+    assert_eq!(message_types(&health_check.response.recv().unwrap()), EMPTY_QUERY_RESPONSE);
 }
 
+/// A query that is pipelined behind a health check would use up its timeout while the health check waits for a list.
 #[test]
-fn query_behind_a_probe_ends_its_wait() {
+fn query_pipelined_behind_a_health_check_completes_it() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let (gateway, discovery) = start_without_list(&server);
     let mut client = Client::connect(gateway.addr);
     client.send(&[startup(), query(""), query(&select("a1", "look", 900))].concat());
     assert_eq!(client.read_response().last().unwrap().kind, b'Z');
-    assert_eq!(kinds(&client.read_response()), b"IZ");
+    assert_eq!(message_types(&client.read_response()), EMPTY_QUERY_RESPONSE);
     assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
     assert_eq!(discovery.received_calls(), 1, "the first call is still pending");
 }
--- a/crates/cli/tests/gateway/shutdown.rs
+++ b/crates/cli/tests/gateway/shutdown.rs
@@ -1,6 +1,6 @@
-//! Shutdown and restart: which requests are answered, and which are rejected.
+//! Shutdown and restart: which requests are completed, and which are rejected.
 
-use crate::support::{assert_served, contains, pause, read_to_end, wait_until_received};
+use crate::support::{FAILED, REJECTED, assert_served, contains, pause, read_to_end, wait_until_received};
 use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
 use latchhaven_test_support::gateway::{Gateway, spawn_gateway, use_long_timeouts};
 use latchhaven_test_support::postgres::{Client, SqlState, insert, outcome, query, select, startup};
@@ -11,8 +11,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Requests that arrive later than this after SIGTERM are rejected; the gateway stops accepting before.
+const REQUEST_WINDOW: Duration = Duration::from_millis(600);
+
+/// A rollout of the gateway must fail no request: pending ones complete, and the load balancer in front still opens
+/// connections for a while.
 #[test]
-fn accepted_requests_are_answered_before_shutdown() {
+fn pending_requests_complete_before_shutdown() {
     let server = FakeServer::start(ServerBehavior::SucceedAfter(300));
     let mut gateway = Gateway::start(&[&server]);
     let (mut busy, mut idle) = (gateway.client(), gateway.client());
@@ -30,6 +35,7 @@
     assert!(gateway.logged(" requests_succeeded_total=3 "));
 }
 
+/// Connections of the killed process remain in the kernel for a while and must not prevent a listener at the address.
 #[test]
 fn restart_after_a_kill_listens_at_the_same_address() {
     let server = FakeServer::start(ServerBehavior::Succeed);
@@ -43,11 +49,11 @@
     assert_served(&mut second.client(), "a2", 900);
 }
 
+/// A client that connected just before the signal sends its first request after it.
 #[test]
-fn new_connection_is_answered_during_shutdown() {
+fn first_request_of_a_new_connection_is_served_during_shutdown() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let mut gateway = Gateway::start(&[&server]);
-    // It has completed its startup, and sends no query before the signal.
     let mut new = gateway.client();
     gateway.signal("TERM");
     wait_until("shutdown has begun", || gateway.logged("shutdown started"));
@@ -57,21 +63,24 @@
     assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
+/// A connection without a request would delay the exit of the gateway. Its client may be about to send one, and the
+/// error states that it was not executed.
 #[test]
 fn silent_connection_receives_a_retryable_error_at_shutdown() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let mut gateway = Gateway::start(&[&server]);
-    let (mut greeted, mut silent) = (gateway.client(), Client::connect(gateway.addr));
+    let (mut ready, mut silent) = (gateway.client(), Client::connect(gateway.addr));
     gateway.signal("TERM");
-    for client in [&mut greeted, &mut silent] {
-        assert!(contains(&read_to_end(client).expect("closed without a reset"), "53300"));
+    for client in [&mut ready, &mut silent] {
+        assert!(contains(&read_to_end(client).expect("closed without a reset"), REJECTED));
     }
-    drop((greeted, silent));
+    drop((ready, silent));
     assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
+/// Closing between two pipelined requests would lose those that have arrived, and a query that has arrived in part.
 #[test]
-fn pipelined_requests_are_answered_in_order_before_shutdown() {
+fn pipelined_requests_complete_in_order_before_shutdown() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let mut gateway = Gateway::start(&[&server]);
     let mut client = gateway.client();
@@ -84,7 +93,7 @@
     wait_until("the first attempt is sent", || server.queries().len() == 2);
     gateway.signal("TERM");
     wait_until("shutdown has begun", || gateway.logged("shutdown started"));
-    // Half of the last query has arrived; the rest is sent once the two before it are answered.
+    // A part of the last query has arrived; the rest is sent once the two before it are complete.
     for n in 1..3 {
         assert_eq!(outcome(&client.read_response()), Ok(format!("a{n}")));
     }
@@ -95,15 +104,18 @@
     assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
+/// A client that pipelines without a pause is never idle: the gateway has to close its connection nevertheless, after
+/// a complete response.
 #[test]
-fn endless_pipeline_delays_no_shutdown_and_its_responses_are_complete() {
+fn endless_pipeline_does_not_delay_shutdown_and_its_responses_are_complete() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let mut gateway = Gateway::start(&[&server]);
     let mut client = gateway.client();
-    let mut sends = client.0.try_clone().unwrap();
+    let mut writer = client.0.try_clone().unwrap();
     let sending = thread::spawn(move || {
         for n in 0.. {
-            if std::io::Write::write_all(&mut sends, &query(&select(&format!("a{n}"), "look", 1900))).is_err()
+            if std::io::Write::write_all(&mut writer, &query(&select(&format!("a{n}"), "look", 1900)))
+                .is_err()
             {
                 return;
             }
@@ -111,74 +123,79 @@
     });
     assert_eq!(outcome(&client.read_response()), Ok("a0".to_string()));
     gateway.signal("TERM");
-    let (mut answered, since) = (0, Instant::now());
-    // Each response is complete and in order; after the last one there is nothing.
+    let (mut responses, started_at) = (0, Instant::now());
+    // Each response is complete and in order, and no bytes follow the last one.
     loop {
-        let answer = client.read_response();
-        if answer.is_empty() {
+        let response = client.read_response();
+        if response.is_empty() {
             break;
         }
-        answered += 1;
-        assert!(since.elapsed() < MAX_WAIT, "the pipeline never ends");
-        assert!(answer.last().is_some_and(|message| message.kind == b'Z'), "{answer:?}");
-        assert!(outcome(&answer).is_ok_and(|id| id == format!("a{answered}")) || outcome(&answer).is_err());
+        responses += 1;
+        assert!(started_at.elapsed() < MAX_WAIT, "the connection stays open");
+        assert!(response.last().is_some_and(|message| message.kind == b'Z'), "{response:?}");
+        let outcome = outcome(&response);
+        assert!(outcome.is_err() || outcome == Ok(format!("a{responses}")));
     }
     drop(client);
     assert_eq!(gateway.wait_for_exit(), Some(0));
     sending.join().unwrap();
 }
 
+/// If the process is suspended while it accepts, connections remain in the kernel's accept queue. A listener that is
+/// closed then would reset them, and their clients could not know whether their requests were executed.
 #[test]
-fn connections_in_the_accept_queue_are_answered_at_shutdown() {
+fn requests_of_the_accept_queue_are_rejected_at_shutdown() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let mut gateway = Gateway::start(&[&server]);
     gateway.signal("TERM");
     wait_until("shutdown has begun", || gateway.logged("shutdown started"));
-    // The process is paused until its accept time is over: these are in the accept queue at the final accept.
+    // These connections are in the accept queue at the final accept.
     pause(&gateway);
     let mut late: Vec<Client> = (0..3).map(|_| Client::connect(gateway.addr)).collect();
     for (n, client) in late.iter_mut().enumerate() {
         client.send(&[startup(), query(&select(&format!("a{n}"), "look", 1900))].concat());
     }
-    thread::sleep(Duration::from_millis(600));
+    thread::sleep(REQUEST_WINDOW);
     gateway.signal("CONT");
-    // Requests that are read later than 0.6 s after the signal are rejected.
     for client in &mut late {
         client.read_response();
-        assert_eq!(outcome(&client.read_response()), Err(SqlState::from("53300")));
+        assert_eq!(outcome(&client.read_response()), Err(SqlState::from(REJECTED)));
     }
     drop(late);
     assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
+/// A request that is queued behind one without a response would receive no final status before the gateway exits.
 #[test]
-fn request_behind_an_open_one_is_answered_before_the_shutdown_limit() {
+fn request_behind_a_pending_one_is_rejected_before_the_gateway_exits() {
     let server = FakeServer::start(ServerBehavior::NeverRespond);
     let mut gateway = Gateway::start_with(&[&server], use_long_timeouts);
-    let (mut client, mut alone) = (gateway.client(), gateway.client());
+    let (mut client, mut without_request) = (gateway.client(), gateway.client());
     client.send(&query(&insert("a1", "pay", 60_000)));
     wait_until_received(&server, 1);
     gateway.signal("TERM");
     wait_until("shutdown has begun", || gateway.logged("shutdown started"));
-    let since = Instant::now();
-    wait_until("the window for requests has ended", || since.elapsed() > Duration::from_millis(650));
+    let shutdown_seen_at = Instant::now();
+    let after_window = REQUEST_WINDOW + Duration::from_millis(50);
+    wait_until("the window for requests has ended", || shutdown_seen_at.elapsed() > after_window);
     client.send(&query(&select("a2", "look", 60_000)));
-    // The first may have been executed, and is abandoned so that the second gets its response; the second was
+    // The first was sent and may have been executed; it is abandoned so that the second can be rejected, which was
     // never sent.
-    assert_eq!(outcome(&client.read_response()), Err(SqlState::from("XX000")));
-    assert_eq!(outcome(&client.read_response()), Err(SqlState::from("53300")));
+    assert_eq!(outcome(&client.read_response()), Err(SqlState::from(FAILED)));
+    assert_eq!(outcome(&client.read_response()), Err(SqlState::from(REJECTED)));
     assert_eq!(read_to_end(&mut client).expect("closed without a reset"), b"");
-    assert!(contains(&read_to_end(&mut alone).unwrap(), "53300"));
+    assert!(contains(&read_to_end(&mut without_request).unwrap(), REJECTED));
     assert_eq!((gateway.wait_for_exit(), server.queries().len()), (Some(0), 1));
 }
 
+/// A write to a client that does not read never completes; the gateway must not wait for it.
 #[test]
-fn client_that_does_not_read_delays_no_shutdown() {
+fn client_that_does_not_read_does_not_delay_shutdown() {
     let server = FakeServer::start(ServerBehavior::LargeValue(400_000));
     let mut gateway = Gateway::start(&[&server]);
     let mut not_reading = gateway.client();
     not_reading.send(&query(&select("a1", "look", 1900)).repeat(40));
-    wait_until("no more queries are accepted", || {
+    wait_until("the gateway forwards no more queries", || {
         let before = server.queries().len();
         thread::sleep(Duration::from_millis(300));
         before > 0 && server.queries().len() == before
@@ -187,6 +204,7 @@
     assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
+/// After a gateway was killed, its successor may start before the kernel has released the address.
 #[test]
 fn start_waits_for_an_address_still_in_use() {
     let server = FakeServer::start(ServerBehavior::Succeed);
@@ -195,9 +213,9 @@
     config["listen"] = json!(first.addr.to_string());
     let second = spawn_gateway(&config.to_string());
     let (mut second, log) = (second.child, second.log);
-    // The process has started, and the address is still in use.
-    let started = format!("/proc/{}/net/tcp", second.id());
-    wait_until("the process has started", || std::path::Path::new(&started).exists());
+    let process_file = format!("/proc/{}/net/tcp", second.id());
+    wait_until("the process has started", || std::path::Path::new(&process_file).exists());
+    // The address is still in use, so the process retries.
     thread::sleep(Duration::from_millis(100));
     assert!(second.try_wait().unwrap().is_none(), "{:?}", log.lock().unwrap());
     first.signal("KILL");
--- a/crates/cli/tests/gateway/support.rs
+++ b/crates/cli/tests/gateway/support.rs
@@ -1,4 +1,4 @@
-//! Steps and checks that several test modules use.
+//! SQLSTATEs, steps and checks that several test modules use.
 
 use latchhaven_test_support::fake_server::FakeServer;
 use latchhaven_test_support::gateway::Gateway;
@@ -6,18 +6,28 @@
 use latchhaven_test_support::wait::wait_until;
 use std::io::Read;
 
-/// Reads until the connection closes; an error if it is reset.
+/// The SQLSTATE of a request that was rejected and not executed: its client may retry it.
+pub(crate) const REJECTED: &str = "53300";
+/// The SQLSTATE of a request that failed and may have been executed.
+pub(crate) const FAILED: &str = "XX000";
+/// The SQLSTATE of a query that the gateway does not know or cannot parse.
+pub(crate) const INVALID_QUERY: &str = "42601";
+/// The SQLSTATE of input that violates the protocol, or arrives too slowly.
+pub(crate) const PROTOCOL_VIOLATION: &str = "08P01";
+
+/// Reads until the connection closes; fails if it is reset.
 pub(crate) fn read_to_end(client: &mut Client) -> std::io::Result<Vec<u8>> {
     let mut all = Vec::new();
     client.0.read_to_end(&mut all).map(|_| all)
 }
 
-/// True if the bytes contain this text.
-pub(crate) fn contains(all: &[u8], part: &str) -> bool {
-    all.windows(part.len()).any(|window| window == part.as_bytes())
+/// Returns `true` if the bytes contain this text.
+pub(crate) fn contains(bytes: &[u8], text: &str) -> bool {
+    bytes.windows(text.len()).any(|window| window == text.as_bytes())
 }
 
-/// Sends a request with this id and checks that the response has its own value. `timeout` in ms.
+/// Sends a request with this id and checks that its response has this id as its value, as fake servers respond.
+/// `timeout` in ms.
 #[track_caller]
 pub(crate) fn assert_served(client: &mut Client, id: &str, timeout: u32) {
     assert_eq!(outcome(&client.query(&select(id, "look", timeout))), Ok(id.to_string()));
@@ -33,7 +43,7 @@
     wait_until("the first connection is accepted", || server.seen.lock().unwrap().connections == 1);
 }
 
-/// Sends requests until one is served; the first ones may be rejected.
+/// Sends requests with ids `b1`, `b2` and so on until one is served; earlier ones may be rejected.
 pub(crate) fn wait_until_served(gateway: &Gateway) {
     let mut number = 0;
     wait_until("a request is served", || {
@@ -43,14 +53,14 @@
     });
 }
 
-/// Stops the process with a signal, and waits until it is stopped.
+/// Suspends the process with SIGSTOP, and waits until the kernel reports it as stopped.
 pub(crate) fn pause(gateway: &Gateway) {
     gateway.signal("STOP");
     let stat = format!("/proc/{}/stat", gateway.pid());
     wait_until("the process is stopped", || std::fs::read_to_string(&stat).unwrap().contains(") T "));
 }
 
-/// Checks that two clients are served, in turn, while another peer floods the gateway. A late response is an error.
+/// Checks that two clients are served in turn while another peer floods the gateway; a request that times out fails.
 pub(crate) fn assert_others_are_served(gateway: &Gateway) {
     let mut clients = [gateway.client(), gateway.client()];
     for number in 0..20 {
