--- a/crates/cli/tests/gateway/configuration.rs
+++ b/crates/cli/tests/gateway/configuration.rs
@@ -117,7 +117,7 @@
 }
 
 /// A reload must not interrupt what it does not change: pending requests, connections to endpoints, and the current
-/// list. Discovery and platform are each used at one address only, so that no vote and no update is received twice.
+/// list. Afterwards the discovery service and the platform are each called at the new address only.
 #[test]
 fn reload_moves_only_discovery_feed_and_votes() {
     let (baseline, canary) =
