--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -16,11 +16,11 @@
 use crate::rollout::{RolloutPhase, Version, VoteOutcome};
 use crate::routing::{self, AttemptRules, CanaryShareInputs};
 use crate::snapshot::PolicySnapshot;
-use crate::state::canary::{CanaryAnalysis, decode_wrong_answer, encode_wrong_answer};
+use crate::state::canary::{CanaryAnalysis, decode_wrong_response, encode_wrong_response};
 use crate::state::endpoint::{EndpointIndex, Metric};
 use crate::state::evidence::OutcomeCounts;
 use crate::state::exposure::ExposureLimiter;
-use crate::state::registry::{EndpointRegistry, Sides};
+use crate::state::registry::{EndpointRegistry, VersionGroups};
 use crate::state::requests::{Attempt, RequestTable};
 use crate::state::timer::TickTimer;
 use crate::statistics::indicator;
@@ -107,11 +107,11 @@
             Event::RolloutUpdate(rollout) | Event::VoteCompleted(VoteOutcome::Counted(rollout)) => {
                 self.exposure.apply_rollout(rollout);
             }
-            Event::VoteCompleted(VoteOutcome::NotCounted) => self.analysis.vote_is_active = false,
-            Event::WrongAnswerReported { endpoint, .. } => self.on_wrong_response(&endpoint),
+            Event::VoteCompleted(VoteOutcome::NotCounted) => self.analysis.is_last_vote_counted = false,
+            Event::WrongResponseReported { endpoint, .. } => self.on_wrong_response(&endpoint),
             Event::PeerMessage { data, .. } => {
-                if let Some(version) = decode_wrong_answer(&data) {
-                    self.analysis.record_wrong_answer(version);
+                if let Some(version) = decode_wrong_response(&data) {
+                    self.analysis.record_wrong_response(version);
                 }
             }
             Event::OutcomesReported(report) => self.on_outcomes_reported(&report),
@@ -161,7 +161,7 @@
         }
         registry.lease.on_failure(failure, &registry.discovery, now);
         if failure.may_have_lost_update {
-            registry.limit_proofs(ListLease::expiration(now, &registry.discovery));
+            registry.limit_readiness_evidence(ListLease::expiration(now, &registry.discovery));
         }
         let delay = discovery_calls::retry_delay(
             registry.failed_calls,
@@ -177,10 +177,10 @@
         let endpoint = &mut self.registry.endpoints[index];
         endpoint.metrics[Metric::Success].replace_one_by_zero();
         endpoint.metrics[Metric::Correctness].replace_one_by_zero();
-        self.analysis.record_wrong_answer(endpoint.version);
+        self.analysis.record_wrong_response(endpoint.version);
         // One gateway receives too few reports for a verdict on a version: gateways share theirs.
         if self.permissions.peer_messages {
-            let data = encode_wrong_answer(endpoint.version);
+            let data = encode_wrong_response(endpoint.version);
             self.actions.push(Action::SendPeerMessage { to: None, data });
         }
     }
@@ -195,7 +195,7 @@
             failures: report.failures as f64,
             mean_latency: report.mean_latency.unwrap_or(canary::DEFAULT_LATENCY),
         };
-        self.analysis.record_reported(report.version, class, counts);
+        self.analysis.record_outcome_report(report.version, class, counts);
     }
 
     fn on_endpoint_outcomes(&mut self, outcomes: &EndpointOutcomes, now: Millis) {
@@ -247,7 +247,7 @@
     }
 
     /// Ready endpoints by version group; `only_subset`: only those of this gateway's subset.
-    pub(crate) fn partition(&self, only_subset: bool) -> Sides {
+    pub(crate) fn partition(&self, only_subset: bool) -> VersionGroups {
         let lowest_version = self.registry.lowest_version;
         self.registry
             .partition(only_subset, |version| self.exposure.canary(version, lowest_version).is_some())
@@ -284,7 +284,7 @@
         if !rules.allows(request, class, index) {
             return false;
         }
-        let write_within = rules.write_timeout(request, class, index);
+        let write_timeout = rules.write_timeout(request, class, index);
         let timeout = Some(retry::attempt_timeout(request, now));
         let warmup_factor = registry.warmup_factor(index, now);
         let endpoint = &mut self.registry.endpoints[index];
@@ -293,7 +293,7 @@
         let attempt = Attempt::new(index, endpoint, warmup_factor, now);
         self.exposure.record_attempt(attempt.version, request.class, now);
         let endpoint = endpoint.id.clone();
-        self.actions.push(Action::SendAttempt { id, endpoint, timeout, write_within });
+        self.actions.push(Action::SendAttempt { id, endpoint, timeout, write_timeout });
         self.requests.requests.entry(id).and_modify(|request| request.attempts.push(attempt));
         true
     }
--- a/crates/policy/src/exposure.rs
+++ b/crates/policy/src/exposure.rs
@@ -29,7 +29,7 @@
         }
         let Some(canary) = self.canary(version, lowest_version) else { return true };
         let is_open_to_class =
-            canary.stage >= self.config.closed_stages || idempotency == Idempotency::Idempotent;
+            canary.stage >= self.config.idempotent_only_stages || idempotency == Idempotency::Idempotent;
         let window_start = now - self.config.window;
         let attempts =
             self.attempts_since(version, request.class, window_start - TIME_LIMIT_SAFETY_MARGIN) + 1;
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -63,7 +63,7 @@
 pub(crate) fn record_reported_errors(
     endpoint: &mut Endpoint, attempts: f64, error_rate: f64, now: Millis,
 ) -> Option<EjectionReason> {
-    endpoint.record_answers(attempts, error_rate, NEWEST_SAMPLE_WEIGHT, now);
+    endpoint.record_reported_outcomes(attempts, error_rate, NEWEST_SAMPLE_WEIGHT, now);
     if endpoint.error_rate > MAX_ERROR_RATE {
         return Some(EjectionReason::ReportedErrors);
     }
@@ -82,7 +82,7 @@
         Cancelled, ConnectFailed, ConnectionLost, Error, NotSent, Rejected, Success, Timeout,
     };
     if matches!(outcome, Success | Error) {
-        endpoint.record_answer(outcome == Error, NEWEST_SAMPLE_WEIGHT, now);
+        endpoint.record_response(outcome == Error, NEWEST_SAMPLE_WEIGHT, now);
     }
     endpoint.consecutive_timeouts += u32::from(matches!(outcome, Timeout | ConnectFailed | ConnectionLost));
     let is_unresponsive = endpoint.consecutive_timeouts >= CONSECUTIVE_TIMEOUTS_TO_EJECT;
@@ -94,10 +94,10 @@
         Success => {
             endpoint.ejection_count = 0;
             let step = 1.0 - lateness_ratio.min(MAX_LATENCY_RATIO);
-            endpoint.move_concurrency_limit(CONCURRENCY_LIMIT_GAIN * step);
+            endpoint.adjust_concurrency_limit(CONCURRENCY_LIMIT_GAIN * step);
         }
         Rejected | Timeout => {
-            endpoint.move_concurrency_limit(CONCURRENCY_LIMIT_GAIN * (1.0 - MAX_LATENCY_RATIO));
+            endpoint.adjust_concurrency_limit(CONCURRENCY_LIMIT_GAIN * (1.0 - MAX_LATENCY_RATIO));
         }
         Error | Cancelled | ConnectFailed | ConnectionLost | NotSent => {}
     }
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -15,7 +15,7 @@
 use crate::rollout::RolloutPhase;
 use crate::state::endpoint::EndpointIndex;
 use crate::state::exposure::ExposureLimiter;
-use crate::state::registry::{EndpointRegistry, Sides};
+use crate::state::registry::{EndpointRegistry, VersionGroups};
 use crate::state::requests::{Attempt, Request};
 use crate::statistics::{half_life_decay, indicator};
 use crate::time::Millis;
@@ -63,7 +63,7 @@
 /// Endpoints of both version groups that are warming up, without those of a canary that is being rolled back. These are
 /// tried before all others, since their slow start budget is small and randomly distributed over gateways.
 pub(crate) fn warming_endpoints(
-    groups: &Sides, registry: &EndpointRegistry, is_rolling_back: bool, now: Millis,
+    groups: &VersionGroups, registry: &EndpointRegistry, is_rolling_back: bool, now: Millis,
 ) -> Vec<EndpointIndex> {
     let canary = if is_rolling_back { &[] } else { groups.canary.as_slice() };
     let eligible = groups.baseline.iter().chain(canary).copied();
@@ -102,7 +102,7 @@
     /// Whether one more attempt at a request may be sent to any endpoint.
     fn allows_another_attempt(&self, request: &Request, class: &RequestClass) -> bool {
         let dedup_window_left = request.dedup_window_left(class, TIME_LIMIT_SAFETY_MARGIN, self.now);
-        request.is_open()
+        request.awaits_response()
             && self.now < request.deadline
             && request.attempts.len() < self.permissions.max_attempts
             && (request.attempts_in_flight() == 0 || self.permissions.hedging)
