--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -33,7 +33,7 @@
     match latchhaven_operator_config::read(file) {
         Err(errors) => errors.0.iter().map(ToString::to_string).collect(),
         Ok(loaded) => {
-            let error = latchhaven_control_plane::settings(&loaded.config).err();
+            let error = latchhaven_control_plane::parse_settings(&loaded.config).err();
             error.into_iter().map(|error| format!("{}: control.{error}", file.display())).collect()
         }
     }
--- a/crates/control-plane/src/control_plane/mod.rs
+++ b/crates/control-plane/src/control_plane/mod.rs
@@ -80,7 +80,7 @@
     /// Actions of the decisions: votes, requests for the endpoint list, log events.
     pub actions: Vec<Action>,
     /// A new configuration.
-    pub published: Option<Publication>,
+    pub publication: Option<Publication>,
     /// Admitted streams.
     pub admitted_streams: Vec<u64>,
 }
@@ -143,7 +143,7 @@
             effects.actions.push(Action::FetchEndpoints);
         }
         if self.schedule.start_publish(now) {
-            effects.published = self.publish(now);
+            effects.publication = self.publish(now);
         }
         effects
     }
--- a/crates/control-plane/src/control_plane/proxy_registry.rs
+++ b/crates/control-plane/src/control_plane/proxy_registry.rs
@@ -42,7 +42,7 @@
     }
 
     /// A stream of load reports was admitted.
-    pub(crate) fn open_load_stream(&mut self, stream: u64, node: &str) {
+    pub(crate) fn open_load_report_stream(&mut self, stream: u64, node: &str) {
         self.proxy_mut(node);
         self.streams.insert(stream, ProxyStream { node: node.to_string(), reports_loads: true });
     }
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -69,16 +69,16 @@
 /// Streams of proxies and their load reports.
 impl ControlPlane {
     /// A stream of load reports requests admission; false: there are too many streams.
-    pub fn open_load_stream(&mut self, stream: u64, node: &str) -> bool {
+    pub fn open_load_report_stream(&mut self, stream: u64, node: &str) -> bool {
         let is_admitted = self.admission.admit_load_reports(stream) == AdmissionResult::Accepted;
         if is_admitted {
-            self.proxies.open_load_stream(stream, node);
+            self.proxies.open_load_report_stream(stream, node);
         }
         is_admitted
     }
 
     /// A discovery stream requests admission; false: there are too many streams.
-    pub fn request_stream(&mut self, stream: u64, node: &str, now: Millis) -> bool {
+    pub fn request_discovery_stream(&mut self, stream: u64, node: &str, now: Millis) -> bool {
         let is_queued = self.admission.request_slot(stream, node, now) == AdmissionResult::Accepted;
         if is_queued {
             self.proxies.add_pending_stream(stream, node.to_string());
--- a/crates/control-plane/src/driver/event_loop.rs
+++ b/crates/control-plane/src/driver/event_loop.rs
@@ -80,7 +80,7 @@
         for action in effects.actions {
             self.perform(action);
         }
-        if let Some(publication) = effects.published {
+        if let Some(publication) = effects.publication {
             if let Some(writer) = &self.state_writer {
                 writer.persist(publication.state);
             }
@@ -91,10 +91,10 @@
     fn on_server_event(&mut self, event: ServerEvent, now: Millis) {
         match event {
             ServerEvent::StreamOpened { stream, node, reports_loads: true, admitted } => {
-                self.open_load_stream(stream, &node, admitted, now);
+                self.open_load_report_stream(stream, &node, admitted, now);
             }
             ServerEvent::StreamOpened { stream, node, reports_loads: false, admitted } => {
-                self.request_stream(stream, &node, admitted, now);
+                self.request_discovery_stream(stream, &node, admitted, now);
             }
             ServerEvent::StreamEvents { stream, events } => {
                 self.control_plane.on_stream_events(stream, events, now);
@@ -113,16 +113,16 @@
         }
     }
 
-    fn open_load_stream(&mut self, stream: u64, node: &str, admission: AdmissionSender, now: Millis) {
-        if !self.control_plane.open_load_stream(stream, node) {
+    fn open_load_report_stream(&mut self, stream: u64, node: &str, admission: AdmissionSender, now: Millis) {
+        if !self.control_plane.open_load_report_stream(stream, node) {
             let _ = admission.send(Err(too_many_streams(stream, node)));
         } else if admission.send(Ok(())).is_err() {
             self.control_plane.on_stream_closed(stream, now);
         }
     }
 
-    fn request_stream(&mut self, stream: u64, node: &str, admission: AdmissionSender, now: Millis) {
-        if self.control_plane.request_stream(stream, node, now) {
+    fn request_discovery_stream(&mut self, stream: u64, node: &str, admission: AdmissionSender, now: Millis) {
+        if self.control_plane.request_discovery_stream(stream, node, now) {
             self.pending_admissions.insert(stream, admission);
         } else {
             let _ = admission.send(Err(too_many_streams(stream, node)));
--- a/crates/control-plane/src/driver/mod.rs
+++ b/crates/control-plane/src/driver/mod.rs
@@ -13,7 +13,7 @@
 mod upstreams;
 mod xds_thread;
 
-pub use settings::{ControlSettingsError, settings};
+pub use settings::{ControlSettingsError, parse_settings};
 
 use latchhaven_operator_config::ControlConfig;
 use signals::Signals;
--- a/crates/control-plane/src/driver/settings.rs
+++ b/crates/control-plane/src/driver/settings.rs
@@ -12,6 +12,6 @@
 ///
 /// # Errors
 /// The settings are invalid; the text begins with the key.
-pub fn settings(config: &ControlConfig) -> Result<Settings, ControlSettingsError> {
+pub fn parse_settings(config: &ControlConfig) -> Result<Settings, ControlSettingsError> {
     Ok(settings::parse(&config.settings.to_string())?)
 }
--- a/crates/control-plane/src/driver/startup.rs
+++ b/crates/control-plane/src/driver/startup.rs
@@ -43,7 +43,7 @@
 pub(super) fn start(config: &ControlConfig) -> io::Result<ControlService> {
     let clock = Clock::start();
     let signer = VersionSigner::new(read_shared_key(config)?);
-    let settings = settings::settings(config).map_err(io::Error::other)?.on_sockets();
+    let settings = settings::parse_settings(config).map_err(io::Error::other)?.on_sockets();
     let vote_timeout = duration(settings.upstream_connections().vote_timeout);
     let store = state_store::open(config.state.as_deref());
     let class_names = settings.classes().into_iter().map(|class| class.name).collect();
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -14,4 +14,4 @@
 mod limits;
 pub mod state_store;
 
-pub use driver::{ControlSettingsError, serve, settings};
+pub use driver::{ControlSettingsError, parse_settings, serve};
--- a/crates/control-plane/tests/control_plane/support/proxy.rs
+++ b/crates/control-plane/tests/control_plane/support/proxy.rs
@@ -38,7 +38,7 @@
 
     pub(crate) fn connect(&mut self, service: &mut TestService) {
         let id = service.next_stream();
-        assert!(service.control_plane.request_stream(id, &self.node, service.now));
+        assert!(service.control_plane.request_discovery_stream(id, &self.node, service.now));
         service.advance(20.0);
         let stream = Stream::new(self.cache.is_incremental(), None, service.signer.clone());
         self.stream = Some(ProxyStream { id, stream, requests: self.cache.initial_requests() });
--- a/crates/control-plane/tests/control_plane/support/service.rs
+++ b/crates/control-plane/tests/control_plane/support/service.rs
@@ -96,7 +96,7 @@
                 _ => {}
             }
         }
-        if let Some(publication) = effects.published {
+        if let Some(publication) = effects.publication {
             self.snapshot = Some(publication.snapshot);
             self.persisted = Some(publication.state);
         }
--- a/crates/experiments/src/rollout_simulation/proxy_group.rs
+++ b/crates/experiments/src/rollout_simulation/proxy_group.rs
@@ -111,7 +111,7 @@
         for index in 0..sizes.fronts {
             let node = format!("p{index}");
             let is_incremental = index % 2 == 1;
-            control_plane.request_stream(index as u64, &node, 0.0);
+            control_plane.request_discovery_stream(index as u64, &node, 0.0);
             let mut cache = ResourceCache::new(&node, is_incremental);
             proxies.push(Proxy {
                 requests: cache.initial_requests(),
@@ -136,7 +136,7 @@
     /// Polls the control service and returns its votes.
     pub(super) fn poll_control_plane(&mut self, now: Millis) -> Vec<Vote> {
         let effects = self.control_plane.poll(now);
-        if let Some(publication) = effects.published {
+        if let Some(publication) = effects.publication {
             self.snapshot = Some(publication.snapshot);
         }
         let votes = effects.actions.into_iter().filter_map(|action| match action {
