--- a/crates/control-plane/src/control_plane/mod.rs
+++ b/crates/control-plane/src/control_plane/mod.rs
@@ -142,7 +142,7 @@
         if self.known_state.needs_list_snapshot() && self.schedule.start_snapshot_request(now) {
             effects.actions.push(Action::FetchEndpoints);
         }
-        if self.schedule.start_publish(now) {
+        if self.schedule.start_publication(now) {
             effects.publication = self.publish(now);
         }
         effects
--- a/crates/control-plane/src/control_plane/schedule.rs
+++ b/crates/control-plane/src/control_plane/schedule.rs
@@ -1,69 +1,69 @@
-//! When the decisions run, when a configuration is published, and when a snapshot of the endpoint list is requested.
+//! When the policy runs, when a configuration is published, and when a snapshot of the endpoint list is requested.
 
 use crate::limits;
 use latchhaven_policy::Millis;
 
-/// Points in time, in ms of the owner's clock.
+/// Times of the last and next actions, on the clock of the caller.
 pub(crate) struct Schedule {
-    next_publish: Millis,
-    last_publish: Millis,
-    /// The earliest timer of the decisions.
+    next_publication: Millis,
+    last_publication: Option<Millis>,
+    /// When the earliest timer of the policy fires.
     next_timer: Millis,
-    last_snapshot_request: Millis,
+    last_snapshot_request: Option<Millis>,
 }
 
 impl Schedule {
-    /// Everything is due immediately.
+    /// A publication and a timer are due immediately.
     pub(crate) fn new() -> Self {
         Schedule {
-            next_publish: 0.0,
-            last_publish: f64::NEG_INFINITY,
+            next_publication: 0.0,
+            last_publication: None,
             next_timer: 0.0,
-            last_snapshot_request: f64::NEG_INFINITY,
+            last_snapshot_request: None,
         }
     }
 
-    /// The next time at which something is due.
+    /// Returns when the next publication or timer is due.
     pub(crate) fn next_at(&self) -> Millis {
-        self.next_publish.min(self.next_timer)
+        self.next_publication.min(self.next_timer)
     }
 
-    /// True where a publication or a timer is due.
+    /// Returns `true` if a publication or a timer is due.
     pub(crate) fn is_due(&self, now: Millis) -> bool {
-        now >= self.next_publish || now >= self.next_timer
+        now >= self.next_publication || now >= self.next_timer
     }
 
-    /// Schedules a publication: the first update of a burst immediately, those that follow together.
-    pub(crate) fn schedule_publish(&mut self, now: Millis) {
-        let due_at = limits::publication_due_at(now, self.last_publish);
-        self.next_publish = self.next_publish.min(due_at);
+    /// Schedules a publication: immediately for the first update of a burst, together for the updates that follow.
+    pub(crate) fn schedule_publication(&mut self, now: Millis) {
+        let due_at = limits::publication_due_at(now, self.last_publication);
+        self.next_publication = self.next_publication.min(due_at);
     }
 
-    /// True if a publication is due; the next one is then scheduled.
-    pub(crate) fn start_publish(&mut self, now: Millis) -> bool {
-        if now < self.next_publish {
+    /// Returns `true` if a publication is due, and schedules the one after it.
+    pub(crate) fn start_publication(&mut self, now: Millis) -> bool {
+        if now < self.next_publication {
             return false;
         }
-        self.next_publish = limits::refresh_due_at(now);
-        self.last_publish = now;
+        self.next_publication = limits::refresh_due_at(now);
+        self.last_publication = Some(now);
         true
     }
 
-    /// True where a timer of the decisions is due.
+    /// Returns `true` if a timer of the policy is due.
     pub(crate) fn is_timer_due(&self, now: Millis) -> bool {
         self.next_timer <= now
     }
 
-    /// Replaces the timers of the decisions by these, in ms from `now`.
+    /// Replaces the timers of the policy by timers that fire after these delays from `now`.
     pub(crate) fn set_timers(&mut self, delays: impl IntoIterator<Item = Millis>, now: Millis) {
-        self.next_timer = limits::decision_timer_at(now, delays);
+        self.next_timer = limits::policy_timer_at(now, delays);
     }
 
-    /// True if a snapshot of the list may be requested again; the request is then recorded.
+    /// Returns `true` if a snapshot of the endpoint list may be requested, and records the request.
     pub(crate) fn start_snapshot_request(&mut self, now: Millis) -> bool {
         let may_request = limits::may_request_snapshot(now, self.last_snapshot_request);
         if may_request {
-            self.last_snapshot_request = now;
+            self.last_snapshot_request = Some(now);
         }
         may_request
     }
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -26,7 +26,7 @@
         let kind = if is_snapshot { UpdateKind::Snapshot } else { UpdateKind::Delta };
         let entries = entries.into_iter().map(|(entry, _)| entry).collect();
         self.pending_events.push(Event::EndpointUpdate { kind, list_version: version, entries });
-        self.schedule.schedule_publish(now);
+        self.schedule.schedule_publication(now);
     }
 
     /// A request for the endpoint list failed, or its watch ended.
@@ -55,7 +55,7 @@
             .is_some_and(|known| known.version == rollout.version && known.status == RolloutStatus::Rejected);
         let applied = self.known_state.apply_rollout_state(&rollout, is_rejected, now);
         self.pending_events.extend(applied.map(Event::RolloutUpdate));
-        self.schedule.schedule_publish(now);
+        self.schedule.schedule_publication(now);
     }
 
     /// An outcome report of the platform; used only while proxies do not report.
@@ -161,7 +161,7 @@
         }
         if let Some(rollout) = self.known_state.apply_proxy_version(version, now) {
             self.pending_events.push(Event::RolloutUpdate(rollout));
-            self.schedule.schedule_publish(now);
+            self.schedule.schedule_publication(now);
         }
     }
 }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,13 +1,12 @@
 //! The control plane: one [`Policy`](latchhaven_policy::Policy) receives the endpoint list, the platform's rollout states
-//! and proxies' load reports; its decisions are published to proxies over xDS.
+//! and the load reports of proxies. Configurations built from its decisions are published to proxies over xDS.
 //!
-//! - [`control_plane`]: events in, effects out, without sockets, disk or clock.
-//! - [`state_store`]: the persisted state, written by a thread of its own.
-//! - `limits`: limits and rules of both, and of the driver.
-//! - [`serve`]: the driver with sockets, signals and clock.
+//! - [`control_plane`]: turns events into effects, without sockets, disk or clock.
+//! - [`state_store`]: the persisted state, written by a separate thread.
+//! - `limits`: limits and rules of these two modules and of the driver.
+//! - `driver`: sockets, signals and the clock; started by [`serve`].
 
 #![warn(clippy::pedantic)]
-#![allow(clippy::float_cmp, reason = "infinity marks the absence of a timer")]
 
 pub mod control_plane;
 mod driver;
