--- a/crates/control-plane/src/control_plane/address_directory.rs
+++ b/crates/control-plane/src/control_plane/address_directory.rs
@@ -1,28 +1,30 @@
-//! Addresses of endpoints: those on the endpoint list, and those that were removed from it recently.
+//! Addresses of the endpoints on the endpoint list, and of those that left it recently: late load reports name them.
 
 use crate::limits::{self, MAX_RETAINED_VERSIONS};
 use latchhaven_policy::{EndpointEntry, EndpointStatus, Millis, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// An address that is or was on the list.
-struct KnownAddress {
-    /// The last endpoint at the address.
+/// What is retained about an address that is or recently was on the endpoint list.
+struct RetainedAddress {
+    /// The id of the last endpoint listed at the address.
     endpoint: String,
-    /// The versions that ran at the address.
+    /// The versions that were listed at the address, at most [`MAX_RETAINED_VERSIONS`].
     versions: BTreeSet<Version>,
+    /// Time of the last list update after which the address was on the list.
     last_listed_at: Millis,
 }
 
-/// The endpoints that the list names or named recently.
+/// The addresses of the endpoints on the endpoint list and of those that left it recently.
 #[derive(Default)]
 pub(crate) struct AddressDirectory {
+    /// The address of each endpoint on the list, by endpoint id.
     listed: BTreeMap<String, SocketAddr>,
-    known: BTreeMap<SocketAddr, KnownAddress>,
+    retained: BTreeMap<SocketAddr, RetainedAddress>,
 }
 
 impl AddressDirectory {
-    /// Applies a snapshot of the list, or a delta to it.
+    /// Applies a snapshot of the endpoint list, or a delta to it.
     pub(crate) fn apply(&mut self, entries: &[(EndpointEntry, SocketAddr)], is_snapshot: bool, now: Millis) {
         if is_snapshot {
             self.listed.clear();
@@ -38,42 +40,42 @@
         self.remove_expired(now);
     }
 
-    /// The address of each endpoint on the list.
+    /// Returns the address of each endpoint on the list, by endpoint id.
     pub(crate) fn listed(&self) -> &BTreeMap<String, SocketAddr> {
         &self.listed
     }
 
-    /// True where no endpoint is or was recently on the list.
+    /// Returns `true` if no endpoint is or recently was on the list.
     pub(crate) fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.retained.is_empty()
     }
 
-    /// The endpoint at an address, if the version runs or recently ran there.
+    /// Returns the id of the last endpoint at an address; `None` if the version is not retained for the address.
     pub(crate) fn endpoint_at(&self, address: &SocketAddr, version: Version) -> Option<&str> {
-        let known = self.known.get(address)?;
-        known.versions.contains(&version).then_some(known.endpoint.as_str())
+        let retained = self.retained.get(address)?;
+        retained.versions.contains(&version).then_some(retained.endpoint.as_str())
     }
 
     fn retain_version(&mut self, entry: &EndpointEntry, address: SocketAddr, now: Millis) {
-        let known = self.known.entry(address).or_insert_with(|| KnownAddress {
+        let retained = self.retained.entry(address).or_insert_with(|| RetainedAddress {
             endpoint: entry.endpoint.clone(),
             versions: BTreeSet::new(),
             last_listed_at: now,
         });
-        known.endpoint.clone_from(&entry.endpoint);
-        known.versions.insert(entry.version);
-        while known.versions.len() > MAX_RETAINED_VERSIONS {
-            known.versions.pop_first();
+        retained.endpoint.clone_from(&entry.endpoint);
+        retained.versions.insert(entry.version);
+        while retained.versions.len() > MAX_RETAINED_VERSIONS {
+            retained.versions.pop_first();
         }
     }
 
     fn remove_expired(&mut self, now: Millis) {
         let listed: BTreeSet<SocketAddr> = self.listed.values().copied().collect();
-        self.known.retain(|address, known| {
+        self.retained.retain(|address, retained| {
             if listed.contains(address) {
-                known.last_listed_at = now;
+                retained.last_listed_at = now;
             }
-            limits::retains_endpoint(now, known.last_listed_at)
+            limits::retains_endpoint(now, retained.last_listed_at)
         });
     }
 }
--- a/crates/control-plane/src/control_plane/mod.rs
+++ b/crates/control-plane/src/control_plane/mod.rs
@@ -1,11 +1,12 @@
-//! The control plane without sockets, disk or clock: the driver passes events in, and [`ControlPlane::poll`] returns the
-//! effects that the driver carries out.
+//! The control plane without sockets, disk or clock: the driver passes events in, and [`ControlPlane::poll`] returns
+//! the effects for the driver to apply. All times are on the driver's clock, in Unix milliseconds: labels of
+//! published versions carry such times to other control planes.
 //!
 //! - `updates`: handles events of discovery, the platform and proxies.
 //! - `publication`: builds and publishes proxy configurations.
 //! - `address_directory`: addresses of endpoints.
 //! - `proxy_registry`: proxies and their streams.
-//! - `schedule`: when the next publication, timer or list request is due.
+//! - `schedule`: when the next publication, timer or request for the endpoint list is due.
 
 mod address_directory;
 mod proxy_registry;
@@ -29,24 +30,25 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The token of all timer events: the control plane has one timer for the policy, which ignores the token.
+/// Token of all timer events. The policy ignores it, so that one timer serves all that the policy sets.
 const TIMER_TOKEN: &str = "look";
 
-/// The settings of a control plane.
+/// The settings of a control plane, fixed while it runs.
 pub struct ControlPlaneConfig {
-    /// The settings of proxy configurations.
+    /// The request classes, limits and rules from which proxy configurations are built.
     pub proxy_config: ProxyConfigSettings,
-    /// The listener of each proxy.
+    /// The listener that each proxy is configured with.
     pub listener: ListenerConfig,
-    /// Signs versions, and verifies those that proxies report.
+    /// Signs the version labels of published resources, and verifies those that proxies report.
     pub signer: VersionSigner,
-    /// The maximum number of streams, open or pending.
+    /// Limit of the streams that are open or pending admission. Above it new streams are rejected.
     pub max_streams: usize,
-    /// Versions are judged by the platform's counts only, not by proxies' load reports.
+    /// Set when the canary analysis uses only the platform's counts. Otherwise it uses the load reports of proxies,
+    /// and the platform's counts while no proxy reports.
     pub platform_counts_only: bool,
 }
 
-/// The control plane's state.
+/// Decides with the policy, and publishes configurations for proxies.
 pub struct ControlPlane {
     policy: Policy,
     settings: ProxyConfigSettings,
@@ -59,34 +61,35 @@
     load_reports: LoadReportAggregator,
     shares: ShareLedger,
     schedule: Schedule,
-    /// Events that the decisions have not processed yet.
+    /// Events that the policy has not processed yet.
     pending_events: Vec<Event>,
+    /// The last published resources.
     snapshot: Option<Arc<ResourceSnapshot>>,
-    /// The last logged reason why nothing can be published.
+    /// The reason, already logged, why nothing can be published; `None` if the last build was not blocked.
     blocked_by: Option<PublicationBlocked>,
 }
 
-/// A configuration to be published.
+/// A configuration for the driver to publish.
 pub struct Publication {
-    /// The resources for proxies.
+    /// The resources to send to proxies.
     pub snapshot: Arc<ResourceSnapshot>,
-    /// The state to persist with it.
+    /// The state to persist, from which a restarted service continues.
     pub state: PersistedState,
 }
 
-/// What the driver has to carry out.
+/// The results of a poll, which the driver applies in this order: streams, actions, publication.
 #[derive(Default)]
 pub struct Effects {
-    /// Actions of the decisions: votes, requests for the endpoint list, log events.
+    /// Actions of the policy without its timers, and requests for a snapshot of the endpoint list.
     pub actions: Vec<Action>,
-    /// A new configuration.
+    /// Set when a new configuration is to be published.
     pub publication: Option<Publication>,
-    /// Admitted streams.
+    /// Numbers of the discovery streams that were admitted, in the order of admission.
     pub admitted_streams: Vec<u64>,
 }
 
 impl ControlPlane {
-    /// A control plane that continues from a persisted state: nothing older is published.
+    /// Creates a control plane. With a persisted state nothing older than its version is published.
     #[must_use]
     pub fn new(policy: Policy, config: ControlPlaneConfig, persisted: Option<PersistedState>) -> Self {
         let settings = config.proxy_config;
@@ -116,7 +119,8 @@
         }
     }
 
-    /// When the driver calls [`ControlPlane::poll`] next at the latest, in ms.
+    /// Returns the latest time at which the driver has to call [`ControlPlane::poll`] again, unless events arrive
+    /// before.
     #[must_use]
     pub fn next_poll_at(&self, now: Millis) -> Millis {
         let pending = PendingWork {
@@ -127,7 +131,7 @@
         limits::next_poll_at(now, pending)
     }
 
-    /// Admits streams; runs the decisions and publishes a configuration where these are due.
+    /// Admits pending streams. Runs the policy and publishes a configuration if these are due.
     pub fn poll(&mut self, now: Millis) -> Effects {
         let mut effects = Effects { admitted_streams: self.admission.poll(now), ..Effects::default() };
         for stream in &effects.admitted_streams {
@@ -138,7 +142,7 @@
         if !self.schedule.is_due(now) {
             return effects;
         }
-        effects.actions = self.decide(now);
+        effects.actions = self.run_policy(now);
         if self.known_state.needs_list_snapshot() && self.schedule.start_snapshot_request(now) {
             effects.actions.push(Action::FetchEndpoints);
         }
@@ -148,8 +152,9 @@
         effects
     }
 
-    /// Passes all pending events to the decisions. Returns their actions without timers.
-    fn decide(&mut self, now: Millis) -> Vec<Action> {
+    /// Passes all pending events to the policy. Returns its actions except timers, which replace those of the
+    /// schedule.
+    fn run_policy(&mut self, now: Millis) -> Vec<Action> {
         let mut events = std::mem::take(&mut self.pending_events);
         events.extend(self.load_reports.drain_events(now));
         if self.schedule.is_timer_due(now) {
--- a/crates/control-plane/src/control_plane/proxy_registry.rs
+++ b/crates/control-plane/src/control_plane/proxy_registry.rs
@@ -1,37 +1,42 @@
-//! Proxies and their streams: which stream belongs to which proxy, and which proxies are connected.
+//! Registered proxies: the proxy of each stream, and whether a proxy is connected.
 
 use std::collections::BTreeMap;
 
 struct Proxy {
-    /// The proxy's id in the share ledger and the load reports.
+    /// Identifies the proxy in the published shares and the load reports; starts at 1 and is not reused.
     number: u64,
-    /// Open discovery streams; streams of load reports do not count.
+    /// The number of open discovery streams; streams of load reports do not count.
     open_streams: u32,
 }
 
-/// A stream that was admitted.
+/// An admitted stream.
 struct ProxyStream {
+    /// The node id of the proxy.
     node: String,
+    /// Set for a stream of load reports, clear for a discovery stream.
     reports_loads: bool,
 }
 
-/// The proxies that are or were connected, by node id.
+/// The proxies that are connected, and those that were and have not been removed. A proxy is identified by its node
+/// id; streams are identified by the number that the xDS server assigned.
 #[derive(Default)]
 pub(crate) struct ProxyRegistry {
+    /// By node id.
     proxies: BTreeMap<String, Proxy>,
     last_number: u64,
     streams: BTreeMap<u64, ProxyStream>,
-    /// Discovery streams pending admission, with their node ids.
+    /// Node ids of the discovery streams that are pending admission.
     pending_streams: BTreeMap<u64, String>,
 }
 
 impl ProxyRegistry {
-    /// A discovery stream is pending admission.
+    /// Records a discovery stream that is pending admission.
     pub(crate) fn add_pending_stream(&mut self, stream: u64, node: String) {
         self.pending_streams.insert(stream, node);
     }
 
-    /// A discovery stream was admitted. Returns the number of its proxy; none if the stream was closed before.
+    /// Opens a discovery stream that was admitted. Returns the number of its proxy, or `None` if the stream was
+    /// closed before it was admitted.
     pub(crate) fn open_discovery_stream(&mut self, stream: u64) -> Option<u64> {
         let node = self.pending_streams.remove(&stream)?;
         let proxy = self.proxy_mut(&node);
@@ -41,13 +46,14 @@
         Some(number)
     }
 
-    /// A stream of load reports was admitted.
+    /// Opens a stream of load reports that was admitted.
     pub(crate) fn open_load_report_stream(&mut self, stream: u64, node: &str) {
         self.proxy_mut(node);
         self.streams.insert(stream, ProxyStream { node: node.to_string(), reports_loads: true });
     }
 
-    /// A stream was closed, admitted or not. Returns the number of its proxy if this was its last discovery stream.
+    /// Removes a stream that was closed, admitted or not. Returns the number of its proxy if the stream was the
+    /// proxy's last open discovery stream.
     pub(crate) fn close_stream(&mut self, stream: u64) -> Option<u64> {
         self.pending_streams.remove(&stream);
         let closed = self.streams.remove(&stream)?;
@@ -59,13 +65,13 @@
         (proxy.open_streams == 0).then_some(proxy.number)
     }
 
-    /// The number of a stream's proxy.
+    /// Returns the number of an admitted stream's proxy.
     pub(crate) fn proxy_number(&self, stream: u64) -> Option<u64> {
         let node = self.node(stream)?;
         self.proxies.get(node).map(|proxy| proxy.number)
     }
 
-    /// The node id of a stream's proxy.
+    /// Returns the node id of an admitted stream's proxy.
     pub(crate) fn node(&self, stream: u64) -> Option<&str> {
         self.streams.get(&stream).map(|stream| stream.node.as_str())
     }
--- a/crates/control-plane/src/control_plane/publication.rs
+++ b/crates/control-plane/src/control_plane/publication.rs
@@ -1,4 +1,5 @@
-//! Builds proxy configurations from the decisions, and publishes each that differs from the one before.
+//! Builds proxy configurations from the decisions of the policy, and publishes each that differs from the previous
+//! one.
 
 use super::{ControlPlane, Publication};
 use crate::limits;
@@ -10,8 +11,9 @@
 use std::sync::Arc;
 
 impl ControlPlane {
-    /// Expires disconnected proxies, records a rejection of the canary by this process, and builds a configuration, which
-    /// becomes the current snapshot; none while none may be published, or where version and resources equal the last one's.
+    /// Removes disconnected proxies whose retention has ended, records a rejection of the canary by this process, and
+    /// builds a configuration, which becomes the current snapshot. `None` if nothing may be published yet, or if
+    /// version and resources equal those of the current snapshot.
     pub(super) fn publish(&mut self, now: Millis) -> Option<Publication> {
         self.shares.remove_expired(now);
         self.proxies.remove_disconnected_above(limits::max_registered_proxies(self.shares.len()));
@@ -36,7 +38,8 @@
         Some(Publication { snapshot, state: PersistedState { version, rolled_back_versions } })
     }
 
-    /// The version of a configuration built now; none while none may be published, which is logged once per reason.
+    /// Returns the version of a configuration that is built now. `None` if nothing may be published; the reason is
+    /// logged when it changes.
     fn publishable_version(&mut self) -> Option<ConfigVersion> {
         match self.known_state.config_version() {
             Ok(version) => {
@@ -52,7 +55,7 @@
         }
     }
 
-    /// Encodes a configuration; none where the last one has the same version and resources.
+    /// Encodes a configuration. `None` if the current snapshot has the same version and resources.
     fn build_snapshot(&self, config: &ProxyConfig, version: ConfigVersion) -> Option<Arc<ResourceSnapshot>> {
         let previous = self.snapshot.as_deref();
         let snapshot =
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -14,7 +14,8 @@
 
 /// Events of discovery and the platform.
 impl ControlPlane {
-    /// A snapshot of the endpoint list, or a delta to it.
+    /// Handles a snapshot of the endpoint list, or a delta to it, with the address of each endpoint. A stale list is
+    /// not applied.
     pub fn on_endpoint_list(
         &mut self, version: u64, is_snapshot: bool, entries: Vec<(EndpointEntry, SocketAddr)>, now: Millis,
     ) {
@@ -29,16 +30,17 @@
         self.schedule.schedule_publication(now);
     }
 
-    /// A request for the endpoint list failed, or its watch ended.
+    /// Handles a failed request for the endpoint list, or the end of the watch of the list.
     pub fn on_endpoint_list_failed(&mut self) {
         self.known_state.endpoint_list_failed();
         self.pending_events.push(Event::EndpointUpdateFailed(UpdateFailure::default()));
     }
 
-    /// A vote was answered, or failed.
+    /// Handles the outcome of a vote that the policy cast.
     pub fn on_vote_completed(&mut self, outcome: VoteOutcome, now: Millis) {
         match outcome {
-            // The answer contains the rollout state, which is ordered like any other; the policy treats both events alike.
+            // The reply contains the rollout state, which is compared with the known one like any other. The policy
+            // handles the event of a counted vote as it handles a rollout update.
             VoteOutcome::Counted(rollout) => self.on_rollout_state(rollout, now),
             VoteOutcome::NotCounted | VoteOutcome::Unknown => {
                 self.pending_events.push(Event::VoteCompleted(outcome));
@@ -46,9 +48,10 @@
         }
     }
 
-    /// The platform reported the rollout state of the newest version.
+    /// Handles the rollout state of the newest version, as the platform reported it. A state older than the known one
+    /// is ignored.
     pub fn on_rollout_state(&mut self, rollout: RolloutState, now: Millis) {
-        // A rejection applies to the rejected version only, not to the next one.
+        // A canary that was rejected remains rejected; the next version starts without a rejection.
         let is_rejected = self
             .known_state
             .rollout()
@@ -58,7 +61,9 @@
         self.schedule.schedule_publication(now);
     }
 
-    /// An outcome report of the platform; used only while proxies do not report.
+    /// Handles an outcome report of the platform. Unless
+    /// [`platform_counts_only`](super::ControlPlaneConfig::platform_counts_only) is set, the report is used only
+    /// while proxies send no load reports, because both count the same attempts.
     pub fn on_outcome_report(&mut self, report: Event, now: Millis) {
         if self.load_reports.uses_platform_counts(now) {
             self.pending_events.push(report);
@@ -68,7 +73,8 @@
 
 /// Streams of proxies and their load reports.
 impl ControlPlane {
-    /// A stream of load reports requests admission; false: there are too many streams.
+    /// Admits a stream of load reports immediately. Returns `false` if there are too many streams; the caller then
+    /// rejects the stream.
     pub fn open_load_report_stream(&mut self, stream: u64, node: &str) -> bool {
         let is_admitted = self.admission.admit_load_reports(stream) == AdmissionResult::Accepted;
         if is_admitted {
@@ -77,7 +83,8 @@
         is_admitted
     }
 
-    /// A discovery stream requests admission; false: there are too many streams.
+    /// Queues a discovery stream for admission by [`ControlPlane::poll`]. Returns `false` if there are too many
+    /// streams; the caller then rejects the stream.
     pub fn request_discovery_stream(&mut self, stream: u64, node: &str, now: Millis) -> bool {
         let is_queued = self.admission.request_slot(stream, node, now) == AdmissionResult::Accepted;
         if is_queued {
@@ -86,7 +93,7 @@
         is_queued
     }
 
-    /// A stream was closed. Its proxy continues to use its configuration.
+    /// Handles the end of a stream, admitted or not. Its proxy continues to use the configuration that it has.
     pub fn on_stream_closed(&mut self, stream: u64, now: Millis) {
         self.admission.on_stream_closed(stream);
         if let Some(proxy) = self.proxies.close_stream(stream) {
@@ -95,7 +102,7 @@
         }
     }
 
-    /// Events of a proxy's discovery stream.
+    /// Handles events of an admitted discovery stream, in order.
     pub fn on_stream_events(&mut self, stream: u64, events: Vec<StreamEvent>, now: Millis) {
         let Some(proxy) = self.proxies.proxy_number(stream) else { return };
         for event in events {
@@ -122,17 +129,20 @@
         }
     }
 
-    /// A stream is about to send routes.
+    /// Records the canary shares, by request class, of routes that a stream is about to send. From now on the proxy
+    /// may use them.
     pub fn on_routes_sent(&mut self, stream: u64, canary_shares: &CanaryShares, now: Millis) {
         if let Some(proxy) = self.proxies.proxy_number(stream) {
             self.shares.on_sent(proxy, canary_shares, now);
         }
     }
 
-    /// A proxy's load report.
+    /// Handles a proxy's load report. A report before the first endpoint list is ignored, because its endpoints
+    /// cannot be checked.
     ///
     /// # Errors
-    /// The report is not plausible, or contradicts an earlier one.
+    /// The report has implausible values, contradicts an earlier one, or names endpoints that are not in their
+    /// cluster. The caller ends the stream.
     pub fn on_load_report(
         &mut self, stream: u64, report: &ProxyReport, now: Millis,
     ) -> Result<(), ReportError> {
@@ -151,7 +161,8 @@
         Ok(())
     }
 
-    /// A proxy that connected reported the version of the resources it uses.
+    /// Handles the version of the resources that a proxy received on an earlier stream, possibly from another control
+    /// plane. The proxy may be using the largest canary share that this version allows.
     fn on_reported_version(
         &mut self, proxy: u64, resource_type: ResourceType, version: &SignedVersion, now: Millis,
     ) {
--- a/crates/control-plane/src/driver/mod.rs
+++ b/crates/control-plane/src/driver/mod.rs
@@ -20,12 +20,12 @@
 use std::io;
 use tokio::select;
 
-/// Serves under a configuration until SIGTERM or SIGINT, or until the xDS server or a channel ends; only a signal is logged.
-/// Runs within a `LocalSet` on a runtime of one thread.
+/// Serves under a configuration until SIGTERM or SIGINT, or until the xDS server or a channel ends; only a signal is
+/// logged. Runs within a `LocalSet` on a runtime of one thread.
 ///
 /// # Errors
-/// The settings are invalid, the key cannot be read, a signal handler cannot be installed, the listener cannot be bound, or
-/// the xDS server failed.
+/// The settings are invalid, the key cannot be read, a signal handler cannot be installed, the listener cannot be
+/// bound, or the xDS server failed.
 pub async fn serve(config: ControlConfig) -> io::Result<()> {
     let mut signals = Signals::install()?;
     let service = startup::start(&config)?;
--- a/crates/control-plane/src/driver/xds_thread.rs
+++ b/crates/control-plane/src/driver/xds_thread.rs
@@ -1,5 +1,5 @@
-//! Serves proxies on threads of their own: writing full states to many proxies must not delay the decisions, which run
-//! on one thread without locks. Two channels connect the threads.
+//! Serves proxies on threads of their own: writing full states to many proxies must not delay the decisions, which
+//! run on one thread without locks. Two channels connect the threads.
 
 use crate::limits;
 use ipnet::IpNet;
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,5 +1,5 @@
-//! The control plane: one [`Policy`](latchhaven_policy::Policy) receives the endpoint list, the platform's rollout states
-//! and the load reports of proxies. Configurations built from its decisions are published to proxies over xDS.
+//! The control plane: one [`Policy`](latchhaven_policy::Policy) receives the endpoint list, the platform's rollout
+//! states and the load reports of proxies. Configurations built from its decisions are published to proxies over xDS.
 //!
 //! - [`control_plane`]: turns events into effects, without sockets, disk or clock.
 //! - [`state_store`]: the persisted state, written by a separate thread.
--- a/crates/control-plane/src/limits.rs
+++ b/crates/control-plane/src/limits.rs
@@ -1,5 +1,5 @@
-//! Limits and rules of the control plane. Each rule is a function of its inputs; the modules with state, sockets or files
-//! define no limits of their own.
+//! Limits and rules of the control plane. Each rule is a function of its inputs; the modules with state, sockets or
+//! files define no limits of their own.
 
 use latchhaven_policy::Millis;
 use latchhaven_proxy_config::parts_per_million::PartsPerMillion;
@@ -8,11 +8,11 @@
 
 /// Shortest time between two publications. Updates that arrive within it are published together.
 const COALESCING_INTERVAL: Millis = 40.0;
-/// Time after a publication until a configuration is built without an update, because endpoints warm up, request rates
-/// change, and proxies fail to acknowledge.
+/// Time after a publication until a configuration is built without an update, because endpoints warm up, request
+/// rates change, and proxies fail to acknowledge.
 const REFRESH_INTERVAL: Millis = 250.0;
-/// Shortest time between two requests for a snapshot of the endpoint list, to limit the load on discovery while the list
-/// is stale.
+/// Shortest time between two requests for a snapshot of the endpoint list, to limit the load on discovery while the
+/// list is stale.
 const SNAPSHOT_RETRY_INTERVAL: Millis = 5_000.0;
 /// Shortest delay of a timer of the policy; prevents a busy loop.
 const MIN_TIMER_DELAY: Millis = 1.0;
@@ -24,11 +24,11 @@
 const ENDPOINT_RETENTION: Millis = 60_000.0;
 /// Limit of the versions retained for one address. A late load report names the version that ran there before.
 pub(crate) const MAX_RETAINED_VERSIONS: usize = 4;
-/// Limit of the proxies whose published canary shares are retained, per stream that may be open. More than one, because
-/// disconnected proxies still use their shares.
+/// Limit of the proxies whose published canary shares are retained, per stream that may be open. More than one,
+/// because disconnected proxies still use their shares.
 const SHARE_ENTRIES_PER_STREAM: usize = 2;
-/// Limit of the registered proxies, per proxy whose shares are retained. Above it disconnected proxies are removed, which
-/// bounds memory.
+/// Limit of the registered proxies, per proxy whose shares are retained. Above it disconnected proxies are removed,
+/// which bounds memory.
 const PROXIES_PER_SHARE_ENTRY: usize = 2;
 /// Registered proxies that are always allowed, so that a small site removes none.
 const MIN_REGISTERED_PROXIES: usize = 64;
@@ -36,8 +36,8 @@
 /// Limit of the events of one channel that are processed before the control plane is polled; bounds the delay of its
 /// decisions.
 pub(crate) const MAX_EVENT_BATCH: usize = 256;
-/// Limit of the events of all streams in the queue to the event loop; bounds memory. A stream whose event does not fit
-/// waits.
+/// Limit of the events of all streams in the queue to the event loop; bounds memory. A stream whose event does not
+/// fit waits.
 pub(crate) const MAX_PENDING_SERVER_EVENTS: usize = 1024;
 /// Limit of the threads that serve proxies.
 const MAX_XDS_THREADS: usize = 4;
@@ -55,8 +55,8 @@
     now + REFRESH_INTERVAL
 }
 
-/// Returns when the earliest of the policy's timers fires, which were set at `now` with these delays. Without a timer the
-/// policy runs when the next configuration is built.
+/// Returns when the earliest of the policy's timers fires, given their delays from `now`. Without a timer the policy
+/// runs when the next configuration is built.
 pub(crate) fn policy_timer_at(now: Millis, delays: impl IntoIterator<Item = Millis>) -> Millis {
     let times = delays.into_iter().map(|delay| now + delay.max(MIN_TIMER_DELAY));
     times.reduce(f64::min).unwrap_or_else(|| refresh_due_at(now))
@@ -116,15 +116,15 @@
     processors.min(MAX_XDS_THREADS)
 }
 
-/// Returns the canary's share of the requests, from 0 to 1, in a configuration with this status. `decided` is the share
-/// that this process decided. A rejected canary gets no requests, whichever control plane rejected it, unless its
-/// decided share is 1: then no other version can serve the requests.
+/// Returns the canary's share of the requests, from 0 to 1, in a configuration with this status. `decided` is the
+/// share that this process decided. A rejected canary gets no requests, whichever control plane rejected it, unless
+/// its decided share is 1: then no other version can serve the requests.
 pub(crate) fn published_canary_share(decided: f64, status: RolloutStatus) -> f64 {
     if status == RolloutStatus::Rejected && decided < 1.0 { 0.0 } else { decided }
 }
 
-/// Returns the largest share of its requests that a proxy may send to the canary under a configuration of this version,
-/// whichever control plane published it.
+/// Returns the largest share of its requests that a proxy may send to the canary under a configuration of this
+/// version, whichever control plane published it.
 pub(crate) fn max_published_share(rollout: &RolloutVersion) -> PartsPerMillion {
     match rollout.status {
         RolloutStatus::Canary | RolloutStatus::RollingBack => rollout.traffic_cap,
--- a/crates/control-plane/src/state_store/database.rs
+++ b/crates/control-plane/src/state_store/database.rs
@@ -24,7 +24,8 @@
     Record(#[from] RecordError),
 }
 
-/// Opens or creates a database and reads the state in it. The database rejects most damaged files, and panics on some.
+/// Opens or creates a database and reads the state in it. The database rejects most damaged files, and panics on
+/// some.
 pub(super) fn open(path: &Path) -> Result<(Database, Option<PersistedState>), StoreError> {
     catch_unwind(|| open_or_create(path)).unwrap_or(Err(StoreError::Panicked))
 }
--- a/crates/control-plane/src/state_store/record.rs
+++ b/crates/control-plane/src/state_store/record.rs
@@ -11,8 +11,8 @@
 /// The state that a restarted service continues from: it publishes nothing older.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedState {
-    /// The version of the last published configuration, as last written: writes are asynchronous and coalesced, and the labels
-    /// that proxies report cover those after it.
+    /// The version of the last published configuration, as last written: writes are asynchronous and coalesced, and
+    /// the labels that proxies report cover those after it.
     #[serde(rename = "basis")]
     pub version: ConfigVersion,
     /// Versions that were rolled back.
--- a/crates/control-plane/src/state_store/writer.rs
+++ b/crates/control-plane/src/state_store/writer.rs
@@ -8,7 +8,8 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread;
 
-/// Passes states to the writing thread. After the drop, which does not wait, the thread writes the last state and ends.
+/// Passes states to the writing thread. After the drop, which does not wait, the thread writes the last state and
+/// ends.
 pub struct StateWriter {
     mailbox: Arc<Mailbox>,
 }
