--- a/crates/control-plane/src/driver/event_loop.rs
+++ b/crates/control-plane/src/driver/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: passes events of discovery, the platform and proxies to the control plane, and carries out its
+//! The event loop: passes events of discovery, the platform and proxies to the control plane, and applies its
 //! effects.
 
 use crate::control_plane::{ControlPlane, Effects};
@@ -19,24 +19,27 @@
 use tokio::time::{Instant, sleep_until};
 use tonic::Status;
 
-/// Answers a stream that is pending admission.
+/// Sends a waiting stream its admission, or the status with which it is rejected.
 type AdmissionSender = oneshot::Sender<Result<(), Status>>;
 
-/// Owns the control plane and its channels to discovery, the platform, the xDS server and the state store.
+/// Owns the control plane, and its connections to discovery, the platform, the xDS server and the state store.
 pub(super) struct ControlPlaneDriver {
     pub(super) control_plane: ControlPlane,
     pub(super) clock: Clock,
     pub(super) discovery: SnapshotFirstClient,
     pub(super) discovery_tasks: DiscoveryTasks,
+    /// Votes to cast at the platform.
     pub(super) votes: mpsc::Sender<Vote>,
-    /// By stream.
+    /// Discovery streams that are pending admission, by the number of the stream.
     pub(super) pending_admissions: BTreeMap<u64, AdmissionSender>,
+    /// `None` if nothing is persisted: no path is configured, or the store is unusable.
     pub(super) state_writer: Option<StateWriter>,
+    /// The resources that the xDS server sends; `None` before the first publication.
     pub(super) snapshots: watch::Sender<Option<Arc<ResourceSnapshot>>>,
 }
 
 impl ControlPlaneDriver {
-    /// Runs until a channel is closed.
+    /// Processes events and polls the control plane until a channel of events is closed.
     pub(super) async fn run(
         mut self, mut upstream_events: mpsc::Receiver<DriverEvent>,
         mut server_events: mpsc::Receiver<ServerEvent>,
@@ -59,7 +62,7 @@
                 self.on_server_event(event, now);
             }
             let effects = self.control_plane.poll(now);
-            self.carry_out(effects, now);
+            self.apply_effects(effects, now);
         }
     }
 
@@ -69,8 +72,9 @@
         Instant::now() + duration(limits::poll_delay(now, poll_at))
     }
 
-    fn carry_out(&mut self, effects: Effects, now: Millis) {
+    fn apply_effects(&mut self, effects: Effects, now: Millis) {
         for stream in effects.admitted_streams {
+            // A stream that timed out while its admission was pending has dropped the receiver.
             let admission = self.pending_admissions.remove(&stream);
             let is_open = admission.is_some_and(|admission| admission.send(Ok(())).is_ok());
             if !is_open {
@@ -78,7 +82,7 @@
             }
         }
         for action in effects.actions {
-            self.perform(action);
+            self.perform_action(action);
         }
         if let Some(publication) = effects.publication {
             if let Some(writer) = &self.state_writer {
@@ -91,10 +95,10 @@
     fn on_server_event(&mut self, event: ServerEvent, now: Millis) {
         match event {
             ServerEvent::StreamOpened { stream, node, reports_loads: true, admitted } => {
-                self.open_load_report_stream(stream, &node, admitted, now);
+                self.admit_load_report_stream(stream, &node, admitted, now);
             }
             ServerEvent::StreamOpened { stream, node, reports_loads: false, admitted } => {
-                self.request_discovery_stream(stream, &node, admitted, now);
+                self.queue_discovery_stream(stream, &node, admitted, now);
             }
             ServerEvent::StreamEvents { stream, events } => {
                 self.control_plane.on_stream_events(stream, events, now);
@@ -103,8 +107,8 @@
                 self.control_plane.on_routes_sent(stream, &canary_shares, now);
             }
             ServerEvent::LoadReport { stream, report, result } => {
-                let accepted = self.control_plane.on_load_report(stream, &report, now);
-                let _ = result.send(accepted.map_err(LoadReportRejected::new));
+                let validity = self.control_plane.on_load_report(stream, &report, now);
+                let _ = result.send(validity.map_err(LoadReportRejected::new));
             }
             ServerEvent::StreamClosed { stream } => {
                 self.pending_admissions.remove(&stream);
@@ -113,7 +117,7 @@
         }
     }
 
-    fn open_load_report_stream(&mut self, stream: u64, node: &str, admission: AdmissionSender, now: Millis) {
+    fn admit_load_report_stream(&mut self, stream: u64, node: &str, admission: AdmissionSender, now: Millis) {
         if !self.control_plane.open_load_report_stream(stream, node) {
             let _ = admission.send(Err(too_many_streams(stream, node)));
         } else if admission.send(Ok(())).is_err() {
@@ -121,7 +125,7 @@
         }
     }
 
-    fn request_discovery_stream(&mut self, stream: u64, node: &str, admission: AdmissionSender, now: Millis) {
+    fn queue_discovery_stream(&mut self, stream: u64, node: &str, admission: AdmissionSender, now: Millis) {
         if self.control_plane.request_discovery_stream(stream, node, now) {
             self.pending_admissions.insert(stream, admission);
         } else {
@@ -130,7 +134,7 @@
     }
 }
 
-/// The status of a stream that is not admitted.
+/// Logs that a stream is rejected, and returns the status with which it ends.
 fn too_many_streams(stream: u64, node: &str) -> Status {
     tracing::debug!(node, stream, reason = "too many streams", "xds: stream rejected");
     Status::resource_exhausted("too many streams: retry later")
--- a/crates/control-plane/src/driver/signals.rs
+++ b/crates/control-plane/src/driver/signals.rs
@@ -6,30 +6,30 @@
 use tokio::select;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// The handled signals.
+/// The handlers of the signals.
 pub(super) struct Signals {
     terminate: Signal,
     interrupt: Signal,
-    print_counters: Signal,
+    log_counters: Signal,
 }
 
 impl Signals {
-    /// Handles the signals from now on.
+    /// Installs the handlers, which replace the default actions of the signals.
     pub(super) fn install() -> io::Result<Self> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
-            print_counters: signal(SignalKind::user_defined1())?,
+            log_counters: signal(SignalKind::user_defined1())?,
         })
     }
 
-    /// Returns when the service must stop; logs the counters on each SIGUSR1 before.
-    pub(super) async fn stopped(&mut self, counters: &SentCounters) {
+    /// Waits for SIGTERM or SIGINT. Until then each SIGUSR1 logs the counters.
+    pub(super) async fn wait_until_stopped(&mut self, counters: &SentCounters) {
         loop {
             select! {
                 _ = self.terminate.recv() => break,
                 _ = self.interrupt.recv() => break,
-                received = self.print_counters.recv() => match received {
+                received = self.log_counters.recv() => match received {
                     Some(()) => log_counters(counters),
                     None => return,
                 },
@@ -39,7 +39,8 @@
     }
 }
 
-/// Logs the counters of sent responses; `apart` are those on incremental streams. Experiments read the names.
+/// Logs the counters of sent responses, whose field names experiments read. `apart` and `apart_bytes` are the
+/// counters of incremental streams.
 fn log_counters(counters: &SentCounters) {
     let value = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
     tracing::info!(
--- a/crates/control-plane/src/driver/startup.rs
+++ b/crates/control-plane/src/driver/startup.rs
@@ -1,7 +1,7 @@
 //! Starts the tasks and threads of the control service and connects them by channels.
 
 use super::event_loop::ControlPlaneDriver;
-use super::settings;
+use super::settings::parse_settings;
 use super::xds_thread::{self, XdsListener};
 use crate::control_plane::{ControlPlane, ControlPlaneConfig};
 use crate::limits::MAX_PENDING_SERVER_EVENTS;
@@ -25,25 +25,25 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// The control service, ready to run.
+/// The started control service.
 pub(super) struct ControlService {
     pub(super) driver: ControlPlaneDriver,
     /// Events of discovery and the platform.
     pub(super) upstream_events: mpsc::Receiver<DriverEvent>,
-    /// Events of proxies' streams.
+    /// Events of the streams of proxies.
     pub(super) server_events: mpsc::Receiver<ServerEvent>,
-    /// The result of the xDS server, when it ends.
+    /// Receives the result of the xDS server when it stops.
     pub(super) xds_server: oneshot::Receiver<io::Result<()>>,
     pub(super) sent_counters: Arc<SentCounters>,
-    /// The sender of the platform's address; must outlive the platform's tasks.
+    /// Sends the platform's address, which does not change. Must outlive the tasks that call the platform.
     pub(super) platform_address: watch::Sender<Option<SocketAddr>>,
 }
 
-/// Starts everything that the event loop needs.
+/// Starts the tasks and threads of the service. The caller runs the event loop.
 pub(super) fn start(config: &ControlConfig) -> io::Result<ControlService> {
     let clock = Clock::start();
     let signer = VersionSigner::new(read_shared_key(config)?);
-    let settings = settings::parse_settings(config).map_err(io::Error::other)?.on_sockets();
+    let settings = parse_settings(config).map_err(io::Error::other)?.on_sockets();
     let vote_timeout = duration(settings.upstream_connections().vote_timeout);
     let store = state_store::open(config.state.as_deref());
     let class_names = settings.classes().into_iter().map(|class| class.name).collect();
@@ -89,8 +89,9 @@
 
 fn read_shared_key(config: &ControlConfig) -> io::Result<Option<Vec<u8>>> {
     let Some(path) = &config.shared_key_file else { return Ok(None) };
-    let key = std::fs::read(path)
-        .map_err(|error| io::Error::other(format!("shared_key_file: {}: {error}", path.display())))?;
+    let key = std::fs::read(path).map_err(|error| {
+        io::Error::other(format!("shared_key_file: cannot read {}: {error}", path.display()))
+    })?;
     Ok(Some(key))
 }
 
@@ -120,8 +121,9 @@
 }
 
 fn bind(address: SocketAddr) -> io::Result<std::net::TcpListener> {
-    let listener = std::net::TcpListener::bind(address)
-        .map_err(|error| io::Error::new(error.kind(), format!("xds.listen: {address}: {error}")))?;
+    let listener = std::net::TcpListener::bind(address).map_err(|error| {
+        io::Error::new(error.kind(), format!("xds.listen: cannot listen on {address}: {error}"))
+    })?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
--- a/crates/control-plane/src/driver/upstreams.rs
+++ b/crates/control-plane/src/driver/upstreams.rs
@@ -1,4 +1,4 @@
-//! Discovery and the platform: events of their tasks, and the actions of the decisions for them.
+//! Discovery and the platform: the events of their tasks, and the actions of the policy that concern them.
 
 use super::event_loop::ControlPlaneDriver;
 use latchhaven_gateway::discovery::calls::CallId;
@@ -10,23 +10,23 @@
 use tokio::time::Instant;
 
 impl ControlPlaneDriver {
-    /// Handles an event of a task of discovery or the platform.
+    /// Passes an event of the tasks that call discovery and the platform to the control plane.
     pub(super) fn on_upstream_event(&mut self, event: DriverEvent, now: Millis) {
         match event {
-            DriverEvent::EndpointList { call, list } => self.on_list_answer(call, list, now),
+            DriverEvent::EndpointList { call, list } => self.on_endpoint_list_reply(call, list, now),
             DriverEvent::Rollout(rollout) => self.control_plane.on_rollout_state(rollout, now),
             DriverEvent::VoteCompleted(outcome) => self.control_plane.on_vote_completed(outcome, now),
             DriverEvent::Outcomes(counts) => {
                 let report = Event::OutcomesReported(counts.into());
                 self.control_plane.on_outcome_report(report, now);
             }
-            // Events of a gateway's clients and upstreams: a control plane forwards no requests.
+            // The other events concern clients and endpoints of a gateway. A control plane forwards no requests.
             _ => {}
         }
     }
 
-    /// Carries out an action of the decisions.
-    pub(super) fn perform(&mut self, action: Action) {
+    /// Performs an action of the policy. A vote counts as not counted if the queue of votes is full or closed.
+    pub(super) fn perform_action(&mut self, action: Action) {
         match action {
             Action::WatchEndpoints { enabled } => {
                 self.discovery.set_watch(enabled);
@@ -44,12 +44,12 @@
                 }
             }
             Action::Log(event) => policy_log::log_event(&event),
-            // Actions of a gateway, which forwards requests.
+            // The other actions concern clients and endpoints of a gateway.
             _ => {}
         }
     }
 
-    fn on_list_answer(&mut self, call: CallId, list: Result<List, UpdateFailure>, now: Millis) {
+    fn on_endpoint_list_reply(&mut self, call: CallId, list: Result<List, UpdateFailure>, now: Millis) {
         let Ok(list) = list else {
             if self.discovery.on_failure(call) {
                 self.control_plane.on_endpoint_list_failed();
--- a/crates/control-plane/src/state_store/database.rs
+++ b/crates/control-plane/src/state_store/database.rs
@@ -5,27 +5,25 @@
 use std::panic::catch_unwind;
 use std::path::Path;
 
-/// The table with the record.
 const TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("handed-out");
-/// The key of the record within [`TABLE`].
 const RECORD_KEY: &str = "last";
 
 /// Why a store cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The database panicked on a foreign or damaged file.
+    /// The database panicked on a damaged file, or on a file of another format.
     #[error("the database panicked on the file")]
     Panicked,
-    /// The database rejected the file or failed.
+    /// The database rejected the file, which may be in use by another process, or failed to read it.
     #[error(transparent)]
     Database(#[from] redb::Error),
-    /// The record cannot be decoded.
+    /// The record is malformed or has another schema.
     #[error(transparent)]
     Record(#[from] RecordError),
 }
 
-/// Opens or creates a database and reads the state in it. The database rejects most damaged files, and panics on
-/// some.
+/// Opens or creates a database and reads the state in it. Panics are caught, because the database rejects most
+/// damaged files but panics on some.
 pub(super) fn open(path: &Path) -> Result<(Database, Option<PersistedState>), StoreError> {
     catch_unwind(|| open_or_create(path)).unwrap_or(Err(StoreError::Panicked))
 }
@@ -48,7 +46,7 @@
     Ok(state)
 }
 
-/// Writes a state in one transaction.
+/// Replaces the record in one transaction, so that a crash leaves the previous or the new one.
 pub(super) fn write_state(database: &Database, state: &PersistedState) -> Result<(), redb::Error> {
     let transaction = database.begin_write()?;
     transaction.open_table(TABLE)?.insert(RECORD_KEY, encode(state).as_slice())?;
--- a/crates/control-plane/src/state_store/mod.rs
+++ b/crates/control-plane/src/state_store/mod.rs
@@ -1,10 +1,10 @@
-//! Persistence of the state that was published last: one record in one transaction of an embedded database.
+//! Persists the state of the last publication as one record of an embedded database. Each write is one transaction.
 //!
-//! - `database`: the file with the record.
+//! - `database`: the database file.
 //! - [`record`]: the record and its encoding.
-//! - [`writer`]: a thread that writes the newest state, so that a slow or full disk delays no decision.
+//! - [`writer`]: a thread that writes the newest state, so that a slow or full disk does not delay the event loop.
 //!
-//! A store that cannot be used is logged once, and the service runs without persistence.
+//! If a store cannot be used, this is logged, and the service runs without persistence.
 
 mod database;
 pub mod record;
@@ -16,16 +16,17 @@
 
 use std::path::Path;
 
-/// An opened store; without a usable store there is neither writer nor state.
+/// The result of opening a store.
 #[derive(Default)]
 pub struct OpenedStore {
-    /// Writes new states.
+    /// Writes new states; `None` if no path is configured or the store cannot be used.
     pub writer: Option<StateWriter>,
-    /// The last written state.
+    /// The last written state; `None` if the store is new or cannot be used.
     pub state: Option<PersistedState>,
 }
 
-/// Opens a store and reads the state in it.
+/// Opens the store at a path, which is created if necessary, and reads the state in it. `None` disables persistence.
+/// If the store cannot be used, the reason is logged and the result is empty.
 pub fn open(path: Option<&Path>) -> OpenedStore {
     let Some(path) = path else { return OpenedStore::default() };
     match database::open(path) {
--- a/crates/control-plane/src/state_store/record.rs
+++ b/crates/control-plane/src/state_store/record.rs
@@ -5,17 +5,17 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The schema of the record; a record with another schema is neither used nor replaced.
+/// The schema that is read and written. A record with another schema is neither used nor replaced.
 const SCHEMA: u32 = 1;
 
-/// The state that a restarted service continues from: it publishes nothing older.
+/// The state from which a restarted service continues, so that nothing older is published.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedState {
-    /// The version of the last published configuration, as last written: writes are asynchronous and coalesced, and
-    /// the labels that proxies report cover those after it.
+    /// The version of the last published configuration that was written. Writes are asynchronous and coalesced, so
+    /// that later configurations may have been published; the labels that proxies report contain their versions.
     #[serde(rename = "basis")]
     pub version: ConfigVersion,
-    /// Versions that were rolled back.
+    /// Versions that were rolled back and that proxies must not use as a baseline.
     #[serde(rename = "withdrawn")]
     pub rolled_back_versions: BTreeSet<Version>,
 }
@@ -27,24 +27,24 @@
     state: serde_json::Value,
 }
 
-/// Why a record cannot be decoded.
+/// Why a record cannot be decoded. The text is logged.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// It is not JSON, or a field is missing or invalid.
+    /// The record is not JSON, or a field is missing or invalid.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// It was written by a version of this program with another schema.
+    /// The record was written by a version of this program with another schema.
     #[error("record schema {found}; this program reads and writes {SCHEMA}")]
     UnknownSchema {
-        /// The schema of the record.
+        /// The schema number in the record.
         found: u32,
     },
 }
 
-/// Decodes a record.
+/// Decodes a record as [`encode`] returns it.
 ///
 /// # Errors
-/// A record that is malformed or has another schema.
+/// The record is malformed or has another schema.
 pub fn decode(bytes: &[u8]) -> Result<PersistedState, RecordError> {
     let record: Record = serde_json::from_slice(bytes)?;
     if record.schema != SCHEMA {
@@ -54,7 +54,7 @@
     Ok(state)
 }
 
-/// Encodes a record as it is written.
+/// Encodes a state as a record of the current schema, in JSON.
 #[must_use]
 pub fn encode(state: &PersistedState) -> Vec<u8> {
     let state = serde_json::to_value(state).unwrap_or_default();
--- a/crates/control-plane/src/state_store/writer.rs
+++ b/crates/control-plane/src/state_store/writer.rs
@@ -1,4 +1,4 @@
-//! Writes states on a thread of its own. Of the states passed during a write only the newest is written next.
+//! Writes states on a separate thread. Of the states that are queued during a write, only the newest is written next.
 
 use super::database::write_state;
 use super::record::PersistedState;
@@ -8,54 +8,56 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread;
 
-/// Passes states to the writing thread. After the drop, which does not wait, the thread writes the last state and
-/// ends.
+/// Passes states to the thread that writes them. After a drop, which does not wait for the disk, the thread writes
+/// the last queued state and exits.
 pub struct StateWriter {
-    mailbox: Arc<Mailbox>,
+    queue: Arc<WriteQueue>,
 }
 
 impl StateWriter {
+    /// Starts the thread. `path` is used in log lines only.
     pub(super) fn start(database: Database, path: PathBuf) -> Self {
-        let mailbox = Arc::new(Mailbox::default());
+        let queue = Arc::new(WriteQueue::default());
         let thread =
-            WriterThread { database, path, mailbox: mailbox.clone(), is_failing: false, has_written: false };
+            WriterThread { database, path, queue: queue.clone(), is_failing: false, has_written: false };
         thread::spawn(move || thread.run());
-        StateWriter { mailbox }
+        StateWriter { queue }
     }
 
-    /// Queues a state in place of an earlier one that was not written yet. Does not block on the disk.
+    /// Queues a state and replaces an earlier one that was not written yet. Does not wait for the disk.
     pub fn persist(&self, state: PersistedState) {
-        self.mailbox.update(|pending| pending.newest = Some(state));
+        self.queue.update(|pending| pending.newest = Some(state));
     }
 }
 
 impl Drop for StateWriter {
     fn drop(&mut self) {
-        self.mailbox.update(|pending| pending.is_closed = true);
+        self.queue.update(|pending| pending.is_closed = true);
     }
 }
 
-/// The next work of the thread.
+/// What the thread has to do next.
 #[derive(Default)]
 struct PendingWrite {
     newest: Option<PersistedState>,
-    /// The writer was dropped.
+    /// Set when the [`StateWriter`] was dropped.
     is_closed: bool,
 }
 
+/// The queue between the writer and its thread. Contains one state at most: a newer one replaces it.
 #[derive(Default)]
-struct Mailbox {
+struct WriteQueue {
     pending: Mutex<PendingWrite>,
     changed: Condvar,
 }
 
-impl Mailbox {
+impl WriteQueue {
     fn update(&self, change: impl FnOnce(&mut PendingWrite)) {
         change(&mut self.lock());
         self.changed.notify_one();
     }
 
-    /// Waits for a state or for the end of the writer; removes the state.
+    /// Waits until a state is queued or the writer is dropped, and removes the state from the queue.
     fn take(&self) -> PendingWrite {
         let mut pending = self.lock();
         while pending.newest.is_none() && !pending.is_closed {
@@ -72,16 +74,17 @@
 struct WriterThread {
     database: Database,
     path: PathBuf,
-    mailbox: Arc<Mailbox>,
-    /// The last write failed.
+    queue: Arc<WriteQueue>,
+    /// Set while the last write failed.
     is_failing: bool,
+    /// Set when a write has succeeded.
     has_written: bool,
 }
 
 impl WriterThread {
     fn run(mut self) {
         loop {
-            let pending = self.mailbox.take();
+            let pending = self.queue.take();
             if let Some(state) = pending.newest {
                 self.write(&state);
             }
@@ -92,7 +95,8 @@
         }
     }
 
-    /// Logs the first success, and the first of consecutive failures: a full disk must not fill the log.
+    /// Writes a state. Only the first success and the first of consecutive failures are logged, so that a full disk
+    /// does not flood the log.
     fn write(&mut self, state: &PersistedState) {
         match write_state(&self.database, state) {
             Ok(()) => {
