--- a/crates/control-plane/tests/control_plane/canary_verdicts.rs
+++ b/crates/control-plane/tests/control_plane/canary_verdicts.rs
@@ -1,18 +1,18 @@
-//! Verdicts on canaries from the load reports of proxies.
+//! Verdicts on canaries, reached from the load reports of proxies.
 
 use crate::support::{
     ReportedOutcomes, TestProxy, TestService, exchange_all, load_report, ready, service_with_canary,
 };
 use latchhaven_policy::{RolloutPhase, Verdict, Version};
 
-/// Each proxy reports the same outcomes.
+/// Sends a load report with the same outcomes from each proxy, and polls the service for one second.
 fn report_from_all<const N: usize>(
     service: &mut TestService, proxies: &mut [TestProxy], outcomes: impl Fn() -> [ReportedOutcomes; N],
 ) {
     for proxy in proxies.iter() {
-        let stream = proxy.stream_id().expect("it is connected");
+        let stream = proxy.stream_id().expect("the proxy is connected");
         let report = load_report(outcomes());
-        service.control_plane.on_load_report(stream, &report, service.now).expect("the report is sound");
+        service.control_plane.on_load_report(stream, &report, service.now).expect("the report is valid");
     }
     service.advance(1_000.0);
     exchange_all(proxies, service);
@@ -37,15 +37,15 @@
     service.advance(1_000.0);
     service.report_rollout(Version(3), 1, RolloutPhase::Canary, 0.5);
     for _ in 0..4 {
-        let sound = || ReportedOutcomes::new(Version(3), 4, 100, 0);
-        report_from_all(&mut service, &mut proxies, || [baseline(), sound()]);
+        let healthy = || ReportedOutcomes::new(Version(3), 4, 100, 0);
+        report_from_all(&mut service, &mut proxies, || [baseline(), healthy()]);
     }
     let shares: Vec<f64> = proxies.iter().map(|proxy| proxy.share_of(Version(3))).collect();
     assert!(shares.iter().all(|share| *share > 0.1), "{shares:?}");
 }
 
 #[test]
-fn load_reports_roll_back_a_faulty_canary_and_promote_a_sound_one() {
+fn load_reports_roll_back_a_faulty_canary_and_promote_a_healthy_one() {
     for (canary_failures, expected) in [(0, Verdict::Promote), (150, Verdict::RollBack)] {
         let (mut service, mut proxies) = service_with_canary(3);
         for _ in 0..40 {
--- a/crates/control-plane/tests/control_plane/main.rs
+++ b/crates/control-plane/tests/control_plane/main.rs
@@ -1,4 +1,4 @@
-//! The control plane with proxies that cache as real ones do, under a clock of the test's own.
+//! The control plane with proxies that cache resources as real ones do, under a simulated clock.
 
 mod canary_shares;
 mod canary_verdicts;
--- a/crates/control-plane/tests/control_plane/publication.rs
+++ b/crates/control-plane/tests/control_plane/publication.rs
@@ -6,8 +6,10 @@
 };
 use latchhaven_policy::{RolloutPhase, Version};
 
-/// A list, and the health of host 2 that proxies get with it: in the baseline's cluster and in the canary's.
+/// An update of the endpoint list, and the health of host 2 that proxies then have in the clusters of the baseline
+/// and the canary; `None` if the host is not in the cluster.
 struct Step {
+    /// `None` if host 2 is not on the list.
     host_2: Option<Host>,
     baseline_health: Option<bool>,
     canary_health: Option<bool>,
@@ -35,7 +37,7 @@
         &[draining(1, Version(1)), ready(2, Version(1)), ready(3, Version(2)), ready(4, Version(2))],
     );
     service.advance(10.0);
-    assert_eq!(service.snapshot.as_ref().unwrap().number, before + 1, "immediately");
+    assert_eq!(service.snapshot.as_ref().unwrap().number, before + 1, "the drain is published immediately");
     for n in 0..30u64 {
         service.update_list(
             101 + n,
@@ -51,11 +53,15 @@
     }
     service.advance(60.0);
     assert!(service.snapshot.as_ref().unwrap().number <= before + 3);
-    assert_eq!(service.snapshot.as_ref().unwrap().version.endpoints.version, 130, "the newest");
+    assert_eq!(
+        service.snapshot.as_ref().unwrap().version.endpoints.version,
+        130,
+        "the newest list is published"
+    );
 }
 
 #[test]
-fn host_drained_removed_and_back_with_another_version_is_followed() {
+fn health_of_a_host_that_is_drained_removed_and_listed_with_another_version_is_published() {
     let (mut service, mut proxies) = service_with_canary(2);
     let health = |proxy: &TestProxy, cluster: &str| {
         let hosts = proxy.cache.cluster_endpoints(cluster).endpoints;
@@ -81,12 +87,13 @@
             assert_eq!(health(proxy, "b2/pay"), step.canary_health, "step {n}");
         }
     }
-    // Late counts of its earlier incarnation are accepted, those of a host that was never listed are rejected.
+    // Late counts of the version that ran on host 2 before are accepted. Counts of a host that was never listed are
+    // rejected.
     let stream = proxies[0].stream_id().unwrap();
     let report = |host: u16| load_report([ReportedOutcomes::new(Version(1), host, 1, 0)]);
     assert!(service.control_plane.on_load_report(stream, &report(2), service.now).is_ok());
-    let refused = service.control_plane.on_load_report(stream, &report(9), service.now);
-    assert!(refused.unwrap_err().to_string().contains("not an endpoint of its cluster"));
+    let rejected = service.control_plane.on_load_report(stream, &report(9), service.now);
+    assert!(rejected.unwrap_err().to_string().contains("not an endpoint of its cluster"));
 }
 
 #[test]
@@ -98,12 +105,12 @@
     let before = service.list_fetches;
     service.update_list(30, &hosts);
     service.advance(300.0);
-    assert_eq!(service.list_fetches, before + 1, "immediately");
+    assert_eq!(service.list_fetches, before + 1, "requested immediately");
     service.advance(4_000.0);
     assert_eq!(service.list_fetches, before + 1, "not before the interval has passed");
     service.advance(1_000.0);
-    assert_eq!(service.list_fetches, before + 2, "again");
+    assert_eq!(service.list_fetches, before + 2, "requested again after the interval");
     service.update_list(41, &hosts);
     service.advance(6_000.0);
-    assert_eq!(service.list_fetches, before + 2, "a newer one ends the retries");
+    assert_eq!(service.list_fetches, before + 2, "a newer list ends the requests");
 }
--- a/crates/control-plane/tests/control_plane/restarts.rs
+++ b/crates/control-plane/tests/control_plane/restarts.rs
@@ -1,4 +1,4 @@
-//! Restarted services, services with older states than their proxies, and proxies that reconnect.
+//! Restarted services, services whose state is older than that of their proxies, and proxies that reconnect.
 
 use crate::support::{TestProxy, TestService, draining, exchange_all, ready, service_with_canary};
 use latchhaven_policy::{RolloutPhase, Version};
@@ -26,13 +26,13 @@
     service.advance(500.0);
     for proxy in &mut proxies {
         proxy.exchange(&mut service);
-        assert_eq!(proxy.share_of(Version(2)), 0.0, "a rolled back version is no baseline");
+        assert_eq!(proxy.share_of(Version(2)), 0.0, "a rolled back version is not a baseline");
         assert!(proxy.share_of(Version(1)) > 0.8);
     }
 }
 
 #[test]
-fn restarted_service_with_an_old_list_publishes_nothing_until_it_has_caught_up() {
+fn restarted_service_with_a_stale_list_publishes_nothing_until_a_newer_one_arrives() {
     let (mut service, mut proxies) = service_with_canary(2);
     service.update_list(
         40,
@@ -41,13 +41,13 @@
     service.report_rollout(Version(2), 1, RolloutPhase::RollingBack, 0.0);
     service.advance(100.0);
     exchange_all(&mut proxies, &mut service);
-    // With the persisted state, and without it by the versions that proxies report.
+    // The restarted service has the persisted state, or only the versions that proxies report.
     for persisted in [service.persisted.clone(), None] {
         let mut restarted = TestService::start(service.now, "site", persisted);
         restarted.start_canary(1, 0.5);
         for proxy in &mut proxies {
             proxy.connect(&mut restarted);
-            assert_eq!(proxy.exchange(&mut restarted), 0, "nothing older");
+            assert_eq!(proxy.exchange(&mut restarted), 0, "no older configuration is published");
             assert_eq!(proxy.share_of(Version(2)), 0.0);
         }
         restarted.advance(1_000.0);
@@ -77,27 +77,28 @@
     cut_off.advance(100.0);
     proxies[0].exchange(&mut cut_off);
     assert_eq!(proxies[0].share_of(Version(2)), 0.0);
-    // A proxy without a version gets no share of it from that service either.
-    let mut fresh = TestProxy::new("fresh", false);
-    fresh.connect(&mut cut_off);
-    fresh.exchange(&mut cut_off);
-    assert_eq!((fresh.share_of(Version(2)), fresh.share_of(Version(1))), (0.0, 1.0));
-    // A version that another site signed does not change this service's state.
-    let mut foreign = TestService::start(service.now, "another", None);
-    foreign.start_canary(1, 0.5);
-    proxies[1].connect(&mut foreign);
-    proxies[1].exchange(&mut foreign);
+    // A proxy that has no configuration gets no share of the canary from that service either.
+    let mut new_proxy = TestProxy::new("new", false);
+    new_proxy.connect(&mut cut_off);
+    new_proxy.exchange(&mut cut_off);
+    assert_eq!((new_proxy.share_of(Version(2)), new_proxy.share_of(Version(1))), (0.0, 1.0));
+    // A version that was signed with another key does not change the state of a service.
+    let mut service_with_other_key = TestService::start(service.now, "another", None);
+    service_with_other_key.start_canary(1, 0.5);
+    proxies[1].connect(&mut service_with_other_key);
+    proxies[1].exchange(&mut service_with_other_key);
     assert_eq!(
         (proxies[1].share_of(Version(2)), proxies[1].share_of(Version(1))),
         (0.0, 1.0),
-        "a version signed elsewhere protects its own stream"
+        "a version signed with another key protects the stream that reported it"
     );
-    let mut other = TestProxy::new("other", false);
-    other.connect(&mut foreign);
-    other.exchange(&mut foreign);
-    let basis =
-        |proxy: &TestProxy| proxy.cache.newest_version(ResourceType::Route).map(|basis| basis.rollout.status);
-    assert_ne!(basis(&other), basis(&proxies[1]), "and no other stream");
+    let mut other_proxy = TestProxy::new("other", false);
+    other_proxy.connect(&mut service_with_other_key);
+    other_proxy.exchange(&mut service_with_other_key);
+    let status = |proxy: &TestProxy| {
+        proxy.cache.newest_version(ResourceType::Route).map(|newest| newest.rollout.status)
+    };
+    assert_ne!(status(&other_proxy), status(&proxies[1]), "and no other stream");
 }
 
 #[test]
--- a/crates/control-plane/tests/control_plane/streams.rs
+++ b/crates/control-plane/tests/control_plane/streams.rs
@@ -18,7 +18,7 @@
 fn unacknowledged_response_is_followed_only_by_the_newest() {
     let (mut service, mut proxies) = service_with_canary(1);
     let proxy = &mut proxies[0];
-    // The shed share in the endpoints was updated and sent, so that only routes are pending.
+    // Endpoints with the current shed share are sent first, so that only routes are pending afterwards.
     service.advance(5_000.0);
     proxy.exchange(&mut service);
     service.report_rollout(Version(2), 1, RolloutPhase::Canary, 0.2);
@@ -26,12 +26,15 @@
     proxy.send_requests(&mut service);
     let stream = &mut proxy.stream.as_mut().unwrap().stream;
     let snapshot = service.snapshot.clone().unwrap();
-    while stream.next_response(&snapshot).is_some_and(|answer| answer.resource_type != ResourceType::Route) {}
+    while stream
+        .next_response(&snapshot)
+        .is_some_and(|response| response.resource_type != ResourceType::Route)
+    {}
     for cap in [0.15, 0.1, 0.05] {
         service.report_rollout(Version(2), 1, RolloutPhase::Canary, cap);
         service.advance(100.0);
         let next = stream.next_response(service.snapshot.as_ref().unwrap());
-        assert!(next.is_none(), "one pending response per type");
+        assert!(next.is_none(), "a type has at most one unacknowledged response");
     }
     for nonce in 1..100 {
         let acknowledgement = SubscriptionRequest {
@@ -40,8 +43,8 @@
         };
         let _ = stream.on_request(acknowledgement);
     }
-    let answer = stream.next_response(service.snapshot.as_ref().unwrap()).unwrap();
-    assert!(answer.canary_shares.unwrap()[0].get() <= 50_000, "the newest, none in between");
+    let response = stream.next_response(service.snapshot.as_ref().unwrap()).unwrap();
+    assert!(response.canary_shares.unwrap()[0].get() <= 50_000, "only the newest routes are sent");
     assert!(stream.next_response(service.snapshot.as_ref().unwrap()).is_none());
 }
 
@@ -61,15 +64,15 @@
             let node = Some("single".to_string());
             let first = SubscriptionRequest { node, ..subscription(resource_type, names) };
             stream.on_request(first).unwrap();
-            let answer = stream.next_response(&snapshot).expect("its type");
-            assert!(answer.resource_type == resource_type && stream.next_response(&snapshot).is_none());
+            let response = stream.next_response(&snapshot).expect("a response of the type");
+            assert!(response.resource_type == resource_type && stream.next_response(&snapshot).is_none());
             let nonce = "1".to_string();
             let acknowledgement = SubscriptionRequest { nonce, ..subscription(resource_type, names) };
             stream.on_request(acknowledgement).unwrap();
             if !incremental || names.is_empty() {
                 continue;
             }
-            // After unsubscribing and subscribing again the resource is sent again.
+            // A resource is sent again after the proxy unsubscribed and subscribed again.
             let unsubscription = SubscriptionRequest {
                 unsubscribed: names.iter().map(ToString::to_string).collect(),
                 ..subscription(resource_type, &[])
@@ -77,8 +80,8 @@
             stream.on_request(unsubscription).unwrap();
             assert!(stream.next_response(&snapshot).is_none());
             stream.on_request(subscription(resource_type, names)).unwrap();
-            let again = stream.next_response(&snapshot).map(|answer| answer.resource_type);
-            assert_eq!(again, Some(resource_type));
+            let sent_again = stream.next_response(&snapshot).map(|response| response.resource_type);
+            assert_eq!(sent_again, Some(resource_type));
         }
     }
 }
--- a/crates/control-plane/tests/control_plane/support/hosts.rs
+++ b/crates/control-plane/tests/control_plane/support/hosts.rs
@@ -3,11 +3,12 @@
 use latchhaven_policy::{EndpointEntry, EndpointStatus, Version};
 use std::net::SocketAddr;
 
-/// A host on the endpoint list; host n is endpoint `s{n}` at port n.
+/// A host on the endpoint list: endpoint `s{number}`, on loopback at the port of the same number.
 #[derive(Clone, Copy)]
 pub(crate) struct Host {
     number: u16,
     version: Version,
+    /// Clear for a draining host.
     is_ready: bool,
 }
 
--- a/crates/control-plane/tests/control_plane/support/mod.rs
+++ b/crates/control-plane/tests/control_plane/support/mod.rs
@@ -1,4 +1,4 @@
-//! Builders for tests: a control plane under the test's clock, and proxies that are connected to it.
+//! Builders for tests: a control plane under a simulated clock, and proxies that connect to it.
 
 mod hosts;
 mod proxy;
--- a/crates/control-plane/tests/control_plane/support/proxy.rs
+++ b/crates/control-plane/tests/control_plane/support/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy that is connected to a control plane without a network.
+//! A proxy that exchanges messages with a control plane without a network.
 
 use super::reports::{ReportedOutcomes, load_report};
 use super::service::TestService;
@@ -7,17 +7,18 @@
 use latchhaven_xds::resources::ResourceType;
 use latchhaven_xds::stream::Stream;
 
-/// An open stream, and its unsent requests.
+/// An open discovery stream, and the requests that the proxy has not sent yet.
 pub(crate) struct ProxyStream {
     id: u64,
     pub(crate) stream: Stream,
     requests: Vec<CacheRequest>,
 }
 
-/// A proxy with its cache.
+/// A proxy with its cache of resources.
 pub(crate) struct TestProxy {
     pub(crate) cache: ResourceCache,
     pub(crate) stream: Option<ProxyStream>,
+    /// Set when the proxy rejects all routes.
     pub(crate) rejects_routes: bool,
     node: String,
 }
@@ -50,7 +51,8 @@
         }
     }
 
-    /// Sends requests and receives responses until there are no more. Returns the number of responses.
+    /// Sends requests and receives responses until there are none. Returns the number of responses. Fails if an older
+    /// version replaced a newer one, or if a resource refers to a missing one.
     pub(crate) fn exchange(&mut self, service: &mut TestService) -> usize {
         let mut responses = 0;
         while self.exchange_once(service) {
@@ -74,7 +76,7 @@
         service.control_plane.on_stream_events(*id, events, service.now);
     }
 
-    /// Sends requests and receives one response; false: there was none.
+    /// Sends requests and receives one response. Returns `false` if there was none.
     pub(crate) fn exchange_once(&mut self, service: &mut TestService) -> bool {
         self.send_requests(service);
         let Some(ProxyStream { id, stream, requests }) = &mut self.stream else { return false };
@@ -90,7 +92,7 @@
         true
     }
 
-    /// The share of the first class that goes to a version, from 0 to 1.
+    /// Returns the share of the first class's requests that the proxy sends to a version, from 0 to 1.
     pub(crate) fn share_of(&self, version: Version) -> f64 {
         f64::from(self.cache.version_share("look", version.0)) / 1e6
     }
@@ -102,7 +104,7 @@
     }
 }
 
-/// Proxies report much traffic, all of it successful.
+/// Sends load reports with a high request rate and without failures from all connected proxies.
 fn report_traffic(service: &mut TestService, proxies: &[&TestProxy]) {
     for proxy in proxies {
         let Some(stream) = proxy.stream_id() else { continue };
@@ -113,7 +115,8 @@
     service.advance(300.0);
 }
 
-/// A service whose canary, version 2, is capped at half, and proxies that have its configuration.
+/// Starts a service whose canary, version 2, has a cap of 0.5, and proxies that have its configuration. Every second
+/// proxy uses incremental streams.
 pub(crate) fn service_with_canary(proxies: usize) -> (TestService, Vec<TestProxy>) {
     let mut service = TestService::start(100_000.0, "site", None);
     service.start_canary(1, 0.5);
--- a/crates/control-plane/tests/control_plane/support/reports.rs
+++ b/crates/control-plane/tests/control_plane/support/reports.rs
@@ -1,34 +1,35 @@
 //! Load reports of proxies.
 
 use super::hosts::host_address;
-use latchhaven_policy::Version;
+use latchhaven_policy::{Millis, Version};
 use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, EndpointReport, ProxyReport};
 
-/// Counts of a proxy at one host.
+/// The counts of one request class at one host, in a load report.
 pub(crate) struct ReportedOutcomes {
     pub(crate) version: Version,
+    /// The index of the request class.
     pub(crate) class: usize,
     pub(crate) host: u16,
     pub(crate) counts: EndpointCounts,
 }
 
 impl ReportedOutcomes {
-    /// Outcomes of the first class, without latencies.
+    /// Creates counts of the first class, without latencies.
     pub(crate) fn new(version: Version, host: u16, succeeded: u64, failed: u64) -> Self {
         let counts =
             EndpointCounts { started: succeeded + failed, succeeded, failed, ..EndpointCounts::default() };
         ReportedOutcomes { version, class: 0, host, counts }
     }
 
-    /// All successes took so many ms.
-    pub(crate) fn with_latency(mut self, latency: f64) -> Self {
+    /// Sets the mean latency of the succeeded attempts.
+    pub(crate) fn with_latency(mut self, latency: Millis) -> Self {
         self.counts.total_latency = latency * self.counts.succeeded as f64;
         self.counts.latency_samples = self.counts.succeeded;
         self
     }
 }
 
-/// A report about one second.
+/// Creates a load report about one second.
 pub(crate) fn load_report(outcomes: impl IntoIterator<Item = ReportedOutcomes>) -> ProxyReport {
     let clusters = outcomes.into_iter().map(|outcomes| ClusterReport {
         version: outcomes.version,
--- a/crates/control-plane/tests/control_plane/support/service.rs
+++ b/crates/control-plane/tests/control_plane/support/service.rs
@@ -1,4 +1,4 @@
-//! A control plane under the test's clock.
+//! A control plane under a simulated clock.
 
 use super::hosts::{Host, ready};
 use latchhaven_control_plane::control_plane::{ControlPlane, ControlPlaneConfig};
@@ -21,10 +21,10 @@
         "fall-s": 1.5},
     "registry-mode": "subscribe", "me": 0, "replicas-of-me": 1}"#;
 
-/// ms between two polls while time passes.
+/// Time between two polls while the clock advances.
 const POLL_INTERVAL: Millis = 10.0;
 
-/// A control plane, and what it has published and voted.
+/// A control plane with its clock, its last publication, and its votes.
 pub(crate) struct TestService {
     pub(crate) control_plane: ControlPlane,
     pub(crate) now: Millis,
@@ -32,7 +32,7 @@
     pub(crate) persisted: Option<PersistedState>,
     pub(crate) signer: VersionSigner,
     pub(crate) votes: Vec<(Version, Verdict)>,
-    /// Snapshots of the endpoint list that were requested.
+    /// The number of requests for a snapshot of the endpoint list.
     pub(crate) list_fetches: usize,
     last_stream: u64,
 }
@@ -72,13 +72,13 @@
         }
     }
 
-    /// The id of a new stream.
+    /// Returns the number of a new stream.
     pub(crate) fn next_stream(&mut self) -> u64 {
         self.last_stream += 1;
         self.last_stream
     }
 
-    /// Lets time pass.
+    /// Advances the clock, and polls the control plane at each interval.
     pub(crate) fn advance(&mut self, duration: Millis) {
         let until = self.now + duration;
         while self.now < until {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The platform reports a rollout's state.
+    /// Reports a rollout state that began now, as the platform does.
     pub(crate) fn report_rollout(
         &mut self, version: Version, stage: u32, phase: RolloutPhase, traffic_cap: f64,
     ) {
@@ -110,13 +110,13 @@
         self.control_plane.on_rollout_state(rollout, self.now);
     }
 
-    /// Discovery delivers a snapshot.
+    /// Delivers a snapshot of the endpoint list, as discovery does.
     pub(crate) fn update_list(&mut self, version: u64, hosts: &[Host]) {
         let entries = hosts.iter().map(|host| host.entry()).collect();
         self.control_plane.on_endpoint_list(version, true, entries, self.now);
     }
 
-    /// Two hosts of version 1, the baseline, and two of version 2, the canary.
+    /// Starts a canary of version 2 on two hosts, with version 1 as the baseline on two other hosts.
     pub(crate) fn start_canary(&mut self, stage: u32, traffic_cap: f64) {
         self.update_list(
             5,
--- a/crates/control-plane/tests/state_store.rs
+++ b/crates/control-plane/tests/state_store.rs
@@ -1,4 +1,4 @@
-//! The state store on disk: restarts, concurrent processes, and damaged files.
+//! The state store on disk: reopened stores, concurrent use by two processes, and damaged files.
 
 use latchhaven_control_plane::state_store::{OpenedStore, PersistedState, decode, encode, open};
 use latchhaven_policy::Version;
@@ -12,8 +12,8 @@
 
 const TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("handed-out");
 const RECORD_KEY: &str = "last";
-/// Places at which a file is cut off or damaged.
-const DAMAGED_PLACES: usize = 24;
+/// Number of offsets at which a file is truncated or damaged.
+const DAMAGED_OFFSETS: usize = 24;
 
 fn state(list_version: u64) -> PersistedState {
     let rollout = RolloutVersion {
@@ -31,7 +31,7 @@
 }
 
 fn folder(name: &str) -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("latchhaven-keep-{}-{name}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("latchhaven-state-store-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("the folder is created");
     folder
@@ -46,7 +46,7 @@
     transaction.commit().expect("the transaction is committed");
 }
 
-/// Opens a store when an earlier writer has closed it.
+/// Opens a store as soon as the thread of an earlier writer has closed it.
 fn reopen(path: &Path) -> OpenedStore {
     for _ in 0..1000 {
         let opened = open(Some(path));
@@ -60,38 +60,39 @@
 
 #[test]
 fn reopened_store_has_the_newest_state_and_is_not_shared_by_two_processes() {
-    let folder = folder("again");
+    let folder = folder("reopened");
     let path = folder.join("state.redb");
     let opened = open(Some(&path));
     assert!(opened.state.is_none());
     let writer = opened.writer.unwrap();
     (0..50).for_each(|version| writer.persist(state(version)));
-    assert!(open(Some(&path)).writer.is_none(), "a second process has no store");
+    assert!(open(Some(&path)).writer.is_none(), "a store that is in use cannot be opened");
     drop(writer);
     assert_eq!(reopen(&path).state, Some(state(49)));
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// A truncated or damaged file either yields the written state or is not used, without a crash.
+/// A damaged file must neither stop the service nor yield another state than the written one.
 #[test]
 fn store_with_a_truncated_or_damaged_file_yields_the_last_state_or_none() {
-    let folder = folder("torn");
+    let folder = folder("damaged");
     let path = folder.join("state.redb");
     write_database(&path, &state(3));
     let intact = std::fs::read(&path).unwrap();
+    // The database panics on some damaged files; the store catches these panics.
     let hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(|_| ()));
-    for step in 0..DAMAGED_PLACES {
-        let at = step * intact.len() / DAMAGED_PLACES;
+    for step in 0..DAMAGED_OFFSETS {
+        let offset = step * intact.len() / DAMAGED_OFFSETS;
         let mut flipped = intact.clone();
-        flipped[at] ^= 0xff;
-        for (damage, bytes) in [("cut", intact[..at].to_vec()), ("flipped", flipped)] {
-            // One file each: the writer of an earlier store may still have its file open.
+        flipped[offset] ^= 0xff;
+        for (damage, bytes) in [("truncated", intact[..offset].to_vec()), ("flipped", flipped)] {
+            // Each store has a file of its own, because the writer of an earlier store may still have its file open.
             let path = folder.join(format!("{damage}-{step}.redb"));
             std::fs::write(&path, bytes).unwrap();
             let opened = open(Some(&path));
-            assert!(opened.state.as_ref().is_none_or(|found| *found == state(3)), "{damage} at {at}");
-            assert!(opened.writer.is_some() || opened.state.is_none(), "{damage} at {at}");
+            assert!(opened.state.as_ref().is_none_or(|found| *found == state(3)), "{damage} at {offset}");
+            assert!(opened.writer.is_some() || opened.state.is_none(), "{damage} at {offset}");
         }
     }
     std::panic::set_hook(hook);
--- a/crates/control-plane/tests/stored_record.rs
+++ b/crates/control-plane/tests/stored_record.rs
@@ -1,4 +1,4 @@
-//! The record on disk stays readable: its bytes here are those that version 0.2.0 wrote at 45d1a44.
+//! The stored record remains readable: the bytes in this file were written by version 0.2.0, at commit 45d1a44.
 
 use latchhaven_control_plane::state_store::{PersistedState, decode, encode, open};
 use latchhaven_policy::Version;
@@ -8,10 +8,10 @@
 use std::collections::BTreeSet;
 
 const TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("handed-out");
-const RECORD: &str = "last";
+const RECORD_KEY: &str = "last";
 
-/// Each status of a rollout, as it was written.
-const WRITTEN: [(RolloutStatus, &str); 5] = [
+/// A record of each rollout status.
+const STORED_RECORDS: [(RolloutStatus, &str); 5] = [
     (
         RolloutStatus::Canary,
         r#"{"schema":1,"basis":{"list":{"epoch":2,"version":41},"news":{"build":7,"cap":125000,"since":1733100000123,"stage":3,"way":"OnTrial"}},"withdrawn":[4,6]}"#,
@@ -34,7 +34,7 @@
     ),
 ];
 
-fn record(status: RolloutStatus) -> PersistedState {
+fn state(status: RolloutStatus) -> PersistedState {
     let rollout = RolloutVersion {
         version: Version(7),
         status,
@@ -49,28 +49,28 @@
 }
 
 #[test]
-fn stored_record_is_read_and_written_as_by_the_version_before() {
-    for (status, written) in WRITTEN {
-        assert_eq!(decode(written.as_bytes()).unwrap(), record(status));
-        assert_eq!(String::from_utf8(encode(&record(status))).unwrap(), written);
+fn record_of_version_0_2_0_is_decoded_and_encoded_unchanged() {
+    for (status, stored) in STORED_RECORDS {
+        assert_eq!(decode(stored.as_bytes()).unwrap(), state(status));
+        assert_eq!(String::from_utf8(encode(&state(status))).unwrap(), stored);
     }
 }
 
 #[test]
-fn stored_database_of_the_version_before_is_opened_and_read() {
+fn database_of_version_0_2_0_is_opened_and_read() {
     let folder = std::env::temp_dir().join(format!("latchhaven-record-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("state.redb");
-    let (status, written) = WRITTEN[4];
-    let store = Database::create(&path).unwrap();
-    let writing = store.begin_write().unwrap();
-    writing.open_table(TABLE).unwrap().insert(RECORD, written.as_bytes()).unwrap();
-    writing.commit().unwrap();
-    drop(store);
+    let (status, stored) = STORED_RECORDS[4];
+    let database = Database::create(&path).unwrap();
+    let transaction = database.begin_write().unwrap();
+    transaction.open_table(TABLE).unwrap().insert(RECORD_KEY, stored.as_bytes()).unwrap();
+    transaction.commit().unwrap();
+    drop(database);
     let opened = open(Some(&path));
     assert!(opened.writer.is_some());
-    assert_eq!(opened.state, Some(record(status)));
+    assert_eq!(opened.state, Some(state(status)));
     drop(opened.writer);
     std::fs::remove_dir_all(folder).unwrap();
 }
