--- a/crates/control-plane/src/state_store/database.rs
+++ b/crates/control-plane/src/state_store/database.rs
@@ -5,6 +5,7 @@
 use std::panic::catch_unwind;
 use std::path::Path;
 
+// Existing databases contain these names.
 const TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("handed-out");
 const RECORD_KEY: &str = "last";
 
