--- a/crates/control-plane/src/control_plane/publication.rs
+++ b/crates/control-plane/src/control_plane/publication.rs
@@ -1,4 +1,5 @@
-//! Builds proxy configurations from the decisions, and publishes each that differs from the one before.
+//! Builds proxy configurations from the decisions of the policy, and publishes each that differs from the previous
+//! one.
 
 use super::{ControlPlane, Publication};
 use crate::limits;
@@ -10,14 +11,15 @@
 use std::sync::Arc;
 
 impl ControlPlane {
-    /// Expires disconnected proxies, records a rejection of the canary by this process, and builds a configuration, which
-    /// becomes the current snapshot; none while none may be published, or where version and resources equal the last one's.
+    /// Removes disconnected proxies whose retention has ended, records a rejection of the canary by this process, and
+    /// builds a configuration, which becomes the current snapshot. `None` if nothing may be published yet, or if
+    /// version and resources equal those of the current snapshot.
     pub(super) fn publish(&mut self, now: Millis) -> Option<Publication> {
-        self.shares.remove_expired(now);
-        self.proxies.remove_disconnected_above(limits::max_registered_proxies(self.shares.len()));
+        self.published_shares.remove_expired(now);
+        self.proxies.remove_disconnected_above(limits::max_registered_proxies(self.published_shares.len()));
         let mut decisions = self.policy.snapshot(now);
         if decisions.is_canary_rejected {
-            self.known_state.reject_canary();
+            self.version_tracker.reject_canary();
         }
         let version = self.publishable_version()?;
         decisions.canary_share =
@@ -25,20 +27,21 @@
         let config = proxy_config::build_proxy_config(
             &decisions,
             &self.settings,
-            self.known_state.rolled_back_versions(),
+            self.version_tracker.rolled_back_versions(),
             self.addresses.listed(),
-            &self.shares,
+            &self.published_shares,
             now,
         );
         let snapshot = self.build_snapshot(&config, version)?;
         self.snapshot = Some(snapshot.clone());
-        let rolled_back_versions = self.known_state.rolled_back_versions().clone();
+        let rolled_back_versions = self.version_tracker.rolled_back_versions().clone();
         Some(Publication { snapshot, state: PersistedState { version, rolled_back_versions } })
     }
 
-    /// The version of a configuration built now; none while none may be published, which is logged once per reason.
+    /// Returns the version of a configuration that is built now. `None` if nothing may be published; the reason is
+    /// logged when it changes.
     fn publishable_version(&mut self) -> Option<ConfigVersion> {
-        match self.known_state.config_version() {
+        match self.version_tracker.config_version() {
             Ok(version) => {
                 self.blocked_by = None;
                 Some(version)
@@ -52,7 +55,7 @@
         }
     }
 
-    /// Encodes a configuration; none where the last one has the same version and resources.
+    /// Encodes a configuration. `None` if the current snapshot has the same version and resources.
     fn build_snapshot(&self, config: &ProxyConfig, version: ConfigVersion) -> Option<Arc<ResourceSnapshot>> {
         let previous = self.snapshot.as_deref();
         let snapshot =
--- a/crates/xds/src/stream/messages.rs
+++ b/crates/xds/src/stream/messages.rs
@@ -5,8 +5,8 @@
 use crate::pb::envoy::service::discovery::v3::{DeltaDiscoveryRequest, DiscoveryRequest};
 use crate::resources::ResourceType;
 use bytes::Bytes;
-use latchhaven_proxy_config::share_ledger::CanaryShares;
-use latchhaven_proxy_config::version::SignedVersion;
+use latchhaven_proxy_config::published_shares::CanaryShares;
+use latchhaven_proxy_config::version::ReportedVersion;
 
 /// A discovery request of a state-of-the-world or an incremental (delta) stream.
 #[derive(Clone, Debug, Default)]
@@ -141,8 +141,9 @@
     VersionReported {
         /// The type of these resources.
         resource_type: ResourceType,
-        /// The join of the versions in their labels. The content hash is zero, since no single content is meant.
-        version: SignedVersion,
+        /// The versions in their labels, merged: the newer of each part. The content hash is zero, since no single
+        /// content is meant.
+        version: ReportedVersion,
     },
     /// The proxy acknowledged (ACK) routes with these shares of the canary, or reconnected with the same routes.
     Acknowledged(CanaryShares),
--- a/crates/xds/src/stream/request_handling.rs
+++ b/crates/xds/src/stream/request_handling.rs
@@ -9,7 +9,7 @@
 };
 use crate::resources::ResourceType;
 use latchhaven_proxy_config::version::{
-    ConfigVersion, LabelParts, SignedPrefix, SignedVersion, VersionSigner, split_label,
+    ConfigVersion, LabelParts, ParsedPrefix, ReportedVersion, VersionSigner, split_label,
 };
 use std::collections::BTreeMap;
 
@@ -105,7 +105,7 @@
 
     /// Records the proxy's resources from an earlier stream, so that no older ones are sent.
     fn record_initial_versions(&mut self, resource_type: ResourceType, request: &SubscriptionRequest) {
-        let mut versions = ReportedVersions::default();
+        let mut versions = LabelVersions::default();
         let mut acknowledged = Vec::new();
         for initial in &request.initial_versions {
             if let Some(hash) = versions.record(&initial.label, &self.signer) {
@@ -128,7 +128,7 @@
         &mut self, resource_type: ResourceType, version: Option<ConfigVersion>, is_signed: bool,
     ) {
         let Some(version) = version else { return };
-        let version = SignedVersion { version, content_hash: 0, is_signed };
+        let version = ReportedVersion { version, content_hash: 0, is_signed };
         self.events.push(StreamEvent::VersionReported { resource_type, version });
     }
 
@@ -173,12 +173,12 @@
 /// The versions in the labels of a request, by label prefix. Many labels have the same prefix; each prefix is parsed
 /// once.
 #[derive(Default)]
-struct ReportedVersions<'a> {
+struct LabelVersions<'a> {
     /// `None` for an invalid prefix.
-    by_prefix: BTreeMap<&'a str, Option<SignedPrefix>>,
+    by_prefix: BTreeMap<&'a str, Option<ParsedPrefix>>,
 }
 
-impl<'a> ReportedVersions<'a> {
+impl<'a> LabelVersions<'a> {
     /// Parses a label and returns its content hash, or `None` if the text is not a version label.
     fn record(&mut self, label: &'a str, signer: &VersionSigner) -> Option<u64> {
         let LabelParts { prefix, content_hash } = split_label(label)?;
@@ -187,17 +187,17 @@
     }
 
     fn newest(&self) -> Option<ConfigVersion> {
-        join(self.by_prefix.values().flatten())
+        merge_versions(self.by_prefix.values().flatten())
     }
 
     /// Counts only versions that were signed with the control services' key.
     fn newest_signed(&self) -> Option<ConfigVersion> {
-        join(self.by_prefix.values().flatten().filter(|prefix| prefix.is_signed))
+        merge_versions(self.by_prefix.values().flatten().filter(|prefix| prefix.is_signed))
     }
 }
 
-fn join<'a>(prefixes: impl Iterator<Item = &'a SignedPrefix>) -> Option<ConfigVersion> {
-    prefixes.map(|prefix| prefix.version).reduce(|newest, version| newest.join(&version))
+fn merge_versions<'a>(prefixes: impl Iterator<Item = &'a ParsedPrefix>) -> Option<ConfigVersion> {
+    prefixes.map(|prefix| prefix.version).reduce(|newest, version| newest.merge(&version))
 }
 
 fn check_limits(request: &SubscriptionRequest) -> Result<(), StreamError> {
