--- a/crates/client/src/acquired_connection.rs
+++ b/crates/client/src/acquired_connection.rs
@@ -5,7 +5,7 @@
 use crate::pool_messages::ConnectionEvent;
 use crate::request::Value;
 use crate::time::Millis;
-use crate::wire::Answer;
+use crate::wire::Response;
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
@@ -63,26 +63,26 @@
         let mut written = 0;
         let exchange = async {
             connection.write_query(query, &mut written).await?;
-            connection.read_answer().await
+            connection.read_response().await
         };
         let result = timeout(time_limit, exchange).await;
         // A query whose last byte was not written was not executed.
         let is_fully_written = written == query.len();
         let unless_unsent = |outcome| if is_fully_written { outcome } else { AttemptOutcome::NotSent };
         match result {
-            Ok(Ok(Answer::Value(value))) => {
+            Ok(Ok(Response::Value(value))) => {
                 self.release();
                 Ok(value)
             }
-            Ok(Ok(Answer::Rejected { retry_after, is_fatal })) => {
+            Ok(Ok(Response::Rejected { retry_after, is_fatal })) => {
                 self.finish_error(is_fatal);
                 Err(AttemptOutcome::Rejected { retry_after: retry_after.map(|time| time as Millis) })
             }
-            Ok(Ok(Answer::Failed { is_fatal, .. })) => {
+            Ok(Ok(Response::Failed { is_fatal, .. })) => {
                 self.finish_error(is_fatal);
                 Err(AttemptOutcome::Failed)
             }
-            Ok(Ok(Answer::Ready) | Err(_)) => {
+            Ok(Ok(Response::Ready) | Err(_)) => {
                 self.close(ConnectionEvent::Lost);
                 Err(unless_unsent(AttemptOutcome::ConnectionLost))
             }
--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -2,7 +2,7 @@
 
 use crate::call::AttemptOutcome;
 use crate::rules::READ_SIZE;
-use crate::wire::{Answer, AnswerReader, startup_message};
+use crate::wire::{Response, ResponseReader, startup_message};
 use bytes::BytesMut;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -23,8 +23,8 @@
         stream.set_nodelay(true).ok()?;
         stream.write_all(&startup_message()).await.ok()?;
         let mut connection = GatewayConnection { id, stream, buffer: BytesMut::new() };
-        match connection.read_answer().await {
-            Ok(Answer::Ready) => Some(connection),
+        match connection.read_response().await {
+            Ok(Response::Ready) => Some(connection),
             _ => None,
         }
     }
@@ -56,11 +56,11 @@
     }
 
     /// Reads one answer, up to `ReadyForQuery` or a fatal error.
-    pub(crate) async fn read_answer(&mut self) -> Result<Answer, AttemptOutcome> {
-        let mut reader = AnswerReader::default();
+    pub(crate) async fn read_response(&mut self) -> Result<Response, AttemptOutcome> {
+        let mut reader = ResponseReader::default();
         loop {
             match reader.read(&mut self.buffer) {
-                Ok(Some(answer)) => return Ok(answer),
+                Ok(Some(response)) => return Ok(response),
                 Ok(None) => {}
                 Err(_) => return Err(AttemptOutcome::ConnectionLost),
             }
--- a/crates/client/src/rules.rs
+++ b/crates/client/src/rules.rs
@@ -62,7 +62,7 @@
 /// The longest message of a gateway in bytes, with its framing.
 pub(crate) const MAX_MESSAGE_LENGTH: usize = 1 << 20;
 /// The largest sum of the lengths in bytes of all messages of one answer.
-pub(crate) const MAX_ANSWER_LENGTH: usize = 2 << 20;
+pub(crate) const MAX_RESPONSE_LENGTH: usize = 2 << 20;
 /// The longest name in a query, in bytes.
 pub(crate) const MAX_NAME_LENGTH: usize = 128;
 
--- a/crates/client/src/wire.rs
+++ b/crates/client/src/wire.rs
@@ -2,10 +2,10 @@
 //! bytes that the caller supplies, without sockets and clocks.
 //!
 //! - [`query`]: the bytes of a query and of the startup message.
-//! - [`answer`]: reads answers.
+//! - [`response`]: reads responses.
 
-pub mod answer;
 pub mod query;
+pub mod response;
 
-pub use answer::{Answer, AnswerReader, MalformedMessage, ProtocolError};
 pub use query::{Query, startup_message};
+pub use response::{MalformedMessage, ProtocolError, Response, ResponseReader};
--- a/crates/client/src/wire/answer.rs
+++ b/crates/client/src/wire/response.rs
@@ -1,6 +1,6 @@
 //! Reads answers from bytes as they arrive.
 
-use crate::rules::{MAX_ANSWER_LENGTH, MAX_MESSAGE_LENGTH};
+use crate::rules::{MAX_MESSAGE_LENGTH, MAX_RESPONSE_LENGTH};
 use bytes::{Buf, Bytes, BytesMut};
 
 /// Bytes of a message before its body: its kind and its length.
@@ -63,7 +63,7 @@
 
 /// An answer up to `ReadyForQuery`, or up to a fatal error.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum Response {
     /// The gateway is ready for a first query.
     Ready,
     /// The value of the only row.
@@ -84,9 +84,9 @@
     },
 }
 
-impl Answer {
+impl Response {
     fn is_fatal(&self) -> bool {
-        matches!(self, Answer::Rejected { is_fatal: true, .. } | Answer::Failed { is_fatal: true, .. })
+        matches!(self, Response::Rejected { is_fatal: true, .. } | Response::Failed { is_fatal: true, .. })
     }
 }
 
@@ -106,20 +106,20 @@
 
 /// Reads one answer after another.
 #[derive(Debug, Default)]
-pub struct AnswerReader {
+pub struct ResponseReader {
     value: Option<Bytes>,
     is_command_complete: bool,
-    error: Option<Answer>,
+    error: Option<Response>,
     /// The sum of the lengths of the answer's messages so far.
-    answer_length: usize,
+    response_length: usize,
 }
 
-impl AnswerReader {
+impl ResponseReader {
     /// Reads the next answer, if all of it is in the buffer; messages that were read are removed from the buffer.
     ///
     /// # Errors
     /// The bytes are no answer.
-    pub fn read(&mut self, buffer: &mut BytesMut) -> Result<Option<Answer>, ProtocolError> {
+    pub fn read(&mut self, buffer: &mut BytesMut) -> Result<Option<Response>, ProtocolError> {
         while let Some(header) = Header::read(buffer) {
             self.check_length(header.length)?;
             if buffer.len() < header.length + 1 {
@@ -127,10 +127,10 @@
             }
             let mut body = buffer.split_to(header.length + 1).freeze();
             body.advance(HEADER_LENGTH);
-            self.answer_length += header.length;
-            if let Some(answer) = self.read_message(header.kind, &body)? {
-                *self = AnswerReader::default();
-                return Ok(Some(answer));
+            self.response_length += header.length;
+            if let Some(response) = self.read_message(header.kind, &body)? {
+                *self = ResponseReader::default();
+                return Ok(Some(response));
             }
         }
         Ok(None)
@@ -141,13 +141,13 @@
         if length < LENGTH_FIELD {
             return Err(MalformedMessage::LengthTooShort.into());
         }
-        if length > MAX_MESSAGE_LENGTH || self.answer_length + length > MAX_ANSWER_LENGTH {
+        if length > MAX_MESSAGE_LENGTH || self.response_length + length > MAX_RESPONSE_LENGTH {
             return Err(ProtocolError::TooLong(length));
         }
         Ok(())
     }
 
-    fn read_message(&mut self, kind: u8, body: &Bytes) -> Result<Option<Answer>, MalformedMessage> {
+    fn read_message(&mut self, kind: u8, body: &Bytes) -> Result<Option<Response>, MalformedMessage> {
         match kind {
             b'D' => {
                 if self.value.is_some() || self.error.is_some() {
@@ -176,13 +176,13 @@
     }
 
     /// The answer at `ReadyForQuery`.
-    fn finish(&mut self) -> Result<Answer, MalformedMessage> {
+    fn finish(&mut self) -> Result<Response, MalformedMessage> {
         if let Some(error) = self.error.take() {
             return Ok(error);
         }
         match self.value.take() {
-            None => Ok(Answer::Ready),
-            Some(value) if self.is_command_complete => Ok(Answer::Value(value)),
+            None => Ok(Response::Ready),
+            Some(value) if self.is_command_complete => Ok(Response::Value(value)),
             Some(_) => Err(MalformedMessage::IncompleteRow),
         }
     }
@@ -202,7 +202,7 @@
 }
 
 /// Parses an error message. Only a complete one with one SQLSTATE is proof that a query was not executed.
-fn parse_error(body: &[u8]) -> Result<Answer, MalformedMessage> {
+fn parse_error(body: &[u8]) -> Result<Response, MalformedMessage> {
     let mut code = None;
     let mut severity = "";
     let mut retry_after = None;
@@ -221,8 +221,8 @@
     let code = code.ok_or(MalformedMessage::MissingCode)?;
     let is_fatal = severity == "FATAL" || severity == "PANIC";
     if REJECTED_SQLSTATES.contains(&code.as_str()) {
-        Ok(Answer::Rejected { retry_after, is_fatal })
+        Ok(Response::Rejected { retry_after, is_fatal })
     } else {
-        Ok(Answer::Failed { code, is_fatal })
+        Ok(Response::Failed { code, is_fatal })
     }
 }
--- a/crates/client/tests/wire.rs
+++ b/crates/client/tests/wire.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use latchhaven_client::wire::{
-    Answer, AnswerReader, MalformedMessage, ProtocolError, Query, startup_message,
+    MalformedMessage, ProtocolError, Query, Response, ResponseReader, startup_message,
 };
 use proptest::prelude::*;
 
@@ -25,30 +25,30 @@
 }
 
 /// Answers as bytes, and as they are read.
-fn answers() -> Vec<(Vec<u8>, Answer)> {
-    let rejected = |retry_after, is_fatal| Answer::Rejected { retry_after, is_fatal };
+fn answers() -> Vec<(Vec<u8>, Response)> {
+    let rejected = |retry_after, is_fatal| Response::Rejected { retry_after, is_fatal };
     vec![
-        ([row(b"abc"), ready()].concat(), Answer::Value(Bytes::from_static(b"abc"))),
-        ([message(b'R', &[0; 4]), message(b'S', b"a\0b\0"), ready()].concat(), Answer::Ready),
+        ([row(b"abc"), ready()].concat(), Response::Value(Bytes::from_static(b"abc"))),
+        ([message(b'R', &[0; 4]), message(b'S', b"a\0b\0"), ready()].concat(), Response::Ready),
         ([error("SERROR|C53300|Mno|D120||"), ready()].concat(), rejected(Some(120), false)),
         (error("SFATAL|C57P03|Mstarting||"), rejected(None, true)),
         (
             [error("SERROR|CXX000|Mno||"), ready()].concat(),
-            Answer::Failed { code: "XX000".to_string(), is_fatal: false },
+            Response::Failed { code: "XX000".to_string(), is_fatal: false },
         ),
         ([row(b"abc"), error("SERROR|C53300|M||"), ready()].concat(), rejected(None, false)),
     ]
 }
 
-fn read(bytes: &[u8]) -> Result<Option<Answer>, ProtocolError> {
-    AnswerReader::default().read(&mut BytesMut::from(bytes))
+fn read(bytes: &[u8]) -> Result<Option<Response>, ProtocolError> {
+    ResponseReader::default().read(&mut BytesMut::from(bytes))
 }
 
 #[test]
 fn answer_is_read_alike_at_every_split() {
     for (bytes, expected) in answers() {
         for at in 0..=bytes.len() {
-            let mut reader = AnswerReader::default();
+            let mut reader = ResponseReader::default();
             let mut buffer = BytesMut::from(&bytes[..at]);
             let first = reader.read(&mut buffer).unwrap();
             if at < bytes.len() {
@@ -142,7 +142,7 @@
         bytes in prop::collection::vec(any::<u8>(), 0..300), at in 0usize..300
     ) {
         let at = at.min(bytes.len());
-        let mut reader = AnswerReader::default();
+        let mut reader = ResponseReader::default();
         let mut buffer = BytesMut::from(&bytes[..at]);
         if reader.read(&mut buffer).is_ok() {
             buffer.extend_from_slice(&bytes[at..]);
@@ -157,7 +157,7 @@
         let (mut bytes, expected) = answers().swap_remove(index);
         let at = at % bytes.len();
         bytes[at] = to;
-        if let (Ok(Some(Answer::Value(value))), Answer::Value(original)) = (read(&bytes), expected) {
+        if let (Ok(Some(Response::Value(value))), Response::Value(original)) = (read(&bytes), expected) {
             prop_assert_eq!(value.len(), original.len());
         }
     }
