--- a/crates/client/src/rules.rs
+++ b/crates/client/src/rules.rs
@@ -59,12 +59,12 @@
 /// The longest wait: a day, in ms.
 const MAX_WAIT: Millis = 86_400_000.0;
 
-/// The longest message of a gateway in bytes, with its framing.
-pub(crate) const MAX_MESSAGE_LENGTH: usize = 1 << 20;
-/// The largest sum of the lengths in bytes of all messages of one answer.
-pub(crate) const MAX_RESPONSE_LENGTH: usize = 2 << 20;
-/// The longest name in a query, in bytes.
-pub(crate) const MAX_NAME_LENGTH: usize = 128;
+/// The longest message of a gateway, including its length field.
+pub(crate) const MAX_MESSAGE_BYTES: usize = 1 << 20;
+/// The largest sum of the lengths of all messages of a response.
+pub(crate) const MAX_RESPONSE_BYTES: usize = 2 << 20;
+/// The longest name, id or idempotency key in a query.
+pub(crate) const MAX_NAME_BYTES: usize = 128;
 
 /// Connections of a process, unless configured.
 pub(crate) const DEFAULT_MAX_CONNECTIONS: usize = 8;
--- a/crates/client/src/wire.rs
+++ b/crates/client/src/wire.rs
@@ -1,8 +1,8 @@
-//! The client side of the `PostgreSQL` protocol, version 3, one simple query at a time. Pure: the parser reads
-//! bytes that the caller supplies, without sockets and clocks.
+//! The client side of the `PostgreSQL` protocol, version 3, limited to one simple query at a time. Performs no I/O: the
+//! caller writes the encoded messages to a connection, and passes the bytes that it receives to the parser.
 //!
-//! - [`query`]: the bytes of a query and of the startup message.
-//! - [`response`]: reads responses.
+//! - [`query`]: encodes queries and the startup message.
+//! - [`response`]: parses responses.
 
 pub mod query;
 pub mod response;
--- a/crates/client/src/wire/response.rs
+++ b/crates/client/src/wire/response.rs
@@ -1,22 +1,29 @@
-//! Reads answers from bytes as they arrive.
+//! Parses responses from bytes as they arrive.
 
-use crate::rules::{MAX_MESSAGE_LENGTH, MAX_RESPONSE_LENGTH};
+use crate::rules::{MAX_MESSAGE_BYTES, MAX_RESPONSE_BYTES};
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Bytes of a message before its body: its kind and its length.
-const HEADER_LENGTH: usize = 5;
-/// Bytes of a length field, which counts itself.
-const LENGTH_FIELD: usize = 4;
-/// Bytes of a data row before its only value: the number of values and the value's length.
-const ROW_HEADER_LENGTH: usize = 6;
-/// SQLSTATEs of errors before execution: too many connections, cannot connect now.
+/// The kind of a message is its first byte.
+const KIND_BYTES: usize = 1;
+/// Bytes of a message before its body.
+const HEADER_BYTES: usize = KIND_BYTES + LENGTH_FIELD_BYTES;
+/// The least value of a length field, which counts its own bytes.
+const LENGTH_FIELD_BYTES: usize = 4;
+/// Bytes of a data row before its only value: the number of values and the length of the value.
+const ROW_HEADER_BYTES: usize = 6;
+/// SQLSTATEs of requests that were rejected before execution: too many connections, cannot connect now.
 const REJECTED_SQLSTATES: [&str; 2] = ["53300", "57P03"];
 
-/// A protocol error of a gateway: its connection must not be used again.
+/// A violation of the protocol by a gateway. The caller must close the connection, and treat the query as possibly
+/// executed if all of its bytes were written.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
-    /// A message, or its answer, is too long; the message's length in bytes.
-    #[error("a message of {0} bytes exceeds the limit")]
+    /// The length of the message, in bytes, exceeds the limit of a message, or that of a response together with the
+    /// messages before it.
+    #[error(
+        "a message of {0} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes, \
+         or {MAX_RESPONSE_BYTES} for a response"
+    )]
     TooLong(usize),
     /// A message is malformed, or not allowed at its position.
     #[error("malformed message: {0}")]
@@ -26,33 +33,33 @@
 /// Why a message is malformed, or not allowed at its position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedMessage {
-    /// Its length does not count itself.
+    /// The value of a length field is below 4, although the field counts its own bytes.
     #[error("length field below 4")]
     LengthTooShort,
-    /// An answer has one row at most.
+    /// A second row, or a row after an error: a response has at most one row.
     #[error("second row, or row after an error")]
     UnexpectedRow,
     /// A row is shorter than its header.
     #[error("truncated row")]
     ShortRow,
-    /// A row has not exactly one value.
+    /// The number of values of a row is not 1, or the length of the value does not match that of the row.
     #[error("row without exactly one value")]
     InvalidRow,
-    /// The answer ends after a row without the completion of its command.
+    /// A row is not followed by `CommandComplete` before `ReadyForQuery`.
     #[error("row without command completion")]
     IncompleteRow,
-    /// The message is of no kind that a gateway sends.
+    /// Gateways do not send messages of this kind.
     #[error("unknown message type")]
     UnknownKind,
-    /// The fields of an error are not terminated.
+    /// An error does not end with two zero bytes.
     #[error("unterminated error")]
     UnterminatedError,
-    /// A field of an error has no kind.
+    /// A field of an error is empty, and so has no kind.
     #[error("error field without a type")]
     EmptyField,
     /// A field of an error is not UTF-8.
     #[error("error field is not UTF-8")]
-    ErrorNotText,
+    ErrorNotUtf8,
     /// An error has two SQLSTATEs.
     #[error("error with two SQLSTATEs")]
     RepeatedCode,
@@ -61,25 +68,25 @@
     MissingCode,
 }
 
-/// An answer up to `ReadyForQuery`, or up to a fatal error.
+/// A response of a gateway, complete with `ReadyForQuery` or with a fatal error.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// The gateway is ready for a first query.
+    /// No row and no error: after the startup message, the gateway is ready for queries.
     Ready,
-    /// The value of the only row.
+    /// The query was executed: the value of the only row.
     Value(Bytes),
-    /// The query was definitely not executed.
+    /// The query was not executed: any request may be retried.
     Rejected {
-        /// The minimum time in ms before a retry, where the gateway named one.
+        /// The minimum time before a retry, in milliseconds; `None` if the gateway sent none.
         retry_after: Option<u64>,
-        /// The gateway closes the connection.
+        /// `true` if the gateway closes the connection.
         is_fatal: bool,
     },
-    /// Any other error: the query was possibly executed.
+    /// Any other error: the query was possibly executed, so that only an idempotent request may be retried.
     Failed {
-        /// Its SQLSTATE.
+        /// The SQLSTATE of the error.
         code: String,
-        /// The gateway closes the connection.
+        /// `true` if the gateway closes the connection.
         is_fatal: bool,
     },
 }
@@ -90,43 +97,48 @@
     }
 }
 
-/// The type and the length of a message.
 struct Header {
     kind: u8,
-    /// Counts itself and the body.
+    /// The value of the length field: the bytes of the field itself and of the body.
     length: usize,
 }
 
 impl Header {
     fn read(buffer: &BytesMut) -> Option<Header> {
-        let &[kind, length @ ..] = buffer.first_chunk::<HEADER_LENGTH>()?;
+        let &[kind, length @ ..] = buffer.first_chunk::<HEADER_BYTES>()?;
         Some(Header { kind, length: u32::from_be_bytes(length) as usize })
     }
+
+    /// Bytes of the complete message; the length field does not count the kind.
+    fn message_bytes(&self) -> usize {
+        KIND_BYTES + self.length
+    }
 }
 
-/// Reads one answer after another.
+/// Parses the responses of one connection, one after another.
 #[derive(Debug, Default)]
 pub struct ResponseReader {
     value: Option<Bytes>,
     is_command_complete: bool,
     error: Option<Response>,
-    /// The sum of the lengths of the answer's messages so far.
+    /// The sum of the length fields of the messages read so far, in bytes.
     response_length: usize,
 }
 
 impl ResponseReader {
-    /// Reads the next answer, if all of it is in the buffer; messages that were read are removed from the buffer.
+    /// Reads the next response and removes complete messages from the buffer. `None` if the response is incomplete: the
+    /// caller appends further bytes to the buffer and calls this again.
     ///
     /// # Errors
-    /// The bytes are no answer.
+    /// The bytes violate the protocol. The caller must close the connection.
     pub fn read(&mut self, buffer: &mut BytesMut) -> Result<Option<Response>, ProtocolError> {
         while let Some(header) = Header::read(buffer) {
             self.check_length(header.length)?;
-            if buffer.len() < header.length + 1 {
+            if buffer.len() < header.message_bytes() {
                 return Ok(None);
             }
-            let mut body = buffer.split_to(header.length + 1).freeze();
-            body.advance(HEADER_LENGTH);
+            let mut body = buffer.split_to(header.message_bytes()).freeze();
+            body.advance(HEADER_BYTES);
             self.response_length += header.length;
             if let Some(response) = self.read_message(header.kind, &body)? {
                 *self = ResponseReader::default();
@@ -136,12 +148,12 @@
         Ok(None)
     }
 
-    /// Called as soon as the header is read: no bytes are buffered for a message that is too long.
+    /// Called as soon as the header has arrived, so that no body of a message that is too long is buffered.
     fn check_length(&self, length: usize) -> Result<(), ProtocolError> {
-        if length < LENGTH_FIELD {
+        if length < LENGTH_FIELD_BYTES {
             return Err(MalformedMessage::LengthTooShort.into());
         }
-        if length > MAX_MESSAGE_LENGTH || self.response_length + length > MAX_RESPONSE_LENGTH {
+        if length > MAX_MESSAGE_BYTES || self.response_length + length > MAX_RESPONSE_BYTES {
             return Err(ProtocolError::TooLong(length));
         }
         Ok(())
@@ -169,13 +181,13 @@
                 Ok(None)
             }
             b'Z' => self.finish().map(Some),
-            // Row description, notice, parameter, authentication, key data, end of an empty query.
+            // RowDescription, NoticeResponse, ParameterStatus, Authentication, BackendKeyData, EmptyQueryResponse.
             b'T' | b'N' | b'S' | b'R' | b'K' | b'I' => Ok(None),
             _ => Err(MalformedMessage::UnknownKind),
         }
     }
 
-    /// The answer at `ReadyForQuery`.
+    /// The response that `ReadyForQuery` completes.
     fn finish(&mut self) -> Result<Response, MalformedMessage> {
         if let Some(error) = self.error.take() {
             return Ok(error);
@@ -188,20 +200,21 @@
     }
 }
 
-/// The only value of a data row.
+/// Returns the only value of a data row.
 fn parse_row(body: &Bytes) -> Result<Bytes, MalformedMessage> {
-    let Some(&[count_high, count_low, length @ ..]) = body.first_chunk::<ROW_HEADER_LENGTH>() else {
+    let Some(&[count_high, count_low, length @ ..]) = body.first_chunk::<ROW_HEADER_BYTES>() else {
         return Err(MalformedMessage::ShortRow);
     };
     let value_count = u16::from_be_bytes([count_high, count_low]);
     let value_length = i32::from_be_bytes(length);
-    if value_count != 1 || value_length < 0 || body.len() != ROW_HEADER_LENGTH + value_length as usize {
+    if value_count != 1 || value_length < 0 || body.len() != ROW_HEADER_BYTES + value_length as usize {
         return Err(MalformedMessage::InvalidRow);
     }
-    Ok(body.slice(ROW_HEADER_LENGTH..))
+    Ok(body.slice(ROW_HEADER_BYTES..))
 }
 
-/// Parses an error message. Only a complete one with one SQLSTATE is proof that a query was not executed.
+/// Parses an error message. One that is truncated, or has no or two SQLSTATEs, is malformed and never a rejection: a
+/// rejection allows a retry of any query, also of one that must not be executed twice.
 fn parse_error(body: &[u8]) -> Result<Response, MalformedMessage> {
     let mut code = None;
     let mut severity = "";
@@ -209,7 +222,7 @@
     let fields = body.strip_suffix(b"\0\0").ok_or(MalformedMessage::UnterminatedError)?;
     for field in fields.split(|byte| *byte == 0) {
         let (kind, text) = field.split_first().ok_or(MalformedMessage::EmptyField)?;
-        let text = std::str::from_utf8(text).map_err(|_| MalformedMessage::ErrorNotText)?;
+        let text = std::str::from_utf8(text).map_err(|_| MalformedMessage::ErrorNotUtf8)?;
         match kind {
             b'C' if code.is_some() => return Err(MalformedMessage::RepeatedCode),
             b'C' => code = Some(text.to_string()),
--- a/crates/client/tests/wire.rs
+++ b/crates/client/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The bytes of queries, and answers read from bytes.
+//! Encodes queries, and parses responses that arrive in parts, malformed or corrupted.
 
 use bytes::{Bytes, BytesMut};
 use latchhaven_client::wire::{
@@ -14,7 +14,7 @@
     message(b'Z', b"I")
 }
 
-/// An error whose fields are separated by `|`.
+/// An error message; each `|` in `fields` is replaced by the zero byte that ends a field.
 fn error(fields: &str) -> Vec<u8> {
     message(b'E', fields.replace('|', "\0").as_bytes())
 }
@@ -24,8 +24,8 @@
     [message(b'T', b"\0\x01doc\0"), message(b'D', &data), message(b'C', b"SELECT 1\0")].concat()
 }
 
-/// Answers as bytes, and as they are read.
-fn answers() -> Vec<(Vec<u8>, Response)> {
+/// Responses: their bytes, and the expected result of parsing them.
+fn responses() -> Vec<(Vec<u8>, Response)> {
     let rejected = |retry_after, is_fatal| Response::Rejected { retry_after, is_fatal };
     vec![
         ([row(b"abc"), ready()].concat(), Response::Value(Bytes::from_static(b"abc"))),
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn answer_is_read_alike_at_every_split() {
-    for (bytes, expected) in answers() {
+fn response_is_parsed_identically_for_every_split() {
+    for (bytes, expected) in responses() {
         for at in 0..=bytes.len() {
             let mut reader = ResponseReader::default();
             let mut buffer = BytesMut::from(&bytes[..at]);
@@ -55,17 +55,18 @@
                 assert_eq!(first, None, "at {at}");
             }
             buffer.extend_from_slice(&bytes[at..]);
-            let answer = first.or_else(|| reader.read(&mut buffer).unwrap());
-            assert_eq!(answer.as_ref(), Some(&expected), "at {at}");
+            let response = first.or_else(|| reader.read(&mut buffer).unwrap());
+            assert_eq!(response.as_ref(), Some(&expected), "at {at}");
             assert!(buffer.is_empty());
         }
     }
 }
 
+/// A malformed error that was read as a rejection would let a request that was possibly executed be sent again.
 #[test]
-fn malformed_answer_is_an_error_and_never_a_rejection() {
+fn malformed_response_is_an_error_and_never_a_rejection() {
     let two_rows = [row(b"a"), row(b"b")].concat();
-    let row_without_end = [message(b'D', b"\0\x01\0\0\0\x01a"), ready()].concat();
+    let row_without_completion = [message(b'D', b"\0\x01\0\0\0\x01a"), ready()].concat();
     for (bytes, expected) in [
         (message(b'E', b"SERROR\0C53300\0Mno"), "unterminated error"),
         (message(b'E', b"SERROR\0C53300\0C57P03\0\0"), "error with two SQLSTATEs"),
@@ -76,19 +77,22 @@
         ([message(b'D', b"\0\x02"), ready()].concat(), "truncated row"),
         ([message(b'D', b"\0\x01\xff\xff\xff\xff"), ready()].concat(), "row without exactly one value"),
         (two_rows, "second row, or row after an error"),
-        (row_without_end, "row without command completion"),
+        (row_without_completion, "row without command completion"),
         (vec![b'D', 0, 0, 0, 1], "length field below 4"),
     ] {
         let error = read(&bytes).expect_err(expected);
         assert_eq!(error.to_string(), format!("malformed message: {expected}"));
     }
     let too_long = read(&[b'D', 0x7f, 0xff, 0xff, 0xff]).expect_err("too long");
-    assert_eq!(too_long.to_string(), "a message of 2147483647 bytes exceeds the limit");
+    assert_eq!(
+        too_long.to_string(),
+        "a message of 2147483647 bytes exceeds the limit of 1048576 bytes, or 2097152 for a response"
+    );
     assert_eq!(read(&message(b'x', b"")), Err(ProtocolError::Malformed(MalformedMessage::UnknownKind)));
 }
 
 #[test]
-fn query_has_the_form_of_the_protocol_and_none_with_an_unsafe_name() {
+fn query_text_matches_the_protocol_and_is_none_for_invalid_names() {
     let read = Query {
         id: "9b1f",
         class: "basket",
@@ -108,7 +112,10 @@
     );
     let write =
         Query { document: Some(&[0x9f, 3]), key: Some("5c0f"), tenant: None, is_retry: true, ..read.clone() };
-    let expected = r"INSERT INTO items (id, doc) VALUES ('7f3a', '\x9f03') RETURNING doc /* id=9b1f,c=basket,d=480,k=5c0f,r=1 */";
+    let expected = concat!(
+        r"INSERT INTO items (id, doc) VALUES ('7f3a', '\x9f03') RETURNING doc",
+        " /* id=9b1f,c=basket,d=480,k=5c0f,r=1 */"
+    );
     assert_eq!(text(&write).unwrap(), expected);
     for name in ["", "a'b", "a,b", "a*/", "a b", "ä", &"x".repeat(200)] {
         assert_eq!(text(&Query { item: name, ..read.clone() }), None, "{name}");
@@ -117,7 +124,7 @@
 }
 
 #[test]
-fn messages_have_their_kind_and_length() {
+fn messages_start_with_their_kind_and_length() {
     let query = Query {
         id: "1",
         class: "c",
@@ -138,7 +145,7 @@
     #![proptest_config(latchhaven_proptest_config::deterministic())]
 
     #[test]
-    fn any_bytes_are_read_without_panic(
+    fn any_bytes_are_parsed_without_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..300), at in 0usize..300
     ) {
         let at = at.min(bytes.len());
@@ -151,12 +158,12 @@
     }
 
     #[test]
-    fn corrupted_answer_is_never_read_as_a_value_of_another_length(
-        index in 0usize..6, at in 0usize..80, to: u8
+    fn corrupted_response_is_never_parsed_as_a_value_of_another_length(
+        index in 0usize..6, at in 0usize..80, replacement: u8
     ) {
-        let (mut bytes, expected) = answers().swap_remove(index);
+        let (mut bytes, expected) = responses().swap_remove(index);
         let at = at % bytes.len();
-        bytes[at] = to;
+        bytes[at] = replacement;
         if let (Ok(Some(Response::Value(value))), Response::Value(original)) = (read(&bytes), expected) {
             prop_assert_eq!(value.len(), original.len());
         }
