--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a gateway.
 
 use crate::call::AttemptOutcome;
-use crate::rules::READ_SIZE;
+use crate::rules::READ_CAPACITY_BYTES;
 use crate::wire::{Response, ResponseReader, startup_message};
 use bytes::BytesMut;
 use std::io::ErrorKind;
@@ -64,7 +64,7 @@
                 Ok(None) => {}
                 Err(_) => return Err(AttemptOutcome::ConnectionLost),
             }
-            self.buffer.reserve(READ_SIZE);
+            self.buffer.reserve(READ_CAPACITY_BYTES);
             match self.stream.read_buf(&mut self.buffer).await {
                 Ok(count) if count > 0 => {}
                 _ => return Err(AttemptOutcome::ConnectionLost),
--- a/crates/client/src/pool/queue.rs
+++ b/crates/client/src/pool/queue.rs
@@ -1,21 +1,21 @@
-//! The calls that are queued for a connection.
+//! The queue of the calls that have no connection yet.
 
 use crate::rules;
 
 #[derive(Clone, Copy, Debug)]
 struct QueuedCall {
     call: u64,
-    /// Higher ones go first.
+    /// Calls with a higher weight get a connection first.
     priority_weight: f64,
-    /// Grows with each call that is queued.
+    /// Orders the calls by the time at which they were queued.
     sequence: u64,
 }
 
-/// Calls by priority, with a share of the connections for those that are queued longest.
+/// Calls by priority; a fixed share of the connections goes to the calls that are queued longest.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CallQueue {
     calls: Vec<QueuedCall>,
-    /// How often [`CallQueue::pop`] was called.
+    /// The number of calls of [`CallQueue::pop`].
     pops: u64,
 }
 
@@ -24,17 +24,17 @@
         self.calls.len()
     }
 
-    /// Adds a call; its sequence number must be higher than those before.
+    /// Adds a call; `sequence` must be higher than that of all calls added before.
     pub(super) fn push(&mut self, call: u64, priority_weight: f64, sequence: u64) {
         self.calls.push(QueuedCall { call, priority_weight, sequence });
     }
 
-    /// Removes a call, if it is queued.
+    /// Removes a call; no effect if the call is not queued.
     pub(super) fn remove(&mut self, call: u64) {
         self.calls.retain(|queued| queued.call != call);
     }
 
-    /// Removes the call with the lowest priority, and among equal ones the newest.
+    /// Removes and returns the call with the lowest priority; among equal priorities the newest.
     pub(super) fn remove_lowest_priority(&mut self) -> Option<u64> {
         let calls = self.calls.iter().enumerate();
         let lowest = calls.min_by(|(_, left), (_, right)| {
@@ -45,11 +45,12 @@
         Some(self.calls.remove(index).call)
     }
 
-    /// Removes and returns the call that is assigned the next connection.
+    /// Removes and returns the call that gets the next connection: the one with the highest priority, the oldest among
+    /// equal priorities; at fixed intervals the oldest of all.
     pub(super) fn pop(&mut self) -> Option<u64> {
         self.pops += 1;
         let calls = self.calls.iter().enumerate();
-        let first = if rules::is_turn_of_longest_queued(self.pops) {
+        let first = if rules::goes_to_longest_queued(self.pops) {
             calls.min_by_key(|(_, queued)| queued.sequence)
         } else {
             calls.min_by(|(_, left), (_, right)| {
--- a/crates/client/src/retry_budget.rs
+++ b/crates/client/src/retry_budget.rs
@@ -1,42 +1,43 @@
-//! How many retries a process may make. Each first attempt earns a part of a retry, so that retries do not multiply an
-//! overload; a small reserve allows idle processes to retry.
+//! How many retries a process may make. Each first attempt adds a fraction of a retry to the budget, so that retries
+//! stay a small share of all attempts and do not amplify an overload; a small reserve allows idle processes to retry.
 
 use crate::rules;
 use crate::time::Millis;
 
-/// The retries that a process has saved up.
+/// The retry budget of a process, shared by all its calls. [`RetryBudget::default`] has the reserve only.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    saved_retries: f64,
+    available_retries: f64,
+    /// The monotonic time of the last refill; `None` before the first.
     updated_at: Option<Millis>,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget { saved_retries: rules::RESERVED_RETRIES, updated_at: None }
+        RetryBudget { available_retries: rules::RESERVED_RETRIES, updated_at: None }
     }
 }
 
 impl RetryBudget {
-    /// Earns a part of a retry for a first attempt; `now`: monotonic time in ms.
+    /// Adds the fraction of a retry that a first attempt earns; called once for each call. `now` is monotonic.
     pub fn on_first_attempt(&mut self, now: Millis) {
         self.refill_reserve(now);
-        self.saved_retries = rules::retries_after_first_attempt(self.saved_retries);
+        self.available_retries = rules::retries_after_first_attempt(self.available_retries);
     }
 
-    /// Spends one retry; `now`: monotonic time in ms. Returns false if none is saved up.
+    /// Spends one retry. Returns `false` if the budget is below one: the caller must not retry. `now` is monotonic.
     pub fn try_spend(&mut self, now: Millis) -> bool {
         self.refill_reserve(now);
-        let has_retry = self.saved_retries >= 1.0;
-        if has_retry {
-            self.saved_retries -= 1.0;
+        let is_available = self.available_retries >= 1.0;
+        if is_available {
+            self.available_retries -= 1.0;
         }
-        has_retry
+        is_available
     }
 
-    /// Earns up to the reserve for the time that passed.
+    /// Adds what the time since the last refill earns, up to the reserve.
     fn refill_reserve(&mut self, now: Millis) {
         let elapsed = now - self.updated_at.replace(now).unwrap_or(now);
-        self.saved_retries = rules::retries_after_time(self.saved_retries, elapsed);
+        self.available_retries = rules::retries_after_time(self.available_retries, elapsed);
     }
 }
--- a/crates/client/src/wire/query.rs
+++ b/crates/client/src/wire/query.rs
@@ -60,8 +60,8 @@
         names.into_iter().flatten().all(is_plain_name)
     }
 
-    /// Encodes the query message; `None` if a name is not plain. Gateways execute an attempt only once its last byte has
-    /// arrived: one that was not written completely was not executed.
+    /// Encodes the query message; `None` if a name is not plain. Gateways execute an attempt only once its last byte
+    /// has arrived: one that was not written completely was not executed.
     #[must_use]
     pub fn encode(&self) -> Option<Bytes> {
         if !self.has_plain_names() {
