--- a/crates/client/src/acquired_connection.rs
+++ b/crates/client/src/acquired_connection.rs
@@ -1,4 +1,4 @@
-//! A connection while a call uses it.
+//! A connection that is assigned to a call, and the attempts on it.
 
 use crate::call::AttemptOutcome;
 use crate::connection::GatewayConnection;
@@ -10,8 +10,10 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// A connection that a call uses. Dropped while a query is in flight it is closed, which cancels the request.
+/// A connection that is assigned to a call. Dropping it before it is released closes the connection, by which the
+/// gateway cancels the request.
 pub(crate) struct AcquiredConnection {
+    /// `None` once the connection is released or closed.
     connection: Option<Box<GatewayConnection>>,
     events: mpsc::UnboundedSender<ConnectionEvent>,
 }
@@ -43,7 +45,7 @@
         }
     }
 
-    /// Returns the connection after an error; a fatal one closes it.
+    /// Returns the connection to the pool after an error; closes it if the error is fatal.
     fn finish_error(&mut self, is_fatal: bool) {
         if is_fatal {
             self.close(ConnectionEvent::Lost);
@@ -52,10 +54,10 @@
         }
     }
 
-    /// Makes one attempt: writes a query and reads its answer.
+    /// Makes one attempt: writes a query and reads the response.
     ///
     /// # Errors
-    /// How the attempt ended, where it returned no value.
+    /// The outcome of an attempt without a value; never [`AttemptOutcome::Success`].
     pub(crate) async fn attempt(
         &mut self, query: &[u8], time_limit: Duration,
     ) -> Result<Value, AttemptOutcome> {
@@ -87,7 +89,7 @@
                 Err(unless_unsent(AttemptOutcome::ConnectionLost))
             }
             Err(_) => {
-                // The answer may still arrive on it: it must not carry another query.
+                // The response may still arrive, and would be read as that of the next query on this connection.
                 self.close(ConnectionEvent::TimedOut);
                 Err(unless_unsent(AttemptOutcome::Timeout))
             }
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -1,4 +1,4 @@
-//! The client makes the attempts of calls on connections of the pool; all decisions are in [`crate::call`] and
+//! The client: makes the attempts of calls on connections of the pool. All decisions are in [`crate::call`] and
 //! [`crate::pool`].
 
 use crate::acquired_connection::AcquiredConnection;
@@ -13,7 +13,7 @@
 };
 use crate::retry_budget::RetryBudget;
 use crate::rules::{ACQUIRE_QUEUE_LENGTH, bounded_wait};
-use crate::time::{Millis, Timestamp};
+use crate::time::{Millis, Timestamp, millis};
 use crate::wire::Query;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -23,10 +23,10 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 
-/// Separates the random numbers of retries from those of the pool.
+/// Makes the random numbers of retries independent of those of the pool, which has the configured seed.
 const RETRY_SEED_MASK: u64 = 0x5bd1_e995;
 
-/// The inputs of retry decisions, shared by all calls.
+/// The state of retry decisions that all calls of a client share.
 struct RetryState {
     budget: RetryBudget,
     rng: Pcg64Mcg,
@@ -36,7 +36,7 @@
     config: ClientConfig,
     retry_state: Mutex<RetryState>,
     started_at: Instant,
-    last_call: AtomicU64,
+    next_call_id: AtomicU64,
     acquire_requests: mpsc::Sender<AcquireRequest>,
     events: mpsc::UnboundedSender<ConnectionEvent>,
     written_attempts: AtomicU64,
@@ -46,10 +46,7 @@
 impl Shared {
     fn now(&self) -> Timestamp {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Timestamp {
-            monotonic: self.started_at.elapsed().as_secs_f64() * 1000.0,
-            wall: since_epoch.as_secs_f64() * 1000.0,
-        }
+        Timestamp { monotonic: millis(self.started_at.elapsed()), wall: millis(since_epoch) }
     }
 
     fn retry_state(&self) -> MutexGuard<'_, RetryState> {
@@ -62,27 +59,28 @@
     }
 }
 
-/// Attempts that were written so far.
+/// The number of attempts of a [`Client`] and its clones since its start. An attempt counts as soon as its query is
+/// about to be written, also if the connection breaks before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptCounts {
-    /// All attempts.
+    /// First attempts and retries.
     pub written: u64,
-    /// Those of them that were retries.
+    /// Retries only.
     pub retries: u64,
 }
 
-/// How a call ended.
+/// The outcome of a call, with its value if it succeeded.
 enum CallResult {
     Succeeded(Value),
     Rejected,
     Failed,
     Unknown,
-    /// A name in the request cannot be sent.
+    /// Not sent: a name in the request is not plain.
     InvalidName,
 }
 
 impl CallResult {
-    /// `value`: the value of the last attempt; empty unless it succeeded.
+    /// `value` is used only if the call succeeded.
     fn new(outcome: CallOutcome, value: Value) -> Self {
         match outcome {
             CallOutcome::Succeeded => CallResult::Succeeded(value),
@@ -107,7 +105,7 @@
     }
 }
 
-/// How one call is executed.
+/// The parameters of a call that control its retries, its deadline and its position in the queue.
 #[derive(Clone, Copy)]
 struct CallOptions {
     idempotency: Idempotency,
@@ -115,14 +113,17 @@
     priority_weight: f64,
 }
 
-/// A client of some gateways. Clones share connections and the retry budget.
+/// A client of a set of gateways. Clones share connections and the retry budget: a process needs a single client.
 #[derive(Clone)]
 pub struct Client {
     shared: Arc<Shared>,
 }
 
 impl Client {
-    /// Starts a client on the current tokio runtime. It ends with its last clone.
+    /// Starts a client on the current tokio runtime. The client stops when its last clone is dropped.
+    ///
+    /// # Panics
+    /// Panics outside of a tokio runtime.
     #[must_use]
     pub fn start(config: ClientConfig) -> Self {
         let (acquire_requests, received_requests) = mpsc::channel(ACQUIRE_QUEUE_LENGTH);
@@ -135,7 +136,7 @@
             config,
             retry_state,
             started_at: Instant::now(),
-            last_call: AtomicU64::new(0),
+            next_call_id: AtomicU64::new(0),
             acquire_requests,
             events,
             written_attempts: AtomicU64::new(0),
@@ -144,7 +145,7 @@
         Client { shared: Arc::new(shared) }
     }
 
-    /// Attempts that were written so far.
+    /// The number of attempts that were made so far.
     #[must_use]
     pub fn attempt_counts(&self) -> AttemptCounts {
         AttemptCounts {
@@ -153,10 +154,10 @@
         }
     }
 
-    /// Sends a request that may be executed any number of times.
+    /// Sends a request that may be executed any number of times, with retries until its deadline.
     ///
     /// # Errors
-    /// [`RequestError::Rejected`], [`RequestError::Failed`], [`RequestError::InvalidName`].
+    /// [`RequestError::Rejected`], [`RequestError::Failed`] or [`RequestError::InvalidName`].
     pub async fn send_idempotent(&self, request: &IdempotentRequest) -> Result<Value, RequestError> {
         let content =
             RequestContent { class: &request.class, item: &request.item, document: None, key: None };
@@ -168,10 +169,10 @@
         self.run(content, options).await.into_result()
     }
 
-    /// Sends a request with an idempotency key.
+    /// Sends a request with an idempotency key, with retries until its deadline or the end of its deduplication window.
     ///
     /// # Errors
-    /// [`RequestError::Rejected`], [`RequestError::Unknown`], [`RequestError::InvalidName`].
+    /// [`RequestError::Rejected`], [`RequestError::Unknown`] or [`RequestError::InvalidName`].
     pub async fn send_keyed(&self, request: &KeyedRequest) -> Result<Value, RequestError> {
         let content = RequestContent {
             class: &request.class,
@@ -187,7 +188,7 @@
         self.run(content, options).await.into_result()
     }
 
-    /// Sends a request that must be executed once at most.
+    /// Sends a request that must be executed at most once. Retries only attempts that were definitely not executed.
     pub async fn send_non_idempotent(&self, request: NonIdempotentRequest) -> NonIdempotentOutcome {
         let content = RequestContent {
             class: &request.class,
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Makes the attempts of one call until it has a result. A dropped call closes the connection that it uses.
+    /// Makes the attempts of a call until it has an outcome. Dropping the future closes the connection of the call.
     async fn run(&self, content: RequestContent<'_>, options: CallOptions) -> CallResult {
         let shared = &self.shared;
         let query = content.to_query(shared.config.tenant.as_deref());
@@ -252,7 +253,7 @@
         }
     }
 
-    /// Makes one attempt under a new id; none if a name cannot be sent.
+    /// Makes one attempt with a new random id; `None` if a name is not plain.
     async fn attempt(
         &self, connection: &mut AcquiredConnection, query: &Query<'_>, time_limit: Millis,
     ) -> Option<Result<Value, AttemptOutcome>> {
@@ -262,9 +263,9 @@
         Some(connection.attempt(&message, bounded_wait(time_limit)).await)
     }
 
-    /// Waits for a connection; none if the call was rejected by the full queue.
+    /// Waits for a connection; `None` if the call was rejected because the queue is full.
     async fn acquire(&self, priority_weight: f64) -> Option<AcquiredConnection> {
-        let call = self.shared.last_call.fetch_add(1, Ordering::Relaxed);
+        let call = self.shared.next_call_id.fetch_add(1, Ordering::Relaxed);
         let (reply, assigned) = oneshot::channel();
         let mut pending = PendingAcquire { call, events: Some(self.shared.events.clone()) };
         let request = AcquireRequest { call, priority_weight, reply };
@@ -275,10 +276,10 @@
     }
 }
 
-/// A request for a connection, cancelled when its call is dropped.
+/// A request for a connection. Dropping it cancels the request.
 struct PendingAcquire {
     call: u64,
-    /// None once the pool driver has answered.
+    /// `None` once the pool driver has assigned a connection or rejected the call.
     events: Option<mpsc::UnboundedSender<ConnectionEvent>>,
 }
 
--- a/crates/client/src/config.rs
+++ b/crates/client/src/config.rs
@@ -1,38 +1,50 @@
-//! The configuration of a client.
+//! The configuration of a client, and its defaults.
 
 use crate::rules::{self, PoolLimits};
 use crate::time::Millis;
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The configuration of a client. `#[non_exhaustive]`: start from [`ClientConfig::new`].
+/// Moves the process id to bits that the clock, in nanoseconds, changes only every 18 minutes: the seeds of processes
+/// that start simultaneously differ.
+const PROCESS_ID_SHIFT_BITS: u32 = 40;
+
+/// The configuration of a [`Client`](crate::Client), read once when the client starts. Create it by
+/// [`ClientConfig::new`], which sets the defaults, and change single fields.
 #[derive(Clone, Debug)]
 #[non_exhaustive]
 pub struct ClientConfig {
-    /// The addresses of the gateways; each process prefers one of them at random.
+    /// The addresses of the gateways, in any order: each client ranks them at random. Without any, each request is
+    /// rejected at its deadline.
     pub gateways: Vec<SocketAddr>,
-    /// Connections at most, those being opened included.
+    /// The maximum number of connections to all gateways, including those being opened; at least 1. 8 by default.
     pub max_connections: usize,
-    /// Connections being opened at most.
+    /// The maximum number of connections that are being opened; at least 1. 2 by default.
     pub max_connecting: usize,
-    /// Calls queued for a connection at most; beyond that the ones with the lowest priority are rejected.
+    /// The maximum number of calls queued for a connection, at least 1; one more rejects the call with the lowest
+    /// priority. 256 by default.
     pub max_queued_calls: usize,
-    /// Time in ms after which an idle connection is closed. Gateways close theirs after some two seconds.
+    /// An idle connection is closed after this time; it must be below the idle timeout of gateways, about two seconds.
+    /// 1.5 seconds by default.
     pub idle_timeout: Millis,
-    /// Time in ms after which any connection is closed, less up to a fifth at random.
+    /// A connection is closed at this age as soon as it is idle; up to a fifth is subtracted at random. One minute by
+    /// default.
     pub max_connection_age: Millis,
-    /// Time in ms within which a connection must be established and ready.
+    /// The time within which a connection must be established and the gateway ready for queries. One second by default.
     pub connect_timeout: Millis,
-    /// Time in ms that a request needs at least: nothing is sent with less remaining.
+    /// The least time in which a request can succeed: no attempt is sent with less time until its deadline. At
+    /// least 1 millisecond, 5 by default.
     pub min_request_time: Millis,
-    /// The tenant that is sent to gateways, if any.
+    /// The tenant that is sent with each request; `None` by default. A value that is not a plain name fails each
+    /// request with [`RequestError::InvalidName`](crate::RequestError::InvalidName).
     pub tenant: Option<String>,
-    /// The seed of the random number generators; two processes must not share one.
+    /// The seed of the random number generators. Processes with the same seed prefer the same gateway and reconnect
+    /// simultaneously; also the ids of their attempts collide.
     pub seed: u64,
 }
 
 impl ClientConfig {
-    /// The default configuration for these gateways, with a seed from the system's clock and the id of this process.
+    /// The default configuration for these gateways, with a seed from the wall clock and the process id.
     #[must_use]
     pub fn new(gateways: Vec<SocketAddr>) -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -47,11 +59,11 @@
             connect_timeout: rules::DEFAULT_CONNECT_TIMEOUT,
             min_request_time: rules::DEFAULT_MIN_REQUEST_TIME,
             tenant: None,
-            seed: since_epoch.as_nanos() as u64 ^ process_id.rotate_left(40),
+            seed: since_epoch.as_nanos() as u64 ^ process_id.rotate_left(PROCESS_ID_SHIFT_BITS),
         }
     }
 
-    /// The limits of the pool; each number is at least 1.
+    /// The limits of the pool: counts of 0 are raised to 1.
     pub(crate) fn pool_limits(&self) -> PoolLimits {
         PoolLimits {
             max_connections: self.max_connections.max(1),
--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a gateway.
+//! A connection to a gateway on a socket.
 
 use crate::call::AttemptOutcome;
 use crate::rules::READ_CAPACITY_BYTES;
@@ -9,15 +9,16 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A connection, and the bytes that were read from it and are not parsed yet.
 pub(crate) struct GatewayConnection {
     pub(crate) id: u64,
     stream: TcpStream,
+    /// Bytes that were received and not parsed yet.
     buffer: BytesMut,
 }
 
 impl GatewayConnection {
-    /// Connects; none if the gateway is not ready for a query.
+    /// Opens a connection and waits until the gateway is ready for queries; `None` if either fails. Has no
+    /// timeout of its own.
     pub(crate) async fn connect(id: u64, gateway: SocketAddr) -> Option<Self> {
         let mut stream = TcpStream::connect(gateway).await.ok()?;
         stream.set_nodelay(true).ok()?;
@@ -29,18 +30,20 @@
         }
     }
 
-    /// True if the gateway has closed it, or has sent bytes without a query.
+    /// Returns `true` if the gateway has closed the connection, or has sent bytes without a query. Called only while
+    /// the connection is idle.
     pub(crate) fn is_unusable(&self) -> bool {
         let read = self.stream.try_read(&mut [0]);
         !matches!(read, Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// True if bytes remain that belong to no answer.
+    /// Returns `true` if bytes have arrived after the end of the last response.
     pub(crate) fn has_unread_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Writes a query; `written` counts its bytes even if this future is dropped before it completes.
+    /// Writes a query, and adds the number of bytes written to `written`, which is valid even if this future is dropped
+    /// before it completes.
     pub(crate) async fn write_query(
         &mut self, query: &[u8], written: &mut usize,
     ) -> Result<(), AttemptOutcome> {
@@ -55,7 +58,7 @@
         Ok(())
     }
 
-    /// Reads one answer, up to `ReadyForQuery` or a fatal error.
+    /// Reads one response, up to `ReadyForQuery` or a fatal error.
     pub(crate) async fn read_response(&mut self) -> Result<Response, AttemptOutcome> {
         let mut reader = ResponseReader::default();
         loop {
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,20 +1,20 @@
-//! A client of latchhaven's gateways. It enforces timeouts, retries only what may be retried, honours rejections, and
-//! spreads its reconnects over time.
+//! A client of latchhaven's gateways. It enforces timeouts, retries only attempts that may be retried, waits as long as
+//! rejections demand, and spreads reconnects over time.
 //!
-//! Decisions are pure modules, driven by sockets or by simulated time:
-//! - `rules`: every rule and limit of calls, retries, reconnects and pools.
-//! - [`call`]: what one call does next, given the outcomes of its attempts.
-//! - [`retry_budget`]: how many retries a process may make.
-//! - [`pool`]: which connections are opened, retained and closed, and which call gets one.
-//! - [`wire`]: the client side of the protocol; a parser without sockets.
-//! - [`time`]: points in time and spans.
+//! All decisions are in modules without I/O and clock, which run on sockets or in simulated time:
+//! - `rules`: the rules and limits of calls, retries, reconnects and pools.
+//! - [`call`]: decides the next step of a call, given the outcomes of its attempts.
+//! - [`retry_budget`]: limits the number of retries that a process makes.
+//! - [`pool`]: decides which connections are opened and closed, and which call gets one.
+//! - [`wire`]: encodes queries and parses responses.
+//! - [`time`]: timestamps on a monotonic and a wall clock.
 //!
-//! [`client`] drives them on tokio, for the requests in [`request`] and with the configuration in [`config`].
+//! [`client`] runs these modules on tokio, for the requests in [`request`] and with the configuration in [`config`].
 
 #![warn(clippy::pedantic)]
 #![allow(clippy::cast_possible_truncation, reason = "lengths are bounded, and times in ms fit in 53 bits")]
 #![allow(clippy::cast_precision_loss, reason = "counts and times in ms stay below 2^53")]
-#![allow(clippy::cast_sign_loss, reason = "remaining times are checked to be positive")]
+#![allow(clippy::cast_sign_loss, reason = "times that are cast are checked to be positive")]
 
 mod acquired_connection;
 pub mod call;
--- a/crates/client/src/pool.rs
+++ b/crates/client/src/pool.rs
@@ -201,8 +201,7 @@
         self.reconnect_at = Some(self.reconnect_at.map_or(failover_at, |at| at.max(failover_at)));
     }
 
-    /// Closes, assigns and opens connections as is due at `now`. The driver calls this at [`Pool::next_poll_at`] at the
-    /// latest.
+    /// Closes, assigns and opens connections as is due at `now`. Called at [`Pool::next_poll_at`] at the latest.
     pub fn poll(&mut self, now: Millis) -> Vec<PoolAction> {
         let mut actions = self.close_expired(now);
         self.assign_idle(&mut actions);
--- a/crates/client/src/pool_driver.rs
+++ b/crates/client/src/pool_driver.rs
@@ -1,11 +1,11 @@
-//! The task that owns the pool and carries out its actions.
+//! The task that owns the pool and executes its actions.
 
 use crate::config::ClientConfig;
 use crate::connection::GatewayConnection;
 use crate::pool::{Pool, PoolAction};
 use crate::pool_messages::{AcquireRequest, ConnectionEvent};
 use crate::rules::{bounded_wait, poll_interval};
-use crate::time::Millis;
+use crate::time::{Millis, millis};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 
-/// Owns the pool, its idle connections, and the replies to the calls that are queued for one.
+/// Owns the pool, the idle connections, and a channel to each call that is queued for a connection.
 pub(crate) struct PoolDriver {
     pool: Pool,
     started_at: Instant,
@@ -25,7 +25,7 @@
 }
 
 impl PoolDriver {
-    /// `events`: the sender of the events that [`PoolDriver::run`] receives.
+    /// `events` is the sender to the receiver that is passed to [`PoolDriver::run`].
     pub(crate) fn new(config: &ClientConfig, events: mpsc::UnboundedSender<ConnectionEvent>) -> Self {
         PoolDriver {
             pool: Pool::new(config.gateways.len(), config.pool_limits(), config.seed),
@@ -39,10 +39,10 @@
     }
 
     fn now(&self) -> Millis {
-        self.started_at.elapsed().as_secs_f64() * 1000.0
+        millis(self.started_at.elapsed())
     }
 
-    /// Runs until the last clone of the client is dropped; connections in use are dropped with their calls.
+    /// Runs until the last clone of the client is dropped. Connections in use are closed when their calls are dropped.
     pub(crate) async fn run(
         mut self, mut requests: mpsc::Receiver<AcquireRequest>,
         mut events: mpsc::UnboundedReceiver<ConnectionEvent>,
@@ -60,29 +60,30 @@
                     None => return,
                 },
                 () = sleep(poll_delay) => {
-                    self.remove_unusable();
+                    self.remove_unusable_idle();
                     self.pool.poll(self.now())
                 }
             };
-            self.carry_out(actions);
+            self.execute(actions);
         }
     }
 
     fn on_acquire(&mut self, request: AcquireRequest) -> Vec<PoolAction> {
         let AcquireRequest { call, priority_weight, reply } = request;
-        self.remove_unusable();
+        self.remove_unusable_idle();
         self.queued.insert(call, reply);
         self.pool.acquire(call, priority_weight, self.now())
     }
 
-    /// Removes idle connections that their gateways have closed; no gateway counts as lost.
-    fn remove_unusable(&mut self) {
+    /// Removes idle connections that gateways have closed, or on which unsolicited bytes have arrived. The gateways do
+    /// not count as lost.
+    fn remove_unusable_idle(&mut self) {
         let unusable = self.idle.values().filter(|connection| connection.is_unusable());
         let unusable: Vec<u64> = unusable.map(|connection| connection.id).collect();
         for connection in unusable {
             self.idle.remove(&connection);
             let actions = self.pool.on_connection_lost(connection, None, self.now());
-            self.carry_out(actions);
+            self.execute(actions);
         }
     }
 
@@ -116,7 +117,7 @@
         self.pool.release(id, now)
     }
 
-    fn carry_out(&mut self, actions: Vec<PoolAction>) {
+    fn execute(&mut self, actions: Vec<PoolAction>) {
         let mut actions = VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
             match action {
@@ -142,7 +143,7 @@
         });
     }
 
-    /// Assigns a connection to a call; where the call was cancelled the connection is idle again.
+    /// Assigns a connection to a call. If the call was cancelled meanwhile, returns the connection to the pool.
     fn assign(&mut self, call: u64, connection: u64) -> Vec<PoolAction> {
         let reply = self.queued.remove(&call);
         let Some(idle) = self.idle.remove(&connection) else { return Vec::new() };
@@ -150,9 +151,9 @@
             Some(reply) => reply.send(idle),
             None => Err(idle),
         };
-        let Err(unclaimed) = result else { return Vec::new() };
+        let Err(unassigned) = result else { return Vec::new() };
         let now = self.now();
-        self.idle.insert(connection, unclaimed);
+        self.idle.insert(connection, unassigned);
         self.pool.release(connection, now)
     }
 }
--- a/crates/client/src/pool_messages.rs
+++ b/crates/client/src/pool_messages.rs
@@ -1,32 +1,32 @@
-//! The messages from calls and connections to the task that owns the pool.
+//! The messages from calls and connections to the task that owns the pool, see `pool_driver`.
 
 use crate::connection::GatewayConnection;
 use tokio::sync::oneshot;
 
 /// A call's request for a connection.
 pub(crate) struct AcquireRequest {
-    /// The id of the call.
     pub(crate) call: u64,
-    /// Higher ones go first.
+    /// Calls with a higher weight get a connection first.
     pub(crate) priority_weight: f64,
-    /// Dropped if the call gets no connection.
+    /// Receives the connection; dropped if the call is rejected.
     pub(crate) reply: oneshot::Sender<Box<GatewayConnection>>,
 }
 
-/// What happened to a connection, by its id, or to a call. At most one event is in flight for each connection.
+/// An event of a connection, which is passed by its id or returned to the pool, or of a call. Each connection has at
+/// most one event that the pool driver has not received yet.
 pub(crate) enum ConnectionEvent {
-    /// It was established.
+    /// The connection was established, and the gateway is ready.
     Connected(Box<GatewayConnection>),
-    /// It could not be established.
+    /// The connection could not be established within its timeout.
     ConnectFailed(u64),
-    /// It may be used again.
+    /// The call no longer uses the connection; another call may use it.
     Released(Box<GatewayConnection>),
-    /// It broke, or its answer was malformed.
+    /// The connection broke, the gateway closed it with a fatal error, or a response was malformed.
     Lost(u64),
-    /// It was closed without an answer before the timeout.
+    /// The connection was closed because no response arrived before the deadline of the call.
     TimedOut(u64),
-    /// It was closed because its call was cancelled.
+    /// The connection was closed because its call was cancelled.
     Discarded(u64),
-    /// This call is no longer queued for a connection.
+    /// The call was cancelled while it was queued for a connection.
     AcquireCancelled(u64),
 }
--- a/crates/client/src/request.rs
+++ b/crates/client/src/request.rs
@@ -1,46 +1,52 @@
-//! Requests by whether executing them more than once is harmless, and their outcomes.
+//! The requests of a client, one type for each guarantee about repeated execution, and their outcomes.
 
 use crate::time::Millis;
 use crate::wire::Query;
 use bytes::Bytes;
 
-/// A value as an endpoint returned it.
+/// The bytes of an item as an endpoint returned them; the library does not interpret them.
 pub type Value = Bytes;
 
-/// A request that may be executed any number of times: it reads an item.
+/// A request that may be executed any number of times, because it only reads an item. Sent by
+/// [`Client::send_idempotent`](crate::Client::send_idempotent).
 #[derive(Clone, Debug, PartialEq)]
 pub struct IdempotentRequest {
-    /// The name of the request class.
+    /// The request class, a name from the configuration of the gateways.
     pub class: String,
-    /// The id of the item.
+    /// The id of the item in the store.
     pub item: String,
-    /// The time in ms after which an answer is of no use.
+    /// The call ends at the latest after this time, including all retries and backoffs.
     pub timeout: Millis,
-    /// Requests with a higher weight get a connection first.
+    /// Requests with a higher weight get a connection first, and are rejected last if the queue is full. Not sent to
+    /// gateways.
     pub priority_weight: f64,
 }
 
-/// A request with a key by which endpoints drop duplicates: it writes an item.
+/// A request that writes an item, with an idempotency key by which endpoints drop duplicates. Sent by
+/// [`Client::send_keyed`](crate::Client::send_keyed).
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyedRequest {
-    /// The name of the request class.
+    /// The request class, a name from the configuration of the gateways.
     pub class: String,
-    /// The id of the item.
+    /// The id of the item in the store.
     pub item: String,
-    /// What is written.
+    /// The bytes to write to the item.
     pub document: Vec<u8>,
-    /// The idempotency key.
+    /// The idempotency key, the same for each attempt; it must not be used for any other request.
     pub key: String,
-    /// The time in ms, from the first attempt that was possibly executed, in which endpoints drop duplicates.
+    /// The time during which endpoints drop duplicates, from the first attempt that was possibly executed. No retry is
+    /// sent in the last 20 ms, nor after the window.
     pub dedup_window: Millis,
-    /// The time in ms after which an answer is of no use.
+    /// The call ends at the latest after this time, including all retries and backoffs.
     pub timeout: Millis,
-    /// Requests with a higher weight get a connection first.
+    /// Requests with a higher weight get a connection first, and are rejected last if the queue is full. Not sent to
+    /// gateways.
     pub priority_weight: f64,
 }
 
-/// A request that must be executed once at most: it writes an item. It is not `Clone`, and sending it moves it, so that
-/// it cannot be sent again by mistake.
+/// A request that writes an item and must be executed at most once. Sent by
+/// [`Client::send_non_idempotent`](crate::Client::send_non_idempotent), which consumes it; the type does not implement
+/// `Clone`, so that a request cannot be sent again by mistake.
 ///
 /// ```compile_fail
 /// # async fn send(client: latchhaven_client::Client, payment: latchhaven_client::NonIdempotentRequest) {
@@ -56,50 +62,57 @@
 /// ```
 #[derive(Debug, PartialEq)]
 pub struct NonIdempotentRequest {
-    /// The name of the request class.
+    /// The request class, a name from the configuration of the gateways.
     pub class: String,
-    /// The id of the item.
+    /// The id of the item in the store.
     pub item: String,
-    /// What is written.
+    /// The bytes to write to the item.
     pub document: Vec<u8>,
-    /// The time in ms after which an answer is of no use.
+    /// The call ends at the latest after this time, including all retries and backoffs.
     pub timeout: Millis,
-    /// Requests with a higher weight get a connection first.
+    /// Requests with a higher weight get a connection first, and are rejected last if the queue is full. Not sent to
+    /// gateways.
     pub priority_weight: f64,
 }
 
-/// The outcome of a [`NonIdempotentRequest`].
+/// How a [`NonIdempotentRequest`] ended, and whether the caller may send it again.
 #[derive(Debug, PartialEq)]
 pub enum NonIdempotentOutcome {
-    /// It was executed.
+    /// The request was executed, with this value.
     Succeeded(Value),
-    /// It was definitely not executed. The request is returned: sending it again is harmless.
+    /// The request was definitely not executed. It is returned to the caller, who may send it again.
     Rejected(NonIdempotentRequest),
-    /// It was possibly executed; verify the effect by other means before sending anything again.
+    /// The request was possibly executed. The caller must verify its effect by other means, and must not send it again
+    /// before.
     Unknown,
-    /// A name in it cannot be sent: it was not executed.
+    /// A name in the request cannot be sent, as in [`RequestError::InvalidName`]: the request was not executed. Sending
+    /// it again without a change fails again.
     InvalidName(NonIdempotentRequest),
 }
 
-/// Why an idempotent or keyed request has no value.
+/// Why an idempotent or keyed request has no value, and what the caller may do.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum RequestError {
-    /// It was definitely not executed.
+    /// The request was definitely not executed; the caller may send it again later.
     #[error("rejected before execution; a retry is harmless")]
     Rejected,
-    /// No answer before the timeout, or an error; a retry is harmless since the request is idempotent.
+    /// No response before the deadline, or an error. The caller may send the request again because it is idempotent;
+    /// keyed requests never have this error.
     #[error("failed; a retry is harmless because the request is idempotent")]
     Failed,
-    /// It was possibly executed, and endpoints may no longer recognize its key.
+    /// The request was possibly executed, and endpoints may no longer recognize its key. The caller must verify its
+    /// effect, and must not send it again before. Idempotent requests never have this error.
     #[error("outcome unknown: the request was possibly executed")]
     Unknown,
-    /// A name in it contains a character that the protocol cannot carry, or is longer than 128 bytes.
+    /// A name, id or key is empty, longer than 128 bytes, or contains a character other than ASCII letters, digits,
+    /// `-`,
+    /// `_`, `.` and `:`. The request was not sent.
     #[error("a name contains a character that cannot be sent, or is longer than 128 bytes")]
     InvalidName,
 }
 
-/// The content of a request, the same in each attempt.
+/// The parts of a request that are the same in each attempt.
 #[derive(Clone, Copy)]
 pub(crate) struct RequestContent<'a> {
     pub(crate) class: &'a str,
@@ -109,7 +122,8 @@
 }
 
 impl<'a> RequestContent<'a> {
-    /// A query with this content; the id and the time remaining are placeholders.
+    /// Creates a query with this content. The caller replaces the id, the time remaining and the retry flag for each
+    /// attempt.
     pub(crate) fn to_query<'b>(self, tenant: Option<&'b str>) -> Query<'b>
     where
         'a: 'b,
--- a/crates/client/src/rules.rs
+++ b/crates/client/src/rules.rs
@@ -6,6 +6,7 @@
 //! gateways. Method: delays with full jitter, a retry budget that first attempts refill, and a single connection to a
 //! gateway that has not responded since its last failure.
 
+use crate::time::MILLIS_PER_SECOND;
 use latchhaven_backoff::{ExponentialBackoff, Jitter, Millis};
 use rand::{Rng, RngExt};
 use std::time::Duration;
@@ -238,5 +239,5 @@
 
 /// Converts a time to wait, limited to the range from 0 to one day.
 pub(crate) fn bounded_wait(time: Millis) -> Duration {
-    Duration::from_secs_f64(time.clamp(0.0, MAX_WAIT) / 1000.0)
+    Duration::from_secs_f64(time.clamp(0.0, MAX_WAIT) / MILLIS_PER_SECOND)
 }
