--- a/crates/client/examples/app.rs
+++ b/crates/client/examples/app.rs
@@ -1,4 +1,5 @@
-//! An application that reads items: `cargo run -p latchhaven-client --example app -- 127.0.0.1:15432`.
+//! An application that reads items. The arguments are the addresses of the gateways:
+//! `cargo run -p latchhaven-client --example app -- 127.0.0.1:15432`.
 
 use latchhaven_client::{Client, ClientConfig, IdempotentRequest};
 
--- a/crates/client/examples/counter_terminal.rs
+++ b/crates/client/examples/counter_terminal.rs
@@ -1,9 +1,10 @@
-//! A payment terminal: a payment whose outcome is unknown is verified by a read, and never sent again.
+//! A payment terminal: a rejected payment is sent again; one whose outcome is unknown is never sent again, its receipt
+//! must be checked. The arguments are the addresses of the gateways.
 
 use latchhaven_client::{Client, ClientConfig, NonIdempotentOutcome, NonIdempotentRequest};
 
-/// Attempts to send a rejected payment.
-const MAX_ATTEMPTS: usize = 3;
+/// The number of calls for a payment that is rejected each time; the library makes the retries of each call.
+const MAX_CALLS: usize = 3;
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<(), Box<dyn std::error::Error>> {
@@ -16,23 +17,23 @@
         timeout: 4_000.0,
         priority_weight: 2.0,
     };
-    for _ in 0..MAX_ATTEMPTS {
+    for _ in 0..MAX_CALLS {
         match client.send_non_idempotent(payment).await {
             NonIdempotentOutcome::Succeeded(value) => {
                 println!("paid: {} bytes", value.len());
                 return Ok(());
             }
-            // Not executed: the request is returned and may be sent again.
-            NonIdempotentOutcome::Rejected(unsent) => payment = unsent,
+            // The payment was not executed: the request is returned and may be sent again.
+            NonIdempotentOutcome::Rejected(rejected) => payment = rejected,
             NonIdempotentOutcome::Unknown => {
-                println!("unknown: check the receipt before the next payment");
+                println!("outcome unknown: check the receipt before the next payment");
                 return Ok(());
             }
             NonIdempotentOutcome::InvalidName(request) => {
-                return Err(format!("cannot be sent: {request:?}").into());
+                return Err(format!("invalid name in the request: {request:?}").into());
             }
         }
     }
-    println!("not paid: the gateways are overloaded");
+    println!("not paid: rejected {MAX_CALLS} times");
     Ok(())
 }
--- a/crates/client/examples/phone_desk.rs
+++ b/crates/client/examples/phone_desk.rs
@@ -1,8 +1,8 @@
-//! A phone desk that places orders: many concurrently, each with the key by which endpoints drop duplicates.
+//! A phone desk that places many orders concurrently, each with an idempotency key. The arguments are the addresses of
+//! the gateways.
 
 use latchhaven_client::{AttemptCounts, Client, ClientConfig, KeyedRequest};
 
-/// Requests that are in flight concurrently.
 const CONCURRENT_REQUESTS: u8 = 20;
 
 fn order(number: u8) -> KeyedRequest {
@@ -25,13 +25,13 @@
     for number in 0..CONCURRENT_REQUESTS {
         let client = client.clone();
         let request = order(number);
-        tasks.push(tokio::spawn(async move { (client.send_keyed(&request).await, request) }));
+        tasks.push(tokio::spawn(async move { (request.item.clone(), client.send_keyed(&request).await) }));
     }
     for task in tasks {
-        let (result, request) = task.await?;
+        let (item, result) = task.await?;
         match result {
-            Ok(_) => println!("{}: placed", request.item),
-            Err(error) => println!("{}: {error}", request.item),
+            Ok(_) => println!("{item}: placed"),
+            Err(error) => println!("{item}: {error}"),
         }
     }
     let AttemptCounts { written, retries } = client.attempt_counts();
--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -17,8 +17,8 @@
 }
 
 impl GatewayConnection {
-    /// Opens a connection and waits until the gateway is ready for queries; `None` if either fails. Has no
-    /// timeout of its own.
+    /// Opens a connection and waits until the gateway is ready for queries; `None` if either fails. Has no timeout of
+    /// its own.
     pub(crate) async fn connect(id: u64, gateway: SocketAddr) -> Option<Self> {
         let mut stream = TcpStream::connect(gateway).await.ok()?;
         stream.set_nodelay(true).ok()?;
--- a/crates/client/src/request.rs
+++ b/crates/client/src/request.rs
@@ -105,10 +105,9 @@
     /// effect, and must not send it again before. Idempotent requests never have this error.
     #[error("outcome unknown: the request was possibly executed")]
     Unknown,
-    /// A name, id or key is empty, longer than 128 bytes, or contains a character other than ASCII letters, digits,
-    /// `-`,
-    /// `_`, `.` and `:`. The request was not sent.
-    #[error("a name contains a character that cannot be sent, or is longer than 128 bytes")]
+    /// A name, id or key does not consist of 1 to 128 ASCII letters, digits and the characters `-`, `_`, `.` and `:`.
+    /// The request was not sent, and sending it again without a change fails again.
+    #[error("a name, id or key does not consist of 1 to 128 ASCII letters, digits, '-', '_', '.' and ':'")]
     InvalidName,
 }
 
--- a/crates/client/tests/client.rs
+++ b/crates/client/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client on real sockets, against a gateway that follows a script.
+//! The client on real sockets, against a gateway with scripted responses.
 
 use latchhaven_client::{
     AttemptCounts, Client, ClientConfig, IdempotentRequest, KeyedRequest, NonIdempotentOutcome,
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The messages of a gateway in reply to a query.
+// The messages of a gateway's responses.
 const VALUE: &[Message] = &[(b'D', b"\0\x01\0\0\0\x03abc"), (b'C', b"SELECT 1\0"), READY];
 const REJECTED: &[Message] = &[(b'E', b"SERROR\0C53300\0\0"), READY];
 const REJECTED_FOR_30_S: &[Message] = &[(b'E', b"SERROR\0C53300\0D30000\0\0"), READY];
@@ -30,39 +30,40 @@
     bytes
 }
 
-/// The reply of a gateway to a query.
+/// What the gateway does after a query.
 #[derive(Clone, Copy, Debug)]
-enum Reply {
-    Send(&'static [Message]),
-    /// Closes the connection without an answer.
+enum GatewayAction {
+    Respond(&'static [Message]),
+    /// Closes the connection without a response.
     Close,
-    /// Never answers.
-    Nothing,
+    /// Sends no response and leaves the connection open.
+    Ignore,
 }
 
-/// The records of a gateway.
+/// What the gateway has received.
 #[derive(Default)]
-struct Log {
+struct GatewayLog {
     connections: usize,
     queries: Vec<String>,
 }
 
 struct Gateway {
     address: SocketAddr,
-    log: Arc<Mutex<Log>>,
+    log: Arc<Mutex<GatewayLog>>,
 }
 
 impl Gateway {
-    /// Answers queries by these replies, in turn; the last one also answers all further ones.
-    async fn start(replies: &[Reply]) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let log = Arc::new(Mutex::new(Log::default()));
-        let script = Arc::new(Mutex::new(VecDeque::from(replies.to_vec())));
+    /// Starts a gateway that takes one action for each query, in this order; the last action also for all further
+    /// queries.
+    async fn start(actions: &[GatewayAction]) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("listener is bound");
+        let address = listener.local_addr().expect("listener has an address");
+        let log = Arc::new(Mutex::new(GatewayLog::default()));
+        let script = Arc::new(Mutex::new(VecDeque::from(actions.to_vec())));
         let gateway = Gateway { address, log: log.clone() };
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                log.lock().expect("the log").connections += 1;
+                log.lock().expect("log mutex is not poisoned").connections += 1;
                 tokio::spawn(serve(stream, script.clone(), log.clone()));
             }
         });
@@ -74,15 +75,15 @@
     }
 
     fn queries(&self) -> Vec<String> {
-        self.log.lock().expect("the log").queries.clone()
+        self.log.lock().expect("log mutex is not poisoned").queries.clone()
     }
 
     fn connections(&self) -> usize {
-        self.log.lock().expect("the log").connections
+        self.log.lock().expect("log mutex is not poisoned").connections
     }
 }
 
-/// Reads what follows a length field that counts itself.
+/// Reads a length field, which counts its own bytes, and returns the bytes after it.
 async fn read_body(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let length = stream.read_u32().await.ok()?;
     let mut body = vec![0; length as usize - 4];
@@ -91,22 +92,25 @@
 }
 
 async fn serve(
-    mut stream: TcpStream, script: Arc<Mutex<VecDeque<Reply>>>, log: Arc<Mutex<Log>>,
+    mut stream: TcpStream, script: Arc<Mutex<VecDeque<GatewayAction>>>, log: Arc<Mutex<GatewayLog>>,
 ) -> Option<()> {
     read_body(&mut stream).await?;
     stream.write_all(&encode(&[READY])).await.ok()?;
     loop {
         assert_eq!(stream.read_u8().await.ok()?, b'Q');
         let query = read_body(&mut stream).await?;
-        log.lock().expect("the log").queries.push(String::from_utf8_lossy(&query).into_owned());
-        let reply = {
-            let mut script = script.lock().expect("the script");
+        log.lock()
+            .expect("log mutex is not poisoned")
+            .queries
+            .push(String::from_utf8_lossy(&query).into_owned());
+        let action = {
+            let mut script = script.lock().expect("script mutex is not poisoned");
             if script.len() > 1 { script.pop_front() } else { script.front().copied() }
         };
-        match reply? {
-            Reply::Send(messages) => stream.write_all(&encode(messages)).await.ok()?,
-            Reply::Close => return None,
-            Reply::Nothing => {}
+        match action? {
+            GatewayAction::Respond(messages) => stream.write_all(&encode(messages)).await.ok()?,
+            GatewayAction::Close => return None,
+            GatewayAction::Ignore => {}
         }
     }
 }
@@ -143,8 +147,8 @@
 }
 
 #[tokio::test]
-async fn connection_is_used_again_after_an_answer() {
-    let gateway = Gateway::start(&[Reply::Send(VALUE)]).await;
+async fn connection_is_reused_after_a_response() {
+    let gateway = Gateway::start(&[GatewayAction::Respond(VALUE)]).await;
     let client = gateway.client();
     for _ in 0..3 {
         assert_eq!(client.send_idempotent(&read_request(5_000.0)).await, Ok(Value::from_static(b"abc")));
@@ -157,7 +161,7 @@
 
 #[tokio::test]
 async fn rejected_attempt_is_retried_under_a_new_id() {
-    let gateway = Gateway::start(&[Reply::Send(REJECTED), Reply::Send(VALUE)]).await;
+    let gateway = Gateway::start(&[GatewayAction::Respond(REJECTED), GatewayAction::Respond(VALUE)]).await;
     let client = gateway.client();
     let outcome = client.send_non_idempotent(payment()).await;
     assert_eq!(outcome, NonIdempotentOutcome::Succeeded(Value::from_static(b"abc")));
@@ -170,7 +174,7 @@
 
 #[tokio::test]
 async fn rejected_non_idempotent_request_is_returned() {
-    let gateway = Gateway::start(&[Reply::Send(REJECTED_FOR_30_S)]).await;
+    let gateway = Gateway::start(&[GatewayAction::Respond(REJECTED_FOR_30_S)]).await;
     let outcome = gateway.client().send_non_idempotent(payment()).await;
     assert_eq!(outcome, NonIdempotentOutcome::Rejected(payment()));
     assert_eq!(gateway.queries().len(), 1);
@@ -178,33 +182,33 @@
 
 #[tokio::test]
 async fn non_idempotent_request_is_not_retried_after_a_lost_connection_or_an_error() {
-    for reply in [Reply::Close, Reply::Send(FAILED)] {
-        let gateway = Gateway::start(&[reply, Reply::Send(VALUE)]).await;
+    for action in [GatewayAction::Close, GatewayAction::Respond(FAILED)] {
+        let gateway = Gateway::start(&[action, GatewayAction::Respond(VALUE)]).await;
         let outcome = gateway.client().send_non_idempotent(payment()).await;
-        assert_eq!(outcome, NonIdempotentOutcome::Unknown, "{reply:?}");
+        assert_eq!(outcome, NonIdempotentOutcome::Unknown, "{action:?}");
         assert_eq!(gateway.queries().len(), 1);
     }
 }
 
 #[tokio::test]
 async fn keyed_request_is_retried_with_its_key_after_an_error() {
-    let gateway = Gateway::start(&[Reply::Send(FAILED), Reply::Send(VALUE)]).await;
+    let gateway = Gateway::start(&[GatewayAction::Respond(FAILED), GatewayAction::Respond(VALUE)]).await;
     assert_eq!(gateway.client().send_keyed(&order()).await, Ok(Value::from_static(b"abc")));
     let queries = gateway.queries();
     assert!(queries.len() == 2 && queries.iter().all(|query| query.contains(",k=desk-4-1")), "{queries:?}");
 }
 
 #[tokio::test]
-async fn request_without_an_answer_fails_at_its_timeout() {
-    let gateway = Gateway::start(&[Reply::Nothing]).await;
+async fn request_without_a_response_fails_at_its_deadline() {
+    let gateway = Gateway::start(&[GatewayAction::Ignore]).await;
     assert_eq!(gateway.client().send_idempotent(&read_request(100.0)).await, Err(RequestError::Failed));
     assert_eq!(gateway.queries().len(), 1);
 }
 
 #[tokio::test]
 async fn request_without_a_gateway_is_rejected() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("listener is bound");
+    let address = listener.local_addr().expect("listener has an address");
     drop(listener);
     let client = Client::start(ClientConfig::new(vec![address]));
     assert_eq!(client.send_idempotent(&read_request(100.0)).await, Err(RequestError::Rejected));
@@ -212,13 +216,13 @@
 }
 
 #[tokio::test]
-async fn request_with_an_unsafe_name_is_not_sent() {
-    let gateway = Gateway::start(&[Reply::Send(VALUE)]).await;
+async fn request_with_an_invalid_name_is_not_sent() {
+    let gateway = Gateway::start(&[GatewayAction::Respond(VALUE)]).await;
     let client = gateway.client();
     let request = IdempotentRequest { item: "a'b".to_string(), ..read_request(5_000.0) };
     assert_eq!(client.send_idempotent(&request).await, Err(RequestError::InvalidName));
-    let unsafe_payment = || NonIdempotentRequest { item: "a b".to_string(), ..payment() };
-    let outcome = client.send_non_idempotent(unsafe_payment()).await;
-    assert_eq!(outcome, NonIdempotentOutcome::InvalidName(unsafe_payment()));
+    let invalid_payment = || NonIdempotentRequest { item: "a b".to_string(), ..payment() };
+    let outcome = client.send_non_idempotent(invalid_payment()).await;
+    assert_eq!(outcome, NonIdempotentOutcome::InvalidName(invalid_payment()));
     assert!(gateway.queries().is_empty());
 }
--- a/crates/client/tests/pool.rs
+++ b/crates/client/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Which connections are opened and closed, and which call gets one.
+//! The connection pool: which connections are opened and closed, and which call gets one.
 
 use latchhaven_client::pool::{Pool, PoolAction, PoolLimits};
 use latchhaven_client::time::Millis;
@@ -13,7 +13,10 @@
     max_age: 60_000.0,
 };
 
-/// A connection that is to be opened.
+/// The gateways of the model.
+const GATEWAY_COUNT: usize = 3;
+
+/// The fields of [`PoolAction::Connect`].
 #[derive(Clone, Copy, Debug)]
 struct Connect {
     connection: u64,
@@ -28,18 +31,19 @@
     actions.iter().filter_map(connect).collect()
 }
 
-/// The first connection that a new pool opens, and that is established at 1.
+/// Lets a new pool open its first connection, which is established at 1 and assigned to `call`.
 fn first_connection(pool: &mut Pool, call: u64) -> Connect {
     let first = connects(&pool.acquire(call, 1.0, 0.0))[0];
     pool.on_connected(first.connection, 1.0);
     first
 }
 
-/// Ten thousand processes lose a gateway simultaneously: when each reconnects, and to which gateway.
+/// Ten thousand processes lose a gateway simultaneously. Without random delays and ranks, all of them reconnect at the
+/// same time to the same gateway and overload it.
 #[test]
 fn processes_reconnect_over_seconds_and_share_the_remaining_gateways() {
-    let mut by_tenth = [0u32; 120];
-    let mut by_gateway = [0u32; 5];
+    let mut reconnects_by_tenth_of_second = [0u32; 120];
+    let mut reconnects_by_gateway = [0u32; 5];
     for seed in 0..10_000 {
         let mut pool = Pool::new(5, LIMITS, seed);
         let lost = connects(&pool.acquire(1, 1.0, 0.0))[0];
@@ -55,26 +59,29 @@
             assert!(now < 12_000.0, "{pool:?}");
         }
         let gateway = connects(&actions)[0].gateway;
-        by_tenth[((now - 10.0) / 100.0) as usize] += 1;
-        by_gateway[gateway] += 1;
+        reconnects_by_tenth_of_second[((now - 10.0) / 100.0) as usize] += 1;
+        reconnects_by_gateway[gateway] += 1;
         assert!(gateway != lost.gateway || now - 10.0 > 0.0);
     }
-    let peak = by_tenth.iter().max().unwrap();
-    assert!(*peak < 400, "of 10,000 in a tenth of a second: {peak}");
-    assert!(by_gateway.iter().all(|count| (1_500..2_500).contains(count)), "{by_gateway:?}");
+    let peak = reconnects_by_tenth_of_second.iter().max().unwrap();
+    assert!(*peak < 400, "{peak} of 10,000 reconnect in a tenth of a second");
+    assert!(
+        reconnects_by_gateway.iter().all(|count| (1_500..2_500).contains(count)),
+        "{reconnects_by_gateway:?}"
+    );
 }
 
 #[test]
-fn idle_connection_that_is_closed_is_no_failure() {
+fn closed_idle_connection_is_no_failure_of_the_gateway() {
     let mut pool = Pool::new(1, LIMITS, 1);
     let Connect { connection, .. } = first_connection(&mut pool, 1);
     pool.release(connection, 2.0);
     pool.on_connection_lost(connection, None, 3.0);
-    assert_eq!(connects(&pool.acquire(2, 1.0, 4.0)).len(), 1, "at once");
+    assert_eq!(connects(&pool.acquire(2, 1.0, 4.0)).len(), 1, "without a delay");
 }
 
 #[test]
-fn gateway_that_failed_gets_one_connection_until_it_has_answered() {
+fn gateway_that_failed_gets_one_connection_until_it_has_responded() {
     let mut pool = Pool::new(1, LIMITS, 1);
     let lost = first_connection(&mut pool, 0);
     pool.on_connection_lost(lost.connection, None, 2.0);
@@ -84,13 +91,13 @@
     let retries = connects(&pool.poll(retry_at));
     assert_eq!(retries.len(), 1);
     let connection = retries[0].connection;
-    assert!(connects(&pool.on_connected(connection, retry_at + 1.0)).is_empty(), "half open");
+    assert!(connects(&pool.on_connected(connection, retry_at + 1.0)).is_empty(), "no response yet");
     let opened = connects(&pool.release(connection, retry_at + 2.0));
-    assert_eq!(opened.len(), 2, "as many as may be opened at once");
+    assert_eq!(opened.len(), 2, "as many as may be opened concurrently");
 }
 
 #[test]
-fn gateway_without_answers_is_lost_after_two_timeouts() {
+fn gateway_without_responses_is_lost_after_two_timeouts() {
     let mut pool = Pool::new(2, LIMITS, 1);
     let mut actions = pool.acquire(0, 1.0, 0.0);
     let first_gateway = connects(&actions)[0].gateway;
@@ -127,14 +134,14 @@
 }
 
 #[test]
-fn lowest_priority_is_rejected_when_too_many_calls_wait() {
+fn lowest_priority_is_rejected_when_the_queue_is_full() {
     let mut pool = Pool::new(1, PoolLimits { max_queued_calls: 2, ..LIMITS }, 1);
     pool.acquire(1, 1.0, 0.0);
     pool.acquire(2, 3.0, 0.0);
     assert!(pool.acquire(3, 3.0, 0.0).contains(&PoolAction::Reject { call: 1 }));
 }
 
-/// Something that happens to a pool; `usize` chooses a connection among those it can happen to.
+/// A step of the model. The number selects one of the connections to which the step applies, or a priority.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Acquire(usize),
@@ -156,15 +163,15 @@
     ]
 }
 
-/// A pool, and its connections and calls followed apart from it.
+/// A pool, and an independent model of its connections and calls.
 struct Model {
     pool: Pool,
     now: Millis,
     connecting: Vec<u64>,
     busy: Vec<u64>,
     idle: BTreeSet<u64>,
-    calls: u64,
-    ended_calls: BTreeSet<u64>,
+    last_call: u64,
+    assigned_or_rejected: BTreeSet<u64>,
 }
 
 fn remove_any(connections: &mut Vec<u64>, selector: usize) -> Option<u64> {
@@ -174,39 +181,39 @@
 impl Model {
     fn new(seed: u64) -> Self {
         Model {
-            pool: Pool::new(3, LIMITS, seed),
+            pool: Pool::new(GATEWAY_COUNT, LIMITS, seed),
             now: 0.0,
             connecting: Vec::new(),
             busy: Vec::new(),
             idle: BTreeSet::new(),
-            calls: 0,
-            ended_calls: BTreeSet::new(),
+            last_call: 0,
+            assigned_or_rejected: BTreeSet::new(),
         }
     }
 
-    /// Takes a step; none if no connection is there for it.
+    /// Applies a step and returns the actions of the pool; `None` if the step applies to no connection.
     fn apply(&mut self, step: Step) -> Option<Vec<PoolAction>> {
         let now = self.now;
         Some(match step {
-            Step::Acquire(choice) => {
-                self.calls += 1;
-                self.pool.acquire(self.calls, (choice % 3) as f64, now)
+            Step::Acquire(selector) => {
+                self.last_call += 1;
+                self.pool.acquire(self.last_call, (selector % 3) as f64, now)
             }
-            Step::Connected(choice) => {
-                let connection = remove_any(&mut self.connecting, choice)?;
+            Step::Connected(selector) => {
+                let connection = remove_any(&mut self.connecting, selector)?;
                 self.idle.insert(connection);
                 self.pool.on_connected(connection, now)
             }
-            Step::ConnectFailed(choice) => {
-                self.pool.on_connect_failed(remove_any(&mut self.connecting, choice)?, now)
+            Step::ConnectFailed(selector) => {
+                self.pool.on_connect_failed(remove_any(&mut self.connecting, selector)?, now)
             }
-            Step::Release(choice) => {
-                let connection = remove_any(&mut self.busy, choice)?;
+            Step::Release(selector) => {
+                let connection = remove_any(&mut self.busy, selector)?;
                 self.idle.insert(connection);
                 self.pool.release(connection, now)
             }
-            Step::ConnectionLost(choice) => {
-                self.pool.on_connection_lost(remove_any(&mut self.busy, choice)?, None, now)
+            Step::ConnectionLost(selector) => {
+                self.pool.on_connection_lost(remove_any(&mut self.busy, selector)?, None, now)
             }
             Step::PollAfter(time) => {
                 self.now += time;
@@ -215,28 +222,31 @@
         })
     }
 
-    fn carry_out(&mut self, action: PoolAction) -> Result<(), TestCaseError> {
+    fn execute(&mut self, action: PoolAction) -> Result<(), TestCaseError> {
         match action {
             PoolAction::Connect { connection, gateway } => {
-                prop_assert!(gateway < 3);
+                prop_assert!(gateway < GATEWAY_COUNT);
                 self.connecting.push(connection);
             }
             PoolAction::Assign { call, connection } => {
-                prop_assert!(self.idle.remove(&connection) && self.ended_calls.insert(call));
+                prop_assert!(self.idle.remove(&connection) && self.assigned_or_rejected.insert(call));
                 self.busy.push(connection);
             }
             PoolAction::Close { connection } => prop_assert!(self.idle.remove(&connection)),
-            PoolAction::Reject { call } => prop_assert!(self.ended_calls.insert(call)),
+            PoolAction::Reject { call } => prop_assert!(self.assigned_or_rejected.insert(call)),
         }
         Ok(())
     }
 
     fn check(&self) -> Result<(), TestCaseError> {
         let Model { pool, connecting, busy, idle, .. } = self;
-        prop_assert!(pool.next_poll_at() > self.now, "it would be polled again and again");
-        prop_assert!(pool.connection_count() <= 4 && connecting.len() <= 2 && pool.queued_calls() <= 8);
+        prop_assert!(pool.next_poll_at() > self.now, "the pool would be polled in a busy loop");
+        prop_assert!(pool.connection_count() <= LIMITS.max_connections);
+        prop_assert!(
+            connecting.len() <= LIMITS.max_connecting && pool.queued_calls() <= LIMITS.max_queued_calls
+        );
         prop_assert_eq!(pool.connection_count(), connecting.len() + busy.len() + idle.len());
-        prop_assert_eq!(self.calls as usize, self.ended_calls.len() + pool.queued_calls());
+        prop_assert_eq!(self.last_call as usize, self.assigned_or_rejected.len() + pool.queued_calls());
         Ok(())
     }
 }
@@ -244,16 +254,16 @@
 proptest! {
     #![proptest_config(latchhaven_proptest_config::deterministic())]
 
-    /// Over any order of events: the limits are never exceeded, each call gets one connection or is rejected once,
-    /// and no connection is in use by two calls.
+    /// For any order of events: the limits are never exceeded, each call gets one connection or is rejected once, and
+    /// no connection is assigned to two calls.
     #[test]
-    fn limits_hold_and_no_connection_serves_two_calls(
+    fn limits_are_respected_and_no_connection_serves_two_calls(
         steps in prop::collection::vec(any_step(), 0..200), seed: u64
     ) {
         let mut model = Model::new(seed);
         for step in steps {
             for action in model.apply(step).unwrap_or_default() {
-                model.carry_out(action)?;
+                model.execute(action)?;
             }
             model.check()?;
         }
