--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -1,5 +1,4 @@
-//! The client: makes the attempts of calls on connections of the pool. All decisions are in [`crate::call`] and
-//! [`crate::pool`].
+//! Makes the attempts of calls on connections of the pool. All decisions are in [`crate::call`] and [`crate::pool`].
 
 use crate::acquired_connection::AcquiredConnection;
 use crate::call::{AttemptOutcome, Call, CallOutcome, Idempotency, NextStep};
--- a/crates/client/src/rules.rs
+++ b/crates/client/src/rules.rs
@@ -85,7 +85,7 @@
 /// The default of [`ClientConfig::min_request_time`](crate::ClientConfig::min_request_time).
 pub(crate) const DEFAULT_MIN_REQUEST_TIME: Millis = 5.0;
 
-/// Whether executing a call more than once is harmless. The caller states it; it decides which attempts are retried.
+/// Whether executing a call more than once is harmless: stated by the caller, and decides which attempts are retried.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
     /// The call may be executed any number of times: every failed attempt may be retried.
@@ -141,7 +141,7 @@
         !is_late && self.is_safe_to_send_in(0.0)
     }
 
-    /// Returns `true` if an attempt after `backoff` cannot cause a second execution, or one that is harmless.
+    /// Returns `true` if an attempt after `backoff` cannot cause a second execution, or if that is harmless.
     fn is_safe_to_send_in(&self, backoff: Millis) -> bool {
         let Some(elapsed) = self.since_possibly_executed else { return true };
         match self.idempotency {
