--- a/crates/client/src/acquired_connection.rs
+++ b/crates/client/src/acquired_connection.rs
@@ -1,17 +1,19 @@
-//! A connection while a call uses it.
+//! A connection that is assigned to a call, and the attempts on it.
 
 use crate::call::AttemptOutcome;
 use crate::connection::GatewayConnection;
 use crate::pool_messages::ConnectionEvent;
 use crate::request::Value;
 use crate::time::Millis;
-use crate::wire::Answer;
+use crate::wire::Response;
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// A connection that a call uses. Dropped while a query is in flight it is closed, which cancels the request.
+/// A connection that is assigned to a call. Dropping it before it is released closes the connection, by which the
+/// gateway cancels the request.
 pub(crate) struct AcquiredConnection {
+    /// `None` once the connection is released or closed.
     connection: Option<Box<GatewayConnection>>,
     events: mpsc::UnboundedSender<ConnectionEvent>,
 }
@@ -43,7 +45,7 @@
         }
     }
 
-    /// Returns the connection after an error; a fatal one closes it.
+    /// Returns the connection to the pool after an error; closes it if the error is fatal.
     fn finish_error(&mut self, is_fatal: bool) {
         if is_fatal {
             self.close(ConnectionEvent::Lost);
@@ -52,10 +54,10 @@
         }
     }
 
-    /// Makes one attempt: writes a query and reads its answer.
+    /// Makes one attempt: writes a query and reads the response.
     ///
     /// # Errors
-    /// How the attempt ended, where it returned no value.
+    /// The outcome of an attempt without a value; never [`AttemptOutcome::Success`].
     pub(crate) async fn attempt(
         &mut self, query: &[u8], time_limit: Duration,
     ) -> Result<Value, AttemptOutcome> {
@@ -63,31 +65,31 @@
         let mut written = 0;
         let exchange = async {
             connection.write_query(query, &mut written).await?;
-            connection.read_answer().await
+            connection.read_response().await
         };
         let result = timeout(time_limit, exchange).await;
         // A query whose last byte was not written was not executed.
         let is_fully_written = written == query.len();
         let unless_unsent = |outcome| if is_fully_written { outcome } else { AttemptOutcome::NotSent };
         match result {
-            Ok(Ok(Answer::Value(value))) => {
+            Ok(Ok(Response::Value(value))) => {
                 self.release();
                 Ok(value)
             }
-            Ok(Ok(Answer::Rejected { retry_after, is_fatal })) => {
+            Ok(Ok(Response::Rejected { retry_after, is_fatal })) => {
                 self.finish_error(is_fatal);
                 Err(AttemptOutcome::Rejected { retry_after: retry_after.map(|time| time as Millis) })
             }
-            Ok(Ok(Answer::Failed { is_fatal, .. })) => {
+            Ok(Ok(Response::Failed { is_fatal, .. })) => {
                 self.finish_error(is_fatal);
                 Err(AttemptOutcome::Failed)
             }
-            Ok(Ok(Answer::Ready) | Err(_)) => {
+            Ok(Ok(Response::Ready) | Err(_)) => {
                 self.close(ConnectionEvent::Lost);
                 Err(unless_unsent(AttemptOutcome::ConnectionLost))
             }
             Err(_) => {
-                // The answer may still arrive on it: it must not carry another query.
+                // The response may still arrive, and would be read as that of the next query on this connection.
                 self.close(ConnectionEvent::TimedOut);
                 Err(unless_unsent(AttemptOutcome::Timeout))
             }
