--- a/crates/control-plane/src/control_plane/mod.rs
+++ b/crates/control-plane/src/control_plane/mod.rs
@@ -129,7 +129,8 @@
 
     /// Admits streams; runs the decisions and publishes a configuration where these are due.
     pub fn poll(&mut self, now: Millis) -> Effects {
-        let mut effects = Effects { admitted_streams: self.admission.poll(now), ..Effects::default() };
+        let mut effects =
+            Effects { admitted_streams: self.admission.admit_pending(now), ..Effects::default() };
         for stream in &effects.admitted_streams {
             if let Some(proxy) = self.proxies.open_discovery_stream(*stream) {
                 self.published_shares.on_connected(proxy);
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -70,7 +70,7 @@
 impl ControlPlane {
     /// A stream of load reports requests admission; false: there are too many streams.
     pub fn open_load_stream(&mut self, stream: u64, node: &str) -> bool {
-        let is_admitted = self.admission.admit_load_reports(stream) == AdmissionResult::Accepted;
+        let is_admitted = self.admission.admit_load_reports(stream) == AdmissionResult::SlotReserved;
         if is_admitted {
             self.proxies.open_load_stream(stream, node);
         }
@@ -79,7 +79,7 @@
 
     /// A discovery stream requests admission; false: there are too many streams.
     pub fn request_stream(&mut self, stream: u64, node: &str, now: Millis) -> bool {
-        let is_queued = self.admission.request_slot(stream, node, now) == AdmissionResult::Accepted;
+        let is_queued = self.admission.request_slot(stream, node, now) == AdmissionResult::SlotReserved;
         if is_queued {
             self.proxies.add_pending_stream(stream, node.to_string());
         }
--- a/crates/control-plane/src/driver/signals.rs
+++ b/crates/control-plane/src/driver/signals.rs
@@ -43,9 +43,9 @@
 fn log_counters(counters: &SentCounters) {
     let value = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
     tracing::info!(
-        messages = value(&counters.messages),
-        bytes = value(&counters.bytes),
-        apart = value(&counters.incremental_messages),
+        messages = value(&counters.sotw_responses),
+        bytes = value(&counters.sotw_bytes),
+        apart = value(&counters.incremental_responses),
         apart_bytes = value(&counters.incremental_bytes),
         "counters"
     );
--- a/crates/control-plane/src/driver/startup.rs
+++ b/crates/control-plane/src/driver/startup.rs
@@ -64,7 +64,7 @@
         snapshots,
         events: server_event_sender,
         signer,
-        classes: Arc::new(class_names),
+        class_names: Arc::new(class_names),
         counters: sent_counters.clone(),
     };
     let xds_listener = XdsListener {
--- a/crates/xds/src/admission.rs
+++ b/crates/xds/src/admission.rs
@@ -11,10 +11,10 @@
 /// The result of a request for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionResult {
-    /// The stream is admitted, or pending until [`Admission::poll`] admits it.
-    Accepted,
+    /// The stream is admitted, or pending until [`Admission::admit_pending`] admits it.
+    SlotReserved,
     /// There are too many streams: the proxy should retry later.
-    Full,
+    StreamLimitReached,
 }
 
 /// The streams that are open or pending.
@@ -49,14 +49,14 @@
     /// A proxy requests admission of a stream at `now`, in ms.
     pub fn request_slot(&mut self, stream: u64, proxy: &str, now: Millis) -> AdmissionResult {
         if self.is_full() {
-            return AdmissionResult::Full;
+            return AdmissionResult::StreamLimitReached;
         }
         let is_frequent =
             self.last_requests.get(proxy).is_some_and(|last| limits::is_frequent_request(now, *last));
         let queue = if is_frequent { &mut self.low_priority } else { &mut self.pending };
         queue.push_back(stream);
         self.record_request(proxy, now);
-        AdmissionResult::Accepted
+        AdmissionResult::SlotReserved
     }
 
     fn record_request(&mut self, proxy: &str, now: Millis) {
@@ -72,10 +72,10 @@
     /// Admits a stream of load reports immediately, unless there are too many streams. It gets one short response.
     pub fn admit_load_reports(&mut self, stream: u64) -> AdmissionResult {
         if self.is_full() {
-            return AdmissionResult::Full;
+            return AdmissionResult::StreamLimitReached;
         }
         self.open.insert(stream);
-        AdmissionResult::Accepted
+        AdmissionResult::SlotReserved
     }
 
     fn is_full(&self) -> bool {
@@ -83,7 +83,7 @@
     }
 
     /// Admits pending streams at `now`, in ms, and returns them.
-    pub fn poll(&mut self, now: Millis) -> Vec<u64> {
+    pub fn admit_pending(&mut self, now: Millis) -> Vec<u64> {
         let elapsed = now - self.refilled_at.replace(now).unwrap_or(now);
         self.tokens = limits::refilled_tokens(self.tokens, elapsed);
         let mut admitted = Vec::new();
--- a/crates/xds/src/load_stats.rs
+++ b/crates/xds/src/load_stats.rs
@@ -38,7 +38,7 @@
     TooManyEndpoints,
     /// An endpoint has no address and port.
     #[error("upstream_endpoint_stats: address missing or invalid")]
-    MissingAddress,
+    InvalidAddress,
     /// A cluster has the same endpoint twice.
     #[error("upstream_endpoint_stats: repeated endpoint")]
     DuplicateEndpoint,
@@ -93,7 +93,7 @@
         }
         for endpoint in &locality.upstream_endpoint_stats {
             let address = endpoint.address.as_ref().and_then(parse_address);
-            let address = address.ok_or(LoadReportError::MissingAddress)?;
+            let address = address.ok_or(LoadReportError::InvalidAddress)?;
             endpoints.push(EndpointReport { address, counts: parse_counts(endpoint) });
         }
     }
--- a/crates/xds/src/server/context.rs
+++ b/crates/xds/src/server/context.rs
@@ -72,11 +72,11 @@
 #[derive(Debug, Default)]
 pub struct SentCounters {
     /// Responses on full streams.
-    pub messages: AtomicU64,
+    pub sotw_responses: AtomicU64,
     /// Bytes of responses on full streams.
-    pub bytes: AtomicU64,
+    pub sotw_bytes: AtomicU64,
     /// Responses on incremental streams.
-    pub incremental_messages: AtomicU64,
+    pub incremental_responses: AtomicU64,
     /// Bytes of responses on incremental streams.
     pub incremental_bytes: AtomicU64,
 }
@@ -91,7 +91,7 @@
     /// Parses the version labels in requests.
     pub signer: VersionSigner,
     /// The names of the request classes.
-    pub classes: Arc<Vec<String>>,
+    pub class_names: Arc<Vec<String>>,
     /// Counts sent responses.
     pub counters: Arc<SentCounters>,
 }
--- a/crates/xds/src/server/discovery.rs
+++ b/crates/xds/src/server/discovery.rs
@@ -124,9 +124,9 @@
         let counters = &self.context.counters;
         let length: usize = chunks.iter().map(Bytes::len).sum();
         let (messages, bytes) = if self.incremental {
-            (&counters.incremental_messages, &counters.incremental_bytes)
+            (&counters.incremental_responses, &counters.incremental_bytes)
         } else {
-            (&counters.messages, &counters.bytes)
+            (&counters.sotw_responses, &counters.sotw_bytes)
         };
         messages.fetch_add(1, Ordering::Relaxed);
         bytes.fetch_add(length as u64, Ordering::Relaxed);
--- a/crates/xds/src/server/load_reports.rs
+++ b/crates/xds/src/server/load_reports.rs
@@ -69,7 +69,7 @@
 async fn process_report(
     request: &LoadStatsRequest, stream: u64, context: &ServerContext,
 ) -> Result<(), Status> {
-    let report = parse_load_report(request, &context.classes)
+    let report = parse_load_report(request, &context.class_names)
         .map_err(|error| Status::invalid_argument(error.to_string()))?;
     let (result, validation) = oneshot::channel();
     let event = ServerEvent::LoadReport { stream, report, result };
--- a/crates/xds/tests/admission.rs
+++ b/crates/xds/tests/admission.rs
@@ -13,9 +13,9 @@
     let mut admission = Admission::new(10_000);
     for stream in 0..1000 {
         let proxy = if stream < 500 { "noisy".to_string() } else { format!("p{stream}") };
-        assert_eq!(admission.request_slot(stream, &proxy, 0.0), AdmissionResult::Accepted);
+        assert_eq!(admission.request_slot(stream, &proxy, 0.0), AdmissionResult::SlotReserved);
     }
-    let admitted: Vec<u64> = (0..=230).flat_map(|ms| admission.poll(f64::from(ms))).collect();
+    let admitted: Vec<u64> = (0..=230).flat_map(|ms| admission.admit_pending(f64::from(ms))).collect();
     assert!(admitted.len() >= 505 && admitted.len() <= 512, "{}", admitted.len());
     assert!(admitted[1..500].iter().all(|stream| *stream >= 500), "one frequent proxy delays no other");
 }
@@ -23,18 +23,18 @@
 #[test]
 fn closing_a_stream_without_a_slot_frees_none() {
     let mut admission = Admission::new(2);
-    assert_eq!(admission.admit_load_reports(1), AdmissionResult::Accepted);
-    assert_eq!(admission.admit_load_reports(2), AdmissionResult::Accepted);
-    assert_eq!(admission.admit_load_reports(3), AdmissionResult::Full);
+    assert_eq!(admission.admit_load_reports(1), AdmissionResult::SlotReserved);
+    assert_eq!(admission.admit_load_reports(2), AdmissionResult::SlotReserved);
+    assert_eq!(admission.admit_load_reports(3), AdmissionResult::StreamLimitReached);
     for stream in [3, 4, 5] {
         admission.on_stream_closed(stream);
     }
-    assert_eq!(admission.request_slot(6, "p", 0.0), AdmissionResult::Full);
+    assert_eq!(admission.request_slot(6, "p", 0.0), AdmissionResult::StreamLimitReached);
     for _ in 0..2 {
         admission.on_stream_closed(1);
     }
-    assert_eq!(admission.request_slot(6, "p", 0.0), AdmissionResult::Accepted);
-    assert_eq!(admission.admit_load_reports(7), AdmissionResult::Full);
+    assert_eq!(admission.request_slot(6, "p", 0.0), AdmissionResult::SlotReserved);
+    assert_eq!(admission.admit_load_reports(7), AdmissionResult::StreamLimitReached);
 }
 
 /// Occupied slots, counted by filling the free ones of a copy.
@@ -42,14 +42,14 @@
     let mut copy = admission.clone();
     let mut probes = u64::MAX - max_streams as u64..u64::MAX;
     let free =
-        probes.by_ref().take_while(|probe| copy.admit_load_reports(*probe) == AdmissionResult::Accepted);
+        probes.by_ref().take_while(|probe| copy.admit_load_reports(*probe) == AdmissionResult::SlotReserved);
     max_streams - free.count()
 }
 
 /// Pending streams, counted by admitting all of them on a copy: they are fewer than a burst.
 fn pending_streams(admission: &Admission) -> usize {
     let mut copy = admission.clone();
-    let count = copy.poll(f64::MAX).len();
+    let count = copy.admit_pending(f64::MAX).len();
     assert!(!copy.has_pending(), "a burst admits all pending streams");
     count
 }
@@ -73,11 +73,11 @@
                     next_stream += 1;
                     let was_full = occupied_slots(&admission, MAX_STREAMS) == MAX_STREAMS;
                     let result = admission.request_slot(next_stream, &format!("p{proxy}"), now);
-                    prop_assert_eq!(result == AdmissionResult::Full, was_full);
+                    prop_assert_eq!(result == AdmissionResult::StreamLimitReached, was_full);
                 }
                 1 => {
                     now += pick as f64;
-                    let admitted = admission.poll(now);
+                    let admitted = admission.admit_pending(now);
                     admitted_in_total += admitted.len() as f64;
                     open.extend(admitted);
                 }
--- a/crates/xds/tests/error_texts.rs
+++ b/crates/xds/tests/error_texts.rs
@@ -12,7 +12,7 @@
         (LoadReportError::InvalidInterval, "load_report_interval: not positive"),
         (LoadReportError::UnknownCluster, "cluster_name: unknown cluster"),
         (LoadReportError::TooManyEndpoints, "upstream_endpoint_stats: more than 20000"),
-        (LoadReportError::MissingAddress, "upstream_endpoint_stats: address missing or invalid"),
+        (LoadReportError::InvalidAddress, "upstream_endpoint_stats: address missing or invalid"),
         (LoadReportError::DuplicateEndpoint, "upstream_endpoint_stats: repeated endpoint"),
         (LoadReportError::InvalidDropCount, "dropped_requests: sum above total_dropped_requests"),
     ];
