--- a/crates/control-plane/src/driver/event_loop.rs
+++ b/crates/control-plane/src/driver/event_loop.rs
@@ -11,7 +11,7 @@
 use latchhaven_gateway::net::platform::Vote;
 use latchhaven_policy::Millis;
 use latchhaven_xds::resources::ResourceSnapshot;
-use latchhaven_xds::server::{LoadReportRejected, ServerEvent};
+use latchhaven_xds::server::{LoadReportRejected, ServerEvent, StreamKind};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use tokio::select;
@@ -90,11 +90,11 @@
 
     fn on_server_event(&mut self, event: ServerEvent, now: Millis) {
         match event {
-            ServerEvent::StreamOpened { stream, node, reports_loads: true, admitted } => {
-                self.open_load_stream(stream, &node, admitted, now);
+            ServerEvent::StreamOpened { stream, node_id, kind: StreamKind::LoadReport, admitted } => {
+                self.open_load_stream(stream, &node_id, admitted, now);
             }
-            ServerEvent::StreamOpened { stream, node, reports_loads: false, admitted } => {
-                self.request_stream(stream, &node, admitted, now);
+            ServerEvent::StreamOpened { stream, node_id, kind: StreamKind::Discovery, admitted } => {
+                self.request_stream(stream, &node_id, admitted, now);
             }
             ServerEvent::StreamEvents { stream, events } => {
                 self.control_plane.on_stream_events(stream, events, now);
--- a/crates/xds/src/server.rs
+++ b/crates/xds/src/server.rs
@@ -19,7 +19,7 @@
 mod services;
 mod stream_task;
 
-pub use context::{LoadReportRejected, SentCounters, ServerContext, ServerEvent};
+pub use context::{LoadReportRejected, SentCounters, ServerContext, ServerEvent, StreamKind};
 
 use crate::limits::{
     self, KEEPALIVE_INTERVAL, KEEPALIVE_TIMEOUT, MAX_QUEUED_CONNECTIONS, MAX_STREAMS_PER_CONNECTION,
--- a/crates/xds/src/server/context.rs
+++ b/crates/xds/src/server/context.rs
@@ -11,6 +11,15 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tonic::Status;
 
+/// The protocol of a stream.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum StreamKind {
+    /// A discovery stream (xDS), on which the proxy subscribes to resources.
+    Discovery,
+    /// A load reporting stream (LRS), on which the proxy sends load reports.
+    LoadReport,
+}
+
 /// An event of a stream's task.
 pub enum ServerEvent {
     /// A proxy opened a stream, which is pending admission.
@@ -18,9 +27,9 @@
         /// The number of the stream.
         stream: u64,
         /// The proxy's node id.
-        node: String,
-        /// True for load reports, false for discovery.
-        reports_loads: bool,
+        node_id: String,
+        /// Determines how the stream is admitted.
+        kind: StreamKind,
         /// Receives the admission, or the status with which the stream ends.
         admitted: oneshot::Sender<Result<(), Status>>,
     },
--- a/crates/xds/src/server/discovery.rs
+++ b/crates/xds/src/server/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery streams: runs the [`Stream`] state machine over gRPC.
 
-use super::context::{ServerContext, ServerEvent};
+use super::context::{ServerContext, ServerEvent, StreamKind};
 use super::discovery_method::DiscoveryMethod;
 use super::stream_task::{
     ResponseFuture, ResponseItem, ResponseSender, ResponseStream, first_request, service_unavailable,
@@ -61,8 +61,8 @@
     ) -> Result<(), Status> {
         let Some(request) = first_request(&mut requests).await? else { return Ok(()) };
         self.on_request(request)?;
-        let node = self.stream.node().unwrap_or_default().to_string();
-        wait_for_admission(&self.context.events, self.stream_number, node, false).await?;
+        let node_id = self.stream.node().unwrap_or_default().to_string();
+        wait_for_admission(&self.context.events, self.stream_number, node_id, StreamKind::Discovery).await?;
         let mut naming_grace = pin!(sleep(NAMING_GRACE));
         let mut naming_grace_ended = false;
         loop {
--- a/crates/xds/src/server/load_reports.rs
+++ b/crates/xds/src/server/load_reports.rs
@@ -1,6 +1,6 @@
 //! Streams of load reports (LRS).
 
-use super::context::{ServerContext, ServerEvent};
+use super::context::{ServerContext, ServerEvent, StreamKind};
 use super::stream_task::{
     ResponseFuture, ResponseSender, ResponseStream, first_request, service_unavailable, spawn_stream,
     wait_for_admission,
@@ -40,11 +40,11 @@
     responses: &ResponseSender,
 ) -> Result<(), Status> {
     let Some(first) = first_request(&mut requests).await? else { return Ok(()) };
-    let node = first.node.map(|node| node.id).unwrap_or_default();
-    if node.is_empty() || node.len() > MAX_NODE_ID_LENGTH {
+    let node_id = first.node.map(|node| node.id).unwrap_or_default();
+    if node_id.is_empty() || node_id.len() > MAX_NODE_ID_LENGTH {
         return Err(Status::invalid_argument("node.id: missing or too long"));
     }
-    wait_for_admission(&context.events, stream, node, true).await?;
+    wait_for_admission(&context.events, stream, node_id, StreamKind::LoadReport).await?;
     if responses.send(Ok(vec![reporting_instructions()])).await.is_err() {
         return Ok(());
     }
--- a/crates/xds/src/server/stream_task.rs
+++ b/crates/xds/src/server/stream_task.rs
@@ -1,6 +1,6 @@
 //! The task of a stream, its first request, and its admission.
 
-use super::context::ServerEvent;
+use super::context::{ServerEvent, StreamKind};
 use crate::limits::{ADMISSION_TIMEOUT, FIRST_REQUEST_TIMEOUT, MAX_QUEUED_RESPONSES};
 use bytes::Bytes;
 use std::future::Future;
@@ -50,10 +50,10 @@
 
 /// Waits until the stream may begin.
 pub(super) async fn wait_for_admission(
-    events: &mpsc::Sender<ServerEvent>, stream: u64, node: String, reports_loads: bool,
+    events: &mpsc::Sender<ServerEvent>, stream: u64, node_id: String, kind: StreamKind,
 ) -> Result<(), Status> {
     let (admitted, admission) = oneshot::channel();
-    let opened = ServerEvent::StreamOpened { stream, node, reports_loads, admitted };
+    let opened = ServerEvent::StreamOpened { stream, node_id, kind, admitted };
     events.send(opened).await.map_err(service_unavailable)?;
     match timeout(ADMISSION_TIMEOUT, admission).await {
         Ok(admission) => admission.map_err(service_unavailable)?,
