--- a/crates/xds/src/admission.rs
+++ b/crates/xds/src/admission.rs
@@ -1,38 +1,41 @@
 //! Admission of new streams.
 //!
-//! Problem: when many proxies reconnect simultaneously, their complete states delay the responses on established streams.
-//! Method: a token bucket bounds the rate of new streams. The number of streams, open or pending, is bounded as well. A
-//! proxy that reconnects frequently has lower priority.
+//! Problem: when many proxies reconnect simultaneously, each is sent all its resources, which delays the responses on
+//! established streams. Method: a token bucket limits the rate at which discovery streams are admitted. The number of
+//! streams, open or pending, is limited as well. Streams of a proxy that reconnects frequently have low priority.
 
 use crate::limits::{self, MAX_ADMISSION_BURST, MAX_RETAINED_REQUEST_TIMES};
 use latchhaven_policy::Millis;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The result of a request for admission.
+/// Whether a new stream gets one of the slots, whose number limits the streams that are open or pending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionResult {
-    /// The stream is admitted, or pending until [`Admission::admit_pending`] admits it.
+    /// The stream has a slot: a discovery stream is pending until [`Admission::admit_pending`] returns it, a load
+    /// reporting stream is admitted.
     SlotReserved,
-    /// There are too many streams: the proxy should retry later.
+    /// All slots are occupied. The caller rejects the stream, and the proxy may retry later.
     StreamLimitReached,
 }
 
-/// The streams that are open or pending.
+/// The streams that are open or pending admission. The caller assigns a unique number to each stream.
 #[derive(Clone, Debug)]
 pub struct Admission {
     max_streams: usize,
     open: BTreeSet<u64>,
-    /// Tokens of the rate limiter; each admission takes one.
+    /// Tokens of the rate limiter. The admission of a discovery stream consumes one.
     tokens: f64,
+    /// When `tokens` was last refilled. `None` before the first refill.
     refilled_at: Option<Millis>,
     pending: VecDeque<u64>,
-    /// Streams of proxies that reconnect frequently; admitted while no others are pending.
+    /// Pending streams of proxies that reconnect frequently. Admitted while `pending` is empty.
     low_priority: VecDeque<u64>,
-    last_requests: BTreeMap<String, Millis>,
+    /// When each proxy last requested a slot, by node id. Limited to [`MAX_RETAINED_REQUEST_TIMES`] entries.
+    last_request_times: BTreeMap<String, Millis>,
 }
 
 impl Admission {
-    /// Allows `max_streams` streams, open or pending.
+    /// Creates `max_streams` slots, all free. The rate limiter starts with a full burst.
     #[must_use]
     pub fn new(max_streams: usize) -> Self {
         Admission {
@@ -42,34 +45,37 @@
             refilled_at: None,
             pending: VecDeque::new(),
             low_priority: VecDeque::new(),
-            last_requests: BTreeMap::new(),
+            last_request_times: BTreeMap::new(),
         }
     }
 
-    /// A proxy requests admission of a stream at `now`, in ms.
-    pub fn request_slot(&mut self, stream: u64, proxy: &str, now: Millis) -> AdmissionResult {
+    /// Reserves a slot for a discovery stream of the proxy with this node id. The stream is then pending admission,
+    /// with low priority if the proxy reconnects frequently.
+    pub fn request_slot(&mut self, stream: u64, node_id: &str, now: Millis) -> AdmissionResult {
         if self.is_full() {
             return AdmissionResult::StreamLimitReached;
         }
         let is_frequent =
-            self.last_requests.get(proxy).is_some_and(|last| limits::is_frequent_request(now, *last));
+            self.last_request_times.get(node_id).is_some_and(|last| limits::is_frequent_request(now, *last));
         let queue = if is_frequent { &mut self.low_priority } else { &mut self.pending };
         queue.push_back(stream);
-        self.record_request(proxy, now);
+        self.record_request(node_id, now);
         AdmissionResult::SlotReserved
     }
 
-    fn record_request(&mut self, proxy: &str, now: Millis) {
-        let is_known = self.last_requests.contains_key(proxy);
-        if !is_known && self.last_requests.len() >= MAX_RETAINED_REQUEST_TIMES {
-            self.last_requests.retain(|_, last| limits::is_frequent_request(now, *last));
+    fn record_request(&mut self, node_id: &str, now: Millis) {
+        let is_known = self.last_request_times.contains_key(node_id);
+        if !is_known && self.last_request_times.len() >= MAX_RETAINED_REQUEST_TIMES {
+            self.last_request_times.retain(|_, last| limits::is_frequent_request(now, *last));
         }
-        if is_known || self.last_requests.len() < MAX_RETAINED_REQUEST_TIMES {
-            self.last_requests.insert(proxy.to_string(), now);
+        // Without space the request is not recorded, and the next one has normal priority.
+        if is_known || self.last_request_times.len() < MAX_RETAINED_REQUEST_TIMES {
+            self.last_request_times.insert(node_id.to_string(), now);
         }
     }
 
-    /// Admits a stream of load reports immediately, unless there are too many streams. It gets one short response.
+    /// Reserves a slot for a load reporting stream and admits the stream immediately: its only response is short, so
+    /// that the rate is not limited.
     pub fn admit_load_reports(&mut self, stream: u64) -> AdmissionResult {
         if self.is_full() {
             return AdmissionResult::StreamLimitReached;
@@ -82,7 +88,8 @@
         self.open.len() + self.pending.len() + self.low_priority.len() >= self.max_streams
     }
 
-    /// Admits pending streams at `now`, in ms, and returns them.
+    /// Admits as many pending streams as the rate allows, in the order of their requests, those with low priority last.
+    /// Returns the numbers of the admitted streams.
     pub fn admit_pending(&mut self, now: Millis) -> Vec<u64> {
         let elapsed = now - self.refilled_at.replace(now).unwrap_or(now);
         self.tokens = limits::refilled_tokens(self.tokens, elapsed);
@@ -97,13 +104,14 @@
         admitted
     }
 
-    /// True where streams are pending.
+    /// Returns `true` if streams are pending, so that [`Self::admit_pending`] has to be called again.
     #[must_use]
     pub fn has_pending(&self) -> bool {
         !self.pending.is_empty() || !self.low_priority.is_empty()
     }
 
-    /// A stream was closed, admitted or not. No effect for a stream that was rejected or closed before.
+    /// Frees the slot of a closed stream, admitted or not. Has no effect if the stream has no slot: it was rejected, or
+    /// closed before.
     pub fn on_stream_closed(&mut self, stream: u64) {
         if !self.open.remove(&stream) {
             self.pending.retain(|pending| *pending != stream);
--- a/crates/xds/src/load_stats.rs
+++ b/crates/xds/src/load_stats.rs
@@ -1,4 +1,4 @@
-//! Parses load reports (LRS). An invalid report is rejected with an error that names the field.
+//! Parses load reports (LRS). The error of an invalid report names the field.
 
 use crate::limits::{MAX_REPORTED_CLUSTERS, MAX_REPORTED_ENDPOINTS};
 use crate::pb::envoy::config::core::v3::{Address, address, socket_address};
@@ -9,50 +9,51 @@
 use latchhaven_proxy_config::load_reports::{ClusterReport, EndpointCounts, EndpointReport, ProxyReport};
 use std::net::SocketAddr;
 
-/// The custom metric of latencies, in ms for one request.
+/// The custom metric with which proxies report latencies, in milliseconds. Optional: endpoints without the metric have
+/// no latency samples.
 pub const LATENCY_METRIC: &str = "latency_ms";
-/// The interval of a report without clusters, in ms: any valid value, since there is nothing to divide by it.
-const DEFAULT_INTERVAL: Millis = 1.0;
-/// Milliseconds in one second.
+/// The interval of a report without clusters, which has none of its own. The value must be accepted as a valid
+/// interval, but has no effect, since there are no counts to divide by it.
+const EMPTY_REPORT_INTERVAL: Millis = 1.0;
 const MILLIS_PER_SECOND: f64 = 1000.0;
-/// Nanoseconds in one millisecond.
 const NANOS_PER_MILLI: f64 = 1e6;
 
-/// Why a load report is invalid. The texts reach the proxy.
+/// Why a load report is invalid. The proxy receives the text as the message of the gRPC status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LoadReportError {
-    /// The report has too many clusters.
+    /// The report has more than `MAX_REPORTED_CLUSTERS` clusters.
     #[error("cluster_stats: more than {}", MAX_REPORTED_CLUSTERS)]
     TooManyClusters,
-    /// A cluster has no interval.
+    /// The counts of a cluster have no interval.
     #[error("load_report_interval: missing")]
     MissingInterval,
-    /// An interval is not a positive duration.
+    /// The interval of a cluster is zero or negative.
     #[error("load_report_interval: not positive")]
     InvalidInterval,
-    /// No published cluster has this name.
+    /// The name does not have the form of a published cluster, or its request class is unknown.
     #[error("cluster_name: unknown cluster")]
     UnknownCluster,
-    /// The report has too many endpoints.
+    /// The report has more than `MAX_REPORTED_ENDPOINTS` endpoints in all clusters together.
     #[error("upstream_endpoint_stats: more than {}", MAX_REPORTED_ENDPOINTS)]
     TooManyEndpoints,
-    /// An endpoint has no address and port.
+    /// An endpoint has no address, or one without an IP address and port.
     #[error("upstream_endpoint_stats: address missing or invalid")]
     InvalidAddress,
-    /// A cluster has the same endpoint twice.
+    /// A cluster has two entries with the same endpoint address.
     #[error("upstream_endpoint_stats: repeated endpoint")]
     DuplicateEndpoint,
-    /// The sum over the categories of drops exceeds the total.
+    /// The sum of the dropped requests over the drop categories exceeds the total.
     #[error("dropped_requests: sum above total_dropped_requests")]
     InvalidDropCount,
 }
 
-/// Parses one report; `classes` are the names of the request classes.
+/// Parses one report. Ignores the cluster without endpoints to which rejected requests are routed. `class_names` are
+/// the names of the request classes by index.
 ///
 /// # Errors
-/// The first field that is invalid.
+/// Returns the error of the first invalid field.
 pub fn parse_load_report(
-    request: &LoadStatsRequest, classes: &[String],
+    request: &LoadStatsRequest, class_names: &[String],
 ) -> Result<ProxyReport, LoadReportError> {
     if request.cluster_stats.len() > MAX_REPORTED_CLUSTERS {
         return Err(LoadReportError::TooManyClusters);
@@ -67,21 +68,22 @@
             continue;
         }
         let ClusterNameParts { version, class } =
-            parse_cluster_name(&stats.cluster_name, classes).ok_or(LoadReportError::UnknownCluster)?;
+            parse_cluster_name(&stats.cluster_name, class_names).ok_or(LoadReportError::UnknownCluster)?;
         let endpoints = parse_endpoints(stats, &mut endpoint_count)?;
-        clusters.push(ClusterReport { version, class, endpoints, dropped: parse_dropped(stats)? });
+        clusters.push(ClusterReport { version, class, endpoints, dropped: parse_dropped_requests(stats)? });
     }
-    Ok(ProxyReport { interval: longest_interval.unwrap_or(DEFAULT_INTERVAL), clusters })
+    Ok(ProxyReport { interval: longest_interval.unwrap_or(EMPTY_REPORT_INTERVAL), clusters })
 }
 
-/// The period of a cluster's counts, in ms.
+/// The period in which the counts of a cluster were collected.
 fn parse_interval(stats: &ClusterStats) -> Result<Millis, LoadReportError> {
     let interval = stats.load_report_interval.as_ref().ok_or(LoadReportError::MissingInterval)?;
     let interval = interval.seconds as f64 * MILLIS_PER_SECOND + f64::from(interval.nanos) / NANOS_PER_MILLI;
     if interval > 0.0 && interval.is_finite() { Ok(interval) } else { Err(LoadReportError::InvalidInterval) }
 }
 
-/// The endpoints of a cluster, sorted by address; `endpoint_count` counts the endpoints of all clusters.
+/// The endpoints of a cluster, sorted by address. Their number is added to `endpoint_count`, the number of endpoints in
+/// the report so far.
 fn parse_endpoints(
     stats: &ClusterStats, endpoint_count: &mut usize,
 ) -> Result<Vec<EndpointReport>, LoadReportError> {
@@ -121,8 +123,9 @@
     counts
 }
 
-/// The total of dropped requests, if the sum over the categories does not exceed it.
-fn parse_dropped(stats: &ClusterStats) -> Result<u64, LoadReportError> {
+/// The total number of dropped requests. May exceed the sum over the categories, since requests
+/// that a circuit breaker drops have none.
+fn parse_dropped_requests(stats: &ClusterStats) -> Result<u64, LoadReportError> {
     let mut categories = stats.dropped_requests.iter();
     let sum = categories.try_fold(0u64, |sum, category| sum.checked_add(category.dropped_count));
     match sum {
@@ -131,7 +134,8 @@
     }
 }
 
-/// The socket address in an xDS address, if it has an IP address and a port.
+/// The IP address and port of an xDS address. `None` if either is missing or invalid, such as a host name or a named
+/// port.
 #[must_use]
 pub fn parse_address(address: &Address) -> Option<SocketAddr> {
     let Some(address::Address::SocketAddress(socket)) = &address.address else { return None };
--- a/crates/xds/src/server.rs
+++ b/crates/xds/src/server.rs
@@ -1,15 +1,15 @@
-//! The gRPC server: accepts connections from allowed networks and runs one task for each stream.
+//! The gRPC server: accepts connections from the allowed networks and runs one task for each stream.
 //!
-//! It makes no decisions: streams are [`Stream`](crate::stream::Stream) state machines, and the receiver of the
-//! [`ServerEvent`]s decides when a stream may begin and whether a load report is valid.
+//! The server makes no decisions. [`Stream`](crate::stream::Stream) state machines select the responses, and the
+//! receiver of the [`ServerEvent`]s admits streams and validates load reports.
 //!
-//! - `context`: the events, counters and inputs of all streams.
-//! - `connections`: accepts and counts connections.
-//! - `services`: maps gRPC paths to streams.
+//! - `context`: the events, counters and inputs that all streams share.
+//! - `connections`: accepts connections and limits their number.
+//! - `services`: starts the stream that the path of a gRPC call names.
 //! - `discovery_method`: the discovery methods and their paths.
-//! - `stream_task`: the task of a stream, its first request, and its admission.
-//! - `discovery`: discovery streams.
-//! - `load_reports`: streams of load reports.
+//! - `stream_task`: what discovery and load reporting streams have in common: the task, the first request, admission.
+//! - `discovery`: discovery streams (xDS).
+//! - `load_reports`: load reporting streams (LRS).
 
 mod connections;
 mod context;
@@ -34,16 +34,17 @@
 use tokio::sync::mpsc;
 use tokio_stream::wrappers::ReceiverStream;
 
-/// Serves proxies from the `allowed` networks until the transport fails.
+/// Serves proxies until the transport fails. Closes connections from outside `allowed_networks`, and new connections
+/// while too many are open; that limit is a multiple of `max_streams`.
 ///
 /// # Errors
-/// The error of the transport.
+/// Returns the error of the transport.
 pub async fn serve(
-    listener: TcpListener, allowed: Vec<IpNet>, max_streams: usize, context: ServerContext,
+    listener: TcpListener, allowed_networks: Vec<IpNet>, max_streams: usize, context: ServerContext,
 ) -> io::Result<()> {
     let (accepted, incoming) = mpsc::channel(MAX_QUEUED_CONNECTIONS);
     let connection_limits =
-        ConnectionLimits { allowed, max_connections: limits::max_connections(max_streams) };
+        ConnectionLimits { allowed_networks, max_connections: limits::max_connections(max_streams) };
     let accepting = connections::accept(listener, connection_limits, accepted);
     let grpc_server = tonic::transport::Server::builder()
         .max_concurrent_streams(MAX_STREAMS_PER_CONNECTION)
--- a/crates/xds/src/server/connections.rs
+++ b/crates/xds/src/server/connections.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and counts those that are open.
+//! Accepts connections from allowed networks, up to a limit of open ones.
 
 use crate::limits::ACCEPT_RETRY_INTERVAL;
 use ipnet::IpNet;
@@ -16,18 +16,19 @@
 
 /// Which connections are accepted.
 pub(super) struct ConnectionLimits {
-    pub(super) allowed: Vec<IpNet>,
+    pub(super) allowed_networks: Vec<IpNet>,
     pub(super) max_connections: usize,
 }
 
 impl ConnectionLimits {
-    fn is_allowed(&self, from: SocketAddr, open: usize) -> bool {
-        // Checked before the first read: a rejected connection must be cheap.
-        if !self.allowed.iter().any(|network| network.contains(&from.ip().to_canonical())) {
+    fn accepts(&self, from: SocketAddr, open_connections: usize) -> bool {
+        // On a dual-stack listener the address of an IPv4 peer is an IPv4-mapped IPv6 address.
+        let ip = from.ip().to_canonical();
+        if !self.allowed_networks.iter().any(|network| network.contains(&ip)) {
             tracing::debug!(%from, "connection rejected: network not allowed");
             return false;
         }
-        if open >= self.max_connections {
+        if open_connections >= self.max_connections {
             tracing::debug!(%from, "connection rejected: too many connections");
             return false;
         }
@@ -35,22 +36,24 @@
     }
 }
 
-/// Accepts connections until the receiver is closed.
+/// Sends accepted connections to `accepted` until its receiver is closed. A connection is rejected before anything is
+/// read from it, so that rejections are cheap.
 pub(super) async fn accept(
     listener: TcpListener, limits: ConnectionLimits, accepted: mpsc::Sender<io::Result<CountedConnection>>,
 ) {
-    let open = Arc::new(AtomicUsize::new(0));
+    let open_connections = Arc::new(AtomicUsize::new(0));
     loop {
         let accept = async || listener.accept().await;
         let (stream, from) = accept_with_retry(accept, ACCEPT_RETRY_INTERVAL, |error, scope| {
             tracing::debug!(%error, ?scope, "accept failed");
         })
         .await;
-        if !limits.is_allowed(from, open.load(Ordering::Relaxed)) {
+        if !limits.accepts(from, open_connections.load(Ordering::Relaxed)) {
             continue;
         }
+        // Without TCP_NODELAY responses may be delayed, but are still correct.
         let _ = stream.set_nodelay(true);
-        let connection = CountedConnection::new(stream, open.clone());
+        let connection = CountedConnection::new(stream, open_connections.clone());
         if accepted.send(Ok(connection)).await.is_err() {
             return;
         }
@@ -60,19 +63,19 @@
 /// A connection that counts as open until it is dropped.
 pub(super) struct CountedConnection {
     stream: TcpStream,
-    open: Arc<AtomicUsize>,
+    open_connections: Arc<AtomicUsize>,
 }
 
 impl CountedConnection {
-    fn new(stream: TcpStream, open: Arc<AtomicUsize>) -> Self {
-        open.fetch_add(1, Ordering::Relaxed);
-        CountedConnection { stream, open }
+    fn new(stream: TcpStream, open_connections: Arc<AtomicUsize>) -> Self {
+        open_connections.fetch_add(1, Ordering::Relaxed);
+        CountedConnection { stream, open_connections }
     }
 }
 
 impl Drop for CountedConnection {
     fn drop(&mut self) {
-        self.open.fetch_sub(1, Ordering::Relaxed);
+        self.open_connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
--- a/crates/xds/src/server/discovery.rs
+++ b/crates/xds/src/server/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery streams: runs the [`Stream`] state machine over gRPC.
+//! Discovery streams (xDS): passes messages between gRPC and the [`Stream`] state machine.
 
 use super::context::{ServerContext, ServerEvent, StreamKind};
 use super::discovery_method::DiscoveryMethod;
@@ -17,7 +17,7 @@
 use tonic::server::StreamingService;
 use tonic::{Request, Status, Streaming};
 
-/// The gRPC service of one discovery stream.
+/// Serves the call that opens one discovery stream.
 pub(super) struct DiscoveryService {
     pub(super) context: ServerContext,
     pub(super) stream_number: u64,
@@ -45,7 +45,7 @@
     }
 }
 
-/// The task of one discovery stream.
+/// State of the task that serves one discovery stream.
 struct DiscoveryTask {
     stream: Stream,
     stream_number: u64,
@@ -68,12 +68,13 @@
         loop {
             self.report_events().await?;
             select! {
+                // Requests are read first, so that a response takes into account all that have arrived.
                 biased;
                 request = requests.message() => {
                     let Some(request) = request? else { return Ok(()) };
                     self.on_request(request)?;
                 }
-                // The response is selected after the queue has capacity, so that it is the newest.
+                // The response is selected once the queue has capacity, so that its content is the newest.
                 permit = responses.reserve(), if !self.is_idle => {
                     let Ok(permit) = permit else { return Ok(()) };
                     self.send_next_response(permit).await?;
@@ -112,6 +113,7 @@
         self.is_idle = response.is_none();
         let Some(response) = response else { return Ok(()) };
         if let Some(canary_shares) = response.canary_shares {
+            // Reported before the response is sent, since the proxy may then use the shares immediately.
             let event = ServerEvent::RoutesSent { stream: self.stream_number, canary_shares };
             self.context.events.send(event).await.map_err(service_unavailable)?;
         }
--- a/crates/xds/src/server/discovery_method.rs
+++ b/crates/xds/src/server/discovery_method.rs
@@ -2,17 +2,17 @@
 
 use crate::resources::ResourceType;
 
-/// A discovery method.
+/// The protocol variant and resource type of a discovery stream, as its gRPC path determines them.
 #[derive(Clone, Copy)]
 pub(super) struct DiscoveryMethod {
-    /// The incremental form of the protocol.
+    /// Set for incremental (delta) xDS, otherwise the protocol is state of the world.
     pub(super) incremental: bool,
-    /// The only type on the stream; none: all types.
+    /// The only resource type on the stream. `None` if the stream is aggregated (ADS).
     pub(super) only_type: Option<ResourceType>,
 }
 
 impl DiscoveryMethod {
-    /// The method of a path; none if it is not implemented.
+    /// The method of a gRPC path. `None` if the server does not implement it.
     pub(super) fn from_path(path: &str) -> Option<DiscoveryMethod> {
         let (service, method) = path.strip_prefix("/envoy.service.")?.split_once('/')?;
         let only_type = match service {
@@ -38,8 +38,8 @@
             | "DeltaRoutes" => true,
             _ => return None,
         };
-        // Single endpoints exist in the incremental form only.
-        let is_served = incremental || only_type != Some(ResourceType::LbEndpoint);
-        is_served.then_some(DiscoveryMethod { incremental, only_type })
+        // LEDS exists only as incremental xDS.
+        let is_implemented = incremental || only_type != Some(ResourceType::LbEndpoint);
+        is_implemented.then_some(DiscoveryMethod { incremental, only_type })
     }
 }
--- a/crates/xds/src/server/load_reports.rs
+++ b/crates/xds/src/server/load_reports.rs
@@ -1,4 +1,4 @@
-//! Streams of load reports (LRS).
+//! Load reporting streams (LRS).
 
 use super::context::{ServerContext, ServerEvent, StreamKind};
 use super::stream_task::{
@@ -15,7 +15,7 @@
 use tonic::server::StreamingService;
 use tonic::{Request, Status, Streaming};
 
-/// The gRPC service of one stream of load reports.
+/// Serves the call that opens one load reporting stream.
 pub(super) struct LoadReportingService {
     pub(super) context: ServerContext,
     pub(super) stream_number: u64,
@@ -54,7 +54,8 @@
     Ok(())
 }
 
-/// The response with the clusters to report and the interval.
+/// The only response of the stream. Requests reports of all clusters, with counts of each endpoint, once in each
+/// [`LOAD_REPORT_INTERVAL`].
 fn reporting_instructions() -> Bytes {
     let interval = Duration { seconds: LOAD_REPORT_INTERVAL.as_secs().cast_signed(), nanos: 0 };
     let instructions = LoadStatsResponse {
--- a/crates/xds/src/server/services.rs
+++ b/crates/xds/src/server/services.rs
@@ -1,4 +1,4 @@
-//! Maps gRPC paths to streams.
+//! Starts the stream that the path of a gRPC call names.
 
 use super::context::ServerContext;
 use super::discovery::DiscoveryService;
@@ -18,20 +18,18 @@
 use tonic::codegen::{BoxFuture, Service, http};
 use tonic::server::Grpc;
 
-/// The path of load reports.
 const LOAD_REPORTS_PATH: &str = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats";
 
-/// All gRPC services by their paths.
+/// The gRPC services of all paths. Each call is one stream.
 #[derive(Clone)]
 pub(super) struct XdsServices {
     context: ServerContext,
-    /// The number of the last stream.
-    last_stream: Arc<AtomicU64>,
+    last_stream_number: Arc<AtomicU64>,
 }
 
 impl XdsServices {
     pub(super) fn new(context: ServerContext) -> Self {
-        XdsServices { context, last_stream: Arc::default() }
+        XdsServices { context, last_stream_number: Arc::default() }
     }
 }
 
@@ -45,7 +43,7 @@
     }
 
     fn call(&mut self, request: http::Request<Body>) -> Self::Future {
-        let stream_number = self.last_stream.fetch_add(1, Ordering::Relaxed) + 1;
+        let stream_number = self.last_stream_number.fetch_add(1, Ordering::Relaxed) + 1;
         Box::pin(handle(request, self.context.clone(), stream_number))
     }
 }
--- a/crates/xds/src/server/stream_task.rs
+++ b/crates/xds/src/server/stream_task.rs
@@ -1,4 +1,4 @@
-//! The task of a stream, its first request, and its admission.
+//! The task of a stream, its first request, and its admission, for discovery and load reporting streams.
 
 use super::context::{ServerEvent, StreamKind};
 use crate::limits::{ADMISSION_TIMEOUT, FIRST_REQUEST_TIMEOUT, MAX_QUEUED_RESPONSES};
@@ -10,17 +10,16 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::{Response, Status, Streaming};
 
-/// One response in chunks, or the status that ends the stream.
+/// One encoded response in chunks, or the status with which the stream ends.
 pub(super) type ResponseItem = Result<Vec<Bytes>, Status>;
-/// The sender of a stream's responses.
 pub(super) type ResponseSender = mpsc::Sender<ResponseItem>;
-/// The responses of a stream.
 pub(super) type ResponseStream = ReceiverStream<ResponseItem>;
-/// The future response stream of a request.
+/// What a gRPC service returns when a stream begins; resolves to the responses of the stream.
 pub(super) type ResponseFuture =
     Pin<Box<dyn Future<Output = Result<Response<ResponseStream>, Status>> + Send>>;
 
-/// Serves a stream on a task of its own until it ends, and reports its end.
+/// Runs `serve` on a new task, and reports the end of the stream when `serve` returns. An error of `serve` is the
+/// status with which the stream ends.
 pub(super) fn spawn_stream<F>(
     events: mpsc::Sender<ServerEvent>, stream: u64, serve: impl FnOnce(ResponseSender) -> F + Send + 'static,
 ) -> ResponseFuture
@@ -31,6 +30,7 @@
         let (responses, response_stream) = mpsc::channel(MAX_QUEUED_RESPONSES);
         tokio::spawn(async move {
             let result = serve(responses.clone()).await;
+            // Sent before the status, which is delayed while the proxy does not read.
             let _ = events.send(ServerEvent::StreamClosed { stream }).await;
             if let Err(status) = result {
                 let _ = responses.send(Err(status)).await;
@@ -40,7 +40,7 @@
     })
 }
 
-/// The first request of a stream; none if the stream ended.
+/// Waits for the first request. Returns `None` if the proxy closed the stream without one.
 pub(super) async fn first_request<R>(requests: &mut Streaming<R>) -> Result<Option<R>, Status> {
     match timeout(FIRST_REQUEST_TIMEOUT, requests.message()).await {
         Ok(request) => request,
@@ -48,7 +48,8 @@
     }
 }
 
-/// Waits until the stream may begin.
+/// Reports a new stream and waits until it is admitted. An error is the status with which the stream ends: it was
+/// rejected, or not admitted within [`ADMISSION_TIMEOUT`].
 pub(super) async fn wait_for_admission(
     events: &mpsc::Sender<ServerEvent>, stream: u64, node_id: String, kind: StreamKind,
 ) -> Result<(), Status> {
@@ -63,7 +64,7 @@
     }
 }
 
-/// The status of a stream after the receiver of events, or the sender of snapshots, was dropped.
+/// The status of a stream whose channels to the control plane are closed, because the process is shutting down.
 pub(super) fn service_unavailable<E>(_: E) -> Status {
     Status::unavailable("the control service is shutting down")
 }
