--- a/crates/xds/tests/convergence/control_service.rs
+++ b/crates/xds/tests/convergence/control_service.rs
@@ -1,4 +1,4 @@
-//! A control service: its state of the platform, and its published snapshot.
+//! A control service that observes the platform and publishes resource snapshots.
 
 use super::platform::PlatformState;
 use latchhaven_policy::{
@@ -46,7 +46,7 @@
 
 fn listener_config(separate_endpoints: bool) -> ListenerConfig {
     ListenerConfig {
-        address: host_address(0),
+        address: endpoint_address(0),
         class_header: "x-product".to_string(),
         key_header: "x-key".to_string(),
         connect_timeout: 250.0,
@@ -54,31 +54,31 @@
     }
 }
 
-fn host_name(index: usize) -> String {
+fn endpoint_id(index: usize) -> String {
     format!("s{index}")
 }
 
-fn host_address(index: usize) -> SocketAddr {
+fn endpoint_address(index: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 2000 + index as u16))
 }
 
-/// The settings of both control services.
+/// What both control services have in common.
 pub(crate) struct Setup {
     pub(crate) signer: VersionSigner,
     pub(crate) separate_endpoints: bool,
 }
 
-/// One control service.
 pub(crate) struct ControlService {
     pub(crate) version_tracker: VersionTracker,
+    /// The published snapshot. `None` while publication is blocked after a start.
     pub(crate) snapshot: Option<ResourceSnapshot>,
-    /// The index of the last platform state that it has seen.
-    pub(crate) last_seen: usize,
+    /// The index of the platform state that the service observed last.
+    pub(crate) observed_state: usize,
 }
 
 impl ControlService {
-    pub(crate) fn new(last_seen: usize) -> Self {
-        ControlService { version_tracker: VersionTracker::default(), snapshot: None, last_seen }
+    pub(crate) fn new(observed_state: usize) -> Self {
+        ControlService { version_tracker: VersionTracker::default(), snapshot: None, observed_state }
     }
 
     pub(crate) fn observe(&mut self, platform: &PlatformState, setup: &Setup) {
@@ -90,7 +90,7 @@
 
     fn publish(&mut self, platform: &PlatformState, setup: &Setup) {
         let Ok(version) = self.version_tracker.config_version() else { return };
-        // The versions that proxies report may be newer than the platform's state.
+        // A proxy may have reported a newer rollout state than the one that this service observed.
         let policy = policy_snapshot(platform, version.rollout.to_state(platform.now));
         let proxy_config = self.proxy_config(platform, &policy);
         let listener = listener_config(setup.separate_endpoints);
@@ -101,8 +101,9 @@
     }
 
     fn proxy_config(&self, platform: &PlatformState, policy: &PolicySnapshot) -> ProxyConfig {
-        let addresses: BTreeMap<_, _> =
-            (0..platform.hosts.len()).map(|index| (host_name(index), host_address(index))).collect();
+        let addresses: BTreeMap<_, _> = (0..platform.endpoints.len())
+            .map(|index| (endpoint_id(index), endpoint_address(index)))
+            .collect();
         let mut published_shares = PublishedShares::new(10);
         published_shares.on_connected(1);
         published_shares.set_request_rate(1, vec![1.0, 1.0]);
@@ -118,16 +119,16 @@
     }
 }
 
-/// The policy's view of the endpoints, with the canary of this rollout if it has endpoints.
+/// The state of the policy for this rollout. The version is a canary until promoted, if endpoints run the version.
 fn policy_snapshot(platform: &PlatformState, rollout: RolloutState) -> PolicySnapshot {
-    let has_hosts = platform.hosts.iter().any(|host| host.version == rollout.version);
+    let has_endpoints = platform.endpoints.iter().any(|endpoint| endpoint.version == rollout.version);
     let canary = Canary { version: rollout.version, traffic_cap: rollout.traffic_cap, stage: rollout.stage };
-    let is_canary = rollout.phase != RolloutPhase::Promoted && has_hosts;
-    let endpoints = platform.hosts.iter().enumerate().map(|(index, host)| EndpointSnapshot {
-        endpoint: host_name(index),
-        version: host.version,
+    let is_canary = rollout.phase != RolloutPhase::Promoted && has_endpoints;
+    let endpoints = platform.endpoints.iter().enumerate().map(|(index, endpoint)| EndpointSnapshot {
+        endpoint: endpoint_id(index),
+        version: endpoint.version,
         zone: format!("z{}", index % 2),
-        is_ready: host.is_ready,
+        is_ready: endpoint.is_ready,
         is_ejected: false,
         capacity: 1.0,
         is_warming_up: false,
--- a/crates/xds/tests/convergence/platform.rs
+++ b/crates/xds/tests/convergence/platform.rs
@@ -1,13 +1,15 @@
-//! The platform's state: a rollout, and endpoints with their versions.
+//! The platform: a rollout, and the endpoints with their versions.
 
 use latchhaven_policy::{Millis, RolloutPhase, RolloutState, Version};
 
-/// Stages of a rollout before it is promoted.
+/// The last stage of a rollout before the version is promoted; the first is 0.
 const LAST_STAGE: u32 = 2;
+/// Time between two changes.
+const CHANGE_INTERVAL: Millis = 5_000.0;
 
-/// One endpoint of the platform.
+/// An endpoint, identified by its index in the list.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Host {
+pub(crate) struct Endpoint {
     pub(crate) version: Version,
     pub(crate) is_ready: bool,
 }
@@ -16,10 +18,11 @@
 #[derive(Clone, Debug)]
 pub(crate) struct PlatformState {
     pub(crate) rollout: RolloutState,
-    pub(crate) hosts: Vec<Host>,
+    pub(crate) endpoints: Vec<Endpoint>,
+    /// The version of the endpoint list, which increases with each change.
     pub(crate) list_version: u64,
     pub(crate) now: Millis,
-    /// When the state of the rollout began, in ms.
+    /// When the rollout last changed.
     pub(crate) rollout_since: Millis,
 }
 
@@ -32,32 +35,32 @@
             traffic_cap: 1.0,
             age: 0.0,
         };
-        let host = Host { version: Version(1), is_ready: true };
+        let endpoint = Endpoint { version: Version(1), is_ready: true };
         PlatformState {
             rollout,
-            hosts: vec![host; 4],
+            endpoints: vec![endpoint; 4],
             list_version: 1,
             now: 10_000.0,
             rollout_since: 9_000.0,
         }
     }
 
-    /// The next state: a rollout that begins, advances, rolls back or has rolled back, or an endpoint that starts or
-    /// ends draining.
-    pub(crate) fn next(&self, kind: u8, pick: usize) -> PlatformState {
+    /// The state after one random change: a rollout begins, advances, or begins or completes a rollback, or
+    /// an endpoint begins or stops draining.
+    pub(crate) fn next(&self, change: u8, selector: usize) -> PlatformState {
         let mut next = self.clone();
-        next.now += 5_000.0;
-        let picked = pick % next.hosts.len();
-        match (kind % 6, self.rollout.phase) {
-            (0, RolloutPhase::Promoted | RolloutPhase::RolledBack) => next.begin_rollout(picked),
+        next.now += CHANGE_INTERVAL;
+        let index = selector % next.endpoints.len();
+        match (change % 6, self.rollout.phase) {
+            (0, RolloutPhase::Promoted | RolloutPhase::RolledBack) => next.begin_rollout(index),
             (1, RolloutPhase::Canary) => next.advance_rollout(),
             (2, RolloutPhase::Canary | RolloutPhase::Promoted) => {
                 next.rollout.phase = RolloutPhase::RollingBack;
                 next.rollout.traffic_cap = 0.0;
             }
-            (3, RolloutPhase::RollingBack) => next.finish_rollback(),
+            (3, RolloutPhase::RollingBack) => next.complete_rollback(),
             _ => {
-                next.hosts[picked].is_ready = !next.hosts[picked].is_ready;
+                next.endpoints[index].is_ready = !next.endpoints[index].is_ready;
                 next.list_version += 1;
             }
         }
@@ -65,12 +68,12 @@
         next
     }
 
-    fn begin_rollout(&mut self, first_host: usize) {
+    fn begin_rollout(&mut self, first_endpoint: usize) {
         self.rollout.version = Version(self.rollout.version.0 + 1);
         self.rollout.stage = 0;
         self.rollout.phase = RolloutPhase::Canary;
         self.rollout.traffic_cap = 0.1;
-        self.hosts[first_host] = Host { version: self.rollout.version, is_ready: true };
+        self.endpoints[first_endpoint] = Endpoint { version: self.rollout.version, is_ready: true };
         self.list_version += 1;
     }
 
@@ -82,18 +85,18 @@
         }
         self.rollout.phase = RolloutPhase::Promoted;
         self.rollout.traffic_cap = 1.0;
-        for host in &mut self.hosts {
-            host.version = self.rollout.version;
+        for endpoint in &mut self.endpoints {
+            endpoint.version = self.rollout.version;
         }
         self.list_version += 1;
     }
 
-    fn finish_rollback(&mut self) {
+    fn complete_rollback(&mut self) {
         self.rollout.phase = RolloutPhase::RolledBack;
         let rejected = self.rollout.version;
         let baseline = Version(rejected.0 - 1);
-        for host in self.hosts.iter_mut().filter(|host| host.version == rejected) {
-            host.version = baseline;
+        for endpoint in self.endpoints.iter_mut().filter(|endpoint| endpoint.version == rejected) {
+            endpoint.version = baseline;
         }
         self.list_version += 1;
     }
