--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -76,7 +76,7 @@
     /// Admits a stream of load reports immediately. Returns `false` if there are too many streams; the caller then
     /// rejects the stream.
     pub fn open_load_report_stream(&mut self, stream: u64, node: &str) -> bool {
-        let is_admitted = self.admission.admit_load_reports(stream) == AdmissionResult::SlotReserved;
+        let is_admitted = self.admission.admit_load_report_stream(stream) == AdmissionResult::SlotReserved;
         if is_admitted {
             self.proxies.open_load_report_stream(stream, node);
         }
--- a/crates/xds/src/admission.rs
+++ b/crates/xds/src/admission.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionResult {
     /// The stream has a slot: a discovery stream is pending until [`Admission::admit_pending`] returns it, a load
-    /// reporting stream is admitted.
+    /// report stream is admitted.
     SlotReserved,
     /// All slots are occupied. The caller rejects the stream, and the proxy may retry later.
     StreamLimitReached,
@@ -74,9 +74,9 @@
         }
     }
 
-    /// Reserves a slot for a load reporting stream and admits the stream immediately: its only response is short, so
+    /// Reserves a slot for a load report stream and admits the stream immediately: its only response is short, so
     /// that the rate is not limited.
-    pub fn admit_load_reports(&mut self, stream: u64) -> AdmissionResult {
+    pub fn admit_load_report_stream(&mut self, stream: u64) -> AdmissionResult {
         if self.is_full() {
             return AdmissionResult::StreamLimitReached;
         }
--- a/crates/xds/src/server.rs
+++ b/crates/xds/src/server.rs
@@ -7,9 +7,9 @@
 //! - `connections`: accepts connections and limits their number.
 //! - `services`: starts the stream that the path of a gRPC call names.
 //! - `discovery_method`: the discovery methods and their paths.
-//! - `stream_task`: what discovery and load reporting streams have in common: the task, the first request, admission.
+//! - `stream_task`: what discovery and load report streams have in common: the task, the first request, admission.
 //! - `discovery`: discovery streams (xDS).
-//! - `load_reports`: load reporting streams (LRS).
+//! - `load_reports`: load report streams (LRS).
 
 mod connections;
 mod context;
--- a/crates/xds/src/server/context.rs
+++ b/crates/xds/src/server/context.rs
@@ -16,7 +16,7 @@
 pub enum StreamKind {
     /// A discovery stream (xDS), on which the proxy subscribes to resources.
     Discovery,
-    /// A load reporting stream (LRS), on which the proxy sends load reports.
+    /// A load report stream (LRS), on which the proxy sends load reports.
     LoadReport,
 }
 
@@ -48,7 +48,7 @@
         /// The share of requests that the routes send to the canary, for each request class.
         canary_shares: CanaryShares,
     },
-    /// A proxy has sent a report on a load reporting stream. The next one is not read before `result` is sent.
+    /// A proxy has sent a report on a load report stream. The next one is not read before `result` is sent.
     LoadReport {
         /// The number of the stream.
         stream: u64,
--- a/crates/xds/src/server/load_reports.rs
+++ b/crates/xds/src/server/load_reports.rs
@@ -1,4 +1,4 @@
-//! Load reporting streams (LRS).
+//! Load report streams (LRS).
 
 use super::context::{ServerContext, ServerEvent, StreamKind};
 use super::stream_task::{
@@ -15,7 +15,7 @@
 use tonic::server::StreamingService;
 use tonic::{Request, Status, Streaming};
 
-/// Serves the call that opens one load reporting stream.
+/// Serves the call that opens one load report stream.
 pub(super) struct LoadReportingService {
     pub(super) context: ServerContext,
     pub(super) stream_number: u64,
--- a/crates/xds/src/server/stream_task.rs
+++ b/crates/xds/src/server/stream_task.rs
@@ -1,4 +1,4 @@
-//! The task of a stream, its first request, and its admission, for discovery and load reporting streams.
+//! The task of a stream, its first request, and its admission, for discovery and load report streams.
 
 use super::context::{ServerEvent, StreamKind};
 use crate::limits::{ADMISSION_TIMEOUT, FIRST_REQUEST_TIMEOUT, MAX_QUEUED_RESPONSES};
--- a/crates/xds/tests/admission.rs
+++ b/crates/xds/tests/admission.rs
@@ -25,9 +25,9 @@
 #[test]
 fn closing_a_stream_without_a_slot_frees_no_slot() {
     let mut admission = Admission::new(2);
-    assert_eq!(admission.admit_load_reports(1), AdmissionResult::SlotReserved);
-    assert_eq!(admission.admit_load_reports(2), AdmissionResult::SlotReserved);
-    assert_eq!(admission.admit_load_reports(3), AdmissionResult::StreamLimitReached);
+    assert_eq!(admission.admit_load_report_stream(1), AdmissionResult::SlotReserved);
+    assert_eq!(admission.admit_load_report_stream(2), AdmissionResult::SlotReserved);
+    assert_eq!(admission.admit_load_report_stream(3), AdmissionResult::StreamLimitReached);
     for stream in [3, 4, 5] {
         admission.on_stream_closed(stream);
     }
@@ -36,15 +36,16 @@
         admission.on_stream_closed(1);
     }
     assert_eq!(admission.request_slot(6, "p", 0.0), AdmissionResult::SlotReserved);
-    assert_eq!(admission.admit_load_reports(7), AdmissionResult::StreamLimitReached);
+    assert_eq!(admission.admit_load_report_stream(7), AdmissionResult::StreamLimitReached);
 }
 
 /// Counts the occupied slots by filling the free ones of a copy.
 fn occupied_slots(admission: &Admission, max_streams: usize) -> usize {
     let mut copy = admission.clone();
     let mut probes = u64::MAX - max_streams as u64..u64::MAX;
-    let free =
-        probes.by_ref().take_while(|probe| copy.admit_load_reports(*probe) == AdmissionResult::SlotReserved);
+    let free = probes
+        .by_ref()
+        .take_while(|probe| copy.admit_load_report_stream(*probe) == AdmissionResult::SlotReserved);
     max_streams - free.count()
 }
 
