--- a/crates/xds/tests/convergence/main.rs
+++ b/crates/xds/tests/convergence/main.rs
@@ -17,8 +17,8 @@
 
 /// Rounds after the random steps, in which each proxy exchanges messages without faults.
 const FAULT_FREE_ROUNDS: usize = 80;
-/// Rounds after which the naming grace ends.
-const NAMING_GRACE_ROUNDS: usize = 20;
+/// Rounds after which the endpoint subscription times out.
+const ENDPOINT_SUBSCRIPTION_TIMEOUT_ROUNDS: usize = 20;
 /// Exchanges of messages in a step without faults.
 const EXCHANGES_PER_FAULT_FREE_STEP: usize = 12;
 
@@ -114,9 +114,9 @@
         for round in 0..FAULT_FREE_ROUNDS {
             for proxy in &mut self.proxies {
                 if let Some(connection) = &mut proxy.connection
-                    && round > NAMING_GRACE_ROUNDS
+                    && round > ENDPOINT_SUBSCRIPTION_TIMEOUT_ROUNDS
                 {
-                    connection.stream.end_naming_grace();
+                    connection.stream.on_endpoint_subscription_timeout();
                 }
                 proxy.exchange(&mut self.services, platform.now);
             }
