--- a/crates/xds/src/server/discovery.rs
+++ b/crates/xds/src/server/discovery.rs
@@ -51,7 +51,7 @@
     stream_number: u64,
     incremental: bool,
     context: ServerContext,
-    /// There is nothing to send until the next request or snapshot, or the endpoint subscription timeout.
+    /// Set while there is nothing to send. Cleared by a request, a new snapshot, or the endpoint subscription timeout.
     is_idle: bool,
 }
 
