--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -76,7 +76,7 @@
     /// Admits a stream of load reports immediately. Returns `false` if there are too many streams; the caller then
     /// rejects the stream.
     pub fn open_load_report_stream(&mut self, stream: u64, node: &str) -> bool {
-        let is_admitted = self.admission.admit_load_reports(stream) == AdmissionResult::Accepted;
+        let is_admitted = self.admission.admit_load_report_stream(stream) == AdmissionResult::SlotReserved;
         if is_admitted {
             self.proxies.open_load_report_stream(stream, node);
         }
@@ -86,7 +86,7 @@
     /// Queues a discovery stream for admission by [`ControlPlane::poll`]. Returns `false` if there are too many
     /// streams; the caller then rejects the stream.
     pub fn request_discovery_stream(&mut self, stream: u64, node: &str, now: Millis) -> bool {
-        let is_queued = self.admission.request_slot(stream, node, now) == AdmissionResult::Accepted;
+        let is_queued = self.admission.request_slot(stream, node, now) == AdmissionResult::SlotReserved;
         if is_queued {
             self.proxies.add_pending_stream(stream, node.to_string());
         }
