--- a/crates/gateway/src/gateway/event_loop.rs
+++ b/crates/gateway/src/gateway/event_loop.rs
@@ -76,8 +76,8 @@
 
     fn on_event(&mut self, event: DriverEvent, events: &mut Vec<Event>) {
         match event {
-            DriverEvent::RequestReceived { id, statement, arrived_at, reply } => {
-                self.on_request(id, statement, arrived_at, reply, events);
+            DriverEvent::RequestReceived { id, statement, arrived_at, response_sender } => {
+                self.on_request(id, statement, arrived_at, response_sender, events);
             }
             DriverEvent::ClientDisconnected { id } => self.on_client_disconnected(id, events),
             DriverEvent::Abandon { id } => events.push(Event::Abandon { id }),
--- a/crates/gateway/src/gateway/request_table.rs
+++ b/crates/gateway/src/gateway/request_table.rs
@@ -1,6 +1,6 @@
 //! Pending requests and their attempts.
 
-use crate::net::Answer;
+use crate::net::FinalResponse;
 use crate::proto::pg::Statement;
 use latchhaven_policy::{Millis, RequestId};
 use std::collections::BTreeMap;
@@ -21,14 +21,14 @@
     /// In ms.
     pub(super) deadline: Millis,
     /// None: it is answered, or its client has disconnected.
-    pub(super) reply: Option<oneshot::Sender<Answer>>,
+    pub(super) response_sender: Option<oneshot::Sender<FinalResponse>>,
     pub(super) attempts: Vec<Attempt>,
 }
 
 impl PendingRequest {
     /// It is answered and all its attempts have ended.
     fn is_finished(&self) -> bool {
-        self.reply.is_none() && self.attempts.iter().all(|attempt| attempt.has_ended)
+        self.response_sender.is_none() && self.attempts.iter().all(|attempt| attempt.has_ended)
     }
 }
 
--- a/crates/gateway/src/gateway/requests.rs
+++ b/crates/gateway/src/gateway/requests.rs
@@ -4,7 +4,7 @@
 use super::request_table::PendingRequest;
 use crate::counters::{COUNTERS, Metric};
 use crate::invariant;
-use crate::net::Answer;
+use crate::net::FinalResponse;
 use crate::net::upstream::UpstreamCall;
 use crate::policy_log;
 use crate::proto::pg::Statement;
@@ -16,7 +16,7 @@
     /// A request was received. `arrived_at`: when its last byte arrived, in ms.
     pub(super) fn on_request(
         &mut self, id: RequestId, statement: Rc<Statement>, arrived_at: Millis,
-        reply: oneshot::Sender<Answer>, events: &mut Vec<Event>,
+        response_sender: oneshot::Sender<FinalResponse>, events: &mut Vec<Event>,
     ) {
         COUNTERS.requests_total.increment();
         let now = self.clock.now();
@@ -38,7 +38,12 @@
             is_retry: statement.is_retry,
             is_write: statement.is_write,
         }));
-        let request = PendingRequest { statement, deadline, reply: Some(reply), attempts: Vec::new() };
+        let request = PendingRequest {
+            statement,
+            deadline,
+            response_sender: Some(response_sender),
+            attempts: Vec::new(),
+        };
         invariant!(self.requests.insert(id, request), "request ids are unique");
     }
 
@@ -46,7 +51,7 @@
     pub(super) fn on_client_disconnected(&mut self, id: RequestId, events: &mut Vec<Event>) {
         COUNTERS.clients_disconnected_total.increment();
         if let Some(request) = self.requests.get_mut(id) {
-            request.reply = None;
+            request.response_sender = None;
             events.push(Event::ClientDisconnected { id });
         }
         self.on_answered(id);
@@ -58,20 +63,20 @@
         if matches!(reason, UnservedReason::ListExpired { .. }) {
             self.list_confirmation.log_expired();
         }
-        self.answer(id, Answer::Rejected { retry_after }, &COUNTERS.requests_rejected_total);
+        self.answer(id, FinalResponse::Rejected { retry_after }, &COUNTERS.requests_rejected_total);
     }
 
     /// Fails a request: its effect is unknown.
     pub(super) fn fail(&mut self, id: RequestId, reason: UnservedReason) {
         record_unserved(id, &reason);
-        self.answer(id, Answer::Failed, &COUNTERS.requests_failed_total);
+        self.answer(id, FinalResponse::Failed, &COUNTERS.requests_failed_total);
     }
 
-    fn answer(&mut self, id: RequestId, answer: Answer, counter: &Metric) {
+    fn answer(&mut self, id: RequestId, answer: FinalResponse, counter: &Metric) {
         let Some(request) = self.requests.get_mut(id) else { return };
-        let Some(reply) = request.reply.take() else { return };
+        let Some(response_sender) = request.response_sender.take() else { return };
         counter.increment();
-        let _ = reply.send(answer);
+        let _ = response_sender.send(answer);
         self.on_answered(id);
     }
 
--- a/crates/gateway/src/gateway/upstream_calls.rs
+++ b/crates/gateway/src/gateway/upstream_calls.rs
@@ -6,7 +6,7 @@
 use crate::counters::{COUNTERS, Metric};
 use crate::invariant;
 use crate::limits::upstream::attempt_deadline;
-use crate::net::Answer;
+use crate::net::FinalResponse;
 use crate::net::upstream::{CallResult, CancelResult, QueuedCall, UpstreamCall};
 use crate::proto::pg;
 use latchhaven_policy::{AttemptOutcome, CompletedAttempt, Event, LoadReporting, Millis, RequestId};
@@ -26,7 +26,7 @@
         let deadline = attempt_deadline(now, timeout, request.deadline);
         let call = UpstreamCall::Attempt { id, attempt: request.attempts.len() as u32 };
         request.attempts.push(Attempt { endpoint: endpoint.to_string(), started_at: now, has_ended: false });
-        let is_wanted = request.reply.is_some() && deadline > now;
+        let is_wanted = request.response_sender.is_some() && deadline > now;
         let queued = QueuedCall {
             call,
             statement: Some(request.statement.clone()),
@@ -119,13 +119,13 @@
         );
         let Some(request) = self.requests.get_mut(id) else { return };
         if outcome == AttemptOutcome::Success
-            && let Some(value) = value
-            && let Some(reply) = request.reply.take()
+            && let Some([description, row, completion]) = value
+            && let Some(response_sender) = request.response_sender.take()
         {
             COUNTERS.requests_succeeded_total.increment();
-            let _ = reply.send(Answer::Success(value));
+            let _ = response_sender.send(FinalResponse::Success { description, row, completion });
         }
-        let is_final = request.reply.is_none();
+        let is_final = request.response_sender.is_none();
         events.push(Event::AttemptCompleted(CompletedAttempt {
             id,
             attempt: number,
--- a/crates/gateway/src/net/clients/requests.rs
+++ b/crates/gateway/src/net/clients/requests.rs
@@ -9,7 +9,7 @@
 use crate::counters::COUNTERS;
 use crate::invariant;
 use crate::limits::clients::{MAX_READ_AHEAD, SLOW_WRITE};
-use crate::net::{Answer, DriverEvent, read_some};
+use crate::net::{DriverEvent, FinalResponse, read_some};
 use crate::proto::pg::{self, Statement, StatementError};
 use bytes::Bytes;
 use latchhaven_policy::{Millis, RequestId};
@@ -105,9 +105,9 @@
         let clients = self.clients;
         let id = RequestId(clients.next_request.get());
         clients.next_request.set(id.0.wrapping_add(1));
-        let (reply, answer) = oneshot::channel();
+        let (response_sender, answer) = oneshot::channel();
         let open_id = OpenId::new(clients, statement.id.clone());
-        let received = DriverEvent::RequestReceived { id, statement, arrived_at, reply };
+        let received = DriverEvent::RequestReceived { id, statement, arrived_at, response_sender };
         let _ = clients.events.send(received).await;
         let answered = self.answer_request(id, answer).await;
         drop(open_id);
@@ -117,7 +117,9 @@
         answered
     }
 
-    async fn answer_request(&mut self, id: RequestId, answer: oneshot::Receiver<Answer>) -> io::Result<()> {
+    async fn answer_request(
+        &mut self, id: RequestId, answer: oneshot::Receiver<FinalResponse>,
+    ) -> io::Result<()> {
         let answer = self.wait_for_answer(id, answer).await?;
         let since = self.clients.clock.now();
         let written = self.write_answer(answer).await;
@@ -130,8 +132,8 @@
 
     /// Waits for the final answer, and reads ahead to detect that the client disconnects.
     async fn wait_for_answer(
-        &mut self, id: RequestId, mut answer: oneshot::Receiver<Answer>,
-    ) -> io::Result<Answer> {
+        &mut self, id: RequestId, mut answer: oneshot::Receiver<FinalResponse>,
+    ) -> io::Result<FinalResponse> {
         let clients = self.clients;
         let stream = self.stream;
         let mut is_abandoned = false;
@@ -145,7 +147,7 @@
                 biased;
                 answer = &mut answer => {
                     invariant!(answer.is_ok(), "every request gets an answer");
-                    return Ok(answer.unwrap_or(Answer::Failed));
+                    return Ok(answer.unwrap_or(FinalResponse::Failed));
                 }
                 // Queries behind this one have to be answered as well.
                 () = clients.abandon_time(self.session), if has_input_behind && !is_abandoned => {
@@ -167,14 +169,14 @@
         }
     }
 
-    async fn write_answer(&self, answer: Answer) -> io::Result<()> {
+    async fn write_answer(&self, answer: FinalResponse) -> io::Result<()> {
         let ready = Bytes::from_static(pg::encode::READY);
         match answer {
-            Answer::Success([description, row, completion]) => {
+            FinalResponse::Success { description, row, completion } => {
                 self.write(&[description, row, completion, ready]).await
             }
-            Answer::Rejected { retry_after } => self.write(&[rejection(retry_after), ready]).await,
-            Answer::Failed => {
+            FinalResponse::Rejected { retry_after } => self.write(&[rejection(retry_after), ready]).await,
+            FinalResponse::Failed => {
                 let code = pg::sqlstate::INTERNAL_ERROR;
                 let error = pg::encode::error(false, code, "voided: it may have run", None);
                 self.write(&[error, ready]).await
--- a/crates/gateway/src/net/mod.rs
+++ b/crates/gateway/src/net/mod.rs
@@ -39,8 +39,8 @@
         statement: Rc<Statement>,
         /// When its last byte arrived, in ms.
         arrived_at: Millis,
-        /// Receives its final answer.
-        reply: oneshot::Sender<Answer>,
+        /// Receives the final response.
+        response_sender: oneshot::Sender<FinalResponse>,
     },
     /// The client of a request has disconnected.
     ClientDisconnected {
@@ -96,16 +96,23 @@
     Outcomes(platform::OutcomeCounts),
 }
 
-/// The final answer to a client.
-pub enum Answer {
-    /// The row: its description, the row, and its completion, as the endpoint sent them.
-    Success([Bytes; 3]),
-    /// Not executed: a retry is safe.
+/// What the gateway sends to the client of a request, once per request.
+pub enum FinalResponse {
+    /// The result of the query, in the protocol messages that the endpoint sent.
+    Success {
+        /// The message that describes the columns.
+        description: Bytes,
+        /// The message with the row.
+        row: Bytes,
+        /// The message that completes the command.
+        completion: Bytes,
+    },
+    /// The request was not executed, so the client may safely retry.
     Rejected {
-        /// ms after which the client should retry.
+        /// How long the client should wait before a retry, in milliseconds. `None` if the policy gives no delay.
         retry_after: Option<Millis>,
     },
-    /// Failed: its effect is unknown.
+    /// The request failed, and may or may not have been executed.
     Failed,
 }
 
