--- a/crates/cli/tests/gateway/upstream_pool.rs
+++ b/crates/cli/tests/gateway/upstream_pool.rs
@@ -73,10 +73,10 @@
 
 /// Passes the next event, which has to report a ready connection, to the pool.
 async fn on_next_connection_ready(pool: &mut UpstreamPool, events: &mut mpsc::Receiver<DriverEvent>) {
-    let Some(DriverEvent::ConnectionReady { connection, is_first }) = events.recv().await else {
+    let Some(DriverEvent::ConnectionReady { connection, is_newly_opened }) = events.recv().await else {
         panic!("no connection is ready")
     };
-    pool.on_connection_ready(connection, is_first, 0.0);
+    pool.on_connection_ready(connection, is_newly_opened, 0.0);
 }
 
 /// The result of a call, which has to be in the next event.
@@ -98,8 +98,8 @@
 ) -> AttemptOutcome {
     loop {
         match events.recv().await.unwrap() {
-            DriverEvent::ConnectionReady { connection, is_first } => {
-                pool.on_connection_ready(connection, is_first, 0.0);
+            DriverEvent::ConnectionReady { connection, is_newly_opened } => {
+                pool.on_connection_ready(connection, is_newly_opened, 0.0);
             }
             DriverEvent::ConnectionClosed { connection } => pool.on_connection_closed(&connection),
             DriverEvent::CallEnded { result, .. } => return result.outcome,
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -52,7 +52,7 @@
     /// Addresses of the gateway and of the services that it calls.
     pub addresses: Addresses,
     /// Descriptors that the gateway may use.
-    pub max_sockets: usize,
+    pub max_descriptors: usize,
     /// The cached state.
     pub initial_state: InitialState,
     /// Seeds the random generators.
@@ -102,7 +102,7 @@
     let file = read_json(&path)?;
     Ok(GatewayConfig {
         addresses: addresses(&env, &file, source)?,
-        max_sockets: max_sockets(&file)?,
+        max_descriptors: max_descriptors(&file)?,
         initial_state: initial_state(&file)?,
         seed: seed(&file)?,
         settings: settings(&file)?,
@@ -134,7 +134,7 @@
 }
 
 /// The limit of descriptors. The limit of memory is only checked.
-fn max_sockets(file: &Value) -> Result<usize, ConfigError> {
+fn max_descriptors(file: &Value) -> Result<usize, ConfigError> {
     let sockets = match present(file, "/limits/sockets") {
         None => DEFAULT_DESCRIPTORS,
         Some(value) => value.as_u64().ok_or_else(|| key_error("limits.sockets", "not an integer"))?,
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -42,7 +42,7 @@
     /// The connections to endpoints.
     pub pool: UpstreamPool,
     /// Timeouts and permissions of these connections.
-    pub connections: UpstreamConnectionConfig,
+    pub connection_config: UpstreamConnectionConfig,
     /// The address of the discovery service.
     pub discovery_address: SocketAddr,
     /// Reports that health checks of the load balancer may be answered.
@@ -60,7 +60,7 @@
     requests: RequestTable,
     health_checks: HealthChecks,
     pool: UpstreamPool,
-    connections: UpstreamConnectionConfig,
+    connection_config: UpstreamConnectionConfig,
     timers: Timers,
     /// Events caused by actions, for the next batch.
     next_events: Vec<Event>,
@@ -82,7 +82,7 @@
             requests: RequestTable::default(),
             health_checks: HealthChecks::default(),
             pool: parts.pool,
-            connections: parts.connections,
+            connection_config: parts.connection_config,
             timers: Timers::default(),
             next_events: Vec::new(),
             rollout: RolloutTracker::default(),
--- a/crates/gateway/src/gateway/upstream_calls.rs
+++ b/crates/gateway/src/gateway/upstream_calls.rs
@@ -47,10 +47,10 @@
     pub(super) fn check_health(&mut self, endpoint: &str) {
         let now = self.clock.now();
         COUNTERS.health_checks_total.increment();
-        let deadline = now + self.connections.connect_timeout;
+        let deadline = now + self.connection_config.connect_timeout;
         let call = UpstreamCall::HealthCheck(self.health_checks.start(endpoint.to_string(), now));
         let is_permitted =
-            invariant!(self.connections.health_checks, "health checks are sent only where permitted");
+            invariant!(self.connection_config.health_checks, "health checks are sent only where permitted");
         let queued = QueuedCall { call, statement: None, deadline, write_by: None };
         if is_permitted && self.pool.send(endpoint, queued, now) {
             self.timers.set(deadline, Timer::CallTimeout(call));
@@ -144,7 +144,7 @@
     fn health_check_completed(&mut self, number: u64, result: CallResult) -> Option<Event> {
         let check = self.health_checks.remove(number)?;
         let reported = match &result.value {
-            Some([_, row, _]) if self.connections.load_reporting == LoadReporting::InHealthChecks => {
+            Some([_, row, _]) if self.connection_config.load_reporting == LoadReporting::InHealthChecks => {
                 pg::row_text(row).map(pg::parse_load_report)
             }
             _ => None,
--- a/crates/gateway/src/limits/clients.rs
+++ b/crates/gateway/src/limits/clients.rs
@@ -6,8 +6,8 @@
 
 /// Most bytes that are read while a request is pending, to detect that its client disconnects. A longer message needs
 /// one of [`MAX_LARGE_MESSAGES`] permits.
-pub const MAX_READ_AHEAD: usize = 16 * 1024;
-/// Most connections that read a message above [`MAX_READ_AHEAD`] at a time. Bounds memory.
+pub const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
+/// Most connections that read a message above [`MAX_READ_AHEAD_BYTES`] at a time. Bounds memory.
 pub const MAX_LARGE_MESSAGES: usize = 24;
 /// Longest time to write an answer to a client.
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -37,7 +37,7 @@
 /// Interval of checks whether a client that is not read from has disconnected.
 pub const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// A write above this counts as slow: input that arrived during it is dated to its start.
-pub const SLOW_WRITE: Duration = Duration::from_millis(20);
+pub const SLOW_WRITE_THRESHOLD: Duration = Duration::from_millis(20);
 
 /// What a client connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,7 +57,7 @@
 impl SessionState {
     /// The connection is about to end and does not count against the limit.
     #[must_use]
-    pub fn is_ending(self) -> bool {
+    pub fn is_about_to_close(self) -> bool {
         matches!(self, SessionState::Evicted | SessionState::Closing)
     }
 }
@@ -66,7 +66,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct InputProgress {
     /// When the connection was accepted, or when its last request was answered.
-    pub since: Instant,
+    pub idle_since: Instant,
     /// It has sent a valid request.
     pub has_requested: bool,
     /// When the first byte of an incomplete message arrived.
@@ -78,11 +78,11 @@
     #[must_use]
     pub fn deadline(&self) -> Instant {
         if !self.has_requested {
-            return self.since + FIRST_REQUEST_TIMEOUT;
+            return self.idle_since + FIRST_REQUEST_TIMEOUT;
         }
         match self.message_began {
             Some(message_began) => message_began + MESSAGE_TIMEOUT,
-            None => self.since + IDLE_TIMEOUT,
+            None => self.idle_since + IDLE_TIMEOUT,
         }
     }
 
@@ -101,7 +101,7 @@
     /// What it is doing.
     pub state: SessionState,
     /// When it was accepted, or when its last request was answered.
-    pub since: Instant,
+    pub idle_since: Instant,
 }
 
 /// The connection to evict, in this order: one that is closing, one that has never sent a request, one that is idle;
@@ -112,9 +112,9 @@
 ) -> Option<EvictionCandidate> {
     let longest_in = |state: SessionState, min_duration: Duration| {
         let is_eligible = |candidate: &EvictionCandidate| {
-            candidate.state == state && now.saturating_duration_since(candidate.since) >= min_duration
+            candidate.state == state && now.saturating_duration_since(candidate.idle_since) >= min_duration
         };
-        candidates.clone().filter(is_eligible).min_by_key(|candidate| candidate.since)
+        candidates.clone().filter(is_eligible).min_by_key(|candidate| candidate.idle_since)
     };
     longest_in(SessionState::Closing, Duration::ZERO)
         .or_else(|| longest_in(SessionState::New, MIN_SILENCE_BEFORE_EVICTION))
--- a/crates/gateway/src/limits/discovery.rs
+++ b/crates/gateway/src/limits/discovery.rs
@@ -15,7 +15,7 @@
 /// How long in ms the service has been silent when a watch ends; 0 where no keepalive was missed. `silence`: the time
 /// since the last keepalive or update. `has_delivered`: there has been one.
 #[must_use]
-pub fn silence_beyond_keepalive(has_delivered: bool, silence: Duration) -> Millis {
+pub fn silence_after_missed_keepalive(has_delivered: bool, silence: Duration) -> Millis {
     let is_silent = has_delivered && silence > KEEPALIVE_INTERVAL;
     if is_silent { millis(silence) } else { 0.0 }
 }
--- a/crates/gateway/src/limits/mod.rs
+++ b/crates/gateway/src/limits/mod.rs
@@ -27,7 +27,7 @@
 /// Longest time to open a connection to the discovery service or the platform.
 pub const SERVICE_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Most bytes of one read from a socket. Bounds how long one connection occupies the thread.
-pub const MAX_READ: usize = 16 * 1024;
+pub const MAX_READ_BYTES: usize = 16 * 1024;
 /// Most buffers of one write to a socket.
 pub const MAX_BUFFERS_PER_WRITE: usize = 8;
 /// Of the log lines that peers can cause at will, one in this many is logged at `info` or above.
--- a/crates/gateway/src/limits/platform.rs
+++ b/crates/gateway/src/limits/platform.rs
@@ -12,13 +12,13 @@
 /// A connection for votes that idled for longer is not reused: the platform closes some before 10 s.
 pub const MAX_VOTE_CONNECTION_IDLE: Duration = Duration::from_secs(3);
 /// The highest valid age of a report: a year.
-pub const MAX_AGE: Duration = Duration::from_secs(365 * 86_400);
+pub const MAX_REPORT_AGE: Duration = Duration::from_secs(365 * 86_400);
 /// Two reports of one rollout state may give start times that differ by this: ages are rounded to ms and delayed.
-pub const AGE_TOLERANCE: Duration = Duration::from_millis(20);
+pub const START_TIME_TOLERANCE: Duration = Duration::from_millis(20);
 
 /// A reported state of a rollout is older than the known state of the same version. `began_at`, `known_began_at`: the
 /// start times of both in ms.
 #[must_use]
 pub fn is_older_state(began_at: Millis, known_began_at: Millis) -> bool {
-    began_at < known_began_at - millis(AGE_TOLERANCE)
+    began_at < known_began_at - millis(START_TIME_TOLERANCE)
 }
--- a/crates/gateway/src/limits/shutdown.rs
+++ b/crates/gateway/src/limits/shutdown.rs
@@ -1,5 +1,5 @@
 //! Time limits after SIGTERM. SIGKILL follows no sooner than the longest timeout of a class, of which
-//! [`MAX_COUNTED_TIMEOUT`] counts at most, plus 700 ms: [`DRAIN_MARGIN`] to complete pending requests, [`ANSWER_TIME`] to answer
+//! [`MAX_COUNTED_TIMEOUT`] counts at most, plus 700 ms: [`DRAIN_GRACE_PERIOD`] to complete pending requests, [`QUEUED_REQUESTS_TIMEOUT`] to answer
 //! those queued behind abandoned ones, and the rest to exit.
 
 use crate::clock::{duration, millis};
@@ -14,15 +14,15 @@
 /// A connection that has not sent a request yet is closed after this.
 pub const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 /// A connection with pipelined queries is closed after this long without input: another query may be on its way.
-pub const QUIET_PERIOD: Duration = Duration::from_millis(10);
+pub const PIPELINE_IDLE_TIMEOUT: Duration = Duration::from_millis(10);
 /// A request that arrives later than this is rejected immediately: SIGKILL might leave it without an answer.
 pub const REQUEST_WINDOW: Duration = Duration::from_millis(600);
 /// The longest class timeout that extends the time before SIGKILL.
 pub const MAX_COUNTED_TIMEOUT: Duration = Duration::from_secs(3);
 /// Part of the 700 ms in which pending requests may still complete.
-pub const DRAIN_MARGIN: Duration = Duration::from_millis(450);
+pub const DRAIN_GRACE_PERIOD: Duration = Duration::from_millis(450);
 /// After the drain time: how long the requests that were queued behind abandoned ones may take to be answered.
-pub const ANSWER_TIME: Duration = Duration::from_millis(200);
+pub const QUEUED_REQUESTS_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// What happens when after the start of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
     /// A schedule for classes whose longest timeout is `longest_timeout` ms.
     #[must_use]
     pub fn new(longest_timeout: Millis) -> Self {
-        let drain_ms = longest_timeout.min(millis(MAX_COUNTED_TIMEOUT)) + millis(DRAIN_MARGIN);
+        let drain_ms = longest_timeout.min(millis(MAX_COUNTED_TIMEOUT)) + millis(DRAIN_GRACE_PERIOD);
         ShutdownSchedule { drain_time: duration(drain_ms) }
     }
 
@@ -48,7 +48,7 @@
     /// Connections are closed after this whatever input arrives.
     #[must_use]
     pub fn close_after(&self) -> Duration {
-        self.drain_time + ANSWER_TIME
+        self.drain_time + QUEUED_REQUESTS_TIMEOUT
     }
 
     /// A request that arrived at `arrived_at` is rejected: it arrived after [`REQUEST_WINDOW`], or its turn is after the
@@ -79,11 +79,11 @@
     /// It has sent a valid request.
     pub has_requested: bool,
     /// Part of a message has arrived.
-    pub is_message_begun: bool,
+    pub has_partial_message: bool,
     /// The client sends queries before earlier ones are answered.
     pub is_pipelined: bool,
     /// When it was accepted, or when its last request was answered.
-    pub since: Instant,
+    pub idle_since: Instant,
     /// When the wait began.
     pub waiting_since: Instant,
 }
@@ -96,14 +96,14 @@
             return CloseTime::Now;
         }
         let Some(shutdown_began) = shutdown_began else { return CloseTime::Undecided };
-        if self.is_message_begun {
+        if self.has_partial_message {
             return CloseTime::Undecided;
         }
         if !self.has_requested {
-            return CloseTime::At(shutdown_began.max(self.since) + FIRST_REQUEST_TIMEOUT);
+            return CloseTime::At(shutdown_began.max(self.idle_since) + FIRST_REQUEST_TIMEOUT);
         }
         if self.is_pipelined {
-            return CloseTime::At(self.waiting_since + QUIET_PERIOD);
+            return CloseTime::At(self.waiting_since + PIPELINE_IDLE_TIMEOUT);
         }
         CloseTime::Now
     }
--- a/crates/gateway/src/limits/upstream.rs
+++ b/crates/gateway/src/limits/upstream.rs
@@ -7,9 +7,9 @@
 /// Longest time from an answer until the endpoint reports that it is ready for the next query.
 pub const READY_TIMEOUT: Duration = Duration::from_millis(500);
 /// An answer above this many bytes needs a permit, which is released when the answer was written to the client.
-pub const LARGE_ANSWER: usize = 64 * 1024;
-/// Most answers above [`LARGE_ANSWER`] that are buffered at a time. Bounds memory.
-pub const MAX_LARGE_ANSWERS: usize = 12;
+pub const LARGE_RESPONSE_BYTES: usize = 64 * 1024;
+/// Most answers above [`LARGE_RESPONSE_BYTES`] that are buffered at a time. Bounds memory.
+pub const MAX_LARGE_RESPONSES: usize = 12;
 
 /// Part of the endpoint's idle timeout after which a connection is not reused.
 const REUSE_FRACTION: f64 = 0.8;
--- a/crates/gateway/src/net/clients/accept.rs
+++ b/crates/gateway/src/net/clients/accept.rs
@@ -100,7 +100,7 @@
 
     /// How many connections are not about to end.
     fn lasting_sessions(&self) -> usize {
-        self.sessions.borrow().values().filter(|session| !session.state.get().is_ending()).count()
+        self.sessions.borrow().values().filter(|session| !session.state.get().is_about_to_close()).count()
     }
 
     /// Evicts a connection; false if every one is in use.
@@ -109,7 +109,7 @@
         let candidates = sessions.iter().map(|(id, session)| EvictionCandidate {
             id: *id,
             state: session.state.get(),
-            since: session.since.get(),
+            idle_since: session.since.get(),
         });
         let Some(evicted) = choose_eviction(&candidates, Instant::now()) else { return false };
         // One that is closing has completed its requests and does not count as evicted.
--- a/crates/gateway/src/net/clients/reading.rs
+++ b/crates/gateway/src/net/clients/reading.rs
@@ -3,7 +3,7 @@
 use super::Clients;
 use super::client_session::ClientSession;
 use super::session::{ReadOutcome, SessionTask};
-use crate::limits::clients::{InputProgress, MAX_READ_AHEAD};
+use crate::limits::clients::{InputProgress, MAX_READ_AHEAD_BYTES};
 use crate::limits::shutdown::{CloseTime, WaitingConnection};
 use crate::net::io::has_unread_bytes;
 use crate::net::read_some;
@@ -31,7 +31,7 @@
         let close_conditions = CloseConditions {
             clients: self.clients,
             session: self.session,
-            is_message_begun: self.message_began.is_some(),
+            has_partial_message: self.message_began.is_some(),
             is_pipelined: self.input.is_pipelined,
             waiting_since: Instant::now(),
         };
@@ -61,7 +61,7 @@
 
     fn input_progress(&self) -> InputProgress {
         InputProgress {
-            since: self.session.since.get(),
+            idle_since: self.session.since.get(),
             has_requested: self.session.has_requested.get(),
             message_began: self.message_began,
         }
@@ -76,7 +76,7 @@
 struct CloseConditions<'a> {
     clients: &'a Clients,
     session: &'a ClientSession,
-    is_message_begun: bool,
+    has_partial_message: bool,
     is_pipelined: bool,
     waiting_since: Instant,
 }
@@ -86,9 +86,9 @@
         let connection = WaitingConnection {
             is_evicted: self.session.is_evicted(),
             has_requested: self.session.has_requested.get(),
-            is_message_begun: self.is_message_begun,
+            has_partial_message: self.has_partial_message,
             is_pipelined: self.is_pipelined,
-            since: self.session.since.get(),
+            idle_since: self.session.since.get(),
             waiting_since: self.waiting_since,
         };
         connection.close_time(self.clients.shutdown.began_at())
@@ -113,7 +113,7 @@
 impl Clients {
     /// Reads available bytes. A message above the read-ahead limit is read to its end, with one of few permits.
     async fn read_message(&self, stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<usize> {
-        if buffer.len() < MAX_READ_AHEAD {
+        if buffer.len() < MAX_READ_AHEAD_BYTES {
             return read_some(stream, buffer).await;
         }
         let _permit = self.large_messages.acquire().await;
--- a/crates/gateway/src/net/clients/requests.rs
+++ b/crates/gateway/src/net/clients/requests.rs
@@ -8,7 +8,7 @@
 use crate::clock::millis;
 use crate::counters::COUNTERS;
 use crate::invariant;
-use crate::limits::clients::{MAX_READ_AHEAD, SLOW_WRITE};
+use crate::limits::clients::{MAX_READ_AHEAD_BYTES, SLOW_WRITE_THRESHOLD};
 use crate::net::{DriverEvent, FinalResponse, read_some};
 use crate::proto::pg::{self, Statement, StatementError};
 use bytes::Bytes;
@@ -124,7 +124,7 @@
         let since = self.clients.clock.now();
         let written = self.write_answer(answer).await;
         // Nothing was read during the write.
-        if self.clients.clock.now() - since > millis(SLOW_WRITE) {
+        if self.clients.clock.now() - since > millis(SLOW_WRITE_THRESHOLD) {
             record_unread(&mut self.input.unread_since, self.stream, since);
         }
         written
@@ -139,7 +139,7 @@
         let mut is_abandoned = false;
         loop {
             self.input.record_arrival(stream, clients.clock.now());
-            let can_read = self.input.bytes.len() < MAX_READ_AHEAD;
+            let can_read = self.input.bytes.len() < MAX_READ_AHEAD_BYTES;
             let has_input_behind = !self.input.bytes.is_empty();
             self.input.is_pipelined |= has_input_behind;
             let ReadBuffer { bytes, unread_since, .. } = &mut self.input;
--- a/crates/gateway/src/net/discovery_calls.rs
+++ b/crates/gateway/src/net/discovery_calls.rs
@@ -6,7 +6,7 @@
 use crate::counters::COUNTERS;
 use crate::discovery::calls::CallId;
 use crate::limits::SERVICE_CONNECT_TIMEOUT;
-use crate::limits::discovery::{CALL_TIMEOUT, WATCH_SILENCE_TIMEOUT, silence_beyond_keepalive};
+use crate::limits::discovery::{CALL_TIMEOUT, WATCH_SILENCE_TIMEOUT, silence_after_missed_keepalive};
 use crate::proto::http::{BodyBuffer, ResponsePart};
 use crate::proto::json::{JsonFrame, JsonFramer};
 use latchhaven_policy::UpdateFailure;
@@ -130,7 +130,7 @@
         // A started response without a list, or with a part of one, may have announced a change.
         let may_hide_update = self.has_head && (!self.has_delivered || self.framer.is_within_object());
         UpdateFailure {
-            silent_for: silence_beyond_keepalive(self.has_delivered, self.last_received_at.elapsed()),
+            silent_for: silence_after_missed_keepalive(self.has_delivered, self.last_received_at.elapsed()),
             may_have_lost_update: may_hide_update
                 || error.is_unreadable()
                 || self.connection.has_unparsed_input(),
--- a/crates/gateway/src/net/io.rs
+++ b/crates/gateway/src/net/io.rs
@@ -1,6 +1,6 @@
 //! Reads and writes on sockets.
 
-use crate::limits::{MAX_BUFFERS_PER_WRITE, MAX_READ};
+use crate::limits::{MAX_BUFFERS_PER_WRITE, MAX_READ_BYTES};
 use bytes::{Bytes, BytesMut};
 use socket2::SockRef;
 use std::io::{self, IoSlice};
@@ -36,7 +36,7 @@
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// Reads available bytes, at most [`MAX_READ`]. 0: the peer has closed its side. Where the future is dropped, bytes that
+/// Reads available bytes, at most [`MAX_READ_BYTES`]. 0: the peer has closed its side. Where the future is dropped, bytes that
 /// were read are in the buffer.
 ///
 /// # Errors
@@ -44,13 +44,13 @@
 pub async fn read_some(stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<usize> {
     loop {
         stream.readable().await?;
-        if buffer.is_empty() && buffer.capacity() > 2 * MAX_READ {
+        if buffer.is_empty() && buffer.capacity() > 2 * MAX_READ_BYTES {
             *buffer = BytesMut::new();
         }
-        buffer.reserve(MAX_READ);
+        buffer.reserve(MAX_READ_BYTES);
         match stream.try_read_buf(buffer) {
             Err(error) if is_retryable(&error) => {}
-            Ok(read) if read >= MAX_READ => {
+            Ok(read) if read >= MAX_READ_BYTES => {
                 // The socket of a peer that sends continuously is always ready: let other tasks run.
                 yield_now().await;
                 return Ok(read);
--- a/crates/gateway/src/net/mod.rs
+++ b/crates/gateway/src/net/mod.rs
@@ -57,7 +57,7 @@
         /// The connection.
         connection: Rc<UpstreamConnection>,
         /// It was just opened.
-        is_first: bool,
+        is_newly_opened: bool,
     },
     /// A connection to an endpoint could not be opened.
     ConnectFailed {
--- a/crates/gateway/src/net/platform/messages.rs
+++ b/crates/gateway/src/net/platform/messages.rs
@@ -1,7 +1,7 @@
 //! The platform's messages: rollout states, and counted outcomes.
 
 use crate::clock::millis;
-use crate::limits::platform::MAX_AGE;
+use crate::limits::platform::MAX_REPORT_AGE;
 use latchhaven_policy::{Millis, OutcomeReport, RolloutPhase, RolloutState, Version};
 use serde::Deserialize;
 use serde_json::{Map, Value};
@@ -18,7 +18,7 @@
     /// The traffic cap is not between 0 and 1.
     #[error("maxWeight: not between 0 and 1")]
     InvalidTrafficCap,
-    /// An age is negative or above [`MAX_AGE`].
+    /// An age is negative or above [`MAX_REPORT_AGE`].
     #[error("observedAgoMs: out of range")]
     InvalidAge,
     /// Counted outcomes contradict each other, or a value is out of range.
@@ -74,7 +74,7 @@
 
 /// `age` in ms.
 fn is_valid_age(age: Millis) -> bool {
-    (0.0..=millis(MAX_AGE)).contains(&age)
+    (0.0..=millis(MAX_REPORT_AGE)).contains(&age)
 }
 
 /// A rollout state as it is sent.
--- a/crates/gateway/src/net/upstream/connection_task.rs
+++ b/crates/gateway/src/net/upstream/connection_task.rs
@@ -115,10 +115,11 @@
     /// Carries calls until the connection closes.
     async fn serve(&mut self, stream: &TcpStream) {
         let connection = self.connection.clone();
-        let mut is_first = true;
+        let mut is_newly_opened = true;
         loop {
-            self.report(DriverEvent::ConnectionReady { connection: connection.clone(), is_first }).await;
-            is_first = false;
+            self.report(DriverEvent::ConnectionReady { connection: connection.clone(), is_newly_opened })
+                .await;
+            is_newly_opened = false;
             let Some(query) = self.next_query(stream).await else { return };
             let exchange = select! {
                 exchange = self.channel.exchange(stream, query) => exchange,
--- a/crates/gateway/src/net/upstream/exchange.rs
+++ b/crates/gateway/src/net/upstream/exchange.rs
@@ -3,7 +3,7 @@
 use super::call::CallResult;
 use super::connection::{OutgoingQuery, UpstreamConnection};
 use crate::counters::COUNTERS;
-use crate::limits::upstream::LARGE_ANSWER;
+use crate::limits::upstream::LARGE_RESPONSE_BYTES;
 use crate::net::{is_unusable, read_some, write_all};
 use crate::proto::pg::{self, Backend, BackendMessage, ParseError};
 use bytes::{Bytes, BytesMut};
@@ -177,7 +177,7 @@
 
     /// Reads more input, of a large answer only with a permit. False: the connection is lost.
     async fn read_more(&mut self, stream: &TcpStream, permit: &mut Option<OwnedSemaphorePermit>) -> bool {
-        if permit.is_none() && self.buffer.len() > LARGE_ANSWER {
+        if permit.is_none() && self.buffer.len() > LARGE_RESPONSE_BYTES {
             *permit = self.large_answers.clone().acquire_owned().await.ok();
         }
         matches!(read_some(stream, &mut self.buffer).await, Ok(count) if count > 0)
--- a/crates/gateway/src/net/upstream/pool.rs
+++ b/crates/gateway/src/net/upstream/pool.rs
@@ -5,7 +5,7 @@
 use super::connection_task;
 use crate::counters::COUNTERS;
 use crate::invariant;
-use crate::limits::upstream::{MAX_LARGE_ANSWERS, max_idle_for_reuse};
+use crate::limits::upstream::{MAX_LARGE_RESPONSES, max_idle_for_reuse};
 use crate::net::{DriverEvent, is_unusable};
 use crate::proto::pg::{self, Statement};
 use latchhaven_policy::{EndpointEntry, EndpointStatus, LoadReporting, Millis, UpstreamConnectionConfig};
@@ -107,7 +107,7 @@
             max_open,
             last_generation: 0,
             config,
-            large_answers: Arc::new(Semaphore::new(MAX_LARGE_ANSWERS)),
+            large_answers: Arc::new(Semaphore::new(MAX_LARGE_RESPONSES)),
             events,
         }
     }
@@ -174,12 +174,14 @@
     }
 
     /// A connection is ready: it carries the call that has waited longest, or idles. `now` in ms.
-    pub fn on_connection_ready(&mut self, connection: Rc<UpstreamConnection>, is_first: bool, now: Millis) {
+    pub fn on_connection_ready(
+        &mut self, connection: Rc<UpstreamConnection>, is_newly_opened: bool, now: Millis,
+    ) {
         let Some(endpoint) = self.endpoints.get_mut(&connection.endpoint) else { return connection.close() };
         if endpoint.generation != connection.generation || connection.is_closed.get() {
             return connection.close();
         }
-        endpoint.connecting -= usize::from(is_first);
+        endpoint.connecting -= usize::from(is_newly_opened);
         if let Some(queued) = endpoint.queue.pop_front() {
             self.start_call(connection, &queued, now);
             return;
--- a/crates/gateway/src/proto/http.rs
+++ b/crates/gateway/src/proto/http.rs
@@ -1,6 +1,8 @@
 //! The client side of HTTP/1.1: responses with a length, chunked, or up to the end of the connection.
 
-use crate::limits::messages::{MAX_CHUNK_LINE, MAX_CHUNK_SIZE_DIGITS, MAX_HTTP_BODY, MAX_HTTP_HEAD};
+use crate::limits::messages::{
+    MAX_CHUNK_LINE_BYTES, MAX_CHUNK_SIZE_DIGITS, MAX_HTTP_BODY_BYTES, MAX_HTTP_HEAD_BYTES,
+};
 use bytes::{Buf, Bytes, BytesMut};
 
 /// Why a stream cannot be parsed; nothing after this can be parsed either.
@@ -77,19 +79,19 @@
                 }
                 ParserState::UntilClose => return Ok(body_part(buffer.split().freeze())),
                 ParserState::ChunkSize => {
-                    let Some(line) = split_line(buffer, MAX_CHUNK_LINE)? else { return Ok(None) };
+                    let Some(line) = split_line(buffer, MAX_CHUNK_LINE_BYTES)? else { return Ok(None) };
                     let size = chunk_size(&line).ok_or(ParseError::Malformed("the size of a chunk"))?;
                     self.state = if size == 0 { ParserState::Trailer } else { ParserState::Chunk(size) };
                 }
                 ParserState::ChunkEnd => {
-                    let Some(line) = split_line(buffer, MAX_CHUNK_LINE)? else { return Ok(None) };
+                    let Some(line) = split_line(buffer, MAX_CHUNK_LINE_BYTES)? else { return Ok(None) };
                     if !line.is_empty() {
                         return Err(ParseError::Malformed("the end of a chunk"));
                     }
                     self.state = ParserState::ChunkSize;
                 }
                 ParserState::Trailer => {
-                    let Some(line) = split_line(buffer, MAX_HTTP_HEAD)? else { return Ok(None) };
+                    let Some(line) = split_line(buffer, MAX_HTTP_HEAD_BYTES)? else { return Ok(None) };
                     if line.is_empty() {
                         self.state = ParserState::Head;
                         return Ok(Some(ResponsePart::End));
@@ -106,9 +108,9 @@
     }
 
     fn next_head(&mut self, buffer: &mut BytesMut) -> Result<Option<ResponsePart>, ParseError> {
-        let window = &buffer[..buffer.len().min(MAX_HTTP_HEAD)];
+        let window = &buffer[..buffer.len().min(MAX_HTTP_HEAD_BYTES)];
         let Some(end) = window.windows(4).position(|bytes| bytes == b"\r\n\r\n") else {
-            return if buffer.len() >= MAX_HTTP_HEAD { Err(ParseError::TooLong) } else { Ok(None) };
+            return if buffer.len() >= MAX_HTTP_HEAD_BYTES { Err(ParseError::TooLong) } else { Ok(None) };
         };
         let head = buffer.split_to(end + 4);
         let text = std::str::from_utf8(&head[..end]);
@@ -215,7 +217,7 @@
     /// # Errors
     /// The body exceeds its bound.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), ParseError> {
-        if self.bytes.len() + bytes.len() > MAX_HTTP_BODY {
+        if self.bytes.len() + bytes.len() > MAX_HTTP_BODY_BYTES {
             return Err(ParseError::TooLong);
         }
         self.bytes.extend_from_slice(bytes);
--- a/crates/gateway/src/proto/json.rs
+++ b/crates/gateway/src/proto/json.rs
@@ -1,6 +1,6 @@
 //! Splits a stream into JSON objects in one pass over its bytes; objects may span lines.
 
-use crate::limits::messages::{MAX_JSON_DEPTH, MAX_JSON_OBJECT};
+use crate::limits::messages::{MAX_JSON_DEPTH, MAX_JSON_OBJECT_BYTES};
 use crate::proto::http::ParseError;
 use bytes::{Buf, Bytes, BytesMut};
 
@@ -34,9 +34,9 @@
     /// Adds received bytes.
     ///
     /// # Errors
-    /// The buffered bytes exceed [`MAX_JSON_OBJECT`].
+    /// The buffered bytes exceed [`MAX_JSON_OBJECT_BYTES`].
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), ParseError> {
-        if self.buffer.len() + bytes.len() > MAX_JSON_OBJECT {
+        if self.buffer.len() + bytes.len() > MAX_JSON_OBJECT_BYTES {
             return Err(ParseError::TooLong);
         }
         self.buffer.extend_from_slice(bytes);
--- a/crates/gateway/src/proto/pg/backend.rs
+++ b/crates/gateway/src/proto/pg/backend.rs
@@ -2,7 +2,7 @@
 
 use super::error::ParseError;
 use super::framing::{length_field, split_message};
-use crate::limits::messages::{MAX_ROW, MAX_SMALL_MESSAGE};
+use crate::limits::messages::{MAX_ROW_BYTES, MAX_SMALL_MESSAGE_BYTES};
 use bytes::{Bytes, BytesMut};
 use std::ops::RangeInclusive;
 
@@ -46,7 +46,7 @@
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<BackendMessage>, ParseError> {
         loop {
             self.check_head(buffer)?;
-            let Some(message) = split_message(buffer, MAX_ROW)? else { return Ok(None) };
+            let Some(message) = split_message(buffer, MAX_ROW_BYTES)? else { return Ok(None) };
             if let Some(message) = self.on_message(message.kind, &message.body, &message.raw)? {
                 return Ok(Some(message));
             }
@@ -70,10 +70,10 @@
     /// The valid lengths of a message of this type. None: the type is not valid now.
     fn lengths_of(&self, kind: u8) -> Option<RangeInclusive<usize>> {
         match kind {
-            b'R' | b'K' if !self.is_started => Some(8..=MAX_SMALL_MESSAGE),
-            b'T' => Some(4 + 2 + 1 + COLUMN_DESCRIPTION..=MAX_SMALL_MESSAGE),
-            b'D' => Some(ROW_HEADER as usize..=MAX_ROW),
-            b'C' | b'E' | b'N' | b'S' => Some(5..=MAX_SMALL_MESSAGE),
+            b'R' | b'K' if !self.is_started => Some(8..=MAX_SMALL_MESSAGE_BYTES),
+            b'T' => Some(4 + 2 + 1 + COLUMN_DESCRIPTION..=MAX_SMALL_MESSAGE_BYTES),
+            b'D' => Some(ROW_HEADER as usize..=MAX_ROW_BYTES),
+            b'C' | b'E' | b'N' | b'S' => Some(5..=MAX_SMALL_MESSAGE_BYTES),
             b'Z' => Some(5..=5),
             _ => None,
         }
--- a/crates/gateway/src/proto/pg/frontend.rs
+++ b/crates/gateway/src/proto/pg/frontend.rs
@@ -2,7 +2,7 @@
 
 use super::error::ParseError;
 use super::framing::split_message;
-use crate::limits::messages::MAX_CLIENT_MESSAGE;
+use crate::limits::messages::MAX_CLIENT_MESSAGE_BYTES;
 use bytes::{Buf, Bytes, BytesMut};
 
 /// Postgres' limits of a startup packet.
@@ -59,7 +59,7 @@
             if !MESSAGE_TYPES.contains(&kind) {
                 return Err(ParseError::Type(kind));
             }
-            let Some(message) = split_message(buffer, MAX_CLIENT_MESSAGE)? else { return Ok(None) };
+            let Some(message) = split_message(buffer, MAX_CLIENT_MESSAGE_BYTES)? else { return Ok(None) };
             if let Some(message) = self.on_message(message.kind, message.body)? {
                 return Ok(Some(message));
             }
--- a/crates/gateway/src/proto/pg/statement.rs
+++ b/crates/gateway/src/proto/pg/statement.rs
@@ -2,7 +2,9 @@
 //! timeout. Only statements of exactly this form are forwarded.
 
 use crate::clock::{MICROS_PER_MS, millis};
-use crate::limits::messages::{MAX_REQUEST_TIMEOUT, MAX_VALUE, MAX_WORD, MIN_REQUEST_TIMEOUT};
+use crate::limits::messages::{
+    MAX_IDENTIFIER_BYTES, MAX_REQUEST_TIMEOUT, MAX_VALUE_BYTES, MIN_REQUEST_TIMEOUT,
+};
 use bytes::Bytes;
 use latchhaven_policy::Millis;
 use std::ops::Range;
@@ -167,7 +169,7 @@
 fn is_insert_value(rest: &str) -> bool {
     let value = rest.strip_prefix(", '\\x").and_then(|rest| rest.strip_suffix(INSERT_SUFFIX));
     value.is_some_and(|value| {
-        value.len() <= 2 * MAX_VALUE
+        value.len() <= 2 * MAX_VALUE_BYTES
             && value.len().is_multiple_of(2)
             && value.bytes().all(|byte| byte.is_ascii_hexdigit())
     })
@@ -253,5 +255,5 @@
 /// A valid name, key, id or item: it cannot end a quote or a comment.
 fn is_word(text: &str) -> bool {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"_-.:".contains(&byte);
-    (1..=MAX_WORD).contains(&text.len()) && text.bytes().all(is_plain)
+    (1..=MAX_IDENTIFIER_BYTES).contains(&text.len()) && text.bytes().all(is_plain)
 }
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -101,7 +101,7 @@
     let votes = platform::spawn_tasks(rng, platform_address, vote_timeout, &events);
     tokio::task::spawn_local(signals::reload_config(reload, events.clone(), platform_sender));
 
-    let descriptors = DescriptorShares::of(config.max_sockets);
+    let descriptors = DescriptorShares::of(config.max_descriptors);
     let (readiness_sender, readiness) = readiness();
     let clients = Clients::new(ClientsConfig {
         max_sessions: descriptors.clients,
@@ -114,7 +114,7 @@
         policy: config.settings.on_sockets().start_policy(config.seed),
         clock,
         pool: UpstreamPool::new(descriptors.endpoints, connections.clone(), events.clone()),
-        connections,
+        connection_config: connections,
         discovery_address: config.addresses.discovery,
         readiness: readiness_sender,
         votes,
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -8,8 +8,8 @@
     EvictionCandidate, FIRST_REQUEST_TIMEOUT, IDLE_TIMEOUT, InputProgress, MESSAGE_TIMEOUT, SessionState,
     choose_eviction,
 };
-use latchhaven_gateway::limits::discovery::silence_beyond_keepalive;
-use latchhaven_gateway::limits::platform::{FEED_BACKOFF, MAX_AGE, is_older_state};
+use latchhaven_gateway::limits::discovery::silence_after_missed_keepalive;
+use latchhaven_gateway::limits::platform::{FEED_BACKOFF, MAX_REPORT_AGE, is_older_state};
 use latchhaven_gateway::limits::shutdown::{CloseTime, ShutdownSchedule, WaitingConnection};
 use latchhaven_gateway::limits::start::DescriptorShares;
 use latchhaven_gateway::limits::upstream::{attempt_deadline, idle_close_after, max_idle_for_reuse};
@@ -27,7 +27,7 @@
     let candidates = (0..).zip(candidates).map(|(id, (state, duration_ms))| EvictionCandidate {
         id,
         state: *state,
-        since: now - ms(*duration_ms),
+        idle_since: now - ms(*duration_ms),
     });
     choose_eviction(&candidates, now).map(|candidate| candidate.id)
 }
@@ -49,12 +49,12 @@
 fn input_deadline_depends_on_first_request_and_message_start() {
     let since = Instant::now();
     let message_began = Some(since + ms(300));
-    let new = InputProgress { since, has_requested: false, message_began };
+    let new = InputProgress { idle_since: since, has_requested: false, message_began };
     assert_eq!(new.deadline(), since + FIRST_REQUEST_TIMEOUT);
-    let idle = InputProgress { since, has_requested: true, message_began: None };
+    let idle = InputProgress { idle_since: since, has_requested: true, message_began: None };
     assert_eq!(idle.deadline(), since + IDLE_TIMEOUT);
     assert!(idle.is_idle());
-    let receiving = InputProgress { since, has_requested: true, message_began };
+    let receiving = InputProgress { idle_since: since, has_requested: true, message_began };
     assert_eq!(receiving.deadline(), since + ms(300) + MESSAGE_TIMEOUT);
     assert!(!new.is_idle() && !receiving.is_idle());
 }
@@ -86,17 +86,17 @@
     let idle = WaitingConnection {
         is_evicted: false,
         has_requested: true,
-        is_message_begun: false,
+        has_partial_message: false,
         is_pipelined: false,
-        since,
+        idle_since: since,
         waiting_since: since + ms(100),
     };
     let began = since + ms(200);
     assert_eq!(idle.close_time(None), CloseTime::Undecided);
     assert_eq!(idle.close_time(Some(began)), CloseTime::Now);
-    let evicted = WaitingConnection { is_evicted: true, is_message_begun: true, ..idle };
+    let evicted = WaitingConnection { is_evicted: true, has_partial_message: true, ..idle };
     assert_eq!(evicted.close_time(None), CloseTime::Now);
-    let receiving = WaitingConnection { is_message_begun: true, ..idle };
+    let receiving = WaitingConnection { has_partial_message: true, ..idle };
     assert_eq!(receiving.close_time(Some(began)), CloseTime::Undecided);
     let pipelined = WaitingConnection { is_pipelined: true, ..idle };
     assert_eq!(pipelined.close_time(Some(began)), CloseTime::At(since + ms(110)));
@@ -127,9 +127,9 @@
 
 #[test]
 fn watch_silence_counts_after_a_missed_keepalive() {
-    assert_eq!(silence_beyond_keepalive(true, ms(2000)), 0.0);
-    assert_eq!(silence_beyond_keepalive(true, ms(2500)), 2500.0);
-    assert_eq!(silence_beyond_keepalive(false, ms(2500)), 0.0);
+    assert_eq!(silence_after_missed_keepalive(true, ms(2000)), 0.0);
+    assert_eq!(silence_after_missed_keepalive(true, ms(2500)), 2500.0);
+    assert_eq!(silence_after_missed_keepalive(false, ms(2500)), 0.0);
 }
 
 #[test]
@@ -157,5 +157,5 @@
 
 #[test]
 fn highest_age_is_a_year() {
-    assert_eq!(millis(MAX_AGE), 365.0 * 86_400_000.0);
+    assert_eq!(millis(MAX_REPORT_AGE), 365.0 * 86_400_000.0);
 }
