--- a/crates/gateway/src/limits/clients.rs
+++ b/crates/gateway/src/limits/clients.rs
@@ -1,80 +1,86 @@
-//! Limits of client connections: how long a client may take, how much is buffered for it, and which connection is
-//! evicted when there are too many.
+//! Limits of client connections: timeouts, buffer sizes, and the rule that selects the connection to evict when there
+//! are too many.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Most bytes that are read while a request is pending, to detect that its client disconnects. A longer message needs
-/// one of [`MAX_LARGE_MESSAGES`] permits.
+/// Maximum number of bytes that are read ahead while a request is pending. Reading ahead detects that the client
+/// disconnects. A longer message is read to its end only with one of [`MAX_LARGE_MESSAGES`] permits.
 pub const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
-/// Most connections that read a message above [`MAX_READ_AHEAD_BYTES`] at a time. Bounds memory.
+/// Maximum number of connections that read a message above [`MAX_READ_AHEAD_BYTES`] at the same time. Bounds memory.
 pub const MAX_LARGE_MESSAGES: usize = 24;
-/// Longest time to write an answer to a client.
+/// Maximum time to write a response to a client.
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest time from the first to the last byte of a message, where the client has sent a request before.
+/// Maximum time from the first to the last byte of a message of a client that has sent a request before. For other
+/// clients [`FIRST_REQUEST_TIMEOUT`] applies.
 pub const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time from the accept until the first valid query is read; empty queries do not count.
+/// Maximum time from the accept of a connection until its first valid query was read. Empty queries do not count.
 pub const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2200);
-/// A connection without a request for this long is closed.
+/// A connection is closed when it had no request for this long.
 pub const IDLE_TIMEOUT: Duration = Duration::from_millis(2050);
-/// An idle connection can be evicted after this.
+/// Minimum time without a request after which a connection can be evicted.
 pub const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_secs(2);
-/// A connection that has never sent a request can be evicted after this: clients usually send one immediately.
+/// Minimum time after which a connection that has never sent a request can be evicted. Short, because clients usually
+/// send a request immediately.
 pub const MIN_SILENCE_BEFORE_EVICTION: Duration = Duration::from_millis(50);
-/// Invalid queries after which a connection is closed.
+/// Number of invalid queries after which a connection is closed.
 pub const MAX_INVALID_QUERIES: u32 = 8;
-/// Connections above the limit that are accepted in order to be rejected with an error.
+/// Maximum number of connections above the connection limit that are open at the same time. Each is accepted only to
+/// send an error that rejects it.
 pub const MAX_EXCESS_CONNECTIONS: usize = 16;
-/// Interval of accepts after an error of the process, such as a lack of descriptors.
+/// Interval at which accepts are retried after an error of the process, such as a lack of file descriptors.
 pub const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// Accept errors after which the final accepts during shutdown end. Each is retried without a pause, since it may concern a
-/// single connection.
+/// Number of accept errors after which the gateway stops accepting queued connections during a shutdown. An accept is
+/// retried without a delay, because the error may concern a single connection.
 pub const MAX_FINAL_ACCEPT_FAILURES: usize = 1000;
-/// After its last message a connection stays open for this long, so that the client can read that message.
+/// Maximum time for which a connection stays open after the last message to its client, so that the client can read
+/// that message.
 pub const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
-/// Most bytes that are discarded from a rejected client in that time: a query of the longest value fits.
+/// Maximum number of bytes that are read and discarded from a rejected client within [`LINGER_TIMEOUT`]. A query with
+/// the longest value fits.
 pub const MAX_LINGER_BYTES: usize = 256 * 1024;
-/// Interval of checks whether a client that is not read from has disconnected.
+/// Interval at which the gateway checks whether a client has disconnected while it does not read from the client.
 pub const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// A write above this counts as slow: input that arrived during it is dated to its start.
+/// The gateway does not read from a client while it writes to the client. Input that is found after a write that took
+/// longer than this is treated as if it had arrived at the start of the write, so that no deadline is too late.
 pub const SLOW_WRITE_THRESHOLD: Duration = Duration::from_millis(20);
 
-/// What a client connection is doing.
+/// State of a client connection, by which the eviction rule orders connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionState {
-    /// It has not sent a request yet.
+    /// The client has not sent a request yet.
     New,
     /// A request is pending.
     Busy,
-    /// All requests are answered.
+    /// Each request has its final response.
     Idle,
-    /// It was evicted and is about to close.
+    /// The connection was evicted and is about to close.
     Evicted,
-    /// Its last message was written; the client may still read it.
+    /// The last message to the client was written. The connection stays open for up to [`LINGER_TIMEOUT`].
     Closing,
 }
 
 impl SessionState {
-    /// The connection is about to end and does not count against the limit.
+    /// Returns `true` if the connection is about to close and does not count against the connection limit.
     #[must_use]
     pub fn is_about_to_close(self) -> bool {
         matches!(self, SessionState::Evicted | SessionState::Closing)
     }
 }
 
-/// What the limits of a connection's input depend on.
+/// The progress of a connection's input, from which its read deadline follows.
 #[derive(Clone, Copy, Debug)]
 pub struct InputProgress {
-    /// When the connection was accepted, or when its last request was answered.
+    /// When the last request received its final response, or when the connection was accepted if there was no request.
     pub idle_since: Instant,
-    /// It has sent a valid request.
+    /// Set when the client has sent a valid request.
     pub has_requested: bool,
-    /// When the first byte of an incomplete message arrived.
+    /// When the first byte of an incomplete message arrived. `None` if no message is incomplete.
     pub message_began: Option<Instant>,
 }
 
 impl InputProgress {
-    /// When the wait for more input ends.
+    /// The instant at which the connection is closed unless more input has arrived.
     #[must_use]
     pub fn deadline(&self) -> Instant {
         if !self.has_requested {
@@ -86,27 +92,30 @@
         }
     }
 
-    /// The client is between two requests: at the deadline its connection is closed without an error.
+    /// Returns `true` if the client is between two requests. Its connection is then closed at the deadline without an
+    /// error.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.has_requested && self.message_began.is_none()
     }
 }
 
-/// A connection as the eviction rule sees it.
+/// Input of the eviction rule for one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct EvictionCandidate {
-    /// The connection.
+    /// Identifies the connection among the candidates.
     pub id: u64,
-    /// What it is doing.
+    /// Only [`New`](SessionState::New), [`Idle`](SessionState::Idle) and [`Closing`](SessionState::Closing) connections
+    /// can be evicted.
     pub state: SessionState,
-    /// When it was accepted, or when its last request was answered.
+    /// When the last request received its final response, or when the connection was accepted if there was no request.
     pub idle_since: Instant,
 }
 
-/// The connection to evict, in this order: one that is closing, one that has never sent a request, one that is idle;
-/// of each kind the one that has been so for longest. None: each is busy, or has been silent or idle for less than the
-/// minimum.
+/// Selects the connection to evict: a closing one first, then one that has never sent a request for at least
+/// [`MIN_SILENCE_BEFORE_EVICTION`], then one that was idle for at least [`MIN_IDLE_BEFORE_EVICTION`]. Among connections
+/// in the same state, selects the one with the earliest [`idle_since`](EvictionCandidate::idle_since). `None` if no
+/// connection qualifies.
 pub fn choose_eviction(
     candidates: &(impl Iterator<Item = EvictionCandidate> + Clone), now: Instant,
 ) -> Option<EvictionCandidate> {
--- a/crates/gateway/src/limits/discovery.rs
+++ b/crates/gateway/src/limits/discovery.rs
@@ -4,16 +4,18 @@
 use latchhaven_policy::Millis;
 use std::time::Duration;
 
-/// A watch without a keepalive or update for this long has failed. Keepalives are due every [`KEEPALIVE_INTERVAL`].
+/// A watch has failed when it delivered neither a keepalive nor an update for this long. Keepalives are due every
+/// [`KEEPALIVE_INTERVAL`].
 pub const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(3500);
-/// Longest interval at which the discovery service sends keepalives.
+/// Maximum interval at which the discovery service sends keepalives.
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Longest time of a fetch, and from opening a watch to its response head; then [`WATCH_SILENCE_TIMEOUT`] applies, at first
-/// also counted from the opening. The discovery service itself times out after 2 s.
+/// Maximum time of a fetch, and from the opening of a watch until the head of its response. Once the head was received,
+/// [`WATCH_SILENCE_TIMEOUT`] applies; until the first keepalive or update, it is counted from the opening as well. The
+/// discovery service itself times out after 2 s.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long in ms the service has been silent when a watch ends; 0 where no keepalive was missed. `silence`: the time
-/// since the last keepalive or update. `has_delivered`: there has been one.
+/// Returns how long the discovery service was silent before a watch closed, if a keepalive was missed, and 0 otherwise.
+/// `silence` is the time since the last keepalive or update; `has_delivered` is set if there was one.
 #[must_use]
 pub fn silence_after_missed_keepalive(has_delivered: bool, silence: Duration) -> Millis {
     let is_silent = has_delivered && silence > KEEPALIVE_INTERVAL;
--- a/crates/gateway/src/limits/platform.rs
+++ b/crates/gateway/src/limits/platform.rs
@@ -5,19 +5,23 @@
 use latchhaven_policy::Millis;
 use std::time::Duration;
 
-/// A feed without a line for this long has failed, also while it is opened. The platform sends one every second.
+/// A feed has failed when it delivered no line for this long, also while it is being opened. The platform sends a line
+/// every second.
 pub const FEED_SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
-/// When a lost feed is opened again; doubled with each feed in a row that delivered no line.
+/// Backoff in milliseconds before a lost feed is opened again. Doubled with each consecutive feed that delivered no
+/// line.
 pub const FEED_BACKOFF: ExponentialBackoff = ExponentialBackoff::new(100.0, 1600.0, Jitter::Half);
-/// A connection for votes that idled for longer is not reused: the platform closes some before 10 s.
+/// Maximum idle time after which a connection for votes is still reused. The platform closes some idle connections in
+/// less than 10 s.
 pub const MAX_VOTE_CONNECTION_IDLE: Duration = Duration::from_secs(3);
-/// The highest valid age of a report: a year.
+/// Maximum valid age in a report of the platform: one year.
 pub const MAX_REPORT_AGE: Duration = Duration::from_secs(365 * 86_400);
-/// Two reports of one rollout state may give start times that differ by this: ages are rounded to ms and delayed.
+/// Maximum difference between the start times that follow from two reports of the same rollout state. Start times
+/// differ because reported ages are rounded to milliseconds and arrive with a delay.
 pub const START_TIME_TOLERANCE: Duration = Duration::from_millis(20);
 
-/// A reported state of a rollout is older than the known state of the same version. `began_at`, `known_began_at`: the
-/// start times of both in ms.
+/// Returns `true` if a reported rollout state, which began at `began_at`, is older than the known state of the same
+/// version, which began at `known_began_at`.
 #[must_use]
 pub fn is_older_state(began_at: Millis, known_began_at: Millis) -> bool {
     began_at < known_began_at - millis(START_TIME_TOLERANCE)
--- a/crates/gateway/src/limits/shutdown.rs
+++ b/crates/gateway/src/limits/shutdown.rs
@@ -1,30 +1,35 @@
-//! Time limits after SIGTERM. SIGKILL follows no sooner than the longest timeout of a class, of which
-//! [`MAX_COUNTED_TIMEOUT`] counts at most, plus 700 ms: [`DRAIN_GRACE_PERIOD`] to complete pending requests, [`QUEUED_REQUESTS_TIMEOUT`] to answer
-//! those queued behind abandoned ones, and the rest to exit.
+//! Timeouts after SIGTERM. The earliest SIGKILL follows after the longest timeout of a request class, limited to
+//! [`MAX_COUNTED_TIMEOUT`], plus 700 ms. Of these 700 ms, [`DRAIN_GRACE_PERIOD`] is for completing pending requests,
+//! [`QUEUED_REQUESTS_TIMEOUT`] for the final responses to requests that are queued behind abandoned ones, and the rest
+//! for exiting.
 
 use crate::clock::{duration, millis};
 use latchhaven_policy::Millis;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Connections are accepted for this long: the load balancer in front may hand some out for 400 ms.
+/// Time for which connections are still accepted. The load balancer in front may assign new connections to this gateway
+/// for another 400 ms.
 pub const ACCEPT_TIME: Duration = Duration::from_millis(550);
-/// Interval of checks whether the last connection has closed.
+/// Interval at which the gateway checks whether the last connection has closed.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// A connection that has not sent a request yet is closed after this.
+/// A connection without a request is closed after this time, counted from the start of the shutdown or, if later, from
+/// its accept.
 pub const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
-/// A connection with pipelined queries is closed after this long without input: another query may be on its way.
+/// A connection with pipelined queries is closed after this time without input. The delay is needed because another
+/// query may be on its way.
 pub const PIPELINE_IDLE_TIMEOUT: Duration = Duration::from_millis(10);
-/// A request that arrives later than this is rejected immediately: SIGKILL might leave it without an answer.
+/// A request that arrives later than this after the start of the shutdown is rejected immediately, because the process
+/// might be killed before the final response.
 pub const REQUEST_WINDOW: Duration = Duration::from_millis(600);
-/// The longest class timeout that extends the time before SIGKILL.
+/// Upper bound of the class timeout that is added to the time before SIGKILL.
 pub const MAX_COUNTED_TIMEOUT: Duration = Duration::from_secs(3);
-/// Part of the 700 ms in which pending requests may still complete.
+/// Time after the longest class timeout in which pending requests may still complete.
 pub const DRAIN_GRACE_PERIOD: Duration = Duration::from_millis(450);
-/// After the drain time: how long the requests that were queued behind abandoned ones may take to be answered.
+/// Time after the drain time in which requests queued behind abandoned ones may still receive their final response.
 pub const QUEUED_REQUESTS_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What happens when after the start of the shutdown.
+/// When pending requests are abandoned and connections are closed, counted from SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownSchedule {
     /// From SIGTERM until pending requests are abandoned.
@@ -32,64 +37,64 @@
 }
 
 impl ShutdownSchedule {
-    /// A schedule for classes whose longest timeout is `longest_timeout` ms.
+    /// Creates the schedule for request classes whose longest timeout is `longest_timeout`.
     #[must_use]
     pub fn new(longest_timeout: Millis) -> Self {
         let drain_ms = longest_timeout.min(millis(MAX_COUNTED_TIMEOUT)) + millis(DRAIN_GRACE_PERIOD);
         ShutdownSchedule { drain_time: duration(drain_ms) }
     }
 
-    /// Pending requests are abandoned after this if others are queued behind them on their connection.
+    /// The time from SIGTERM until a pending request is abandoned if other requests are queued on the same connection.
     #[must_use]
     pub fn abandon_after(&self) -> Duration {
         self.drain_time
     }
 
-    /// Connections are closed after this whatever input arrives.
+    /// The time from SIGTERM until all connections are closed, even if they still receive input.
     #[must_use]
     pub fn close_after(&self) -> Duration {
         self.drain_time + QUEUED_REQUESTS_TIMEOUT
     }
 
-    /// A request that arrived at `arrived_at` is rejected: it arrived after [`REQUEST_WINDOW`], or its turn is after the
-    /// drain time. `began_at`: when the shutdown began; both in ms of one
-    /// clock. `elapsed`: the time since then.
+    /// Returns `true` if a request is rejected because it arrived after [`REQUEST_WINDOW`], or is processed only after
+    /// the drain time. `arrived_at` is the arrival of the request and `began_at` the start of the shutdown, both on the
+    /// gateway's clock. `elapsed` is the time from the start of the shutdown until now.
     #[must_use]
     pub fn rejects_request(&self, arrived_at: Millis, began_at: Millis, elapsed: Duration) -> bool {
         arrived_at >= began_at + millis(REQUEST_WINDOW) || elapsed >= self.drain_time
     }
 }
 
-/// When a connection that waits for input is closed.
+/// When a connection that waits for input is to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseTime {
     /// Immediately.
     Now,
-    /// At this time.
+    /// At this instant, unless input arrives before.
     At(Instant),
-    /// Not before its state changes.
+    /// Not determined until the state of the connection changes.
     Undecided,
 }
 
-/// What the close time of a waiting connection depends on.
+/// The state of a connection that waits for input, from which its close time follows.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitingConnection {
-    /// It was evicted.
+    /// Set when the gateway evicted the connection.
     pub is_evicted: bool,
-    /// It has sent a valid request.
+    /// Set when the client has sent a valid request.
     pub has_requested: bool,
-    /// Part of a message has arrived.
+    /// Set when the first part of a message has arrived, but not the rest.
     pub has_partial_message: bool,
-    /// The client sends queries before earlier ones are answered.
+    /// Set when the client has sent a query before it received the response to an earlier one.
     pub is_pipelined: bool,
-    /// When it was accepted, or when its last request was answered.
+    /// When the last request received its final response, or when the connection was accepted if there was no request.
     pub idle_since: Instant,
-    /// When the wait began.
+    /// When the current wait for input began.
     pub waiting_since: Instant,
 }
 
 impl WaitingConnection {
-    /// When it is closed. `shutdown_began`: none while the gateway is not shutting down.
+    /// Determines when the connection is closed. `shutdown_began` is `None` unless the gateway is shutting down.
     #[must_use]
     pub fn close_time(&self, shutdown_began: Option<Instant>) -> CloseTime {
         if self.is_evicted {
