--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,4 +1,4 @@
-//! Reads and checks the gateway's configuration, and sets defaults. Errors name the faulty key.
+//! Reads and checks the gateway's configuration, and sets defaults. Error messages name the invalid key.
 
 use crate::limits::start::{DEFAULT_DESCRIPTORS, MIN_DESCRIPTORS};
 use crate::net::list::{self, List};
@@ -8,87 +8,87 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The variable that names the file.
+/// The environment variable that contains the path of the configuration file.
 const CONFIG_VARIABLE: &str = "BALANCER_CONFIG";
 
-/// What is wrong with the configuration.
+/// Why the configuration is invalid.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum ConfigError {
-    /// A required variable is not set.
+    /// This required environment variable is not set.
     #[error("{0}: not set")]
     Unset(&'static str),
-    /// The file cannot be read.
+    /// The file is missing, unreadable, or not a JSON object. Contains the path and the reason.
     #[error("{0}: cannot be read: {1}")]
     Unreadable(String, String),
-    /// A key is missing or has an invalid value.
+    /// A key is missing or has an invalid value. Contains the key and the reason.
     #[error("{0}: {1}")]
     Key(String, String),
 }
 
-/// Addresses of the gateway and of the services that it calls.
+/// The gateway's name and addresses, and the addresses of the services that it calls.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Addresses {
-    /// This gateway's name, in logs.
+    /// The name of this gateway in logs.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// The discovery service.
+    /// Where the gateway requests the endpoint list.
     pub discovery: SocketAddr,
-    /// The platform. None: there are no rollout states and no votes.
+    /// Where the gateway receives rollout states and casts votes. `None` if there is no platform.
     pub platform: Option<SocketAddr>,
 }
 
-/// The cached state at the start; the list may be old.
+/// Cached state with which the gateway starts. The list may be outdated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InitialState {
-    /// The endpoint list.
+    /// The cached endpoint list. Empty and of version 0 if the file contains none.
     pub list: List,
-    /// The state of the newest version's rollout.
+    /// The cached rollout state of the newest version. `None` if the file contains none.
     pub rollout: Option<RolloutState>,
 }
 
 /// The content of a configuration file.
 pub struct GatewayConfig {
-    /// Addresses of the gateway and of the services that it calls.
+    /// From the file, or from environment variables that take precedence.
     pub addresses: Addresses,
-    /// Descriptors that the gateway may use.
+    /// Maximum number of file descriptors that the gateway may use.
     pub max_descriptors: usize,
-    /// The cached state.
+    /// The state that the gateway uses until discovery and platform have reported newer states.
     pub initial_state: InitialState,
-    /// Seeds the random generators.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Classes, permissions, rules and voting.
+    /// The policy's settings: request classes, permissions, rules and voting.
     pub settings: Settings,
 }
 
-/// The addresses that may change while the gateway runs.
+/// The addresses that a reload of the configuration may change while the gateway runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceAddresses {
-    /// The discovery service.
+    /// Where the gateway requests the endpoint list.
     pub discovery: SocketAddr,
-    /// The platform.
+    /// Where the gateway receives rollout states and casts votes. `None` if there is no platform.
     pub platform: Option<SocketAddr>,
 }
 
-/// Reads the file that `BALANCER_CONFIG` names; other variables take precedence over its keys.
+/// Reads the file whose path is in `BALANCER_CONFIG`. Other environment variables take precedence over the file's keys.
 ///
 /// # Errors
-/// The first fault, with its key.
+/// The first invalid key, or the reason why the file cannot be read.
 pub fn read(env: impl Fn(&str) -> Option<String>) -> Result<GatewayConfig, ConfigError> {
     read_file(env, DiscoverySource::VariableFirst)
 }
 
-/// Reads and checks the file again, and returns the addresses that may change.
+/// Reads and checks the complete file again, and returns the addresses that may change.
 ///
 /// # Errors
-/// The first fault, with its key.
+/// The first invalid key, or the reason why the file cannot be read.
 pub fn reload(env: impl Fn(&str) -> Option<String>) -> Result<ServiceAddresses, ConfigError> {
     let addresses = read_file(env, DiscoverySource::FileFirst)?.addresses;
     Ok(ServiceAddresses { discovery: addresses.discovery, platform: addresses.platform })
 }
 
-/// Which address of the discovery service takes precedence: the variable at the start, the file at a reload, since variables
-/// cannot change while the process runs.
+/// Which address of the discovery service takes precedence: the environment variable at the start, and the file at a
+/// reload, because the variable cannot change while the process runs.
 #[derive(Clone, Copy, PartialEq)]
 enum DiscoverySource {
     VariableFirst,
@@ -113,7 +113,11 @@
     let unreadable = |reason: String| ConfigError::Unreadable(format!("{CONFIG_VARIABLE}: {path}"), reason);
     let text = std::fs::read_to_string(path).map_err(|error| unreadable(error.to_string()))?;
     let file: Value = serde_json::from_str(&text).map_err(|error| unreadable(error.to_string()))?;
-    if file.is_object() { Ok(file) } else { Err(unreadable("not a JSON object".to_string())) }
+    if file.is_object() {
+        Ok(file)
+    } else {
+        Err(unreadable("expected a JSON object, found another JSON value".to_string()))
+    }
 }
 
 fn addresses(
@@ -122,41 +126,47 @@
     let name = variable_or_key(env, "BALANCER_NAME", file, "name")?;
     let listen = parse_address("listen", &variable_or_key(env, "BALANCER_LISTEN", file, "listen")?)?;
     let discovery = match file.get("discovery") {
-        Some(value) if source == DiscoverySource::FileFirst => text("discovery", value)?.to_string(),
+        Some(value) if source == DiscoverySource::FileFirst => {
+            non_empty_string("discovery", value)?.to_string()
+        }
         _ => variable_or_key(env, "BALANCER_DISCOVERY", file, "discovery")?,
     };
     let discovery = parse_address("discovery", &discovery)?;
-    let platform = match present(file, "/pipeline/address") {
+    let platform = match non_null(file, "/pipeline/address") {
         None => None,
-        Some(value) => Some(parse_address("pipeline.address", text("pipeline.address", value)?)?),
+        Some(value) => Some(parse_address("pipeline.address", non_empty_string("pipeline.address", value)?)?),
     };
     Ok(Addresses { name, listen, discovery, platform })
 }
 
-/// The limit of descriptors. The limit of memory is only checked.
+/// Reads the limit of file descriptors, and checks the limit of memory.
 fn max_descriptors(file: &Value) -> Result<usize, ConfigError> {
-    let sockets = match present(file, "/limits/sockets") {
+    let sockets = match non_null(file, "/limits/sockets") {
         None => DEFAULT_DESCRIPTORS,
-        Some(value) => value.as_u64().ok_or_else(|| key_error("limits.sockets", "not an integer"))?,
+        Some(value) => value
+            .as_u64()
+            .ok_or_else(|| unexpected_value("limits.sockets", "a non-negative integer", value))?,
     };
     if sockets < MIN_DESCRIPTORS {
-        return Err(key_error("limits.sockets", &format!("{sockets} is below {MIN_DESCRIPTORS}")));
+        let reason = format!("expected at least {MIN_DESCRIPTORS}, found {sockets}");
+        return Err(key_error("limits.sockets", &reason));
     }
-    // Nothing is derived from it, but a gateway with too little would be killed without an error message.
-    let memory = file.pointer("/limits/memory_mb");
-    if memory.is_some_and(|value| !value.as_f64().is_some_and(|mib| mib > 0.0)) {
-        return Err(key_error("limits.memory_mb", "not above 0"));
+    // The gateway does not use the memory limit, but would be killed without an error message if there were too little.
+    if let Some(value) = file.pointer("/limits/memory_mb")
+        && !value.as_f64().is_some_and(|mib| mib > 0.0)
+    {
+        return Err(unexpected_value("limits.memory_mb", "a number above 0", value));
     }
     Ok(sockets as usize)
 }
 
 fn initial_state(file: &Value) -> Result<InitialState, ConfigError> {
-    let list = match present(file, "/known") {
+    let list = match non_null(file, "/known") {
         None => List { version: 0, is_snapshot: true, entries: Vec::new() },
         Some(value) => list::read(value.to_string().as_bytes())
             .map_err(|error| key_error("known", &error.to_string()))?,
     };
-    let rollout = match present(file, "/pipeline/news") {
+    let rollout = match non_null(file, "/pipeline/news") {
         None => None,
         Some(value) => {
             let state = platform::read_rollout_state(value.to_string().as_bytes());
@@ -167,12 +177,18 @@
 }
 
 fn seed(file: &Value) -> Result<u64, ConfigError> {
-    let seed = match present(file, "/seed") {
-        None => return Err(key_error("seed", "missing")),
-        Some(Value::Number(number)) => number.as_u64(),
-        Some(value) => u64::from_str_radix(text("seed", value)?, 16).ok(),
+    let value = non_null(file, "/seed").ok_or_else(|| key_error("seed", "missing"))?;
+    let seed = match value {
+        Value::Number(number) => number.as_u64(),
+        _ => u64::from_str_radix(non_empty_string("seed", value)?, 16).ok(),
     };
-    seed.ok_or_else(|| key_error("seed", "not a hexadecimal number of up to 16 digits"))
+    seed.ok_or_else(|| {
+        unexpected_value(
+            "seed",
+            "an unsigned 64-bit integer or a string of up to 16 hexadecimal digits",
+            value,
+        )
+    })
 }
 
 fn settings(file: &Value) -> Result<Settings, ConfigError> {
@@ -180,8 +196,8 @@
     settings::parse(&settings.to_string()).map_err(|error| key_error("settings", &error.to_string()))
 }
 
-/// The value at a path unless it is missing or null.
-fn present<'a>(file: &'a Value, path: &str) -> Option<&'a Value> {
+/// Returns the value at `path`. `None` if the value is missing or null.
+fn non_null<'a>(file: &'a Value, path: &str) -> Option<&'a Value> {
     file.pointer(path).filter(|value| !value.is_null())
 }
 
@@ -189,8 +205,13 @@
     ConfigError::Key(key.to_string(), reason.to_string())
 }
 
-fn text<'a>(key: &str, value: &'a Value) -> Result<&'a str, ConfigError> {
-    value.as_str().filter(|text| !text.is_empty()).ok_or_else(|| key_error(key, "not a non-empty string"))
+fn unexpected_value(key: &str, expected: &str, found: &Value) -> ConfigError {
+    key_error(key, &format!("expected {expected}, found {found}"))
+}
+
+fn non_empty_string<'a>(key: &str, value: &'a Value) -> Result<&'a str, ConfigError> {
+    let text = value.as_str().filter(|text| !text.is_empty());
+    text.ok_or_else(|| unexpected_value(key, "a non-empty string", value))
 }
 
 fn variable_or_key(
@@ -200,11 +221,11 @@
         return Ok(value);
     }
     match file.get(key) {
-        Some(value) => Ok(text(key, value)?.to_string()),
+        Some(value) => Ok(non_empty_string(key, value)?.to_string()),
         None => Err(key_error(key, &format!("missing, and {variable} is not set"))),
     }
 }
 
 fn parse_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| key_error(key, &format!("'{text}' is not address:port")))
+    text.parse().map_err(|_| key_error(key, &format!("expected an IP address and a port, found '{text}'")))
 }
