--- a/crates/gateway/src/arrivals.rs
+++ b/crates/gateway/src/arrivals.rs
@@ -1,20 +1,19 @@
-//! When the bytes of a connection arrived. The timeout of a request starts with its last byte, even while it is queued
-//! behind others.
+//! Arrival times of the bytes of a connection. The timeout of a request starts when its last byte arrives, also if the
+//! request is queued after others on the connection.
 
 use crate::limits::messages::MAX_ARRIVAL_CHUNKS;
 use latchhaven_policy::Millis;
 use std::collections::VecDeque;
 
-/// Bytes that arrived together.
+/// Bytes with the same arrival time.
 #[derive(Clone, Debug)]
 struct Chunk {
     bytes: usize,
-    /// In ms.
     arrived_at: Millis,
 }
 
-/// The arrival times of bytes that were read and not yet consumed. Above [`MAX_ARRIVAL_CHUNKS`] chunks, new bytes count
-/// with the newest one.
+/// Arrival times of bytes that were read and not yet consumed. When there are [`MAX_ARRIVAL_CHUNKS`] chunks, new bytes
+/// are added to the newest chunk and get its arrival time.
 #[derive(Clone, Debug, Default)]
 pub struct ArrivalTimes {
     chunks: VecDeque<Chunk>,
@@ -22,7 +21,7 @@
 }
 
 impl ArrivalTimes {
-    /// `buffered` bytes are buffered now; those that are new arrived at `at` in ms.
+    /// Records that the buffer now contains `buffered` bytes, of which the new ones arrived at `at`.
     pub fn record(&mut self, buffered: usize, at: Millis) {
         let new_bytes = buffered.saturating_sub(self.buffered);
         if new_bytes == 0 {
@@ -36,13 +35,14 @@
         }
     }
 
-    /// The number of recorded bytes.
+    /// The number of bytes that were recorded and not yet consumed.
     #[must_use]
     pub fn buffered(&self) -> usize {
         self.buffered
     }
 
-    /// `buffered` bytes are left. Returns when the last consumed byte arrived, in ms.
+    /// Records that the buffer now contains `buffered` bytes because others were consumed. Returns when the last
+    /// consumed byte arrived. `None` if no recorded byte was consumed.
     pub fn consume(&mut self, buffered: usize) -> Option<Millis> {
         let mut consumed = self.buffered.saturating_sub(buffered);
         let mut last_arrival = None;
--- a/crates/gateway/src/counters.rs
+++ b/crates/gateway/src/counters.rs
@@ -1,16 +1,15 @@
-//! Counters of this process, and invariants. A violated invariant panics in a debug build, and is counted and logged in
-//! a release build.
+//! Metrics of this process, and checks of invariants.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 macro_rules! counters {
     ($($name:ident),* $(,)?) => {
-        /// The metrics; docs/counters.md describes each one.
+        /// The metrics of a process, described in docs/counters.md. Displayed as `name=value` pairs.
         #[derive(Default)]
         pub struct Counters {
             $(
-                #[doc = concat!("`", stringify!($name), "` in docs/counters.md.")]
+                #[doc = concat!("Described as `", stringify!($name), "` in docs/counters.md.")]
                 pub $name: Metric,
             )*
         }
@@ -27,32 +26,32 @@
             }
         }
 
-        /// The counters of this process.
+        /// The metrics of this process. Updated by all of its tasks.
         pub static COUNTERS: Counters = Counters { $($name: Metric(AtomicU64::new(0)),)* };
     };
 }
 
-/// One number: a counter, a gauge or a maximum.
+/// A counter, a gauge or a maximum. Starts at 0.
 #[derive(Default)]
 pub struct Metric(AtomicU64);
 
 impl Metric {
-    /// Counts one occurrence.
+    /// Adds 1 to a counter.
     pub fn increment(&self) {
         self.0.fetch_add(1, Relaxed);
     }
 
-    /// Sets a gauge.
+    /// Sets a gauge to `value`.
     pub fn set(&self, value: usize) {
         self.0.store(value as u64, Relaxed);
     }
 
-    /// Raises a maximum.
+    /// Raises a maximum to `value` unless the maximum is already higher.
     pub fn record_max(&self, value: usize) {
         self.0.fetch_max(value as u64, Relaxed);
     }
 
-    /// The current value.
+    /// The current number. Other threads may change it at any time.
     #[must_use]
     pub fn value(&self) -> u64 {
         self.0.load(Relaxed)
@@ -115,8 +114,8 @@
     invariant_violations_total,
 );
 
-/// Checks an invariant. A violation panics in a debug build, and is counted and logged in a release build. Returns
-/// whether the condition is true.
+/// Checks an invariant, and returns whether the condition is true. A violation panics in a debug build; in a release
+/// build, it is counted and logged.
 #[macro_export]
 macro_rules! invariant {
     ($condition:expr, $description:expr) => {{
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,15 +1,15 @@
-//! The gateway: connects clients, endpoints, the discovery service and the platform to the policy of
-//! [`Policy`](latchhaven_policy::Policy).
+//! The gateway: connects clients, endpoints, the discovery service and the platform to the
+//! [`Policy`](latchhaven_policy::Policy), which makes the routing and voting decisions.
 //!
-//! - [`serve`]: starts the gateway and shuts it down; [`config`] is its configuration.
+//! - [`serve`]: starts and shuts down the gateway; [`config`] reads its configuration.
 //! - [`gateway`]: the event loop and its state.
 //! - [`net`]: the drivers of sockets.
-//! - [`proto`], [`discovery`], [`arrivals`]: state machines without I/O.
-//! - [`limits`]: time limits and bounds, and the rules that follow from them.
-//! - [`readiness`]: when health checks of the load balancer are answered.
-//! - [`clock`]: the clock of all of these.
+//! - [`proto`], [`discovery`], [`arrivals`]: parsers and state machines without I/O.
+//! - [`limits`]: timeouts and limits, and the rules that follow from them.
+//! - [`readiness`]: when the gateway responds to health checks of the load balancer.
+//! - [`clock`]: the clock that all of these use.
 //! - [`policy_log`]: log lines of the policy.
-//! - [`counters`]: counters and invariants.
+//! - [`counters`]: metrics and invariants.
 
 #![warn(clippy::pedantic)]
 #![allow(clippy::cast_precision_loss, reason = "times in microseconds and counts stay far below 2^53")]
--- a/crates/gateway/src/policy_log.rs
+++ b/crates/gateway/src/policy_log.rs
@@ -1,9 +1,9 @@
-//! Log lines of the policy: typed events of the policy become tracing events, the event's name as the message and its
-//! values as fields. Gateways and control services print them through [`log_event`].
+//! Log lines of the policy. Each event of the policy becomes a tracing event with the event's name as the message and
+//! its values as fields. Gateways and control services log them with [`log_event`].
 
 use latchhaven_policy::{LogEvent, RequestId, UnservedReason};
 
-/// Prints an event of the policy.
+/// Logs an event of the policy at `info`.
 pub fn log_event(event: &LogEvent) {
     match event {
         LogEvent::CanaryRejected { version, stage, reason, probability, failures, expected_failures } => {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Prints at `debug` why a request gets no result, with the inputs of the rule that decided.
+/// Logs at `debug` why a request gets no result, with the inputs of the rule that decided.
 pub fn log_unserved(id: RequestId, reason: &UnservedReason) {
     let id = id.0;
     let rule = reason.name();
--- a/crates/gateway/src/readiness.rs
+++ b/crates/gateway/src/readiness.rs
@@ -1,20 +1,21 @@
-//! Whether the gateway answers health checks of the load balancer in front. A new process has an endpoint list of
-//! unknown age: it answers once a watch has confirmed the list, or after [`MAX_READINESS_DELAY`].
+//! Whether the gateway responds to health checks of the load balancer in front. A new process starts with an endpoint
+//! list of unknown age. The gateway is ready when the discovery service has confirmed the list, or after
+//! [`MAX_READINESS_DELAY`].
 
 use crate::limits::start::MAX_READINESS_DELAY;
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-/// Reports that the gateway is ready.
+/// Reports that the endpoint list is confirmed, which makes the gateway ready.
 pub struct ReadinessSender(watch::Sender<bool>);
 
-/// Waits until the gateway is ready.
+/// Lets tasks wait until the gateway is ready.
 pub struct Readiness {
     is_ready: watch::Receiver<bool>,
     deadline: Instant,
 }
 
-/// The readiness of a gateway that starts now.
+/// Creates the two ends that report and await the readiness of a gateway that starts now.
 #[must_use]
 pub fn readiness() -> (ReadinessSender, Readiness) {
     let (sender, is_ready) = watch::channel(false);
@@ -22,14 +23,14 @@
 }
 
 impl ReadinessSender {
-    /// The endpoint list is confirmed. Later calls change nothing.
+    /// Reports that the endpoint list is confirmed. Only the first call has an effect.
     pub fn set_ready(&self) {
         self.0.send_if_modified(|is_ready| !std::mem::replace(is_ready, true));
     }
 }
 
 impl Readiness {
-    /// Waits until the gateway is ready, or until its deadline.
+    /// Waits until the endpoint list is confirmed, at most [`MAX_READINESS_DELAY`] from the start.
     pub(crate) async fn wait(&self) {
         let mut is_ready = self.is_ready.clone();
         tokio::select! {
