--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -148,7 +148,7 @@
             .ok_or_else(|| unexpected_value("limits.sockets", "a non-negative integer", value))?,
     };
     if sockets < MIN_DESCRIPTORS {
-        let reason = format!("expected at least {MIN_DESCRIPTORS}, found {sockets}");
+        let reason = format!("expected {MIN_DESCRIPTORS} or more, found {sockets}");
         return Err(key_error("limits.sockets", &reason));
     }
     // The gateway does not use the memory limit, but would be killed without an error message if there were too little.
--- a/crates/gateway/src/discovery/calls.rs
+++ b/crates/gateway/src/discovery/calls.rs
@@ -2,32 +2,32 @@
 
 use std::net::SocketAddr;
 
-/// Identifies a call; later calls of a client have greater ids, the first has 1.
+/// Identifies a call of a client. Ids are assigned in ascending order, and the first is 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// A command to the driver. Commands are executed in order.
+/// A command to the driver, which executes commands in the order in which they were recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryCommand {
-    /// Start a watch of changes after a version; version 0 requests all endpoints.
+    /// Starts a watch, which delivers the changes after a version.
     StartWatch {
-        /// The call's id.
+        /// A new id.
         call: CallId,
-        /// The discovery service.
+        /// Where to send the request.
         address: SocketAddr,
-        /// The version of the current list.
+        /// The version of the current list. If 0, the watch first delivers a snapshot.
         after_version: u64,
     },
-    /// Start a single call for a snapshot.
+    /// Starts a call that delivers a single snapshot.
     StartFetch {
-        /// The call's id.
+        /// A new id.
         call: CallId,
-        /// The discovery service.
+        /// Where to send the request.
         address: SocketAddr,
     },
-    /// Abort a call. It may have ended already.
+    /// Aborts a call. Has no effect if the call has completed already.
     Abort {
-        /// The call's id.
+        /// The id from an earlier start command.
         call: CallId,
     },
 }
@@ -61,7 +61,7 @@
         self.commands.push(DiscoveryCommand::Abort { call });
     }
 
-    /// Sets the address of later calls. False: it is unchanged.
+    /// Sets the address for later calls. Returns `false` if the address is unchanged.
     pub(super) fn set_address(&mut self, address: SocketAddr) -> bool {
         let has_changed = self.address != address;
         self.address = address;
--- a/crates/gateway/src/discovery/list_version.rs
+++ b/crates/gateway/src/discovery/list_version.rs
@@ -1,26 +1,26 @@
-//! Order of two endpoint lists. Version numbers alone do not decide: the discovery service may restart its count, and
-//! then the lower number is the newer list; and a call may deliver a list that is older than one that another call has
-//! delivered meanwhile.
+//! Decides which of two endpoint lists is newer. Version numbers alone are not sufficient for two reasons: after the
+//! discovery service has restarted its version count, the list with the lower number is newer, and a call may deliver a
+//! list that is older than one that another call has delivered in the meantime.
 
 /// How a received list relates to the current one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionOrder {
-    /// It replaces or extends the current list.
+    /// The received list replaces or extends the current one. Includes a list of the same version.
     Newer,
-    /// Another call has delivered a newer list.
+    /// The current list is newer, and was delivered by another call.
     Stale,
-    /// It is a delta to a list that was never received.
+    /// The received list is a delta to a list that was never received.
     Gap,
 }
 
 /// The properties of a received list that decide its order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReceivedVersion {
-    /// Its version number.
+    /// The version number that the discovery service assigned.
     pub version: u64,
-    /// It is a snapshot of all endpoints and not a delta.
+    /// Set for a snapshot of all endpoints, and not set for a delta.
     pub is_snapshot: bool,
-    /// Another call has delivered a list since this call was started or last delivered one.
+    /// Set when another call has delivered a list since this call was started or last delivered one.
     pub is_overtaken: bool,
 }
 
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,10 +1,10 @@
-//! Calls to the discovery service for the endpoint list, without I/O: which calls are current, which of their lists are
-//! applied, and which calls are started and aborted.
+//! Clients of the discovery service, without I/O. Both decide which calls for the endpoint list are started and
+//! aborted, and which of the delivered lists are applied.
 //!
-//! - [`calls`]: identities and commands, and the calls that both clients make.
-//! - [`ordered_client`]: the gateway's client. It watches from the current version and checks the order of lists.
-//! - [`snapshot_client`]: the control plane's client. It fetches a snapshot first and watches from its version; its
-//!   owner checks the order of lists.
+//! - [`calls`]: ids of calls, and the commands that start and abort calls.
+//! - [`ordered_client`]: the gateway's client, which watches from the current version and checks the order of lists.
+//! - [`snapshot_client`]: the control plane's client, which first fetches a snapshot and then watches from the
+//!   snapshot's version. The owner of this client checks the order of lists.
 //! - [`list_version`]: the order of two lists.
 //!
 //! The clients record [`calls::DiscoveryCommand`]s; [`crate::net::discovery_tasks`] executes them.
--- a/crates/gateway/src/discovery/ordered_client.rs
+++ b/crates/gateway/src/discovery/ordered_client.rs
@@ -1,5 +1,6 @@
-//! The gateway's client of the discovery service. It watches from the current version, and applies a list only if it is
-//! newer. When the service's address changes, the previous watch continues until the new one has delivered a list.
+//! The gateway's client of the discovery service, which watches from the current version and applies a list only if the
+//! list is newer. When the service's address changes, the previous watch continues until the new watch has delivered a
+//! list.
 
 use super::calls::{CallId, CallStarter, DiscoveryCommand};
 use super::list_version::{ReceivedVersion, VersionOrder, compare_versions};
@@ -7,23 +8,23 @@
 
 /// A call that was started and not replaced by another one.
 #[derive(Clone, Copy, Debug)]
-struct ActiveCall {
+struct TrackedCall {
     id: CallId,
     has_delivered: bool,
-    /// The number of lists that were applied before it was started, or before it last delivered one.
-    lists_seen: u64,
+    /// The value of [`EndpointListClient::lists_applied`] when the call was started or after its last list was applied.
+    lists_applied: u64,
 }
 
-/// What is to be done with a list that a call has delivered.
+/// What the gateway does with a list that a call has delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListDecision {
-    /// The call was replaced: the list is ignored.
+    /// The list is ignored, because its call was replaced or its watch was disabled.
     Ignored,
-    /// The list is newer: it is to be applied.
+    /// The list is applied, because it is newer.
     Apply,
-    /// The list is not newer, and its call is aborted.
+    /// The list is discarded, because it is not newer. The client aborts the call.
     Discard {
-        /// The call is current: the policy has to be notified of its failure.
+        /// Set when the call is current, so that the policy has to be notified of the call's failure.
         is_current: bool,
     },
 }
@@ -33,15 +34,16 @@
 pub struct EndpointListClient {
     starter: CallStarter,
     current_version: u64,
+    /// The number of lists that were applied, including the restored one.
     lists_applied: u64,
-    watch: Option<ActiveCall>,
-    fetch: Option<ActiveCall>,
+    watch: Option<TrackedCall>,
+    fetch: Option<TrackedCall>,
     /// The watch at a previous address, until the new watch has delivered a list.
-    previous_watch: Option<ActiveCall>,
+    previous_watch: Option<TrackedCall>,
 }
 
 impl EndpointListClient {
-    /// A client without a list and without calls.
+    /// Creates a client without a list and without calls.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         EndpointListClient {
@@ -54,18 +56,18 @@
         }
     }
 
-    /// The version of the current list; 0 if the next watch is to request all endpoints.
+    /// The version of the current list. 0 if there is no list, or if the next watch has to request all endpoints.
     #[must_use]
     pub fn current_version(&self) -> u64 {
         self.current_version
     }
 
-    /// The commands recorded since the last call of this method.
+    /// Returns the commands that were recorded since the last call of this method.
     pub fn take_commands(&mut self) -> Vec<DiscoveryCommand> {
         self.starter.take_commands()
     }
 
-    /// Sets the version of a list that no call has delivered.
+    /// Sets the version of the cached list with which the gateway starts.
     pub fn restore(&mut self, version: u64) {
         self.current_version = version;
         self.lists_applied += 1;
@@ -81,21 +83,21 @@
         }
     }
 
-    /// Fetches a snapshot; replaces an earlier fetch.
+    /// Starts a fetch of a snapshot, and aborts an earlier fetch.
     pub fn fetch(&mut self) {
         let id = self.starter.start_fetch();
-        let replaced = self.fetch.replace(self.active_call(id));
+        let replaced = self.fetch.replace(self.tracked_call(id));
         if let Some(replaced) = replaced {
             self.starter.abort(replaced.id);
         }
     }
 
-    /// A call has delivered a list.
+    /// Decides about a list that a call has delivered.
     pub fn on_list(&mut self, call: CallId, version: u64, is_snapshot: bool) -> ListDecision {
-        let Some(lists_seen) = self.find(call).map(|active| active.lists_seen) else {
+        let Some(lists_applied) = self.find(call).map(|tracked| tracked.lists_applied) else {
             return ListDecision::Ignored;
         };
-        let is_overtaken = lists_seen < self.lists_applied;
+        let is_overtaken = lists_applied < self.lists_applied;
         let received = ReceivedVersion { version, is_snapshot, is_overtaken };
         match compare_versions(self.current_version, received) {
             VersionOrder::Newer => {
@@ -103,22 +105,22 @@
                 return ListDecision::Apply;
             }
             VersionOrder::Stale => {}
-            // The delta refers to an unknown list: the next watch has to request all endpoints.
+            // The next watch has to request all endpoints, because the delta refers to an unknown list.
             VersionOrder::Gap => self.current_version = 0,
         }
-        // The call stays the current one until the policy, notified of its failure, starts another watch.
+        // A current call remains current until the policy, which is notified of its failure, starts another call.
         self.starter.abort(call);
         ListDecision::Discard { is_current: self.is_current(call) }
     }
 
-    /// A call has failed, or a watch has ended. True if the policy has to be notified.
+    /// Returns `true` if the policy has to be notified that this call failed or that this watch was closed.
     #[must_use]
     pub fn on_failure(&self, call: CallId) -> bool {
         self.is_current(call)
     }
 
-    /// The discovery service has moved: unfinished calls are immediately repeated at the new address. False: the address
-    /// is unchanged.
+    /// Sets the address of the discovery service, and immediately repeats unfinished calls at a new address. Returns
+    /// `false` if the address is unchanged.
     pub fn on_address_changed(&mut self, address: SocketAddr, is_finished: impl Fn(CallId) -> bool) -> bool {
         if !self.starter.set_address(address) {
             return false;
@@ -133,15 +135,16 @@
         true
     }
 
-    /// Of two watches the one that has delivered continues: the other one may never deliver.
-    fn continue_delivering_watch(&mut self, watch: ActiveCall, is_finished: impl Fn(CallId) -> bool) {
+    /// Lets one watch at a previous address continue. If there are two, the one that has delivered a list continues,
+    /// because the other one may never deliver.
+    fn continue_delivering_watch(&mut self, watch: TrackedCall, is_finished: impl Fn(CallId) -> bool) {
         let previous = self.previous_watch.take().filter(|previous| !is_finished(previous.id));
-        let (continued, ended) = match previous {
+        let (continued, aborted) = match previous {
             Some(previous) if !watch.has_delivered => (previous, Some(watch)),
             previous => (watch, previous),
         };
-        if let Some(ended) = ended {
-            self.starter.abort(ended.id);
+        if let Some(aborted) = aborted {
+            self.starter.abort(aborted.id);
         }
         self.previous_watch = Some(continued);
     }
@@ -150,11 +153,11 @@
         self.current_version = version;
         self.lists_applied += 1;
         let lists_applied = self.lists_applied;
-        if let Some(active) = self.find(call) {
-            active.has_delivered = true;
-            active.lists_seen = lists_applied;
+        if let Some(tracked) = self.find(call) {
+            tracked.has_delivered = true;
+            tracked.lists_applied = lists_applied;
         }
-        // Both watches would deliver the same lists, and the previous one later.
+        // The previous watch would deliver the same lists as the current one, but later.
         if self.is_current(call)
             && let Some(previous) = self.previous_watch.take()
         {
@@ -164,21 +167,21 @@
 
     fn start_watch(&mut self) {
         let id = self.starter.start_watch(self.current_version);
-        self.watch = Some(self.active_call(id));
+        self.watch = Some(self.tracked_call(id));
     }
 
-    fn active_call(&self, id: CallId) -> ActiveCall {
-        ActiveCall { id, has_delivered: false, lists_seen: self.lists_applied }
+    fn tracked_call(&self, id: CallId) -> TrackedCall {
+        TrackedCall { id, has_delivered: false, lists_applied: self.lists_applied }
     }
 
-    /// True for the watch and the fetch that were started last.
+    /// Returns `true` for the watch and the fetch that were started last, also when they have failed.
     #[must_use]
     pub fn is_current(&self, call: CallId) -> bool {
-        [self.watch, self.fetch].into_iter().flatten().any(|active| active.id == call)
+        [self.watch, self.fetch].into_iter().flatten().any(|tracked| tracked.id == call)
     }
 
-    fn find(&mut self, call: CallId) -> Option<&mut ActiveCall> {
+    fn find(&mut self, call: CallId) -> Option<&mut TrackedCall> {
         let calls = [&mut self.watch, &mut self.fetch, &mut self.previous_watch];
-        calls.into_iter().flatten().find(|active| active.id == call)
+        calls.into_iter().flatten().find(|tracked| tracked.id == call)
     }
 }
--- a/crates/gateway/src/discovery/snapshot_client.rs
+++ b/crates/gateway/src/discovery/snapshot_client.rs
@@ -1,21 +1,22 @@
-//! The control plane's client of the discovery service. It fetches a snapshot first, and watches from its version. It
-//! passes on every list of a current call: its owner decides which lists are newer.
+//! The control plane's client of the discovery service, which first fetches a snapshot and then watches from the
+//! snapshot's version. Every list of a current call is passed on, and the owner of the client decides which lists are
+//! newer.
 
 use super::calls::{CallId, CallStarter, DiscoveryCommand};
 use std::net::SocketAddr;
 
-/// The calls for the endpoint list, and the version to watch from.
+/// The calls for the endpoint list, and the version from which the next watch starts.
 #[derive(Debug)]
 pub struct SnapshotFirstClient {
     starter: CallStarter,
-    /// 0 until a snapshot was received.
+    /// The version of the last list that was passed on, and 0 until a snapshot was received.
     current_version: u64,
     watch: Option<CallId>,
     fetch: Option<CallId>,
 }
 
 impl SnapshotFirstClient {
-    /// A client without a list and without calls.
+    /// Creates a client without a list and without calls.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         SnapshotFirstClient {
@@ -26,12 +27,12 @@
         }
     }
 
-    /// The commands recorded since the last call of this method.
+    /// Returns the commands that were recorded since the last call of this method.
     pub fn take_commands(&mut self) -> Vec<DiscoveryCommand> {
         self.starter.take_commands()
     }
 
-    /// Aborts the watch. If `enabled`, starts a new one, or a fetch if there was no snapshot yet.
+    /// Aborts the watch. If `enabled`, starts a new watch, or a fetch if no snapshot was received yet.
     pub fn set_watch(&mut self, enabled: bool) {
         if let Some(watch) = self.watch.take() {
             self.starter.abort(watch);
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Fetches a snapshot; replaces an earlier fetch.
+    /// Starts a fetch of a snapshot, and aborts an earlier fetch.
     pub fn fetch(&mut self) {
         let call = self.starter.start_fetch();
         if let Some(replaced) = self.fetch.replace(call) {
@@ -54,7 +55,8 @@
         }
     }
 
-    /// A call has delivered a list. True if it is to be passed on. The first snapshot starts the watch.
+    /// Handles a list that a call has delivered, and starts the watch after the first snapshot. Returns `true` if the
+    /// owner has to process the list, and `false` if the call is not current.
     pub fn on_list(&mut self, call: CallId, version: u64, is_snapshot: bool) -> bool {
         if !self.is_current(call) {
             return false;
@@ -69,7 +71,7 @@
         true
     }
 
-    /// A call has failed, or a watch has ended. True if the owner has to be notified.
+    /// Returns `true` if the owner has to be notified that this call failed or that this watch was closed.
     #[must_use]
     pub fn on_failure(&self, call: CallId) -> bool {
         self.is_current(call)
--- a/crates/gateway/src/gateway/event_loop.rs
+++ b/crates/gateway/src/gateway/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: passes events of the drivers to the policy, and executes the resulting actions.
+//! Passes events of the drivers and due timers to the policy, and executes the resulting actions.
 
 use super::Gateway;
 use super::timers::Timer;
@@ -16,14 +16,14 @@
 use tokio::time::{Instant, sleep_until};
 
 impl Gateway {
-    /// Starts with the cached list and rollout state, and serves until dropped.
+    /// Starts with the cached list and rollout state, and runs until the future is dropped.
     pub async fn run(mut self, initial_state: InitialState, mut events: mpsc::Receiver<DriverEvent>) {
         self.start(initial_state);
         let mut batch = Vec::new();
         loop {
             self.wait(&mut events, &mut batch).await;
-            // First results of the previous batch's actions, then updates, then all other events, then timers. The
-            // policy routes requests after all of them.
+            // A batch contains, in this order: results of the previous batch's actions, updates, all other events, and
+            // due timers. The policy routes the requests of a batch after it has handled all events.
             batch.sort_by_key(|event| !is_update(event));
             let mut policy_events = std::mem::take(&mut self.next_events);
             for event in batch.drain(..) {
@@ -46,8 +46,8 @@
         self.run_policy(events);
     }
 
-    /// Waits for an event or a timer, then drains the queue into `batch`. Tasks run in the order in which they were woken,
-    /// so the events of the drivers that woke together are in one batch.
+    /// Waits for an event or a timer, then drains the queue into `batch`. The runtime runs tasks in the order in which
+    /// they were woken, so the events of drivers that were woken together are in one batch.
     async fn wait(&self, events: &mut mpsc::Receiver<DriverEvent>, batch: &mut Vec<DriverEvent>) {
         if self.next_events.is_empty() {
             let timer = self.timers.next_at().map(|at| self.clock.instant(at));
@@ -99,7 +99,7 @@
                     self.on_call_ended(call, result, events);
                 }
             }
-            DriverEvent::EndpointList { call, list } => self.on_list_answer(call, list, events),
+            DriverEvent::EndpointList { call, list } => self.on_list_reply(call, list, events),
             DriverEvent::DiscoveryMoved { address } => self.on_discovery_moved(address, events),
             DriverEvent::Rollout(rollout) => events.push(Event::RolloutUpdate(self.apply_rollout(rollout))),
             DriverEvent::VoteCompleted(outcome) => events.push(self.vote_completed(outcome)),
@@ -122,8 +122,8 @@
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
                 Timer::Policy(token) => events.push(Event::TimerFired { token }),
-                Timer::CallTimeout(call) => self.stop(call, AttemptOutcome::Timeout, events),
-                Timer::WriteDeadline(call) => self.abort_unsent(call, events),
+                Timer::CallTimeout(call) => self.cancel_call(call, AttemptOutcome::Timeout, events),
+                Timer::WriteDeadline(call) => self.cancel_unwritten(call, events),
             }
         }
     }
@@ -137,11 +137,15 @@
             Action::Fail { id, reason } => self.fail(id, reason),
             Action::CancelAttempt { id, attempt } => {
                 let mut events = Vec::new();
-                self.stop(UpstreamCall::Attempt { id, attempt }, AttemptOutcome::Cancelled, &mut events);
+                self.cancel_call(
+                    UpstreamCall::Attempt { id, attempt },
+                    AttemptOutcome::Cancelled,
+                    &mut events,
+                );
                 self.next_events.append(&mut events);
             }
             Action::SetTimer { after, token } => self.set_policy_timer(after, token),
-            // The present policy requests neither health checks nor single fetches.
+            // The current policy requests neither health checks nor single fetches.
             Action::HealthCheck { endpoint } => self.check_health(&endpoint),
             Action::CloseIdleConnections { endpoint } => self.pool.close_idle(&endpoint),
             Action::WatchEndpoints { enabled } => {
@@ -154,7 +158,7 @@
             }
             Action::CastVote { version, stage, verdict } => self.cast_vote(version, stage, verdict),
             Action::Log(event) => policy_log::log_event(&event),
-            // Gateways have no protocol between them.
+            // There is no protocol between gateways.
             Action::SendPeerMessage { .. } => {}
         }
     }
@@ -166,12 +170,14 @@
     fn cast_vote(&mut self, version: Version, stage: u32, verdict: Verdict) {
         let vote = Vote { version, stage, verdict, cast_at: Instant::now() };
         let is_queued = self.votes.try_send(vote).is_ok();
-        // A vote that is not queued has no outcome; the policy renews votes at intervals far above the time of one.
+        // The policy is not notified of a vote that is not queued. This is not expected, because the policy renews
+        // votes at intervals far above the time that one vote takes.
         invariant!(is_queued, "the queue of votes is not full");
     }
 }
 
-/// Updates of the endpoint list and the platform precede other events of a batch, so that decisions use them.
+/// Returns `true` for updates from discovery and the platform. Updates precede other events of a batch, so that the
+/// decisions of the batch are based on them.
 fn is_update(event: &DriverEvent) -> bool {
     matches!(
         event,
--- a/crates/gateway/src/gateway/health_checks.rs
+++ b/crates/gateway/src/gateway/health_checks.rs
@@ -1,19 +1,17 @@
-//! The health checks that have not ended.
+//! Health checks that are in progress.
 
 use latchhaven_policy::Millis;
 use std::collections::BTreeMap;
 
-/// A health check that has not ended.
 pub(super) struct HealthCheck {
     pub(super) endpoint: String,
-    /// In ms.
     pub(super) started_at: Millis,
 }
 
-/// The health checks that have not ended, by number.
+/// The health checks in progress, by number. The first has number 1.
 #[derive(Default)]
 pub(super) struct HealthChecks {
-    active: BTreeMap<u64, HealthCheck>,
+    in_progress: BTreeMap<u64, HealthCheck>,
     last_number: u64,
 }
 
@@ -21,17 +19,16 @@
     /// Adds a health check and returns its number.
     pub(super) fn start(&mut self, endpoint: String, started_at: Millis) -> u64 {
         self.last_number += 1;
-        self.active.insert(self.last_number, HealthCheck { endpoint, started_at });
+        self.in_progress.insert(self.last_number, HealthCheck { endpoint, started_at });
         self.last_number
     }
 
-    /// Removes a health check that ends.
+    /// Removes a completed health check. `None` if the number is unknown.
     pub(super) fn remove(&mut self, number: u64) -> Option<HealthCheck> {
-        self.active.remove(&number)
+        self.in_progress.remove(&number)
     }
 
-    /// The endpoint of a health check.
     pub(super) fn endpoint(&self, number: u64) -> Option<String> {
-        self.active.get(&number).map(|check| check.endpoint.clone())
+        self.in_progress.get(&number).map(|check| check.endpoint.clone())
     }
 }
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -1,11 +1,12 @@
-//! The gateway: owns the policy, the pending requests, the clock and the timers. Events of the drivers are passed to
-//! the policy, those of one wake-up as one batch; the resulting actions are executed in the order given.
+//! The event loop, which owns the policy, the requests, the clock and the timers. All events that the drivers sent
+//! before a wake-up are passed to the policy as one batch. The resulting actions are executed in the order in which the
+//! policy returns them.
 //!
 //! - `event_loop`: waits for events and timers, and dispatches events and actions.
-//! - `requests`: requests from their arrival to their answer.
-//! - `upstream_calls`: attempts and health checks from their start to their end.
+//! - `requests`: requests from their arrival to their final response.
+//! - `upstream_calls`: attempts and health checks from their start to their outcome.
 //! - `updates`: the endpoint list and the rollout state.
-//! - `request_table`, `health_checks`, `rollout_tracker`, `list_confirmation`, `timers`: the state of these.
+//! - `request_table`, `health_checks`, `rollout_tracker`, `list_confirmation`, `timers`: the state of these modules.
 
 mod event_loop;
 mod health_checks;
@@ -33,27 +34,27 @@
 use timers::Timers;
 use tokio::sync::mpsc;
 
-/// The parts of a gateway.
+/// What a [`Gateway`] is created from.
 pub struct GatewayParts {
-    /// The policy.
+    /// Makes the routing and voting decisions.
     pub policy: Policy,
-    /// The clock, shared with the drivers.
+    /// The clock that the drivers use as well.
     pub clock: Clock,
-    /// The connections to endpoints.
+    /// Opens and reuses connections to endpoints. Reports to the event loop.
     pub pool: UpstreamPool,
-    /// Timeouts and permissions of these connections.
+    /// Timeouts of these connections, and the operator's permissions for them.
     pub connection_config: UpstreamConnectionConfig,
-    /// The address of the discovery service.
+    /// Where the endpoint list is requested, until [`DriverEvent::DiscoveryMoved`] reports another address.
     pub discovery_address: SocketAddr,
-    /// Reports that health checks of the load balancer may be answered.
+    /// Notified when the endpoint list is confirmed.
     pub readiness: ReadinessSender,
-    /// Votes for the platform.
+    /// Passes votes to the task that casts them.
     pub votes: mpsc::Sender<Vote>,
-    /// The event loop, for the results of calls for the endpoint list.
+    /// Passes the results of calls for the endpoint list to the event loop.
     pub events: mpsc::Sender<DriverEvent>,
 }
 
-/// The gateway's state.
+/// The event loop and its state. Started with [`Gateway::run`].
 pub struct Gateway {
     policy: Policy,
     clock: Clock,
@@ -62,7 +63,7 @@
     pool: UpstreamPool,
     connection_config: UpstreamConnectionConfig,
     timers: Timers,
-    /// Events caused by actions, for the next batch.
+    /// Events that result from actions of the current batch. Passed to the policy in the next batch.
     next_events: Vec<Event>,
     rollout: RolloutTracker,
     discovery: EndpointListClient,
@@ -73,7 +74,7 @@
 }
 
 impl Gateway {
-    /// A gateway without requests and endpoints.
+    /// Creates a gateway without requests and endpoints.
     #[must_use]
     pub fn new(parts: GatewayParts) -> Self {
         Gateway {
--- a/crates/gateway/src/gateway/requests.rs
+++ b/crates/gateway/src/gateway/requests.rs
@@ -1,7 +1,7 @@
-//! Requests: arrival, answer, and disconnected clients.
+//! Requests: arrival, final response, and disconnected clients.
 
 use super::Gateway;
-use super::request_table::PendingRequest;
+use super::request_table::RequestEntry;
 use crate::counters::{COUNTERS, Metric};
 use crate::invariant;
 use crate::net::FinalResponse;
@@ -13,7 +13,7 @@
 use tokio::sync::oneshot;
 
 impl Gateway {
-    /// A request was received. `arrived_at`: when its last byte arrived, in ms.
+    /// Handles a received request, whose last byte arrived at `arrived_at`.
     pub(super) fn on_request(
         &mut self, id: RequestId, statement: Rc<Statement>, arrived_at: Millis,
         response_sender: oneshot::Sender<FinalResponse>, events: &mut Vec<Event>,
@@ -38,7 +38,7 @@
             is_retry: statement.is_retry,
             is_write: statement.is_write,
         }));
-        let request = PendingRequest {
+        let request = RequestEntry {
             statement,
             deadline,
             response_sender: Some(response_sender),
@@ -47,46 +47,49 @@
         invariant!(self.requests.insert(id, request), "request ids are unique");
     }
 
-    /// The client of a request has disconnected.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId, events: &mut Vec<Event>) {
         COUNTERS.clients_disconnected_total.increment();
         if let Some(request) = self.requests.get_mut(id) {
             request.response_sender = None;
             events.push(Event::ClientDisconnected { id });
         }
-        self.on_answered(id);
+        self.on_request_completed(id);
     }
 
-    /// Rejects a request: it was not executed, and a retry is safe after `retry_after` ms.
+    /// Rejects a request that was not executed. The client may safely retry after `retry_after`.
     pub(super) fn reject(&mut self, id: RequestId, retry_after: Option<Millis>, reason: UnservedReason) {
         record_unserved(id, &reason);
         if matches!(reason, UnservedReason::ListExpired { .. }) {
             self.list_confirmation.log_expired();
         }
-        self.answer(id, FinalResponse::Rejected { retry_after }, &COUNTERS.requests_rejected_total);
+        self.send_final_response(
+            id,
+            FinalResponse::Rejected { retry_after },
+            &COUNTERS.requests_rejected_total,
+        );
     }
 
-    /// Fails a request: its effect is unknown.
+    /// Fails a request that may or may not have been executed.
     pub(super) fn fail(&mut self, id: RequestId, reason: UnservedReason) {
         record_unserved(id, &reason);
-        self.answer(id, FinalResponse::Failed, &COUNTERS.requests_failed_total);
+        self.send_final_response(id, FinalResponse::Failed, &COUNTERS.requests_failed_total);
     }
 
-    fn answer(&mut self, id: RequestId, answer: FinalResponse, counter: &Metric) {
+    fn send_final_response(&mut self, id: RequestId, response: FinalResponse, counter: &Metric) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Some(response_sender) = request.response_sender.take() else { return };
         counter.increment();
-        let _ = response_sender.send(answer);
-        self.on_answered(id);
+        let _ = response_sender.send(response);
+        self.on_request_completed(id);
     }
 
-    /// A request is answered, or its client has disconnected: attempts that were not written yet are aborted, and
-    /// the request is removed once none is left. An unwritten attempt is unknown to its endpoint, so the permission to cancel
-    /// does not apply.
-    pub(super) fn on_answered(&mut self, id: RequestId) {
+    /// Cancels the attempts that were not written yet after a request has its final response or its client
+    /// disconnected, and removes the request if no attempt is in flight. An unwritten attempt is unknown to its
+    /// endpoint, so the cancellation does not need the permission to cancel attempts.
+    pub(super) fn on_request_completed(&mut self, id: RequestId) {
         let mut events = Vec::new();
         for attempt in 0..self.requests.attempt_count(id) {
-            self.abort_unsent(UpstreamCall::Attempt { id, attempt }, &mut events);
+            self.cancel_unwritten(UpstreamCall::Attempt { id, attempt }, &mut events);
         }
         self.next_events.append(&mut events);
         self.requests.remove_if_finished(id);
--- a/crates/gateway/src/gateway/rollout_tracker.rs
+++ b/crates/gateway/src/gateway/rollout_tracker.rs
@@ -1,33 +1,32 @@
-//! The state of the newest version's rollout. It is reported by the feed and by answers to votes, on different
-//! connections, so an older state may be received after a newer one: the state that began last is current.
+//! The rollout state of the newest version. The feed and the replies to votes report the state on different
+//! connections, so an older state may be received after a newer one. The current state is the one that began last.
 
 use crate::limits::platform::is_older_state;
 use latchhaven_policy::{Millis, RolloutState};
 
-/// What a reported state changes.
+/// The effect of a reported state.
 pub(super) enum RolloutChange {
-    /// It is the current state.
+    /// The reported state, which is the current state already.
     Unchanged(RolloutState),
-    /// It is older than the current state, which is given here with its age now.
+    /// The current state with its present age. The reported state is older.
     Superseded(RolloutState),
-    /// It is current from now on.
+    /// The reported state, which has become the current state.
     Changed(RolloutState),
 }
 
-/// A state and its start time in ms.
 struct KnownRollout {
     state: RolloutState,
     began_at: Millis,
 }
 
-/// The current state, if one was reported.
 #[derive(Default)]
 pub(super) struct RolloutTracker {
+    /// The current state. `None` until one was reported.
     known: Option<KnownRollout>,
 }
 
 impl RolloutTracker {
-    /// Applies a reported state. `now` in ms.
+    /// Makes a reported state the current one, unless the current state is the same or newer.
     pub(super) fn apply(&mut self, state: RolloutState, now: Millis) -> RolloutChange {
         let began_at = now - state.age;
         if let Some(known) = &self.known {
@@ -45,7 +44,7 @@
     }
 }
 
-/// The states differ at most in their age.
+/// Returns `true` if the states differ at most in their age.
 fn is_same_state(left: &RolloutState, right: &RolloutState) -> bool {
     left.version == right.version
         && left.stage == right.stage
--- a/crates/gateway/src/gateway/updates.rs
+++ b/crates/gateway/src/gateway/updates.rs
@@ -11,8 +11,8 @@
 use std::net::SocketAddr;
 
 impl Gateway {
-    /// A call for the endpoint list delivered a list, or failed.
-    pub(super) fn on_list_answer(
+    /// Handles that a call for the endpoint list delivered a list, or failed.
+    pub(super) fn on_list_reply(
         &mut self, call: CallId, list: Result<List, UpdateFailure>, events: &mut Vec<Event>,
     ) {
         let list = match list {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The discovery service has moved to another address.
+    /// Handles that the configuration was reloaded, possibly with another address of the discovery service.
     pub(super) fn on_discovery_moved(&mut self, address: SocketAddr, events: &mut Vec<Event>) {
         let tasks = &self.discovery_tasks;
         if self.discovery.on_address_changed(address, |call| tasks.is_finished(call)) {
@@ -71,7 +71,6 @@
         self.run_discovery_commands();
     }
 
-    /// Executes the commands of the discovery client.
     pub(super) fn run_discovery_commands(&mut self) {
         self.discovery_tasks.run(self.discovery.take_commands());
     }
@@ -87,14 +86,15 @@
         Event::EndpointUpdate { kind, list_version, entries }
     }
 
-    /// Applies the list that the gateway was started with.
+    /// Applies the list from the configuration file, and returns the event for the policy.
     pub(super) fn apply_cached_list(&mut self, list: List) -> Event {
         let kind = UpdateKind::CachedSnapshot;
         let list_version = list.version;
         Event::EndpointUpdate { kind, list_version, entries: self.apply_list(kind, list) }
     }
 
-    /// Applies a list. Attempts that were not yet written to a changed endpoint are returned to the policy.
+    /// Updates the connection pool, and returns the entries of the list. Attempts that were not yet written to a
+    /// changed endpoint end with `NotSent`, so that the policy decides again.
     fn apply_list(&mut self, kind: UpdateKind, list: List) -> Vec<EndpointEntry> {
         let mut unsent = Vec::new();
         if kind != UpdateKind::Delta {
@@ -108,20 +108,20 @@
         for (entry, address) in &list.entries {
             unsent.append(&mut self.pool.update_endpoint(entry, *address));
         }
-        self.return_unsent(unsent);
+        self.report_not_sent(unsent);
         list.entries.into_iter().map(|(entry, _)| entry).collect()
     }
 
-    /// Applies a reported rollout state. Returns the current state.
+    /// Applies a reported rollout state, and returns the state that is then current.
     pub(super) fn apply_rollout(&mut self, state: RolloutState) -> RolloutState {
         COUNTERS.rollout_updates_total.increment();
         tracing::debug!(?state, "platform: rollout state");
         match self.rollout.apply(state, self.clock.now()) {
             RolloutChange::Unchanged(state) | RolloutChange::Superseded(state) => state,
             RolloutChange::Changed(state) => {
-                // Attempts that were not written yet were decided under the earlier state.
+                // The policy chose the endpoints of unwritten attempts under the earlier state.
                 let unsent = self.pool.take_queued();
-                self.return_unsent(unsent);
+                self.report_not_sent(unsent);
                 state
             }
         }
--- a/crates/gateway/src/gateway/upstream_calls.rs
+++ b/crates/gateway/src/gateway/upstream_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to endpoints, attempts and health checks: each is started once and ends once.
+//! Calls to endpoints: attempts and health checks. Each call ends with exactly one outcome.
 
 use super::Gateway;
 use super::request_table::Attempt;
@@ -25,16 +25,20 @@
         COUNTERS.attempts_total.increment();
         let deadline = attempt_deadline(now, timeout, request.deadline);
         let call = UpstreamCall::Attempt { id, attempt: request.attempts.len() as u32 };
-        request.attempts.push(Attempt { endpoint: endpoint.to_string(), started_at: now, has_ended: false });
-        let is_wanted = request.response_sender.is_some() && deadline > now;
+        request.attempts.push(Attempt {
+            endpoint: endpoint.to_string(),
+            started_at: now,
+            is_completed: false,
+        });
+        let is_needed = request.response_sender.is_some() && deadline > now;
         let queued = QueuedCall {
             call,
             statement: Some(request.statement.clone()),
             deadline,
             write_by: write_by.map(|at| self.clock.instant(at)),
         };
-        if !is_wanted || !self.pool.send(endpoint, queued, now) {
-            self.return_unsent(vec![call]);
+        if !is_needed || !self.pool.send(endpoint, queued, now) {
+            self.report_not_sent(vec![call]);
             return;
         }
         self.timers.set(deadline, Timer::CallTimeout(call));
@@ -43,7 +47,7 @@
         }
     }
 
-    /// Starts a health check. One that cannot be sent ends with `NotSent`.
+    /// Starts a health check. A health check that cannot be sent ends with `NotSent`.
     pub(super) fn check_health(&mut self, endpoint: &str) {
         let now = self.clock.now();
         COUNTERS.health_checks_total.increment();
@@ -55,12 +59,12 @@
         if is_permitted && self.pool.send(endpoint, queued, now) {
             self.timers.set(deadline, Timer::CallTimeout(call));
         } else {
-            self.return_unsent(vec![call]);
+            self.report_not_sent(vec![call]);
         }
     }
 
-    /// Ends calls that were never written; the policy receives the results in the next batch.
-    pub(super) fn return_unsent(&mut self, calls: Vec<UpstreamCall>) {
+    /// Ends calls that were never written with `NotSent`. The policy receives these outcomes in the next batch.
+    pub(super) fn report_not_sent(&mut self, calls: Vec<UpstreamCall>) {
         let mut events = Vec::new();
         for call in calls {
             self.on_call_ended(call, CallResult::without_answer(AttemptOutcome::NotSent), &mut events);
@@ -68,8 +72,11 @@
         self.next_events.append(&mut events);
     }
 
-    /// Ends a call: closes its connection, or takes it off the queue. One that was never written ends with `NotSent` instead of `outcome`.
-    pub(super) fn stop(&mut self, call: UpstreamCall, outcome: AttemptOutcome, events: &mut Vec<Event>) {
+    /// Cancels a call by closing its connection or removing the call from the queue. A call that was written ends with
+    /// `outcome`, any other call with `NotSent`.
+    pub(super) fn cancel_call(
+        &mut self, call: UpstreamCall, outcome: AttemptOutcome, events: &mut Vec<Event>,
+    ) {
         let Some(endpoint) = self.endpoint_of(call) else { return };
         let outcome = match self.pool.cancel(&endpoint, call) {
             CancelResult::Written => outcome,
@@ -82,8 +89,9 @@
         self.on_call_ended(call, CallResult::without_answer(outcome), events);
     }
 
-    /// Ends an attempt if its last byte was not written yet; health checks have no write deadline.
-    pub(super) fn abort_unsent(&mut self, call: UpstreamCall, events: &mut Vec<Event>) {
+    /// Cancels an attempt if its last byte was not written yet. Does nothing for a health check, which has no write
+    /// deadline.
+    pub(super) fn cancel_unwritten(&mut self, call: UpstreamCall, events: &mut Vec<Event>) {
         let UpstreamCall::Attempt { .. } = call else { return };
         let Some(endpoint) = self.endpoint_of(call) else { return };
         if self.pool.abort_unsent(&endpoint, call) {
@@ -91,7 +99,8 @@
         }
     }
 
-    /// A call has ended. The first value of a request is sent to its client immediately.
+    /// Handles the outcome of a call. If an attempt is the first one of its request to succeed, the result is sent to
+    /// the client immediately.
     pub(super) fn on_call_ended(&mut self, call: UpstreamCall, result: CallResult, events: &mut Vec<Event>) {
         match call {
             UpstreamCall::Attempt { id, attempt } => self.on_attempt_ended(id, attempt, result, events),
@@ -102,11 +111,11 @@
     fn on_attempt_ended(&mut self, id: RequestId, number: u32, result: CallResult, events: &mut Vec<Event>) {
         let CallResult { outcome, value, load, connected_at } = result;
         outcome_counter(outcome).increment();
-        let Some(attempt) = self.requests.active_attempt(id, number) else {
+        let Some(attempt) = self.requests.unfinished_attempt(id, number) else {
             invariant!(false, "an attempt ends once");
             return;
         };
-        attempt.has_ended = true;
+        attempt.is_completed = true;
         let endpoint = attempt.endpoint.clone();
         let elapsed = self.clock.now() - attempt.started_at;
         tracing::debug!(
@@ -137,7 +146,7 @@
             connected_at: connected_at.map(|at| self.clock.time_of(at)),
         }));
         if is_final {
-            self.on_answered(id);
+            self.on_request_completed(id);
         }
     }
 
@@ -157,11 +166,11 @@
         })
     }
 
-    /// The endpoint of a call that has not ended.
+    /// Returns the endpoint of a call. `None` if the call has an outcome already.
     fn endpoint_of(&mut self, call: UpstreamCall) -> Option<String> {
         match call {
             UpstreamCall::Attempt { id, attempt } => {
-                self.requests.active_attempt(id, attempt).map(|attempt| attempt.endpoint.clone())
+                self.requests.unfinished_attempt(id, attempt).map(|attempt| attempt.endpoint.clone())
             }
             UpstreamCall::HealthCheck(number) => self.health_checks.endpoint(number),
         }
--- a/crates/gateway/src/net/mod.rs
+++ b/crates/gateway/src/net/mod.rs
@@ -1,11 +1,11 @@
-//! Drivers between sockets and the gateway's state machines, by peer. They decide neither routes nor votes; their time
-//! limits are in [`limits`](crate::limits).
+//! Drivers between sockets and the gateway's state machines, one for each kind of peer. Drivers make no routing or
+//! voting decisions. Their timeouts and limits are in [`limits`](crate::limits).
 //!
-//! - [`clients`]: clients of the gateway.
+//! - [`clients`]: connections of clients.
 //! - [`upstream`]: connections to endpoints.
-//! - [`list`], `discovery_calls`, [`discovery_tasks`]: the discovery service.
+//! - [`list`], `discovery_calls`, [`discovery_tasks`]: calls to the discovery service.
 //! - [`platform`]: the feed of rollout states, and votes.
-//! - `http_connection`: a connection to either of these services.
+//! - `http_connection`: an HTTP connection to the discovery service or the platform.
 //! - [`io`]: reads and writes on sockets.
 
 pub mod clients;
@@ -29,70 +29,71 @@
 use tokio::sync::oneshot;
 use upstream::{CallResult, UpstreamConnection};
 
-/// What a driver reports to the event loop.
+/// An event that a driver sends to the event loop.
 pub enum DriverEvent {
-    /// A request was received.
+    /// A client sent a valid request.
     RequestReceived {
-        /// The request.
+        /// Assigned by the driver and unique among pending requests.
         id: RequestId,
-        /// Its statement.
+        /// The parsed query.
         statement: Rc<Statement>,
-        /// When its last byte arrived, in ms.
+        /// When the last byte of the request arrived.
         arrived_at: Millis,
-        /// Receives the final response.
+        /// Passes the final response to the driver, which writes it to the client.
         response_sender: oneshot::Sender<FinalResponse>,
     },
-    /// The client of a request has disconnected.
+    /// A client disconnected while its request was pending, or while the final response was written.
     ClientDisconnected {
-        /// The request.
+        /// The request that no longer needs a response.
         id: RequestId,
     },
-    /// The gateway is shutting down, and other requests are queued behind this one on its connection.
+    /// The gateway is shutting down, the drain time is over, and other requests are queued behind this one on its
+    /// connection.
     Abandon {
-        /// The request.
+        /// The request to end without a result.
         id: RequestId,
     },
-    /// A connection to an endpoint is ready for a call.
+    /// A connection to an endpoint can be used for a call.
     ConnectionReady {
-        /// The connection.
+        /// The connection that is ready.
         connection: Rc<UpstreamConnection>,
-        /// It was just opened.
+        /// Set when the connection was just opened and has not carried a call yet.
         is_newly_opened: bool,
     },
     /// A connection to an endpoint could not be opened.
     ConnectFailed {
-        /// The connection.
+        /// The connection that failed to open.
         connection: Rc<UpstreamConnection>,
     },
-    /// A connection to an endpoint has closed.
+    /// A connection to an endpoint was closed by either side.
     ConnectionClosed {
-        /// The connection.
+        /// The connection that cannot be used any more.
         connection: Rc<UpstreamConnection>,
     },
-    /// The call on a connection has ended.
+    /// The call on a connection ended, with or without a response.
     CallEnded {
-        /// The connection.
+        /// The connection that carried the call.
         connection: Rc<UpstreamConnection>,
-        /// How it ended.
+        /// The outcome, and the response if there was one.
         result: CallResult,
     },
-    /// A call for the endpoint list delivered a list or a delta, or failed.
+    /// A call for the endpoint list delivered a snapshot or a delta, or failed.
     EndpointList {
-        /// The call.
+        /// The call that the list or the failure belongs to.
         call: CallId,
-        /// The list, or what the failure means for the current one.
+        /// The list, or what the failure means for the current list.
         list: Result<list::List, UpdateFailure>,
     },
-    /// The discovery service has moved.
+    /// The configuration was reloaded.
     DiscoveryMoved {
-        /// The new address.
+        /// The address of the discovery service in the new configuration. May be unchanged.
         address: SocketAddr,
     },
-    /// The state of the newest version's rollout.
+    /// The platform's feed reported the rollout state of the newest version.
     Rollout(RolloutState),
-    /// The result of a vote.
+    /// The call that cast a vote completed or failed.
     VoteCompleted(VoteOutcome),
-    /// Outcomes that the platform counted.
+    /// The platform's feed reported its counts of attempt outcomes.
     Outcomes(platform::OutcomeCounts),
 }
 
@@ -116,7 +117,7 @@
     Failed,
 }
 
-/// The kind of an update that delivers a snapshot or a delta.
+/// Returns the kind of an update that a call of the discovery service delivered.
 #[must_use]
 pub fn update_kind(is_snapshot: bool) -> UpdateKind {
     if is_snapshot { UpdateKind::Snapshot } else { UpdateKind::Delta }
--- a/crates/gateway/tests/discovery_calls.rs
+++ b/crates/gateway/tests/discovery_calls.rs
@@ -27,7 +27,7 @@
     false
 }
 
-/// A gateway's client with a list of version 5, which watches at port 1 with call 1.
+/// Returns a gateway's client with a list of version 5. Call 1 is the client's watch at port 1.
 fn watching_client() -> EndpointListClient {
     let mut client = EndpointListClient::new(address(1));
     client.restore(5);
@@ -71,7 +71,7 @@
     assert_eq!(client.on_list(CallId(2), 7, true), ListDecision::Discard { is_current: true });
     assert_eq!(client.take_commands(), [abort(2)]);
     assert_eq!(client.current_version(), 8);
-    assert!(client.on_failure(CallId(2)), "it stays the current fetch until it is replaced");
+    assert!(client.on_failure(CallId(2)), "the fetch stays current until another one replaces it");
 }
 
 #[test]
@@ -99,7 +99,7 @@
     client.on_address_changed(address(2), none_finished);
     assert_eq!(client.take_commands(), [watch(2, 2, 6)]);
     assert_eq!(client.on_list(CallId(1), 7, false), ListDecision::Apply);
-    assert!(!client.on_failure(CallId(1)), "the previous watch's end is not reported");
+    assert!(!client.on_failure(CallId(1)), "a failure of the previous watch is not reported");
     assert!(client.on_failure(CallId(2)));
     assert_eq!(client.take_commands(), []);
     assert_eq!(client.on_list(CallId(2), 7, false), ListDecision::Apply);
@@ -184,7 +184,7 @@
     assert_eq!(client.take_commands(), [watch(2, 1, 9)]);
     assert!(client.on_list(CallId(2), 3, false));
     client.set_watch(true);
-    assert_eq!(client.take_commands(), [abort(2), watch(3, 1, 3)], "no check of order");
+    assert_eq!(client.take_commands(), [abort(2), watch(3, 1, 3)], "the order of lists is not checked");
     assert!(!client.on_list(CallId(2), 10, true));
     assert!(!client.on_failure(CallId(2)));
     assert!(client.on_failure(CallId(3)));
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -21,8 +21,9 @@
     Duration::from_millis(milliseconds)
 }
 
-/// Connections in these states, each with the time in ms that it has been in it.
-fn evicted(candidates: &[(SessionState, u64)]) -> Option<u64> {
+/// Returns the index of the candidate that is evicted. Each candidate has a state and the milliseconds since its last
+/// final response or its accept.
+fn evicted_index(candidates: &[(SessionState, u64)]) -> Option<u64> {
     let now = Instant::now() + ms(60_000);
     let candidates = (0..).zip(candidates).map(|(id, (state, duration_ms))| EvictionCandidate {
         id,
@@ -42,7 +43,7 @@
 #[case::idle_too_briefly(&[(SessionState::New, 49), (SessionState::Idle, 1999)], None)]
 #[case::in_use(&[(SessionState::Busy, 9000), (SessionState::Evicted, 9000)], None)]
 fn eviction_chooses(#[case] candidates: &[(SessionState, u64)], #[case] expected: Option<u64>) {
-    assert_eq!(evicted(candidates), expected);
+    assert_eq!(evicted_index(candidates), expected);
 }
 
 #[test]
--- a/crates/gateway/tests/policy_log.rs
+++ b/crates/gateway/tests/policy_log.rs
@@ -1,4 +1,4 @@
-//! Events of the policy in the JSON log: the event's name as the message, its values as fields.
+//! Log lines of the policy's events: the event's name is the message, and its values are the fields.
 
 use latchhaven_gateway::policy_log::{log_event, log_unserved};
 use latchhaven_policy::{
@@ -22,8 +22,8 @@
     }
 }
 
-/// The one line that is printed, in the format of the gateway's JSON log or of its text log.
-fn line(is_json: bool, print: impl FnOnce()) -> String {
+/// Returns what `print` logs, in the format of the gateway's JSON log or of its text log.
+fn logged(is_json: bool, print: impl FnOnce()) -> String {
     let buffer = LogBuffer::default();
     let writer = buffer.clone();
     let subscriber = tracing_subscriber::fmt()
@@ -43,7 +43,7 @@
 }
 
 fn fields(print: impl FnOnce()) -> Value {
-    serde_json::from_str(&line(true, print)).expect("one line of JSON")
+    serde_json::from_str(&logged(true, print)).expect("one line of JSON")
 }
 
 #[test]
@@ -56,7 +56,7 @@
         failures: 8.5,
         expected_failures: 2.0,
     };
-    let text = line(false, || log_event(&rejected));
+    let text = logged(false, || log_event(&rejected));
     let start = r#"canary rejected version=7 stage=1 reason="success rate" probability=0.996 "#;
     assert!(text.starts_with(start), "{text}");
     let ejected = LogEvent::EndpointEjected {
@@ -67,7 +67,7 @@
         error_rate: 0.25,
         consecutive_timeouts: 2,
     };
-    let text = line(false, || log_event(&ejected));
+    let text = logged(false, || log_event(&ejected));
     assert!(text.starts_with(r#"endpoint ejected endpoint=a:1 reason="connect failures" "#), "{text}");
     let vote = LogEvent::VoteCast {
         verdict: Verdict::RollBack,
@@ -75,7 +75,7 @@
         stage: 1,
         probability_worse: 0.996,
     };
-    let text = line(false, || log_event(&vote));
+    let text = logged(false, || log_event(&vote));
     assert!(text.starts_with("vote cast verdict=RollBack version=7 stage=1 "), "{text}");
 }
 
