--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -16,7 +16,7 @@
 use crate::slow_start::{ARRIVAL_RATE_WINDOW, ARRIVAL_RETENTION};
 use crate::state::canary::AnalysisView;
 use crate::state::endpoint::EndpointIndex;
-use crate::state::registry::Sides;
+use crate::state::registry::VersionGroups;
 use crate::state::requests::{Attempt, Request};
 use crate::statistics::indicator;
 use crate::time::Millis;
@@ -91,7 +91,7 @@
         }
         self.exposure.record_arrival(class, now - incoming.queued_for);
         self.requests.add_early_retry_budget(EARLY_RETRY_BUDGET_PER_REQUEST, MAX_EARLY_RETRY_BUDGET);
-        let longest_timeout = self.requests.record_timeout(class, incoming.time_remaining);
+        let longest_timeout = self.requests.record_client_timeout(class, incoming.time_remaining);
         let objective = admission::remaining_objective(&incoming, &self.classes[class], longest_timeout);
         let draw = self.rng.random::<f64>();
         let tenant_shed_probability = self.shed_probability(incoming.tenant.as_deref(), now);
@@ -110,7 +110,7 @@
         let Some(attempt) = self.requests.complete_attempt(completed) else { return };
         let is_same_incarnation = self.registry.endpoints[attempt.endpoint].release(attempt.incarnation);
         if is_same_incarnation && outcome == AttemptOutcome::Success {
-            self.registry.record_proof(attempt.endpoint, connected_at, attempt.sent_at);
+            self.registry.record_readiness_evidence(attempt.endpoint, connected_at, attempt.sent_at);
         }
         let failure_rate = &mut self.requests.connect_failure_rate;
         let failed = indicator(outcome == AttemptOutcome::ConnectFailed);
@@ -156,7 +156,7 @@
             let quality = if is_success { admission::service_quality(time_left) } else { 0.0 };
             return self.close(id, quality, now);
         }
-        if !request.is_open() || request.attempts_in_flight() > 0 {
+        if !request.awaits_response() || request.attempts_in_flight() > 0 {
             return;
         }
         if !admission::is_within_objective(request, now) || !self.can_retry(id) {
@@ -186,7 +186,12 @@
             let attempt = retry::unresponsive_attempt(request, class, typical_latency, endpoints, now)?;
             Some((*id, attempt))
         };
-        self.requests.requests.iter().filter(|(_, request)| request.is_open()).filter_map(find).collect()
+        self.requests
+            .requests
+            .iter()
+            .filter(|(_, request)| request.awaits_response())
+            .filter_map(find)
+            .collect()
     }
 
     /// Hedges a request that waits for an unresponsive endpoint; if hedging is not permitted, cancels the attempt so
@@ -247,7 +252,7 @@
     }
 
     /// Sends a request to one of some endpoints. Returns `false` if none is available to it.
-    fn route(&mut self, id: RequestId, groups: &Sides, now: Millis) -> bool {
+    fn route(&mut self, id: RequestId, groups: &VersionGroups, now: Millis) -> bool {
         let draw = self.rng.random::<f64>();
         let is_canary_first = routing::is_canary_first(draw, &self.group_draw_inputs(groups));
         let is_rolling_back = self.exposure.is_rolling_back();
@@ -261,7 +266,7 @@
         chosen.is_some_and(|index| self.send_attempt(id, index, now))
     }
 
-    fn group_draw_inputs(&self, groups: &Sides) -> GroupDrawInputs {
+    fn group_draw_inputs(&self, groups: &VersionGroups) -> GroupDrawInputs {
         GroupDrawInputs {
             canary_endpoint_share: groups.canary_endpoint_share(),
             canary_load: self.registry.endpoints.mean_in_flight(&groups.canary),
@@ -287,7 +292,7 @@
                 in_flight: endpoint.in_flight,
                 crosses_zones: has_zone_cost && endpoint.zone != self.zone,
                 latency_bias: endpoint.latency_bias,
-                latency_bias_age: now - endpoint.latency_bias_at,
+                latency_bias_age: now - endpoint.latency_bias_updated_at,
                 capacity: registry.capacity(index, now),
             };
             load.value()
@@ -310,7 +315,7 @@
     /// Gives a pending request its final status without a result. A request of an unknown class, which is not in the
     /// table, gets its final status in `on_request`.
     pub(crate) fn finish_unserved(&mut self, id: RequestId, reason: UnservedReason, now: Millis) {
-        let Some(request) = self.requests.unanswered(id) else { return };
+        let Some(request) = self.requests.pending(id) else { return };
         let class = &self.classes[request.class];
         let max_retry_after = self.permissions.max_retry_after;
         self.actions.push(admission::reject_or_fail(id, request, class, max_retry_after, reason));
--- a/crates/policy/tests/policy/robustness.rs
+++ b/crates/policy/tests/policy/robustness.rs
@@ -22,7 +22,7 @@
     gateway.serve_for(1000.0, 2);
     assert!(!gateway.actions.iter().any(|(_, action)| matches!(action, Action::Log(_))));
     let resumed_at = gateway.now - 1000.0;
-    let rejected = gateway.answers.values().flatten().filter(|(at, _)| *at > resumed_at + 50.0).count();
+    let rejected = gateway.unserved.values().flatten().filter(|(at, _)| *at > resumed_at + 50.0).count();
     assert_eq!(rejected, 0, "requests rejected because of the stall");
 }
 
@@ -57,7 +57,7 @@
         connected_at: None,
     }));
     gateway.deliver(Event::ClientDisconnected { id: RequestId(4242) });
-    gateway.deliver(Event::WrongAnswerReported {
+    gateway.deliver(Event::WrongResponseReported {
         endpoint: "unknown".into(),
         class: "none".into(),
         age: -1.0,
@@ -80,7 +80,7 @@
     let unknown = gateway.request("unknown", None);
     let id = gateway.request("pay", None);
     gateway.run_for(300.0);
-    assert!(matches!(gateway.answers[&unknown][..], [(_, Action::Fail { .. })]));
+    assert!(matches!(gateway.unserved[&unknown][..], [(_, Action::Fail { .. })]));
     assert!(gateway.succeeded.contains_key(&id));
 }
 
--- a/crates/simulator-protocol/src/settings/mod.rs
+++ b/crates/simulator-protocol/src/settings/mod.rs
@@ -162,7 +162,7 @@
             stage_caps: rollout.stage_caps.clone(),
             window: ms(rollout.window),
             per_class: rollout.exposure_scope == schema::ExposureScope::PerClass,
-            closed_stages: rollout.closed_stages,
+            idempotent_only_stages: rollout.closed_stages,
             sticky_keys: rollout.sticky_keys,
         }
     }
@@ -181,7 +181,7 @@
             vote_lease: ms(rollout.vote_lease),
             min_stage_duration: ms(rollout.min_stage_duration),
             auto_promote_after: ms(rollout.auto_promote_after),
-            answer_timeout: ms(rollout.answer_timeout),
+            reply_timeout: ms(rollout.answer_timeout),
             keeps_baseline: rollout.style == schema::RolloutStyle::SideBySide,
         }
     }
