--- a/crates/gateway/src/gateway/upstream_calls.rs
+++ b/crates/gateway/src/gateway/upstream_calls.rs
@@ -12,7 +12,8 @@
 use latchhaven_policy::{AttemptOutcome, CompletedAttempt, Event, LoadReporting, Millis, RequestId};
 
 impl Gateway {
-    /// Starts an attempt. One that cannot be sent ends with `NotSent`. `timeout`, `write_timeout`: ms from now.
+    /// Starts an attempt. An attempt that cannot be sent ends with `NotSent`, and so does one that is not completely
+    /// written within `write_timeout`. An attempt without a response within `timeout` ends with `Timeout`.
     pub(super) fn send_attempt(
         &mut self, id: RequestId, endpoint: &str, timeout: Option<Millis>, write_timeout: Option<Millis>,
     ) {
