--- a/crates/gateway/src/limits/clients.rs
+++ b/crates/gateway/src/limits/clients.rs
@@ -72,7 +72,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct InputProgress {
     /// When the last request received its final response, or when the connection was accepted if there was no request.
-    pub idle_since: Instant,
+    pub last_activity: Instant,
     /// Set when the client has sent a valid request.
     pub has_requested: bool,
     /// When the first byte of an incomplete message arrived. `None` if no message is incomplete.
@@ -84,11 +84,11 @@
     #[must_use]
     pub fn deadline(&self) -> Instant {
         if !self.has_requested {
-            return self.idle_since + FIRST_REQUEST_TIMEOUT;
+            return self.last_activity + FIRST_REQUEST_TIMEOUT;
         }
         match self.message_began {
             Some(message_began) => message_began + MESSAGE_TIMEOUT,
-            None => self.idle_since + IDLE_TIMEOUT,
+            None => self.last_activity + IDLE_TIMEOUT,
         }
     }
 
@@ -109,21 +109,21 @@
     /// can be evicted.
     pub state: SessionState,
     /// When the last request received its final response, or when the connection was accepted if there was no request.
-    pub idle_since: Instant,
+    pub last_activity: Instant,
 }
 
 /// Selects the connection to evict: a closing one first, then one that has never sent a request for at least
 /// [`MIN_SILENCE_BEFORE_EVICTION`], then one that was idle for at least [`MIN_IDLE_BEFORE_EVICTION`]. Among connections
-/// in the same state, selects the one with the earliest [`idle_since`](EvictionCandidate::idle_since). `None` if no
+/// in the same state, selects the one with the earliest [`last_activity`](EvictionCandidate::last_activity). `None` if no
 /// connection qualifies.
 pub fn choose_eviction(
     candidates: &(impl Iterator<Item = EvictionCandidate> + Clone), now: Instant,
 ) -> Option<EvictionCandidate> {
     let longest_in = |state: SessionState, min_duration: Duration| {
         let is_eligible = |candidate: &EvictionCandidate| {
-            candidate.state == state && now.saturating_duration_since(candidate.idle_since) >= min_duration
+            candidate.state == state && now.saturating_duration_since(candidate.last_activity) >= min_duration
         };
-        candidates.clone().filter(is_eligible).min_by_key(|candidate| candidate.idle_since)
+        candidates.clone().filter(is_eligible).min_by_key(|candidate| candidate.last_activity)
     };
     longest_in(SessionState::Closing, Duration::ZERO)
         .or_else(|| longest_in(SessionState::New, MIN_SILENCE_BEFORE_EVICTION))
--- a/crates/gateway/src/limits/shutdown.rs
+++ b/crates/gateway/src/limits/shutdown.rs
@@ -88,7 +88,7 @@
     /// Set when the client has sent a query before it received the response to an earlier one.
     pub is_pipelined: bool,
     /// When the last request received its final response, or when the connection was accepted if there was no request.
-    pub idle_since: Instant,
+    pub last_activity: Instant,
     /// When the current wait for input began.
     pub waiting_since: Instant,
 }
@@ -105,7 +105,7 @@
             return CloseTime::Undecided;
         }
         if !self.has_requested {
-            return CloseTime::At(shutdown_began.max(self.idle_since) + FIRST_REQUEST_TIMEOUT);
+            return CloseTime::At(shutdown_began.max(self.last_activity) + FIRST_REQUEST_TIMEOUT);
         }
         if self.is_pipelined {
             return CloseTime::At(self.waiting_since + PIPELINE_IDLE_TIMEOUT);
--- a/crates/gateway/src/net/clients/accept.rs
+++ b/crates/gateway/src/net/clients/accept.rs
@@ -109,7 +109,7 @@
         let candidates = sessions.iter().map(|(id, session)| EvictionCandidate {
             id: *id,
             state: session.state.get(),
-            idle_since: session.last_activity.get(),
+            last_activity: session.last_activity.get(),
         });
         let Some(evicted) = choose_eviction(&candidates, Instant::now()) else { return false };
         // A connection that is closing has completed its requests and does not count as evicted.
--- a/crates/gateway/src/net/clients/reading.rs
+++ b/crates/gateway/src/net/clients/reading.rs
@@ -64,7 +64,7 @@
 
     fn input_progress(&self) -> InputProgress {
         InputProgress {
-            idle_since: self.session.last_activity.get(),
+            last_activity: self.session.last_activity.get(),
             has_requested: self.session.has_requested.get(),
             message_began: self.message_started_at,
         }
@@ -91,7 +91,7 @@
             has_requested: self.session.has_requested.get(),
             has_partial_message: self.has_partial_message,
             is_pipelined: self.is_pipelined,
-            idle_since: self.session.last_activity.get(),
+            last_activity: self.session.last_activity.get(),
             waiting_since: self.waiting_since,
         };
         connection.close_time(self.clients.shutdown.started_at())
--- a/crates/gateway/src/net/upstream/pool.rs
+++ b/crates/gateway/src/net/upstream/pool.rs
@@ -184,8 +184,8 @@
         self.open_connection(endpoint, queued)
     }
 
-    /// Assigns the oldest queued call to a connection that is ready, or makes the connection idle. `is_newly_opened`: the
-    /// connection was just opened.
+    /// Assigns the oldest queued call to a connection that is ready, or makes the connection idle. `is_newly_opened`:
+    /// the connection was just opened.
     pub fn on_connection_ready(
         &mut self, connection: Rc<UpstreamConnection>, is_newly_opened: bool, now: Millis,
     ) {
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -28,7 +28,7 @@
     let candidates = (0..).zip(candidates).map(|(id, (state, duration_ms))| EvictionCandidate {
         id,
         state: *state,
-        idle_since: now - ms(*duration_ms),
+        last_activity: now - ms(*duration_ms),
     });
     choose_eviction(&candidates, now).map(|candidate| candidate.id)
 }
@@ -50,12 +50,12 @@
 fn input_deadline_depends_on_first_request_and_message_start() {
     let since = Instant::now();
     let message_began = Some(since + ms(300));
-    let new = InputProgress { idle_since: since, has_requested: false, message_began };
+    let new = InputProgress { last_activity: since, has_requested: false, message_began };
     assert_eq!(new.deadline(), since + FIRST_REQUEST_TIMEOUT);
-    let idle = InputProgress { idle_since: since, has_requested: true, message_began: None };
+    let idle = InputProgress { last_activity: since, has_requested: true, message_began: None };
     assert_eq!(idle.deadline(), since + IDLE_TIMEOUT);
     assert!(idle.is_idle());
-    let receiving = InputProgress { idle_since: since, has_requested: true, message_began };
+    let receiving = InputProgress { last_activity: since, has_requested: true, message_began };
     assert_eq!(receiving.deadline(), since + ms(300) + MESSAGE_TIMEOUT);
     assert!(!new.is_idle() && !receiving.is_idle());
 }
@@ -89,7 +89,7 @@
         has_requested: true,
         has_partial_message: false,
         is_pipelined: false,
-        idle_since: since,
+        last_activity: since,
         waiting_since: since + ms(100),
     };
     let began = since + ms(200);
--- a/crates/gateway/tests/policy_log.rs
+++ b/crates/gateway/tests/policy_log.rs
@@ -81,16 +81,57 @@
 
 #[rstest]
 #[case::canary_rejected(
-    LogEvent::CanaryRejected { version: Version(7), stage: 1, reason: RejectionReason::SuccessRate, probability: 0.996, failures: 8.5, expected_failures: 2.0 },
-    json!({"message": "canary rejected", "version": 7, "stage": 1, "reason": "success rate", "probability": 0.996, "failures": 8.5, "expected_failures": 2.0})
+    LogEvent::CanaryRejected {
+        version: Version(7),
+        stage: 1,
+        reason: RejectionReason::SuccessRate,
+        probability: 0.996,
+        failures: 8.5,
+        expected_failures: 2.0,
+    },
+    json!({
+        "message": "canary rejected",
+        "version": 7,
+        "stage": 1,
+        "reason": "success rate",
+        "probability": 0.996,
+        "failures": 8.5,
+        "expected_failures": 2.0
+    })
 )]
 #[case::vote_cast(
-    LogEvent::VoteCast { verdict: Verdict::RollBack, version: Version(7), stage: 1, probability_worse: 0.996 },
-    json!({"message": "vote cast", "verdict": "RollBack", "version": 7, "stage": 1, "probability_worse": 0.996})
+    LogEvent::VoteCast {
+        verdict: Verdict::RollBack,
+        version: Version(7),
+        stage: 1,
+        probability_worse: 0.996,
+    },
+    json!({
+        "message": "vote cast",
+        "verdict": "RollBack",
+        "version": 7,
+        "stage": 1,
+        "probability_worse": 0.996
+    })
 )]
 #[case::endpoint_ejected(
-    LogEvent::EndpointEjected { endpoint: "a:1".into(), incarnation: 2, reason: EjectionReason::ConnectFailures, ejected_for: 500.0, error_rate: 0.25, consecutive_timeouts: 2 },
-    json!({"message": "endpoint ejected", "endpoint": "a:1", "incarnation": 2, "reason": "connect failures", "ejected_for_ms": 500.0, "error_rate": 0.25, "consecutive_timeouts": 2})
+    LogEvent::EndpointEjected {
+        endpoint: "a:1".into(),
+        incarnation: 2,
+        reason: EjectionReason::ConnectFailures,
+        ejected_for: 500.0,
+        error_rate: 0.25,
+        consecutive_timeouts: 2,
+    },
+    json!({
+        "message": "endpoint ejected",
+        "endpoint": "a:1",
+        "incarnation": 2,
+        "reason": "connect failures",
+        "ejected_for_ms": 500.0,
+        "error_rate": 0.25,
+        "consecutive_timeouts": 2
+    })
 )]
 fn event_is_printed_with_its_fields(#[case] event: LogEvent, #[case] expected: Value) {
     assert_eq!(fields(|| log_event(&event)), expected);
@@ -104,7 +145,12 @@
 )]
 #[case::no_endpoint(
     UnservedReason::NoEndpoint { ready_endpoints: 3, expected_latency: 40.0, objective_left: 12.5 },
-    json!({"reason": "NoEndpoint", "ready_endpoints": 3, "expected_latency_ms": 40.0, "objective_left_ms": 12.5})
+    json!({
+        "reason": "NoEndpoint",
+        "ready_endpoints": 3,
+        "expected_latency_ms": 40.0,
+        "objective_left_ms": 12.5
+    })
 )]
 #[case::list_expired(
     UnservedReason::ListExpired { expired_for: 7.5 },
