--- a/crates/control-plane/src/control_plane/mod.rs
+++ b/crates/control-plane/src/control_plane/mod.rs
@@ -17,10 +17,10 @@
 use crate::state_store::PersistedState;
 use address_directory::AddressDirectory;
 use latchhaven_policy::{Action, Event, Millis, Policy};
-use latchhaven_proxy_config::freshness::{KnownState, PublicationBlocked};
+use latchhaven_proxy_config::freshness::{PublicationBlocked, VersionTracker};
 use latchhaven_proxy_config::load_reports::LoadReportAggregator;
 use latchhaven_proxy_config::proxy_config::ProxyConfigSettings;
-use latchhaven_proxy_config::share_ledger::ShareLedger;
+use latchhaven_proxy_config::published_shares::PublishedShares;
 use latchhaven_proxy_config::version::VersionSigner;
 use latchhaven_xds::admission::Admission;
 use latchhaven_xds::resources::{ListenerConfig, ResourceConfig, ResourceSnapshot};
@@ -52,12 +52,12 @@
     settings: ProxyConfigSettings,
     resource_config: Arc<ResourceConfig>,
     signer: VersionSigner,
-    known_state: KnownState,
+    version_tracker: VersionTracker,
     addresses: AddressDirectory,
     admission: Admission,
     proxies: ProxyRegistry,
     load_reports: LoadReportAggregator,
-    shares: ShareLedger,
+    published_shares: PublishedShares,
     schedule: Schedule,
     /// Events that the decisions have not processed yet.
     pending_events: Vec<Event>,
@@ -91,9 +91,9 @@
     pub fn new(policy: Policy, config: ControlPlaneConfig, persisted: Option<PersistedState>) -> Self {
         let settings = config.proxy_config;
         let class_names = settings.classes.iter().map(|class| class.name.clone()).collect();
-        let known_state = match persisted {
-            Some(state) => KnownState::restore(Some(state.version), state.rolled_back_versions),
-            None => KnownState::restore(None, BTreeSet::new()),
+        let version_tracker = match persisted {
+            Some(state) => VersionTracker::restore(Some(state.version), state.rolled_back_versions),
+            None => VersionTracker::restore(None, BTreeSet::new()),
         };
         ControlPlane {
             policy,
@@ -103,12 +103,12 @@
             }),
             settings,
             signer: config.signer,
-            known_state,
+            version_tracker,
             addresses: AddressDirectory::default(),
             admission: Admission::new(config.max_streams),
             proxies: ProxyRegistry::default(),
             load_reports: LoadReportAggregator::new(class_names, config.platform_counts_only),
-            shares: ShareLedger::new(limits::max_share_entries(config.max_streams)),
+            published_shares: PublishedShares::new(limits::max_share_entries(config.max_streams)),
             schedule: Schedule::new(),
             pending_events: Vec::new(),
             snapshot: None,
@@ -132,14 +132,14 @@
         let mut effects = Effects { admitted_streams: self.admission.poll(now), ..Effects::default() };
         for stream in &effects.admitted_streams {
             if let Some(proxy) = self.proxies.open_discovery_stream(*stream) {
-                self.shares.on_connected(proxy);
+                self.published_shares.on_connected(proxy);
             }
         }
         if !self.schedule.is_due(now) {
             return effects;
         }
         effects.actions = self.decide(now);
-        if self.known_state.needs_list_snapshot() && self.schedule.start_snapshot_request(now) {
+        if self.version_tracker.needs_list_snapshot() && self.schedule.start_snapshot_request(now) {
             effects.actions.push(Action::FetchEndpoints);
         }
         if self.schedule.start_publish(now) {
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,7 +1,7 @@
 //! Reads and checks the gateway's configuration, and sets defaults. Error messages name the invalid key.
 
 use crate::limits::start::{DEFAULT_DESCRIPTORS, MIN_DESCRIPTORS};
-use crate::net::list::{self, List};
+use crate::net::list::{self, ListUpdate};
 use crate::net::platform;
 use latchhaven_policy::RolloutState;
 use latchhaven_simulator_protocol::{Settings, settings};
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct InitialState {
     /// The cached endpoint list. Empty and of version 0 if the file contains none.
-    pub list: List,
+    pub list: ListUpdate,
     /// The cached rollout state of the newest version. `None` if the file contains none.
     pub rollout: Option<RolloutState>,
 }
@@ -162,14 +162,14 @@
 
 fn initial_state(file: &Value) -> Result<InitialState, ConfigError> {
     let list = match non_null(file, "/known") {
-        None => List { version: 0, is_snapshot: true, entries: Vec::new() },
-        Some(value) => list::read(value.to_string().as_bytes())
+        None => ListUpdate { version: 0, is_snapshot: true, entries: Vec::new() },
+        Some(value) => list::parse(value.to_string().as_bytes())
             .map_err(|error| key_error("known", &error.to_string()))?,
     };
     let rollout = match non_null(file, "/pipeline/news") {
         None => None,
         Some(value) => {
-            let state = platform::read_rollout_state(value.to_string().as_bytes());
+            let state = platform::parse_rollout_state(value.to_string().as_bytes());
             Some(state.map_err(|error| key_error("pipeline.news", &error.to_string()))?)
         }
     };
--- a/crates/gateway/src/net/mod.rs
+++ b/crates/gateway/src/net/mod.rs
@@ -82,7 +82,7 @@
         /// The call that the list or the failure belongs to.
         call: CallId,
         /// The list, or what the failure means for the current list.
-        list: Result<list::List, UpdateFailure>,
+        list: Result<list::ListUpdate, UpdateFailure>,
     },
     /// The configuration was reloaded.
     DiscoveryMoved {
--- a/crates/gateway/src/proto/pg/encode.rs
+++ b/crates/gateway/src/proto/pg/encode.rs
@@ -1,25 +1,34 @@
-//! Messages to endpoints and clients.
+//! Encodes messages to endpoints and clients.
 
+use super::framing::LENGTH_FIELD_BYTES;
 use super::statement::Statement;
 use bytes::{BufMut, Bytes, BytesMut};
 use latchhaven_policy::Millis;
 
-/// `ReadyForQuery`, outside a transaction.
+/// `ReadyForQuery` with the status "idle", outside of a transaction.
 pub const READY: &[u8] = b"Z\0\0\0\x05I";
-/// `EmptyQueryResponse`.
+/// `EmptyQueryResponse`: the response to a query without text, before [`READY`].
 pub const EMPTY_QUERY: &[u8] = b"I\0\0\0\x04";
-/// The answer to a request for encryption: not supported.
+/// The response to `SSLRequest` and `GSSENCRequest`: encryption is not supported, and the client may continue
+/// without.
 pub const NO_ENCRYPTION: &[u8] = b"N";
 
-/// `AuthenticationOk`.
+const QUERY: u8 = b'Q';
+const PARAMETER_STATUS: u8 = b'S';
+const ERROR_RESPONSE: u8 = b'E';
+/// Size in bytes of the type and the length of a message.
+const HEADER_BYTES: usize = 1 + LENGTH_FIELD_BYTES;
+/// Size of the zero byte that follows each text.
+const TERMINATOR_BYTES: usize = 1;
+
 const AUTHENTICATION_OK: &[u8] = b"R\0\0\0\x08\0\0\0\0";
-/// `BackendKeyData` without a key: cancel requests are not supported.
-const BACKEND_KEY: &[u8] = b"K\0\0\0\x0c\0\0\0\0\0\0\0\0";
-/// Version 3.0 of the protocol.
+/// Process id and key are 0, as cancel requests are not supported.
+const BACKEND_KEY_DATA: &[u8] = b"K\0\0\0\x0c\0\0\0\0\0\0\0\0";
+/// Version 3.0: the major version in the upper 16 bits.
 const PROTOCOL_VERSION: u32 = 3 << 16;
-/// User and database of connections to endpoints.
+/// User and database of connections to endpoints, as pairs of zero-terminated strings.
 const STARTUP_PARAMETERS: &[u8] = b"user\0app\0database\0shop\0\0";
-/// Parameters that are reported to clients.
+/// Reported to clients after the startup message, as a Postgres server does.
 const SERVER_PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "16.0"),
     ("server_encoding", "UTF8"),
@@ -29,38 +38,35 @@
     ("standard_conforming_strings", "on"),
 ];
 
-/// A query as it is forwarded to an endpoint, in four buffers. Its timeout is replaced by `timeout` ms, rounded down, and
-/// at least 1.
+/// Encodes a statement as a simple query to an endpoint, in four buffers to be written one after another. The timeout
+/// in its comment is replaced by `timeout`, rounded down to full milliseconds, and at least 1.
 #[must_use]
 pub fn forwarded_query(statement: &Statement, timeout: Millis) -> [Bytes; 4] {
     let digits = format!("{}", timeout.max(1.0).floor());
     let text = &statement.text;
     let replaced = &statement.timeout_digits;
-    let length = text.len() - replaced.len() + digits.len() + 5;
-    let mut head = BytesMut::with_capacity(5);
-    head.put_u8(b'Q');
-    head.put_u32(length as u32);
-    let mut tail = BytesMut::with_capacity(text.len() - replaced.end + 1);
-    tail.put_slice(&text[replaced.end..]);
-    tail.put_u8(0);
+    let body_bytes = text.len() - replaced.len() + digits.len() + TERMINATOR_BYTES;
+    let mut head = BytesMut::with_capacity(HEADER_BYTES);
+    put_header(&mut head, QUERY, body_bytes);
+    let mut tail = BytesMut::with_capacity(text.len() - replaced.end + TERMINATOR_BYTES);
+    put_text(&mut tail, &text[replaced.end..]);
     [head.freeze(), text.slice(..replaced.start), Bytes::from(digits), tail.freeze()]
 }
 
-/// A simple query.
+/// Encodes a simple query (`Query`). `text` contains no zero byte.
 #[must_use]
 pub fn query(text: &str) -> Bytes {
-    let mut message = BytesMut::with_capacity(text.len() + 6);
-    message.put_u8(b'Q');
-    message.put_u32(text.len() as u32 + 5);
-    message.put_slice(text.as_bytes());
-    message.put_u8(0);
+    let body_bytes = text.len() + TERMINATOR_BYTES;
+    let mut message = BytesMut::with_capacity(HEADER_BYTES + body_bytes);
+    put_header(&mut message, QUERY, body_bytes);
+    put_text(&mut message, text.as_bytes());
     message.freeze()
 }
 
-/// The startup message to an endpoint.
+/// Encodes the `StartupMessage` to an endpoint.
 #[must_use]
 pub fn startup() -> Bytes {
-    let length = STARTUP_PARAMETERS.len() + 8;
+    let length = LENGTH_FIELD_BYTES + size_of_val(&PROTOCOL_VERSION) + STARTUP_PARAMETERS.len();
     let mut message = BytesMut::with_capacity(length);
     message.put_u32(length as u32);
     message.put_u32(PROTOCOL_VERSION);
@@ -68,39 +74,52 @@
     message.freeze()
 }
 
-/// The messages after the startup message of a client.
+/// Encodes the response to a client's `StartupMessage`: authentication is complete, the server's parameters, and
+/// `ReadyForQuery`.
 #[must_use]
-pub fn greeting() -> Bytes {
+pub fn startup_response() -> Bytes {
     let mut messages = BytesMut::new();
     messages.put_slice(AUTHENTICATION_OK);
     for (name, value) in SERVER_PARAMETERS {
-        messages.put_u8(b'S');
-        messages.put_u32((name.len() + value.len() + 6) as u32);
-        for text in [name, value] {
-            messages.put_slice(text.as_bytes());
-            messages.put_u8(0);
-        }
+        put_header(&mut messages, PARAMETER_STATUS, name.len() + value.len() + 2 * TERMINATOR_BYTES);
+        put_text(&mut messages, name.as_bytes());
+        put_text(&mut messages, value.as_bytes());
     }
-    messages.put_slice(BACKEND_KEY);
+    messages.put_slice(BACKEND_KEY_DATA);
     messages.put_slice(READY);
     messages.freeze()
 }
 
-/// An `ErrorResponse` with a SQLSTATE code.
+/// Encodes an `ErrorResponse` to a client.
+///
+/// A fatal error announces that the gateway closes the connection. After any other error to a simple query the caller
+/// writes [`READY`]. `code` is one of [`sqlstate`](super::sqlstate); `detail` is an optional second text. The texts
+/// contain no zero byte.
 #[must_use]
 pub fn error(is_fatal: bool, code: &str, text: &str, detail: Option<&str>) -> Bytes {
     let severity = if is_fatal { "FATAL" } else { "ERROR" };
     let mut fields = vec![(b'S', severity), (b'V', severity), (b'C', code), (b'M', text)];
     fields.extend(detail.map(|detail| (b'D', detail)));
-    let length = 5 + fields.iter().map(|(_, value)| value.len() + 2).sum::<usize>();
-    let mut message = BytesMut::with_capacity(length + 1);
-    message.put_u8(b'E');
-    message.put_u32(length as u32);
+    // Each field has a type byte and a terminator; a terminator follows the last field.
+    let field_bytes = fields.iter().map(|(_, value)| 1 + value.len() + TERMINATOR_BYTES).sum::<usize>();
+    let body_bytes = field_bytes + TERMINATOR_BYTES;
+    let mut message = BytesMut::with_capacity(HEADER_BYTES + body_bytes);
+    put_header(&mut message, ERROR_RESPONSE, body_bytes);
     for (kind, value) in fields {
         message.put_u8(kind);
-        message.put_slice(value.as_bytes());
-        message.put_u8(0);
+        put_text(&mut message, value.as_bytes());
     }
     message.put_u8(0);
     message.freeze()
 }
+
+/// Writes the type and the length of a message.
+fn put_header(message: &mut BytesMut, kind: u8, body_bytes: usize) {
+    message.put_u8(kind);
+    message.put_u32((LENGTH_FIELD_BYTES + body_bytes) as u32);
+}
+
+fn put_text(message: &mut BytesMut, text: &[u8]) {
+    message.put_slice(text);
+    message.put_u8(0);
+}
--- a/crates/gateway/tests/parsers/messages.rs
+++ b/crates/gateway/tests/parsers/messages.rs
@@ -1,4 +1,4 @@
-//! Malformed endpoint lists, and malformed lines of the feed.
+//! Endpoint lists and feed lines with invalid JSON or invalid values.
 
 use latchhaven_gateway::net::{list, platform};
 use rstest::rstest;
@@ -14,7 +14,7 @@
 #[case::negative_age(
     r#"{"type":"ROLLOUT","object":{"version":4,"step":1,"status":"COMPLETE","maxWeight":1,"observedAgoMs":-5}}"#
 )]
-#[case::more_failures(
+#[case::more_failures_than_attempts(
     r#"{"type":"SAMPLE","object":{"version":4,"kind":"a","requests":1,"failures":2,"avgMs":1}}"#
 )]
 #[case::negative_latency(
@@ -22,7 +22,7 @@
 )]
 #[case::trailing_data("{}x")]
 fn feed_line_malformed_is_rejected(#[case] line: &str) {
-    assert!(platform::read_feed_line(line.as_bytes()).is_err());
+    assert!(platform::parse_feed_line(line.as_bytes()).is_err());
 }
 
 #[rstest]
@@ -32,5 +32,5 @@
     r#"{"seq":7,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:5","health":"up","share":-1}]}"#
 )]
 fn list_malformed_is_rejected(#[case] text: &str) {
-    assert!(list::read(text.as_bytes()).is_err());
+    assert!(list::parse(text.as_bytes()).is_err());
 }
--- a/crates/proxy-config/src/proxy_config/builder.rs
+++ b/crates/proxy-config/src/proxy_config/builder.rs
@@ -1,22 +1,26 @@
-//! Builds a configuration from its parts.
+//! Combines endpoints, clusters and routes into a configuration.
 
 use super::context::ConfigContext;
 use super::endpoints::configured_endpoints;
 use super::model::{ProxyConfig, ProxyConfigSettings};
 use crate::limits::SHARE_STEP;
 use crate::parts_per_million::PartsPerMillion;
-use crate::share_ledger::ShareLedger;
+use crate::published_shares::PublishedShares;
 use latchhaven_policy::{Millis, PolicySnapshot, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Builds the configuration for a snapshot of the policy at `now`, in ms. `addresses`: the address of each endpoint.
+/// Builds the configuration for a snapshot of the policy at `now`.
+///
+/// `rolled_back` has the versions that get requests only as canaries. `addresses` has the address of each endpoint by
+/// its id; endpoints without an address are left out. `published_shares` reduces the shares of canaries by what
+/// unreachable proxies may be using.
 #[must_use]
 pub fn build_proxy_config(
     snapshot: &PolicySnapshot, settings: &ProxyConfigSettings, rolled_back: &BTreeSet<Version>,
-    addresses: &BTreeMap<String, SocketAddr>, share_ledger: &ShareLedger, now: Millis,
+    addresses: &BTreeMap<String, SocketAddr>, published_shares: &PublishedShares, now: Millis,
 ) -> ProxyConfig {
-    let context = ConfigContext::new(snapshot, settings, rolled_back, share_ledger, now);
+    let context = ConfigContext::new(snapshot, settings, rolled_back, published_shares, now);
     let endpoints = configured_endpoints(&context, addresses);
     let classes = 0..settings.classes.len();
     let class_routes: Vec<_> = classes.map(|class| context.route(class)).collect();
@@ -24,7 +28,8 @@
     ProxyConfig {
         clusters: context.clusters(endpoints.keys().copied()),
         endpoints,
-        shed_share: PartsPerMillion::from_fraction_floor(snapshot.shed_probability).floor_to(SHARE_STEP),
+        shed_share: PartsPerMillion::from_fraction_floor(snapshot.shed_probability)
+            .round_down_to_multiple_of(SHARE_STEP),
         routes: class_routes.into_iter().map(|class_route| class_route.route).collect(),
         canary_shares,
     }
--- a/crates/proxy-config/src/proxy_config/clusters.rs
+++ b/crates/proxy-config/src/proxy_config/clusters.rs
@@ -6,7 +6,7 @@
 use latchhaven_policy::Version;
 
 impl ConfigContext<'_> {
-    /// The clusters of these versions.
+    /// One cluster for each of these versions and each request class, in this order.
     pub(super) fn clusters(&self, versions: impl Iterator<Item = Version>) -> Vec<Cluster> {
         let mut clusters = Vec::new();
         for version in versions {
@@ -21,7 +21,7 @@
 
     fn max_in_flight(&self, version: Version) -> u32 {
         let per_endpoint = self.settings.max_in_flight_per_endpoint;
-        limits::max_in_flight(per_endpoint, self.capacity(version), self.proxy_shares.len())
+        limits::max_in_flight(per_endpoint, self.capacity(version), self.published_shares.len())
     }
 
     fn is_capped_canary(&self, version: Version) -> bool {
