--- a/crates/gateway/src/limits/clients.rs
+++ b/crates/gateway/src/limits/clients.rs
@@ -114,8 +114,8 @@
 
 /// Selects the connection to evict: a closing one first, then one that has never sent a request for at least
 /// [`MIN_SILENCE_BEFORE_EVICTION`], then one that was idle for at least [`MIN_IDLE_BEFORE_EVICTION`]. Among connections
-/// in the same state, selects the one with the earliest [`last_activity`](EvictionCandidate::last_activity). `None` if no
-/// connection qualifies.
+/// in the same state, selects the one with the earliest [`last_activity`](EvictionCandidate::last_activity). `None` if
+/// no connection qualifies.
 pub fn choose_eviction(
     candidates: &(impl Iterator<Item = EvictionCandidate> + Clone), now: Instant,
 ) -> Option<EvictionCandidate> {
--- a/crates/gateway/src/proto/pg/statement.rs
+++ b/crates/gateway/src/proto/pg/statement.rs
@@ -39,8 +39,8 @@
     /// The item is empty, longer than [`MAX_IDENTIFIER_BYTES`], or has invalid characters.
     #[error("statement: the item is no word")]
     InvalidItem,
-    /// The INSERT does not have exactly one value of hexadecimal digits, or the value is longer than [`MAX_VALUE_BYTES`];
-    /// or the SELECT does not end after the item.
+    /// The INSERT does not have exactly one value of hexadecimal digits, or the value is longer than
+    /// [`MAX_VALUE_BYTES`]; or the SELECT does not end after the item.
     #[error("statement: not one value in hex, up to 64 KiB")]
     InvalidValue,
     /// An entry of the comment has no `=`; entries are separated by commas.
