--- a/crates/gateway/src/net/clients/accept.rs
+++ b/crates/gateway/src/net/clients/accept.rs
@@ -100,7 +100,7 @@
 
     /// The number of connections that count against the limit: those that are not about to close.
     fn counted_sessions(&self) -> usize {
-        self.sessions.borrow().values().filter(|session| !session.state.get().is_ending()).count()
+        self.sessions.borrow().values().filter(|session| !session.state.get().is_about_to_close()).count()
     }
 
     /// Evicts the connection that [`choose_eviction`] selects. Returns `false` if none may be evicted now.
@@ -109,7 +109,7 @@
         let candidates = sessions.iter().map(|(id, session)| EvictionCandidate {
             id: *id,
             state: session.state.get(),
-            since: session.last_activity.get(),
+            last_activity: session.last_activity.get(),
         });
         let Some(evicted) = choose_eviction(&candidates, Instant::now()) else { return false };
         // A connection that is closing has completed its requests and does not count as evicted.
--- a/crates/gateway/src/net/io.rs
+++ b/crates/gateway/src/net/io.rs
@@ -1,6 +1,6 @@
 //! Reads and writes on non-blocking sockets, and queries of their state.
 
-use crate::limits::{MAX_BUFFERS_PER_WRITE, MAX_READ};
+use crate::limits::{MAX_BUFFERS_PER_WRITE, MAX_READ_BYTES};
 use bytes::{Bytes, BytesMut};
 use socket2::SockRef;
 use std::io::{self, IoSlice};
@@ -37,7 +37,7 @@
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// Waits for input and reads once into `buffer`, whose spare capacity is then at least [`MAX_READ`]. Returns the
+/// Waits for input and reads once into `buffer`, whose spare capacity is then at least [`MAX_READ_BYTES`]. Returns the
 /// number of bytes, or 0 if the peer has closed its side. Bytes that were read before a drop of the future are in
 /// `buffer`.
 ///
@@ -47,13 +47,13 @@
     loop {
         stream.readable().await?;
         // Releases the memory of a large message.
-        if buffer.is_empty() && buffer.capacity() > 2 * MAX_READ {
+        if buffer.is_empty() && buffer.capacity() > 2 * MAX_READ_BYTES {
             *buffer = BytesMut::new();
         }
-        buffer.reserve(MAX_READ);
+        buffer.reserve(MAX_READ_BYTES);
         match stream.try_read_buf(buffer) {
             Err(error) if is_retryable(&error) => {}
-            Ok(read) if read >= MAX_READ => {
+            Ok(read) if read >= MAX_READ_BYTES => {
                 // The socket of a peer that sends continuously is always ready: let other tasks run.
                 yield_now().await;
                 return Ok(read);
