--- a/crates/cli/tests/gateway/attempts.rs
+++ b/crates/cli/tests/gateway/attempts.rs
@@ -86,12 +86,14 @@
     client.send(&query(&select("a1", "look", 1500)));
     wait_until("both servers have the query", || silent.queries().len() + other.queries().len() >= 2);
     let first = if silent.queries().is_empty() { &other } else { &silent };
-    wait_until("the first connection is closed", || first.seen.lock().unwrap().ended.contains(&0));
+    wait_until("the first connection is closed", || {
+        first.history.lock().unwrap().closed_connections.contains(&0)
+    });
     assert_eq!(outcome(&client.read_response()), Err(SqlState::from(REJECTED)));
     wait_until("all connections are closed", || {
         [&silent, &other].iter().all(|server| {
-            let seen = server.seen.lock().unwrap();
-            seen.ended.len() == seen.connections
+            let history = server.history.lock().unwrap();
+            history.closed_connections.len() == history.connections
         })
     });
     assert_eq!(gateway.counter("invariant_violations_total"), 0);
@@ -126,7 +128,9 @@
     let mut client = gateway.client();
     for n in 0..5 {
         assert_eq!(outcome(&client.query(&insert(&format!("a{n}"), "pay", 1900))), Ok(format!("a{n}")));
-        wait_until("the connection is closed", || server.seen.lock().unwrap().ended.len() == n + 1);
+        wait_until("the connection is closed", || {
+            server.history.lock().unwrap().closed_connections.len() == n + 1
+        });
     }
     assert_eq!((server.queries().len(), gateway.counter("attempts_succeeded_total")), (5, 5));
 }
@@ -161,7 +165,9 @@
     let mut client = gateway.client();
     for n in 0..10 {
         assert_eq!(outcome(&client.query(&insert(&format!("a{n}"), "pay", 900))), Ok(format!("a{n}")));
-        wait_until("the connection is closed", || server.seen.lock().unwrap().ended.len() == n + 1);
+        wait_until("the connection is closed", || {
+            server.history.lock().unwrap().closed_connections.len() == n + 1
+        });
     }
     assert_eq!(gateway.counter("attempts_connection_lost_total"), 0);
 }
@@ -175,7 +181,7 @@
     client.send(&query(&insert("a1", "pay", 60_000)));
     wait_until_received(&server, 1);
     drop(client);
-    wait_until("the attempt is cancelled", || server.seen.lock().unwrap().ended == [0]);
+    wait_until("the attempt is cancelled", || server.history.lock().unwrap().closed_connections == [0]);
     assert_eq!(
         (gateway.counter("clients_disconnected_total"), gateway.counter("attempts_cancelled_total")),
         (1, 1)
@@ -210,7 +216,7 @@
 /// time. The retry is allowed in time here but waits for a connection beyond the window.
 #[test]
 fn retry_is_not_sent_after_its_deduplication_window() {
-    let server = FakeServer::start(ServerBehavior::ResetForGood);
+    let server = FakeServer::start(ServerBehavior::ResetThenNeverHandshake);
     let gateway = Gateway::start_with(&[&server], |config| {
         use_long_timeouts(config);
         config["settings"]["classes"][1]["dedup-window-s"] = json!(DEDUPLICATION_WINDOW.as_secs_f64());
@@ -219,7 +225,7 @@
     client.send(&query(&insert("a1", "book", 20_000)));
     wait_until_received(&server, 1);
     let sent_at = Instant::now();
-    wait_until("the retry waits for a connection", || server.seen.lock().unwrap().connections >= 2);
+    wait_until("the retry waits for a connection", || server.history.lock().unwrap().connections >= 2);
     wait_until("the window is over", || sent_at.elapsed() > DEDUPLICATION_WINDOW);
     server.set_behavior(ServerBehavior::Succeed);
     // Any error is valid, as long as the request is not sent again and other requests are.
--- a/crates/cli/tests/gateway/configuration.rs
+++ b/crates/cli/tests/gateway/configuration.rs
@@ -148,7 +148,7 @@
     wait_until("votes go to the new address", || new_platform.count_calls("POST /v1/ballots") > 0);
     assert_eq!((new_discovery.count_calls("watch"), new_platform.count_calls("GET /v1/feed")), (1, 1));
     assert_eq!((gateway.discovery.count_calls("watch"), gateway.platform.count_calls("")), (1, 1));
-    assert_eq!((baseline.seen.lock().unwrap().connections, gateway.counter("feed_lost_total")), (1, 0));
+    assert_eq!((baseline.history.lock().unwrap().connections, gateway.counter("feed_lost_total")), (1, 0));
 }
 
 /// A file may be read while it is written, or contain an error; the gateway has to continue with its configuration.
--- a/crates/cli/tests/gateway/discovery.rs
+++ b/crates/cli/tests/gateway/discovery.rs
@@ -79,7 +79,7 @@
     client.query(&select("a1", "look", 900));
     wait_until("the list is watched", || gateway.discovery.count_calls("watch") == 1);
     gateway.discovery.send_line(&endpoint_list(9, true, &[host("s0", new.addr, "up", 1)]));
-    wait_until("the earlier connection is closed", || old.seen.lock().unwrap().ended == [0]);
+    wait_until("the earlier connection is closed", || old.history.lock().unwrap().closed_connections == [0]);
     assert_served(&mut client, "a2", 1900);
     assert_eq!((old.queries().len(), new.queries().len()), (1, 1));
 }
--- a/crates/cli/tests/gateway/support.rs
+++ b/crates/cli/tests/gateway/support.rs
@@ -40,7 +40,7 @@
 
 /// Waits until a server has accepted its first connection.
 pub(crate) fn wait_until_connecting(server: &FakeServer) {
-    wait_until("the first connection is accepted", || server.seen.lock().unwrap().connections == 1);
+    wait_until("the first connection is accepted", || server.history.lock().unwrap().connections == 1);
 }
 
 /// Sends requests with ids `b1`, `b2` and so on until one is served; earlier ones may be rejected.
--- a/crates/cli/tests/gateway/upstream_pool.rs
+++ b/crates/cli/tests/gateway/upstream_pool.rs
@@ -133,7 +133,7 @@
     for n in 0..5 {
         assert_served(&mut client, &format!("a{n}"), 900);
     }
-    assert_eq!(server.seen.lock().unwrap().connections, 1);
+    assert_eq!(server.history.lock().unwrap().connections, 1);
     server.set_behavior(ServerBehavior::SucceedAfter(100));
     let mut others: Vec<Client> = (0..2).map(|_| gateway.client()).collect();
     others
@@ -155,7 +155,7 @@
         assert!(pool.send(ENDPOINT, queued_call(SECOND_CALL), 0.0));
         // The connection's task has not run yet, so these bytes arrive after the pool has assigned the call to the
         // connection.
-        server.seen.lock().unwrap().open[0].write_all(&row(b"not asked for")).unwrap();
+        server.history.lock().unwrap().open[0].write_all(&row(b"not asked for")).unwrap();
         thread::sleep(Duration::from_millis(50));
         let result = next_call_result(&mut events).await;
         assert_eq!((result.outcome, result.value.is_none()), (AttemptOutcome::NotSent, true));
@@ -170,7 +170,9 @@
         let server = FakeServer::start(ServerBehavior::Succeed);
         let (mut pool, mut events) = pool_with_idle_connection(&server).await;
         server.close_connections();
-        wait_until("the connection is closed", || server.seen.lock().unwrap().ended.len() == 1);
+        wait_until("the connection is closed", || {
+            server.history.lock().unwrap().closed_connections.len() == 1
+        });
         assert!(pool.send(ENDPOINT, queued_call(SECOND_CALL), 0.0));
         assert_eq!(run_until_call_ends(&mut pool, &mut events).await, AttemptOutcome::Success);
     });
@@ -191,7 +193,9 @@
         assert!(pool.send("s1", queued_call(FIRST_CALL), 0.0));
         assert!(!pool.send(ENDPOINT, queued_call(SECOND_CALL), 0.0));
         assert_eq!(run_until_call_ends(&mut pool, &mut events).await, AttemptOutcome::Success);
-        wait_until("the evicted connection is closed", || one.seen.lock().unwrap().ended == [0]);
+        wait_until("the evicted connection is closed", || {
+            one.history.lock().unwrap().closed_connections == [0]
+        });
         assert_eq!((one.queries().len(), other.queries().len()), (0, 1));
     });
 }
@@ -244,7 +248,7 @@
         assert!(pool.send(ENDPOINT, queued_call(SECOND_CALL), 0.0));
         assert_eq!(pool.cancel(ENDPOINT, SECOND_CALL), CancelResult::Unwritten);
         assert!(matches!(events.recv().await, Some(DriverEvent::ConnectionClosed { .. })));
-        wait_until("the connection is closed", || server.seen.lock().unwrap().ended == [0]);
+        wait_until("the connection is closed", || server.history.lock().unwrap().closed_connections == [0]);
         assert!(server.queries().is_empty());
     });
 }
@@ -279,7 +283,7 @@
         config["settings"]["permissions"]["conn-idle-s"] = json!(0.3);
     });
     gateway.client().query(&select("a1", "look", 900));
-    wait_until("the connection is closed", || server.seen.lock().unwrap().ended == [0]);
+    wait_until("the connection is closed", || server.history.lock().unwrap().closed_connections == [0]);
 }
 
 /// A request that stays queued for an address that is no longer listed would wait until its timeout.
@@ -303,7 +307,7 @@
     let line = json!({"type": "ROLLOUT", "object": rollout_state(2, 0, "IN_PROGRESS", 0.1)});
     gateway.platform.send_line(&line);
     wait_until("a connection is opened for the rerouted request", || {
-        stuck.seen.lock().unwrap().connections == 2
+        stuck.history.lock().unwrap().connections == 2
     });
     stuck.set_behavior(ServerBehavior::Succeed);
     assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
--- a/crates/test-support/src/fake_server.rs
+++ b/crates/test-support/src/fake_server.rs
@@ -38,7 +38,7 @@
     /// Closes the connection after it has received the query.
     Reset,
     /// Closes the connection after it has received the query; from then on [`ServerBehavior::NeverHandshake`].
-    ResetForGood,
+    ResetThenNeverHandshake,
     /// Closes the connection in the middle of the row.
     TruncateRow,
     /// Responds with bytes that are not a message.
@@ -67,7 +67,7 @@
         matches!(
             self,
             ServerBehavior::Reset
-                | ServerBehavior::ResetForGood
+                | ServerBehavior::ResetThenNeverHandshake
                 | ServerBehavior::TruncateRow
                 | ServerBehavior::SucceedAndClose
                 | ServerBehavior::FailAndClose(_)
@@ -105,7 +105,7 @@
     /// Connections so far.
     pub connections: usize,
     /// Numbers of the connections that have ended.
-    pub ended: Vec<usize>,
+    pub closed_connections: Vec<usize>,
     /// The connections that were not closed by [`FakeServer::close_connections`].
     pub open: Vec<TcpStream>,
 }
@@ -118,7 +118,7 @@
     /// Its behavior on the next query.
     pub behavior: Arc<Mutex<ServerBehavior>>,
     /// Its records.
-    pub seen: Arc<Mutex<ServerHistory>>,
+    pub history: Arc<Mutex<ServerHistory>>,
 }
 
 impl FakeServer {
@@ -128,20 +128,21 @@
     /// Its socket cannot be opened.
     pub fn start(behavior: ServerBehavior) -> Self {
         let behavior = Arc::new(Mutex::new(behavior));
-        let seen = Arc::new(Mutex::new(ServerHistory::default()));
+        let history = Arc::new(Mutex::new(ServerHistory::default()));
         let connection_behavior = behavior.clone();
-        let connection_seen = seen.clone();
+        let connection_history = history.clone();
         let addr = serve_connections(move |stream, number| {
-            let mut history = lock(&connection_seen);
+            let mut history = lock(&connection_history);
             history.connections += 1;
             history.open.push(stream.try_clone().expect("a second handle of the socket"));
             drop(history);
             let behavior = connection_behavior.clone();
-            let mut connection = ServerConnection { stream, number, behavior, seen: connection_seen.clone() };
+            let mut connection =
+                ServerConnection { stream, number, behavior, history: connection_history.clone() };
             connection.serve();
-            lock(&connection_seen).ended.push(number);
+            lock(&connection_history).closed_connections.push(number);
         });
-        FakeServer { addr, behavior, seen }
+        FakeServer { addr, behavior, history }
     }
 
     /// Changes its behavior.
@@ -151,19 +152,19 @@
 
     /// Closes all connections.
     pub fn close_connections(&self) {
-        for stream in lock(&self.seen).open.drain(..) {
+        for stream in lock(&self.history).open.drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
     /// When the queries so far arrived, in order.
     pub fn arrivals(&self) -> Vec<QueryArrival> {
-        lock(&self.seen).arrivals.clone()
+        lock(&self.history).arrivals.clone()
     }
 
     /// The queries so far, in order.
     pub fn queries(&self) -> Vec<ReceivedQuery> {
-        lock(&self.seen).queries.clone()
+        lock(&self.history).queries.clone()
     }
 }
 
@@ -179,7 +180,7 @@
     stream: TcpStream,
     number: usize,
     behavior: Arc<Mutex<ServerBehavior>>,
-    seen: Arc<Mutex<ServerHistory>>,
+    history: Arc<Mutex<ServerHistory>>,
 }
 
 impl ServerConnection {
@@ -221,21 +222,21 @@
         let text = String::from_utf8(text.to_vec()).expect("a query in UTF-8");
         let id = text.split("id=").nth(1).and_then(|rest| rest.split([',', ' ']).next());
         let id = id.unwrap_or_default().to_string();
-        lock(&self.seen).queries.push(ReceivedQuery { connection: self.number, text });
+        lock(&self.history).queries.push(ReceivedQuery { connection: self.number, text });
         id
     }
 
     fn record_arrival(&self, id: &str, behavior: ServerBehavior) {
         let is_executed = !matches!(behavior, ServerBehavior::Fail(code) if NOT_EXECUTED.contains(&code));
         let arrival = QueryArrival { id: id.to_string(), at: Instant::now(), is_executed };
-        lock(&self.seen).arrivals.push(arrival);
+        lock(&self.history).arrivals.push(arrival);
     }
 
     /// The behavior for one query; some are followed by another one.
     fn take_behavior(&self) -> ServerBehavior {
         let mut behavior = lock(&self.behavior);
         let current = *behavior;
-        if current == ServerBehavior::ResetForGood {
+        if current == ServerBehavior::ResetThenNeverHandshake {
             *behavior = ServerBehavior::NeverHandshake;
         }
         current
@@ -254,7 +255,7 @@
             ServerBehavior::Fail(code) => [&error_response(code), READY_FOR_QUERY].concat(),
             ServerBehavior::FailAndClose(code) => error_response(code),
             ServerBehavior::FailOneIn(interval, code) => {
-                let received = lock(&self.seen).queries.len();
+                let received = lock(&self.history).queries.len();
                 if received.is_multiple_of(interval.max(1)) {
                     [&error_response(code), READY_FOR_QUERY].concat()
                 } else {
@@ -262,7 +263,7 @@
                 }
             }
             ServerBehavior::NeverRespond => return Response::Nothing,
-            ServerBehavior::Reset | ServerBehavior::ResetForGood => Vec::new(),
+            ServerBehavior::Reset | ServerBehavior::ResetThenNeverHandshake => Vec::new(),
             ServerBehavior::TruncateRow => success[..success.len() / 2].to_vec(),
             ServerBehavior::RespondGarbage => b"HTTP/1.1 400 Bad Request\r\n\r\n".to_vec(),
             ServerBehavior::RespondTwice(delay) => return self.respond_twice(delay, id, success),
