--- a/crates/cli/tests/control.rs
+++ b/crates/cli/tests/control.rs
@@ -225,7 +225,7 @@
         );
         fixture.assert_served(&proxy);
     }
-    assert!(cache_matches(&proxy, |cache| cache.regressions + cache.dangling == 0));
+    assert!(cache_matches(&proxy, |cache| cache.version_regressions + cache.dangling_responses == 0));
 }
 
 /// An invalid load report would distort the analysis of the canary if it were counted.
@@ -344,7 +344,10 @@
         assert!(proxies.iter().all(has_all_resources));
     }
     assert!(
-        proxies.iter().all(|proxy| cache_matches(proxy, |cache| cache.regressions + cache.dangling == 0))
+        proxies
+            .iter()
+            .all(|proxy| cache_matches(proxy, |cache| cache.version_regressions + cache.dangling_responses
+                == 0))
     );
 }
 
--- a/crates/control-plane/tests/control_plane/canary_shares.rs
+++ b/crates/control-plane/tests/control_plane/canary_shares.rs
@@ -23,7 +23,7 @@
     assert!(
         proxies[..2]
             .iter()
-            .all(|proxy| proxy.share_of(Version(2)) == initial_share && proxy.cache.rejected >= 1)
+            .all(|proxy| proxy.share_of(Version(2)) == initial_share && proxy.cache.rejected_responses >= 1)
     );
     let sum: f64 = proxies.iter().map(|proxy| proxy.share_of(Version(2))).sum::<f64>() / 4.0;
     assert!(sum <= 0.3, "{sum}");
--- a/crates/control-plane/tests/control_plane/support/proxy.rs
+++ b/crates/control-plane/tests/control_plane/support/proxy.rs
@@ -59,7 +59,7 @@
             responses += 1;
         }
         assert_eq!(
-            (self.cache.regressions, self.cache.dangling),
+            (self.cache.version_regressions, self.cache.dangling_responses),
             (0, 0),
             "{:?}",
             self.cache.dangling_reference()
--- a/crates/test-support/src/resource_cache/cache.rs
+++ b/crates/test-support/src/resource_cache/cache.rs
@@ -61,11 +61,11 @@
     incremental: bool,
     types: BTreeMap<ResourceType, CachedType>,
     /// Responses or resources with an older version than one before.
-    pub regressions: u64,
+    pub version_regressions: u64,
     /// Responses after which a reference led to a resource that is not cached.
-    pub dangling: u64,
+    pub dangling_responses: u64,
     /// Responses that were rejected.
-    pub rejected: u64,
+    pub rejected_responses: u64,
     signer: VersionSigner,
 }
 
@@ -76,9 +76,9 @@
             node: node.to_string(),
             incremental,
             types: BTreeMap::new(),
-            regressions: 0,
-            dangling: 0,
-            rejected: 0,
+            version_regressions: 0,
+            dangling_responses: 0,
+            rejected_responses: 0,
             signer: VersionSigner::default(),
         }
     }
@@ -208,7 +208,7 @@
     }
 
     fn reject(&mut self, resource_type: ResourceType) -> Vec<CacheRequest> {
-        self.rejected += 1;
+        self.rejected_responses += 1;
         let message = REJECTION_MESSAGE.to_string();
         let error = Status { code: REJECTION_CODE, message, ..Status::default() };
         vec![self.request(resource_type, false, Some(error))]
@@ -220,7 +220,7 @@
         let state = self.types.entry(resource_type).or_default();
         let is_regression =
             state.newest_version.is_some_and(|newest| !label.version.is_up_to_date_with(&newest));
-        self.regressions += u64::from(is_regression);
+        self.version_regressions += u64::from(is_regression);
         state.advance_version(label.version);
     }
 
@@ -232,14 +232,14 @@
         let previous = previous.and_then(|previous| self.signer.parse_label(&previous.version_label));
         let is_regression =
             previous.is_some_and(|previous| !label.version.is_up_to_date_with(&previous.version));
-        self.regressions += u64::from(is_regression);
+        self.version_regressions += u64::from(is_regression);
         state.advance_version(label.version);
     }
 
     /// Acknowledges a response and subscribes to what the new resources reference.
     fn accept(&mut self, resource_type: ResourceType) -> Vec<CacheRequest> {
         self.drop_unreferenced();
-        self.dangling += u64::from(self.dangling_reference().is_some());
+        self.dangling_responses += u64::from(self.dangling_reference().is_some());
         let mut requests = vec![self.request(resource_type, false, None)];
         for referenced in [ResourceType::Endpoint, ResourceType::LbEndpoint, ResourceType::Route] {
             let subscribed = self.types.get(&referenced).and_then(|state| state.subscribed.as_ref());
--- a/crates/xds/tests/convergence/main.rs
+++ b/crates/xds/tests/convergence/main.rs
@@ -101,7 +101,7 @@
         let platform = self.platform();
         self.observe_everywhere(&platform);
         for (index, proxy) in self.proxies.iter_mut().enumerate() {
-            if proxy.connection.is_none() || proxy.cache.rejected > 0 {
+            if proxy.connection.is_none() || proxy.cache.rejected_responses > 0 {
                 proxy.connect(index % 2, &self.setup.signer);
             }
         }
--- a/crates/xds/tests/convergence/proxy.rs
+++ b/crates/xds/tests/convergence/proxy.rs
@@ -63,9 +63,9 @@
         let Some(connection) = &mut self.connection else { return };
         let Some(response) = connection.responses.pop_front() else { return };
         connection.requests.extend(self.cache.apply_response(&response.chunks.concat(), reject));
-        assert_eq!(self.cache.regressions, 0, "an older state was sent");
+        assert_eq!(self.cache.version_regressions, 0, "an older state was sent");
         assert_eq!(
-            self.cache.dangling,
+            self.cache.dangling_responses,
             0,
             "{:?} dangles in {:?}",
             self.cache.dangling_reference(),
