--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -205,7 +205,7 @@
             runtime.spawn(proxy.clone().run(behavior_receiver.clone(), seed, Arc::new(|_, _, _| ())));
             let load = ReportedLoad {
                 classes: REPORTED_CLASSES,
-                requests: REPORTED_REQUESTS_PER_SECOND,
+                requests_per_second: REPORTED_REQUESTS_PER_SECOND,
                 outcomes: outcomes.clone(),
             };
             runtime.spawn(proxy.clone().run_load_reports(behavior_receiver.clone(), seed, load));
@@ -220,7 +220,7 @@
 
 impl Drop for Proxies {
     fn drop(&mut self) {
-        self.behavior.send_modify(|behavior| behavior.stops = true);
+        self.behavior.send_modify(|behavior| behavior.is_stopped = true);
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_background();
         }
@@ -234,6 +234,6 @@
         let bad_version = *bad_version.borrow();
         let is_bad = bad_version.is_some_and(|version| cluster.starts_with(&format!("b{version}/")));
         let failure_share = if is_bad { BAD_VERSION_FAILURE_SHARE } else { 0.0 };
-        ClusterOutcome { failure_share, mean_latency: REPORTED_LATENCY_MS }
+        ClusterOutcome { failure_share, mean_latency_ms: REPORTED_LATENCY_MS }
     })
 }
--- a/crates/cli/src/demo/rollout.rs
+++ b/crates/cli/src/demo/rollout.rs
@@ -136,7 +136,7 @@
         votes.iter().any(|vote| {
             vote.version == u64::from(self.version.number)
                 && vote.stage == stage.index as u64
-                && vote.word == word
+                && vote.decision == word
         })
     }
 
--- a/crates/cli/tests/gateway/configuration.rs
+++ b/crates/cli/tests/gateway/configuration.rs
@@ -33,7 +33,7 @@
 fn unread_log_does_not_delay_requests_or_shutdown() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let mut gateway = Gateway::start(&[&server]);
-    wait_until("the feed is open", || gateway.platform.count_calls("GET /v1/feed") == 1);
+    wait_until("the feed is open", || gateway.platform.count_calls_containing("GET /v1/feed") == 1);
     gateway.log_paused.store(true, SeqCst);
     // More lines than the pipe can store.
     for _ in 0..300 {
@@ -123,7 +123,7 @@
     let (baseline, canary) =
         (FakeServer::start(ServerBehavior::SucceedAfter(300)), FakeServer::start(ServerBehavior::Succeed));
     let gateway = Gateway::start_watching(&[&baseline], |_| ());
-    wait_until("the feed is open", || gateway.platform.count_calls("GET /v1/feed") == 1);
+    wait_until("the feed is open", || gateway.platform.count_calls_containing("GET /v1/feed") == 1);
     let mut client = gateway.client();
     client.send(&query(&select("a1", "look", 1900)));
     wait_until_received(&baseline, 1);
@@ -135,7 +135,8 @@
     config["pipeline"]["address"] = json!(new_platform.addr.to_string());
     gateway.reconfigure(&config.to_string());
     wait_until("both new addresses are called", || {
-        new_discovery.count_calls("watch=1&after=5 ") == 1 && new_platform.count_calls("GET /v1/feed") == 1
+        new_discovery.count_calls_containing("watch=1&after=5 ") == 1
+            && new_platform.count_calls_containing("GET /v1/feed") == 1
     });
     assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
     // The earlier streams are closed once the new ones deliver, and stay closed after further signals.
@@ -145,9 +146,15 @@
     wait_until("the file is reloaded", || gateway.count_logged("configuration reloaded") >= 2);
     new_discovery.send_line(&endpoint_list(9, false, &[host("s1", canary.addr, "up", 2)]));
     new_platform.send_line(&json!({"type": "ROLLOUT", "object": rollout_state(2, 0, "IN_PROGRESS", 0.5)}));
-    wait_until("votes go to the new address", || new_platform.count_calls("POST /v1/ballots") > 0);
-    assert_eq!((new_discovery.count_calls("watch"), new_platform.count_calls("GET /v1/feed")), (1, 1));
-    assert_eq!((gateway.discovery.count_calls("watch"), gateway.platform.count_calls("")), (1, 1));
+    wait_until("votes go to the new address", || new_platform.count_calls_containing("POST /v1/ballots") > 0);
+    assert_eq!(
+        (new_discovery.count_calls_containing("watch"), new_platform.count_calls_containing("GET /v1/feed")),
+        (1, 1)
+    );
+    assert_eq!(
+        (gateway.discovery.count_calls_containing("watch"), gateway.platform.count_calls_containing("")),
+        (1, 1)
+    );
     assert_eq!((baseline.history.lock().unwrap().connections, gateway.counter("feed_lost_total")), (1, 0));
 }
 
@@ -163,7 +170,10 @@
         gateway.logged("configuration not reloaded") && gateway.logged(expected_text)
     });
     assert_served(&mut gateway.client(), "a1", 900);
-    assert_eq!((gateway.discovery.count_calls("watch"), gateway.platform.count_calls("feed")), (1, 1));
+    assert_eq!(
+        (gateway.discovery.count_calls_containing("watch"), gateway.platform.count_calls_containing("feed")),
+        (1, 1)
+    );
     // During shutdown, a reload is ignored and does not end the process.
     server.set_behavior(ServerBehavior::SucceedAfter(400));
     let mut busy = gateway.client();
--- a/crates/cli/tests/gateway/discovery.rs
+++ b/crates/cli/tests/gateway/discovery.rs
@@ -77,7 +77,7 @@
     let gateway = Gateway::start(&[&old]);
     let mut client = gateway.client();
     client.query(&select("a1", "look", 900));
-    wait_until("the list is watched", || gateway.discovery.count_calls("watch") == 1);
+    wait_until("the list is watched", || gateway.discovery.count_calls_containing("watch") == 1);
     gateway.discovery.send_line(&endpoint_list(9, true, &[host("s0", new.addr, "up", 1)]));
     wait_until("the earlier connection is closed", || old.history.lock().unwrap().closed_connections == [0]);
     assert_served(&mut client, "a2", 1900);
@@ -98,7 +98,8 @@
     gateway.discovery.set_reply(move |_| reply.clone());
     gateway.discovery.close_streams();
     wait_until("the watch is retried repeatedly", || {
-        gateway.discovery.count_calls("watch") >= 3 && gateway.counter("discovery_failures_total") >= 2
+        gateway.discovery.count_calls_containing("watch") >= 3
+            && gateway.counter("discovery_failures_total") >= 2
     });
     assert_served(&mut gateway.client(), "a1", 900);
 }
@@ -109,7 +110,7 @@
     let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start(&[&server]);
     wait_until("the silent watch is closed", || {
-        gateway.logged("no keepalive in time") && gateway.discovery.count_calls("watch") >= 2
+        gateway.logged("no keepalive in time") && gateway.discovery.count_calls_containing("watch") >= 2
     });
 }
 
@@ -140,15 +141,18 @@
     let gateway = Gateway::start_watching(&[&server], |_| ());
     gateway.discovery.set_reply(|_| HttpReply::Nothing);
     gateway.discovery.close_streams();
-    wait_until("the watch is retried", || gateway.discovery.count_calls("watch") == 2);
+    wait_until("the watch is retried", || gateway.discovery.count_calls_containing("watch") == 2);
     let new = FakeHttpService::start(|_| HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", chunk("\n"))));
     reload_with_discovery(&gateway, &new);
-    wait_until("the new address is called", || new.count_calls("watch") == 1);
+    wait_until("the new address is called", || new.count_calls_containing("watch") == 1);
     // The close of the aborted call does not count as a failure.
     let failures = gateway.counter("discovery_failures_total");
     gateway.discovery.close_streams();
     thread::sleep(Duration::from_millis(300));
-    assert_eq!((gateway.counter("discovery_failures_total"), new.count_calls("watch")), (failures, 1));
+    assert_eq!(
+        (gateway.counter("discovery_failures_total"), new.count_calls_containing("watch")),
+        (failures, 1)
+    );
 }
 
 /// A service that sends bytes but never a complete line delivers no update.
@@ -156,12 +160,13 @@
 fn incomplete_line_does_not_keep_a_watch_alive() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start_watching(&[&server], |_| ());
-    wait_until("the feed is open", || gateway.platform.count_calls("GET /v1/feed") == 1);
+    wait_until("the feed is open", || gateway.platform.count_calls_containing("GET /v1/feed") == 1);
     wait_until("both are opened again", || {
         gateway.platform.write(&chunk("x"));
         gateway.discovery.write(&chunk("x"));
         thread::sleep(Duration::from_millis(100));
-        gateway.platform.count_calls("GET /v1/feed") >= 2 && gateway.discovery.count_calls("watch") >= 2
+        gateway.platform.count_calls_containing("GET /v1/feed") >= 2
+            && gateway.discovery.count_calls_containing("watch") >= 2
     });
 }
 
@@ -184,7 +189,7 @@
     assert_eq!((old.queries().len(), new.queries().len()), (0, 4));
     // The list is requested again, from the current version.
     drop(release);
-    wait_until("the list is requested again", || delayed.count_calls("after=7 ") > 0);
+    wait_until("the list is requested again", || delayed.count_calls_containing("after=7 ") > 0);
 }
 
 /// A discovery service that is restarted may count versions from the beginning. If these counted as old, no list
@@ -237,7 +242,7 @@
         (0..2).map(|_| FakeHttpService::start(|_| HttpReply::Nothing)).collect();
     for service in &silent {
         reload_with_discovery(&gateway, service);
-        wait_until("the new address is called", || service.count_calls("watch") == 1);
+        wait_until("the new address is called", || service.count_calls_containing("watch") == 1);
     }
     gateway.discovery.send_line(&endpoint_list(6, true, &[host("s1", new.addr, "up", 1)]));
     wait_until("the change is applied", || gateway.counter("endpoint_list_updates_total") == 2);
@@ -255,7 +260,7 @@
     wait_until("the list is applied", || gateway.counter("endpoint_list_updates_total") == 2);
     assert_served_by(&gateway, "a1", [(&old, 0), (&new, 1)]);
     gateway.discovery.write(&chunk(&format!("{}\n{change}\n", &change.to_string()[..40])));
-    wait_until("the watch is restarted", || gateway.discovery.count_calls("after=6 ") == 1);
+    wait_until("the watch is restarted", || gateway.discovery.count_calls_containing("after=6 ") == 1);
 }
 
 /// The watch and the sessions share a thread: a watch whose input never ends has to yield to them.
--- a/crates/cli/tests/gateway/platform.rs
+++ b/crates/cli/tests/gateway/platform.rs
@@ -31,15 +31,15 @@
 fn feed_is_reopened_after_a_malformed_line_or_a_disconnect() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start(&[&server]);
-    wait_until("the feed is open", || gateway.platform.count_calls("GET /v1/feed") == 1);
+    wait_until("the feed is open", || gateway.platform.count_calls_containing("GET /v1/feed") == 1);
     let outcome_report = json!({"version": 1, "kind": "look", "requests": 57, "failures": 2, "avgMs": 18.5});
     let line = json!({"type": "SAMPLE", "object": outcome_report});
     gateway.platform.write(&chunk(&format!("{{}}\n{line}\n{{nonsense\n{line}\n")));
-    wait_until("the feed is reopened", || gateway.platform.count_calls("GET /v1/feed") == 2);
+    wait_until("the feed is reopened", || gateway.platform.count_calls_containing("GET /v1/feed") == 2);
     // Lines after the malformed one are not applied.
     assert_eq!(gateway.counter("outcome_reports_total"), 1);
     gateway.platform.close_streams();
-    wait_until("the feed is reopened", || gateway.platform.count_calls("GET /v1/feed") == 3);
+    wait_until("the feed is reopened", || gateway.platform.count_calls_containing("GET /v1/feed") == 3);
 }
 
 /// If a vote that the platform may have counted were recorded as not counted, it would be cast twice; if one that it
@@ -70,7 +70,7 @@
         config["known"]["hosts"][1]["release"] = json!(2);
         config["pipeline"]["news"] = rollout_state(2, 0, "IN_PROGRESS", 0.5);
     });
-    wait_until("a vote is cast", || gateway.platform.count_calls("POST /v1/ballots") > 0);
+    wait_until("a vote is cast", || gateway.platform.count_calls_containing("POST /v1/ballots") > 0);
     wait_until("the vote outcome is counted", || gateway.counter(counter) >= 1);
     let calls = gateway.platform.calls.lock().unwrap().clone();
     let body = &calls.iter().find(|call| call.request_line.contains("ballots")).unwrap().body;
--- a/crates/experiments/src/xds/testbed.rs
+++ b/crates/experiments/src/xds/testbed.rs
@@ -128,10 +128,10 @@
             let behavior = self.group(proxy.number).receiver.clone();
             self.runtime.spawn(proxy.clone().run(behavior, seed, observer.clone()));
         }
-        let outcome = ClusterOutcome { failure_share: 0.0, mean_latency: REPORTED_LATENCY };
+        let outcome = ClusterOutcome { failure_share: 0.0, mean_latency_ms: REPORTED_LATENCY };
         let load = ReportedLoad {
             classes: &["look", "book", "pay"],
-            requests: REQUESTS_PER_SECOND,
+            requests_per_second: REQUESTS_PER_SECOND,
             outcomes: Arc::new(move |_| outcome),
         };
         for proxy in &self.proxies {
--- a/crates/test-support/src/fake_http.rs
+++ b/crates/test-support/src/fake_http.rs
@@ -166,7 +166,7 @@
     }
 
     /// Calls so far whose request line contains this.
-    pub fn count_calls(&self, part: &str) -> usize {
+    pub fn count_calls_containing(&self, part: &str) -> usize {
         lock(&self.calls).iter().filter(|call| call.request_line.contains(part)).count()
     }
 }
--- a/crates/test-support/src/fake_load_reports.rs
+++ b/crates/test-support/src/fake_load_reports.rs
@@ -77,7 +77,7 @@
     /// The share that fails, from 0 to 1.
     pub failure_share: f64,
     /// The mean latency of the others, in ms.
-    pub mean_latency: f64,
+    pub mean_latency_ms: f64,
 }
 
 /// The outcomes of requests by cluster name.
@@ -89,7 +89,7 @@
     /// Names of the request classes.
     pub classes: &'static [&'static str],
     /// Requests of each class in one second.
-    pub requests: u64,
+    pub requests_per_second: u64,
     /// Their outcomes.
     pub outcomes: ClusterOutcomes,
 }
@@ -101,7 +101,7 @@
         for class in self.classes {
             let route = cache.route(class, false).cloned().unwrap_or_default();
             for cluster in route.clusters {
-                let expected = self.requests as f64 * f64::from(cluster.weight) / TOTAL_WEIGHT;
+                let expected = self.requests_per_second as f64 * f64::from(cluster.weight) / TOTAL_WEIGHT;
                 clusters.extend(self.cluster_stats(cache, cluster.name, expected, rng));
             }
         }
@@ -121,7 +121,7 @@
         let outcome = (self.outcomes)(&cluster_name);
         let counts = draw_counts(&endpoints, count, outcome.failure_share, rng);
         let endpoint_stats =
-            counts.into_iter().map(|(addr, counts)| endpoint_stats(addr, counts, outcome.mean_latency));
+            counts.into_iter().map(|(addr, counts)| endpoint_stats(addr, counts, outcome.mean_latency_ms));
         let locality = UpstreamLocalityStats {
             upstream_endpoint_stats: endpoint_stats.collect(),
             ..UpstreamLocalityStats::default()
@@ -160,11 +160,11 @@
     counts
 }
 
-fn endpoint_stats(addr: SocketAddr, counts: Counts, mean_latency: f64) -> UpstreamEndpointStats {
+fn endpoint_stats(addr: SocketAddr, counts: Counts, mean_latency_ms: f64) -> UpstreamEndpointStats {
     let latency = EndpointLoadMetricStats {
         metric_name: LATENCY_METRIC.to_string(),
         num_requests_finished_with_metric: counts.succeeded,
-        total_metric_value: mean_latency * counts.succeeded as f64,
+        total_metric_value: mean_latency_ms * counts.succeeded as f64,
     };
     UpstreamEndpointStats {
         address: Some(to_xds_address(addr)),
--- a/crates/test-support/src/fake_platform.rs
+++ b/crates/test-support/src/fake_platform.rs
@@ -65,7 +65,7 @@
     /// The stage of its rollout.
     pub stage: u64,
     /// The vote, `approve` or `reject`.
-    pub word: String,
+    pub decision: String,
 }
 
 impl FakePlatform {
@@ -113,10 +113,10 @@
         });
     }
 
-    /// Reports outcomes of requests; `mean_latency` in ms.
-    pub fn report_outcomes(&self, version: u32, class: &str, count: u64, failed: u64, mean_latency: f64) {
+    /// Reports outcomes of requests; `mean_latency_ms` in ms.
+    pub fn report_outcomes(&self, version: u32, class: &str, count: u64, failed: u64, mean_latency_ms: f64) {
         let object = json!({"version": version, "kind": class, "requests": count, "failures": failed,
-            "avgMs": mean_latency, "observedAgoMs": 500});
+            "avgMs": mean_latency_ms, "observedAgoMs": 500});
         self.feed.send_line(&json!({"type": "SAMPLE", "object": object}));
     }
 
@@ -149,7 +149,7 @@
     Some(Vote {
         version: vote["version"].as_u64()?,
         stage: vote["step"].as_u64()?,
-        word: vote["vote"].as_str()?.to_string(),
+        decision: vote["vote"].as_str()?.to_string(),
     })
 }
 
--- a/crates/test-support/src/fake_proxy.rs
+++ b/crates/test-support/src/fake_proxy.rs
@@ -46,7 +46,7 @@
     /// Increased to start a new stream.
     pub reconnects: u64,
     /// It stops permanently.
-    pub stops: bool,
+    pub is_stopped: bool,
 }
 
 /// The behavior of a proxy that has a service to connect to.
@@ -62,7 +62,7 @@
 ) -> Option<ConnectedBehavior> {
     loop {
         let current = behavior.borrow_and_update().clone();
-        if current.stops {
+        if current.is_stopped {
             return None;
         }
         if let Some(service) = current.service {
--- a/crates/test-support/src/gateway.rs
+++ b/crates/test-support/src/gateway.rs
@@ -152,7 +152,7 @@
     pub fn start_watching(servers: &[&FakeServer], change: impl FnOnce(&mut Value)) -> Self {
         let gateway = Self::start_with(servers, change);
         wait_until("the list is watched", || {
-            gateway.discovery.count_calls("GET /v1/servers?watch=1&after=5 ") == 1
+            gateway.discovery.count_calls_containing("GET /v1/servers?watch=1&after=5 ") == 1
         });
         gateway
     }
