--- a/crates/cli/src/demo/clients.rs
+++ b/crates/cli/src/demo/clients.rs
@@ -1,6 +1,6 @@
 //! Clients of the demo's gateway. Each sends one request after another and counts the outcomes.
 
-use latchhaven_test_support::postgres::{Client, outcome, select, startup};
+use latchhaven_test_support::postgres::{Client, query_result, select, startup};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 use std::thread;
@@ -71,7 +71,7 @@
             if response.is_empty() {
                 break;
             }
-            let counter = match outcome(&response) {
+            let counter = match query_result(&response) {
                 Ok(_) => &counters.succeeded,
                 Err(code) if REJECTED_SQLSTATES.contains(&code.0.as_str()) => &counters.rejected,
                 Err(_) => &counters.failed,
--- a/crates/cli/tests/gateway/attempts.rs
+++ b/crates/cli/tests/gateway/attempts.rs
@@ -6,7 +6,7 @@
 };
 use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
 use latchhaven_test_support::gateway::{Gateway, use_long_timeouts};
-use latchhaven_test_support::postgres::{Client, SqlState, insert, outcome, query, select};
+use latchhaven_test_support::postgres::{Client, SqlState, insert, query, query_result, select};
 use latchhaven_test_support::wait::wait_until;
 use rstest::rstest;
 use serde_json::json;
@@ -38,7 +38,7 @@
     let server = FakeServer::start(behavior);
     let gateway = Gateway::start(&[&server]);
     let response = gateway.client().query(&insert("a1", "pay", 1000));
-    assert_eq!(outcome(&response), expected.map(str::to_string).map_err(SqlState::from));
+    assert_eq!(query_result(&response), expected.map(str::to_string).map_err(SqlState::from));
     assert_eq!(response.iter().filter(|message| message.kind == b'Z').count(), 1);
     assert!(gateway.counter(counter) >= 1, "{counter}");
     // A non-idempotent request that may have been executed is not retried.
@@ -58,7 +58,10 @@
     unreachable.addr = closed.local_addr().unwrap();
     drop(closed);
     let gateway = Gateway::start(&[&unreachable]);
-    assert_eq!(outcome(&gateway.client().query(&insert("a1", "pay", 900))), Err(SqlState::from(REJECTED)));
+    assert_eq!(
+        query_result(&gateway.client().query(&insert("a1", "pay", 900))),
+        Err(SqlState::from(REJECTED))
+    );
     assert!(gateway.counter("attempts_unconnected_total") >= 1);
     assert!(server.queries().is_empty());
 }
@@ -68,7 +71,7 @@
 fn statement_is_forwarded_unchanged_except_for_its_remaining_time() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start(&[&server]);
-    assert_eq!(outcome(&gateway.client().query(&insert("a1", "pay", 1900))), Ok("a1".to_string()));
+    assert_eq!(query_result(&gateway.client().query(&insert("a1", "pay", 1900))), Ok("a1".to_string()));
     let text = server.queries()[0].text.clone();
     let remaining_ms = text.split("d=").nth(1).unwrap().split(',').next().unwrap().parse::<u32>().unwrap();
     assert!((1..=1900).contains(&remaining_ms), "{remaining_ms}");
@@ -89,7 +92,7 @@
     wait_until("the first connection is closed", || {
         first.history.lock().unwrap().closed_connections.contains(&0)
     });
-    assert_eq!(outcome(&client.read_response()), Err(SqlState::from(REJECTED)));
+    assert_eq!(query_result(&client.read_response()), Err(SqlState::from(REJECTED)));
     wait_until("all connections are closed", || {
         [&silent, &other].iter().all(|server| {
             let history = server.history.lock().unwrap();
@@ -112,7 +115,7 @@
     wait_until("one server has the query", || first.queries().len() + second.queries().len() == 1);
     let unused = if first.queries().is_empty() { &first } else { &second };
     unused.set_behavior(ServerBehavior::Succeed);
-    assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
+    assert_eq!(query_result(&client.read_response()), Ok("a1".to_string()));
     // The late row arrives meanwhile.
     thread::sleep(Duration::from_millis(300));
     assert_served(&mut client, "a2", 1900);
@@ -127,7 +130,7 @@
     let gateway = Gateway::start(&[&server]);
     let mut client = gateway.client();
     for n in 0..5 {
-        assert_eq!(outcome(&client.query(&insert(&format!("a{n}"), "pay", 1900))), Ok(format!("a{n}")));
+        assert_eq!(query_result(&client.query(&insert(&format!("a{n}"), "pay", 1900))), Ok(format!("a{n}")));
         wait_until("the connection is closed", || {
             server.history.lock().unwrap().closed_connections.len() == n + 1
         });
@@ -148,13 +151,13 @@
         };
         clients.iter_mut().enumerate().for_each(send);
         for client in &mut clients {
-            assert_eq!(outcome(&client.read_response()).unwrap().len(), 400_000);
+            assert_eq!(query_result(&client.read_response()).unwrap().len(), 400_000);
         }
     }
     assert_eq!((gateway.counter("malformed_responses_total"), gateway.counter("attempts_total")), (0, 32));
     // A length above the limit is rejected before the data is received.
     server.set_behavior(ServerBehavior::LargeValue(600_000));
-    assert_eq!(outcome(&clients[0].query(&insert("b", "pay", 15_000))), Err(SqlState::from("XX000")));
+    assert_eq!(query_result(&clients[0].query(&insert("b", "pay", 15_000))), Err(SqlState::from("XX000")));
 }
 
 /// A request that is written to a connection that the server has closed would be lost with an unknown outcome.
@@ -164,7 +167,7 @@
     let gateway = Gateway::start(&[&server]);
     let mut client = gateway.client();
     for n in 0..10 {
-        assert_eq!(outcome(&client.query(&insert(&format!("a{n}"), "pay", 900))), Ok(format!("a{n}")));
+        assert_eq!(query_result(&client.query(&insert(&format!("a{n}"), "pay", 900))), Ok(format!("a{n}")));
         wait_until("the connection is closed", || {
             server.history.lock().unwrap().closed_connections.len() == n + 1
         });
@@ -229,7 +232,7 @@
     wait_until("the window is over", || sent_at.elapsed() > DEDUPLICATION_WINDOW);
     server.set_behavior(ServerBehavior::Succeed);
     // Any error is valid, as long as the request is not sent again and other requests are.
-    let outcome = outcome(&client.read_response());
+    let outcome = query_result(&client.read_response());
     assert!(outcome.is_err(), "{outcome:?}");
     wait_until_served(&gateway);
     let sent = server.queries();
--- a/crates/cli/tests/gateway/client_limits.rs
+++ b/crates/cli/tests/gateway/client_limits.rs
@@ -7,7 +7,7 @@
 use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
 use latchhaven_test_support::gateway::{Gateway, use_long_timeouts};
 use latchhaven_test_support::platform_messages::{endpoint_list, host};
-use latchhaven_test_support::postgres::{Client, SqlState, outcome, query, select, startup};
+use latchhaven_test_support::postgres::{Client, SqlState, query, query_result, select, startup};
 use latchhaven_test_support::wait::wait_until;
 use rstest::rstest;
 use serde_json::json;
@@ -57,7 +57,7 @@
     let (gateway, mut busy) = gateway_at_connection_limit(&server);
     let mut more = Client::connect(gateway.addr);
     more.send(&startup());
-    assert_eq!(outcome(&more.read_response()), Err(SqlState::from(REJECTED)));
+    assert_eq!(query_result(&more.read_response()), Err(SqlState::from(REJECTED)));
     // A client is accepted once another has disconnected, or has been without a request for 50 ms and is evicted.
     drop(busy.pop());
     wait_until("the disconnect is counted", || gateway.counter("clients_disconnected_total") == 1);
@@ -108,7 +108,7 @@
     wait_until("the connection is closed", || {
         gateway.counter("protocol_errors_total") + gateway.counter("clients_timed_out_total") == 1
     });
-    assert_eq!(outcome(&client.read_response()), Err(SqlState::from("08P01")));
+    assert_eq!(query_result(&client.read_response()), Err(SqlState::from("08P01")));
 }
 
 /// Connections without a request must not use up the limit of client connections.
@@ -125,11 +125,11 @@
     wait_until("a client that sends requests is served", || {
         client.send(&[startup(), query(&select("a1", "look", 1900))].concat());
         let first = client.read_response();
-        let rejected = outcome(&first) == Err(SqlState::from(REJECTED));
+        let rejected = query_result(&first) == Err(SqlState::from(REJECTED));
         if rejected {
             client = Client::connect(gateway.addr);
         } else {
-            assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()), "{first:?}");
+            assert_eq!(query_result(&client.read_response()), Ok("a1".to_string()), "{first:?}");
         }
         !rejected
     });
@@ -159,10 +159,10 @@
     let mut late = Client::connect(gateway.addr);
     late.send(&[startup(), query(&select("b1", "look", 60_000))].concat());
     wait_until("accepting fails", || gateway.logged("accept failed"));
-    assert_eq!(outcome(&client.read_response()), Ok("a2".to_string()));
+    assert_eq!(query_result(&client.read_response()), Ok("a2".to_string()));
     limit_descriptors("256");
     late.read_response();
-    assert_eq!(outcome(&late.read_response()), Ok("b1".to_string()));
+    assert_eq!(query_result(&late.read_response()), Ok("b1".to_string()));
     assert!(gateway.is_alive());
 }
 
--- a/crates/cli/tests/gateway/client_sessions.rs
+++ b/crates/cli/tests/gateway/client_sessions.rs
@@ -7,7 +7,7 @@
 use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
 use latchhaven_test_support::gateway::{Gateway, use_long_timeouts};
 use latchhaven_test_support::postgres::{
-    Client, QueryResponse, SqlState, TypedMessage, insert, message, outcome, query, select, startup,
+    Client, QueryResponse, SqlState, TypedMessage, insert, message, query, query_result, select, startup,
 };
 use latchhaven_test_support::wait::wait_until;
 use rstest::rstest;
@@ -43,12 +43,12 @@
         .concat();
     all.chunks(all.len().div_ceil(parts)).for_each(|part| client.send(part));
     client.read_response();
-    assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
+    assert_eq!(query_result(&client.read_response()), Ok("a1".to_string()));
     assert_eq!(
         client.read_response(),
         [TypedMessage { kind: b'I', body: vec![] }, TypedMessage { kind: b'Z', body: b"I".to_vec() }]
     );
-    assert_eq!(outcome(&client.read_response()), Ok("a2".to_string()));
+    assert_eq!(query_result(&client.read_response()), Ok("a2".to_string()));
 }
 
 /// Only known statements with complete parameters may reach a server.
@@ -65,7 +65,7 @@
     let gateway = Gateway::start(&[&server]);
     let mut client = gateway.client();
     let response = client.query(text);
-    assert_eq!(outcome(&response), Err(SqlState::from(INVALID_QUERY)));
+    assert_eq!(query_result(&response), Err(SqlState::from(INVALID_QUERY)));
     assert_eq!(response.last(), Some(&TypedMessage { kind: b'Z', body: b"I".to_vec() }));
     assert_served(&mut client, "a2", 900);
     assert_eq!(server.queries().len(), 1);
@@ -85,7 +85,7 @@
     assert_eq!(response[0].kind, b'I');
     malformed.send(&bytes);
     let response = malformed.read_response();
-    assert_eq!(outcome(&response), Err(SqlState::from(PROTOCOL_VIOLATION)));
+    assert_eq!(query_result(&response), Err(SqlState::from(PROTOCOL_VIOLATION)));
     assert!(response[0].body.starts_with(FATAL_SEVERITY));
     assert_eq!(malformed.0.read(&mut [0]).unwrap(), 0);
     assert_served(&mut other, "a2", 900);
@@ -103,7 +103,7 @@
             .concat(),
     );
     let response = client.read_response();
-    assert_eq!(outcome(&response), Err(SqlState::from(FEATURE_NOT_SUPPORTED)));
+    assert_eq!(query_result(&response), Err(SqlState::from(FEATURE_NOT_SUPPORTED)));
     assert_eq!(response.len(), 2);
     client.send(&message(b'X', b""));
     assert_eq!(client.0.read(&mut [0]).unwrap(), 0);
@@ -120,11 +120,11 @@
     let (mut one, mut other) = (gateway.client(), gateway.client());
     one.send(&query(&insert("a1", "pay", 1900)));
     wait_until_received(&server, 1);
-    assert_eq!(outcome(&other.query(&insert("a1", "pay", 1900))), Err(SqlState::from(DUPLICATE_ID)));
-    assert_eq!(outcome(&one.read_response()), Ok("a1".to_string()));
+    assert_eq!(query_result(&other.query(&insert("a1", "pay", 1900))), Err(SqlState::from(DUPLICATE_ID)));
+    assert_eq!(query_result(&one.read_response()), Ok("a1".to_string()));
     assert_eq!(server.queries().len(), 1);
     // The id can be reused once its request is complete.
-    assert_eq!(outcome(&other.query(&insert("a1", "pay", 1900))), Ok("a1".to_string()));
+    assert_eq!(query_result(&other.query(&insert("a1", "pay", 1900))), Ok("a1".to_string()));
 }
 
 /// A client that sends nothing but invalid queries would occupy a connection without end.
@@ -135,7 +135,7 @@
     let mut client = gateway.client();
     client.send(&query("SELECT 1").repeat(200));
     let responses: Vec<QueryResponse> = (0..MAX_INVALID_QUERIES).map(|_| client.read_response()).collect();
-    assert!(responses.iter().all(|response| outcome(response) == Err(SqlState::from(INVALID_QUERY))));
+    assert!(responses.iter().all(|response| query_result(response) == Err(SqlState::from(INVALID_QUERY))));
     assert!(responses[MAX_INVALID_QUERIES - 1][0].body.starts_with(FATAL_SEVERITY));
     assert!(client.0.read(&mut [0]).map_or(true, |count| count == 0));
     assert_eq!(gateway.counter("invalid_queries_total"), MAX_INVALID_QUERIES as u64);
@@ -179,10 +179,10 @@
     let texts = [select("a1", "look", 20_000), select("a2", "look", 20_000), select("a3", "pay", 900)];
     client.send(&texts.map(|text| query(&text)).concat());
     for n in 1..3 {
-        assert_eq!(outcome(&client.read_response()), Ok(format!("a{n}")));
+        assert_eq!(query_result(&client.read_response()), Ok(format!("a{n}")));
     }
     // The deadline of the third passed while it was queued: it is rejected, and never sent to a server.
-    assert_eq!(outcome(&client.read_response()), Err(SqlState::from(REJECTED)));
+    assert_eq!(query_result(&client.read_response()), Err(SqlState::from(REJECTED)));
     let sent = server.queries();
     assert_eq!(sent.len(), 2, "{sent:?}");
     let sent_timeout =
@@ -201,9 +201,9 @@
     let expiring: Vec<Vec<u8>> = (2..200).map(|n| query(&select(&format!("a{n}"), "look", 500))).collect();
     let last = query(&select("b1", "look", 20_000));
     client.send(&[query(&select("a1", "look", 20_000)), expiring.concat(), last].concat());
-    assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
+    assert_eq!(query_result(&client.read_response()), Ok("a1".to_string()));
     for n in 2..200 {
-        assert_eq!(outcome(&client.read_response()), Err(SqlState::from(REJECTED)), "a{n}");
+        assert_eq!(query_result(&client.read_response()), Err(SqlState::from(REJECTED)), "a{n}");
     }
     assert!(client.read_response().last().is_some_and(|message| message.kind == b'Z'));
     assert!(
@@ -263,13 +263,13 @@
                     // A SET statement is rejected, and never sent to a server.
                     if n % 10 == index {
                         assert_eq!(
-                            outcome(&client.query("SET application_name = 'x'")),
+                            query_result(&client.query("SET application_name = 'x'")),
                             Err(SqlState::from(INVALID_QUERY))
                         );
                     }
                     let bytes = query(&text);
                     bytes.chunks(1 + n % 17).for_each(|part| client.send(part));
-                    assert_eq!(outcome(&client.read_response()), Ok(id));
+                    assert_eq!(query_result(&client.read_response()), Ok(id));
                 }
             })
         })
--- a/crates/cli/tests/gateway/configuration.rs
+++ b/crates/cli/tests/gateway/configuration.rs
@@ -5,7 +5,7 @@
 use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
 use latchhaven_test_support::gateway::{Gateway, gateway_config, spawn_gateway};
 use latchhaven_test_support::platform_messages::{endpoint_list, host, rollout_state, start_feed};
-use latchhaven_test_support::postgres::{outcome, query, select};
+use latchhaven_test_support::postgres::{query, query_result, select};
 use latchhaven_test_support::process::{program, read_log};
 use latchhaven_test_support::wait::wait_until;
 use rstest::rstest;
@@ -138,7 +138,7 @@
         new_discovery.count_calls_containing("watch=1&after=5 ") == 1
             && new_platform.count_calls_containing("GET /v1/feed") == 1
     });
-    assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
+    assert_eq!(query_result(&client.read_response()), Ok("a1".to_string()));
     // The earlier streams are closed once the new ones deliver, and stay closed after further signals.
     wait_until("the earlier watch is closed", || gateway.discovery.all_streams_closed());
     wait_until("the earlier feed is closed", || gateway.platform.all_streams_closed());
@@ -181,6 +181,6 @@
     wait_until_received(&server, 2);
     gateway.signal("TERM");
     gateway.signal("HUP");
-    assert_eq!(outcome(&busy.read_response()), Ok("a2".to_string()));
+    assert_eq!(query_result(&busy.read_response()), Ok("a2".to_string()));
     assert_eq!(gateway.wait_for_exit(), Some(0));
 }
--- a/crates/cli/tests/gateway/readiness.rs
+++ b/crates/cli/tests/gateway/readiness.rs
@@ -4,7 +4,7 @@
 use latchhaven_test_support::fake_http::{FakeHttpService, HttpReply, STREAM_HEAD, chunk};
 use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
 use latchhaven_test_support::gateway::Gateway;
-use latchhaven_test_support::postgres::{Client, QueryResponse, outcome, query, select, startup};
+use latchhaven_test_support::postgres::{Client, QueryResponse, query, query_result, select, startup};
 use latchhaven_test_support::wait::wait_until;
 use serde_json::json;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
@@ -87,6 +87,6 @@
     client.send(&[startup(), query(""), query(&select("a1", "look", 900))].concat());
     assert_eq!(client.read_response().last().unwrap().kind, b'Z');
     assert_eq!(message_types(&client.read_response()), EMPTY_QUERY_RESPONSE);
-    assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
+    assert_eq!(query_result(&client.read_response()), Ok("a1".to_string()));
     assert_eq!(discovery.received_calls(), 1, "the first call is still pending");
 }
--- a/crates/cli/tests/gateway/shutdown.rs
+++ b/crates/cli/tests/gateway/shutdown.rs
@@ -3,7 +3,7 @@
 use crate::support::{FAILED, REJECTED, assert_served, contains, pause, read_to_end, wait_until_received};
 use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
 use latchhaven_test_support::gateway::{Gateway, spawn_gateway, use_long_timeouts};
-use latchhaven_test_support::postgres::{Client, SqlState, insert, outcome, query, select, startup};
+use latchhaven_test_support::postgres::{Client, SqlState, insert, query, query_result, select, startup};
 use latchhaven_test_support::process::wait_for_address;
 use latchhaven_test_support::wait::{MAX_WAIT, wait_until};
 use serde_json::json;
@@ -29,7 +29,7 @@
     // New connections are still accepted.
     let mut late = gateway.client();
     assert_served(&mut late, "b1", 1900);
-    assert_eq!(outcome(&busy.read_response()), Ok("a1".to_string()));
+    assert_eq!(query_result(&busy.read_response()), Ok("a1".to_string()));
     assert_eq!(busy.0.read(&mut [0]).unwrap(), 0);
     assert_eq!(gateway.wait_for_exit(), Some(0));
     assert!(gateway.logged(" requests_succeeded_total=3 "));
@@ -58,7 +58,7 @@
     gateway.signal("TERM");
     wait_until("shutdown has begun", || gateway.logged("shutdown started"));
     new.send(&query(&select("a1", "look", 1900)));
-    assert_eq!(outcome(&new.read_response()), Ok("a1".to_string()));
+    assert_eq!(query_result(&new.read_response()), Ok("a1".to_string()));
     assert_eq!(read_to_end(&mut new).expect("closed without a reset"), b"");
     assert_eq!(gateway.wait_for_exit(), Some(0));
 }
@@ -95,10 +95,10 @@
     wait_until("shutdown has begun", || gateway.logged("shutdown started"));
     // A part of the last query has arrived; the rest is sent once the two before it are complete.
     for n in 1..3 {
-        assert_eq!(outcome(&client.read_response()), Ok(format!("a{n}")));
+        assert_eq!(query_result(&client.read_response()), Ok(format!("a{n}")));
     }
     client.send(rest);
-    assert_eq!(outcome(&client.read_response()), Ok("a3".to_string()));
+    assert_eq!(query_result(&client.read_response()), Ok("a3".to_string()));
     assert_eq!(read_to_end(&mut client).expect("closed without a reset"), b"");
     drop(client);
     assert_eq!(gateway.wait_for_exit(), Some(0));
@@ -121,7 +121,7 @@
             }
         }
     });
-    assert_eq!(outcome(&client.read_response()), Ok("a0".to_string()));
+    assert_eq!(query_result(&client.read_response()), Ok("a0".to_string()));
     gateway.signal("TERM");
     let (mut responses, started_at) = (0, Instant::now());
     // Each response is complete and in order, and no bytes follow the last one.
@@ -133,7 +133,7 @@
         responses += 1;
         assert!(started_at.elapsed() < MAX_WAIT, "the connection stays open");
         assert!(response.last().is_some_and(|message| message.kind == b'Z'), "{response:?}");
-        let outcome = outcome(&response);
+        let outcome = query_result(&response);
         assert!(outcome.is_err() || outcome == Ok(format!("a{responses}")));
     }
     drop(client);
@@ -159,7 +159,7 @@
     gateway.signal("CONT");
     for client in &mut late {
         client.read_response();
-        assert_eq!(outcome(&client.read_response()), Err(SqlState::from(REJECTED)));
+        assert_eq!(query_result(&client.read_response()), Err(SqlState::from(REJECTED)));
     }
     drop(late);
     assert_eq!(gateway.wait_for_exit(), Some(0));
@@ -181,8 +181,8 @@
     client.send(&query(&select("a2", "look", 60_000)));
     // The first was sent and may have been executed; it is abandoned so that the second can be rejected, which was
     // never sent.
-    assert_eq!(outcome(&client.read_response()), Err(SqlState::from(FAILED)));
-    assert_eq!(outcome(&client.read_response()), Err(SqlState::from(REJECTED)));
+    assert_eq!(query_result(&client.read_response()), Err(SqlState::from(FAILED)));
+    assert_eq!(query_result(&client.read_response()), Err(SqlState::from(REJECTED)));
     assert_eq!(read_to_end(&mut client).expect("closed without a reset"), b"");
     assert!(contains(&read_to_end(&mut without_request).unwrap(), REJECTED));
     assert_eq!((gateway.wait_for_exit(), server.queries().len()), (Some(0), 1));
--- a/crates/cli/tests/gateway/stale_list.rs
+++ b/crates/cli/tests/gateway/stale_list.rs
@@ -4,7 +4,7 @@
 use latchhaven_test_support::fake_http::{FakeHttpService, HttpReply, response};
 use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
 use latchhaven_test_support::gateway::Gateway;
-use latchhaven_test_support::postgres::{Client, SqlState, outcome, select};
+use latchhaven_test_support::postgres::{Client, SqlState, query_result, select};
 use serde_json::json;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -28,7 +28,7 @@
 }
 
 fn send_request(client: &mut Client, id: &str) -> Result<String, SqlState> {
-    outcome(&client.query(&select(id, "look", 900)))
+    query_result(&client.query(&select(id, "look", 900)))
 }
 
 /// A gateway that has served a request of this client, and whose discovery service has failed since the returned time.
--- a/crates/cli/tests/gateway/support.rs
+++ b/crates/cli/tests/gateway/support.rs
@@ -2,7 +2,7 @@
 
 use latchhaven_test_support::fake_server::FakeServer;
 use latchhaven_test_support::gateway::Gateway;
-use latchhaven_test_support::postgres::{Client, outcome, select};
+use latchhaven_test_support::postgres::{Client, query_result, select};
 use latchhaven_test_support::wait::wait_until;
 use std::io::Read;
 
@@ -30,7 +30,7 @@
 /// `timeout` in ms.
 #[track_caller]
 pub(crate) fn assert_served(client: &mut Client, id: &str, timeout: u32) {
-    assert_eq!(outcome(&client.query(&select(id, "look", timeout))), Ok(id.to_string()));
+    assert_eq!(query_result(&client.query(&select(id, "look", timeout))), Ok(id.to_string()));
 }
 
 /// Waits until a server has received this number of queries.
@@ -48,7 +48,7 @@
     let mut number = 0;
     wait_until("a request is served", || {
         number += 1;
-        outcome(&gateway.client().query(&select(&format!("b{number}"), "look", 15_000)))
+        query_result(&gateway.client().query(&select(&format!("b{number}"), "look", 15_000)))
             == Ok(format!("b{number}"))
     });
 }
--- a/crates/cli/tests/gateway/upstream_pool.rs
+++ b/crates/cli/tests/gateway/upstream_pool.rs
@@ -9,7 +9,7 @@
 use latchhaven_test_support::fake_server::{FakeServer, ReceivedQuery, ServerBehavior};
 use latchhaven_test_support::gateway::{Gateway, use_long_timeouts};
 use latchhaven_test_support::platform_messages::{endpoint_list, host, rollout_state};
-use latchhaven_test_support::postgres::{Client, insert, outcome, query, row, select};
+use latchhaven_test_support::postgres::{Client, insert, query, query_result, row, select};
 use latchhaven_test_support::wait::wait_until;
 use rstest::rstest;
 use serde_json::json;
@@ -140,7 +140,7 @@
         .iter_mut()
         .enumerate()
         .for_each(|(n, other)| other.send(&query(&select(&format!("b{n}"), "look", 900))));
-    let outcomes: Vec<_> = others.iter_mut().map(|other| outcome(&other.read_response())).collect();
+    let outcomes: Vec<_> = others.iter_mut().map(|other| query_result(&other.read_response())).collect();
     assert_eq!(outcomes, [Ok("b0".to_string()), Ok("b1".to_string())]);
     let (first, second) = (server.queries()[5].connection, server.queries()[6].connection);
     assert_ne!(first, second);
@@ -294,7 +294,7 @@
     let gateway = Gateway::start_watching(&[&stuck], use_long_timeouts);
     let mut client = client_with_queued_request(&gateway, &stuck);
     gateway.discovery.send_line(&endpoint_list(9, true, &[host("s0", good.addr, "up", 1)]));
-    assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
+    assert_eq!(query_result(&client.read_response()), Ok("a1".to_string()));
     assert_eq!(gateway.counter("attempts_not_sent_total"), 1);
 }
 
@@ -310,7 +310,7 @@
         stuck.history.lock().unwrap().connections == 2
     });
     stuck.set_behavior(ServerBehavior::Succeed);
-    assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
+    assert_eq!(query_result(&client.read_response()), Ok("a1".to_string()));
 }
 
 /// After a suspension, the end of a handshake and the update that replaces its endpoint are both pending: the update
@@ -326,7 +326,7 @@
     thread::sleep(Duration::from_millis(100));
     gateway.discovery.send_line(&endpoint_list(9, true, &[host("s0", good.addr, "up", 1)]));
     gateway.signal("CONT");
-    assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
+    assert_eq!(query_result(&client.read_response()), Ok("a1".to_string()));
     assert_eq!((stuck.queries().len(), good.queries().len()), (0, 1));
 }
 
@@ -342,6 +342,6 @@
     wait_until_received(&server, 2);
     server.set_behavior(ServerBehavior::NeverHandshake);
     second.send(&query(&insert("a3", "pay", 15_000)));
-    assert_eq!(outcome(&first.read_response()), Ok("a2".to_string()));
-    assert_eq!(outcome(&second.read_response()), Ok("a3".to_string()));
+    assert_eq!(query_result(&first.read_response()), Ok("a2".to_string()));
+    assert_eq!(query_result(&second.read_response()), Ok("a3".to_string()));
 }
--- a/crates/experiments/src/soak/clients.rs
+++ b/crates/experiments/src/soak/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: each uses one connection for as long as it is open, also while its gateway shuts down.
 
 use latchhaven_test_support::history::{RequestEnd, RequestRecord};
-use latchhaven_test_support::postgres::{insert, outcome, query, read_message, select, startup};
+use latchhaven_test_support::postgres::{insert, query, query_result, read_message, select, startup};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::io::{ErrorKind, Write};
@@ -140,7 +140,7 @@
             break;
         }
     }
-    match outcome(&messages) {
+    match query_result(&messages) {
         Ok(value) if value == id => RequestEnd::Served,
         Ok(_) => RequestEnd::WrongValue,
         Err(code) if REJECTIONS.contains(&code.0.as_str()) => RequestEnd::Rejected,
--- a/crates/test-support/src/postgres.rs
+++ b/crates/test-support/src/postgres.rs
@@ -161,7 +161,7 @@
 ///
 /// # Panics
 /// A value is not UTF-8, or an error has no SQLSTATE.
-pub fn outcome(response: &[TypedMessage]) -> Result<String, SqlState> {
+pub fn query_result(response: &[TypedMessage]) -> Result<String, SqlState> {
     for message in response {
         match message.kind {
             b'D' => {
