--- a/crates/test-support/src/history.rs
+++ b/crates/test-support/src/history.rs
@@ -1,141 +1,143 @@
-//! The records of clients, servers, discovery and processes during a run, and the rules that they are checked against.
+//! The records of clients, servers, discovery and processes during a run, and a checker of the rules that every run
+//! must follow.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time since the start of the run.
+/// An instant, as the time since the start of the run.
 pub type Moment = Duration;
 
-/// The longest delay of an answer after the timeout of its request.
-const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// A change counts as reported to a gateway this long after discovery was reachable, even if it did not arrive.
+/// A final status may arrive this long after the timeout of its request.
+const FINAL_STATUS_TOLERANCE: Duration = Duration::from_millis(500);
+/// A gateway that can reach discovery counts as notified of a change of the list after this time, even if no list with
+/// the change was written to that gateway.
 const MAX_UPDATE_DELAY: Duration = Duration::from_secs(6);
-/// The longest delay of a record after its event.
-const RECORDING_SLACK: Duration = Duration::from_millis(300);
-/// A connection that closes this soon after a query may have been closed before the query arrived.
-const MAX_CROSSING: Duration = Duration::from_millis(50);
+/// An event may be recorded this long after it happened.
+const RECORDING_TOLERANCE: Duration = Duration::from_millis(300);
+/// If a connection closes this soon after a query was sent, the gateway may have closed it before the query arrived.
+const MAX_CLOSE_RACE_DURATION: Duration = Duration::from_millis(50);
 
-/// The end of a request for its client.
+/// How a request ended, as seen by its client. The soak experiment prints the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// It got its own value.
+    /// The response contains the request's own value.
     Served,
-    /// It got the value of another request.
+    /// The response contains the value of another request.
     WrongValue,
-    /// It was rejected: definitely not executed.
+    /// The response is an error that means "not executed".
     Rejected,
-    /// It got an error: possibly executed.
+    /// The response is an error after which the request may have been executed.
     Failed,
-    /// Its connection ended without an answer.
+    /// The connection was closed without a complete response.
     Closed,
-    /// It got no answer.
+    /// No complete response arrived on the open connection before the client stopped waiting.
     Unanswered,
 }
 
 /// A request, as recorded by its client.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// Its id.
+    /// The id, which is unique in a run.
     pub id: String,
-    /// Its gateway.
+    /// The index of the gateway that received the request.
     pub gateway: usize,
-    /// It must be executed once at most.
+    /// Set when the request must not be executed more than once.
     pub is_non_idempotent: bool,
-    /// When its last byte was written.
+    /// When the last byte of the query was written.
     pub sent_at: Moment,
-    /// The client's timeout.
+    /// The timeout that the client sent with the request, counted from `sent_at`.
     pub timeout: Duration,
-    /// How it ended.
+    /// How the request ended.
     pub end: RequestEnd,
-    /// When it ended.
+    /// When the client received the response, noticed the close, or stopped waiting.
     pub ended_at: Moment,
 }
 
 /// A query that arrived at a server.
 #[derive(Clone, Debug)]
 pub struct ArrivalRecord {
-    /// The id of its request.
+    /// The id of the request that the query belongs to.
     pub id: String,
-    /// The server.
+    /// The index of the server.
     pub server: usize,
-    /// When it arrived.
+    /// When the server received the query.
     pub at: Moment,
-    /// It was possibly executed.
+    /// Set when the query may have been executed.
     pub is_executed: bool,
 }
 
-/// A change of the endpoint list.
+/// A change of a server's status in the endpoint list.
 #[derive(Clone, Debug)]
 pub struct StatusChangeRecord {
-    /// The server.
+    /// The index of the server.
     pub server: usize,
-    /// When it was listed.
+    /// When the list changed.
     pub at: Moment,
-    /// It accepts new requests.
+    /// Set when the server is listed as ready for new requests; otherwise draining or removed.
     pub is_ready: bool,
-    /// When it was written to each gateway; gateways without an entry did not get it.
+    /// When a list with the change was first written to each gateway; no entry for gateways to which none was written.
     pub written_at: BTreeMap<usize, Moment>,
 }
 
-/// A change of a gateway's process.
+/// A start or a signal of a gateway's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessEvent {
-    /// It was started.
+    /// The process was started.
     Started,
-    /// It got SIGTERM.
+    /// SIGTERM was sent, which requests a shutdown.
     Terminated,
-    /// It got SIGKILL.
+    /// SIGKILL was sent.
     Killed,
 }
 
-/// A change of a gateway's process, and its time.
+/// An event of a gateway's process, and when it happened.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessRecord {
-    /// The gateway.
+    /// The index of the gateway.
     pub gateway: usize,
-    /// The time.
+    /// When the event happened.
     pub at: Moment,
-    /// The change.
+    /// What happened.
     pub event: ProcessEvent,
 }
 
-/// A time in which a gateway could not reach discovery.
+/// A period in which a gateway could not reach discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct OutageRecord {
-    /// The gateway.
+    /// The index of the gateway.
     pub gateway: usize,
-    /// The start.
+    /// The start of the period, inclusive.
     pub from: Moment,
-    /// The end.
+    /// The end of the period, exclusive.
     pub until: Moment,
 }
 
-/// A violation of a rule.
+/// A violation of a rule. The soak experiment prints violations by the names of their variants and fields.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// A request got no final answer before its timeout.
+    /// A request received no final status in time, or a wrong value.
     Lost {
-        /// The request.
+        /// The id of the request.
         id: String,
-        /// How it ended.
+        /// How the request ended.
         end: RequestEnd,
     },
     /// A non-idempotent request was executed more than once, or was executed and rejected.
     Duplicate {
-        /// The request.
+        /// The id of the request.
         id: String,
     },
-    /// A query arrived at a server that the gateway knew to be draining or removed.
+    /// A query arrived at a server although the gateway had been notified that the server was draining or removed.
     Drain {
-        /// The request.
+        /// The id of the request.
         id: String,
-        /// Its gateway.
+        /// The index of the gateway that sent the query.
         gateway: usize,
-        /// The server.
+        /// The index of the server.
         server: usize,
-        /// When it arrived.
+        /// When the query arrived.
         at: Moment,
-        /// The time since its gateway was notified.
+        /// The time from the notification of the gateway to the arrival.
         after: Duration,
     },
 }
@@ -143,20 +145,21 @@
 /// All records of a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// Requests.
+    /// The requests of all clients, in any order.
     pub requests: Vec<RequestRecord>,
-    /// Queries at servers.
+    /// The queries that arrived at all servers, in any order.
     pub arrivals: Vec<ArrivalRecord>,
-    /// Changes of the list, in order.
+    /// The changes of the endpoint list, in order.
     pub status_changes: Vec<StatusChangeRecord>,
-    /// Starts and ends of processes, in order.
+    /// The starts and signals of the gateways' processes, in order.
     pub processes: Vec<ProcessRecord>,
-    /// Outages of discovery.
+    /// The periods in which gateways could not reach discovery, in any order.
     pub outages: Vec<OutageRecord>,
 }
 
 impl History {
-    /// All violations; `drain_grace`: how long after its notification a gateway may send queries to a draining server.
+    /// All violations of the rules. `drain_grace` is how long a gateway may continue to send queries to a draining
+    /// server after the notification.
     pub fn violations(&self, drain_grace: Duration) -> Vec<Violation> {
         let lost = self.requests.iter().filter(|request| self.is_lost(request));
         let mut violations: Vec<Violation> =
@@ -167,7 +170,7 @@
         for arrival in &self.arrivals {
             if let Some(gateway) = gateways.get(arrival.id.as_str())
                 && let Some(after) = self.time_since_notified(*gateway, arrival)
-                && after > drain_grace + RECORDING_SLACK
+                && after > drain_grace + RECORDING_TOLERANCE
             {
                 violations.push(Violation::Drain {
                     id: arrival.id.clone(),
@@ -185,29 +188,33 @@
         match request.end {
             RequestEnd::WrongValue => true,
             RequestEnd::Served | RequestEnd::Rejected | RequestEnd::Failed => {
-                request.ended_at > request.sent_at + request.timeout + ANSWER_SLACK + RECORDING_SLACK
+                request.ended_at
+                    > request.sent_at + request.timeout + FINAL_STATUS_TOLERANCE + RECORDING_TOLERANCE
             }
-            RequestEnd::Closed if self.may_have_crossed(request) => false,
-            RequestEnd::Closed | RequestEnd::Unanswered => !self.was_killed_outright(request),
+            RequestEnd::Closed if self.may_have_been_closed_before_arrival(request) => false,
+            RequestEnd::Closed | RequestEnd::Unanswered => !self.was_killed_while_pending(request),
         }
     }
 
-    /// A process that is shutting down may close a connection on which it has read no query.
-    fn may_have_crossed(&self, request: &RequestRecord) -> bool {
-        let is_ending = self.last_event(request.gateway, request.ended_at) == Some(ProcessEvent::Terminated);
-        is_ending && request.ended_at <= request.sent_at + MAX_CROSSING
+    /// Returns `true` if the query may have arrived after the gateway closed the connection: a gateway that is shutting
+    /// down may close a connection on which it has read no query.
+    fn may_have_been_closed_before_arrival(&self, request: &RequestRecord) -> bool {
+        let is_shutting_down =
+            self.last_event(request.gateway, request.ended_at) == Some(ProcessEvent::Terminated);
+        is_shutting_down && request.ended_at <= request.sent_at + MAX_CLOSE_RACE_DURATION
     }
 
-    /// The process was killed without notice while the request was in flight.
-    fn was_killed_outright(&self, request: &RequestRecord) -> bool {
+    /// Returns `true` if SIGKILL was sent while the request was pending, without SIGTERM since the start of the
+    /// process.
+    fn was_killed_while_pending(&self, request: &RequestRecord) -> bool {
         let mut was_terminated = false;
         for record in self.processes.iter().filter(|record| record.gateway == request.gateway) {
             match record.event {
                 ProcessEvent::Started => was_terminated = false,
                 ProcessEvent::Terminated => was_terminated = true,
                 ProcessEvent::Killed => {
-                    let is_during = record.at + RECORDING_SLACK >= request.sent_at
-                        && record.at <= request.ended_at + RECORDING_SLACK;
+                    let is_during = record.at + RECORDING_TOLERANCE >= request.sent_at
+                        && record.at <= request.ended_at + RECORDING_TOLERANCE;
                     if is_during && !was_terminated {
                         return true;
                     }
@@ -235,14 +242,13 @@
         duplicated.map(|request| Violation::Duplicate { id: request.id.clone() }).collect()
     }
 
-    /// The time since the gateway was notified that a server is draining or removed; none if the server is ready or the
-    /// gateway was not notified.
+    /// The time since the gateway was notified that the server is draining or removed. `None` if the server is ready,
+    /// or the gateway was not notified before the query arrived.
     fn time_since_notified(&self, gateway: usize, arrival: &ArrivalRecord) -> Option<Duration> {
-        let listed = self
-            .status_changes
-            .iter()
-            .filter(|change| change.server == arrival.server && change.at <= arrival.at + RECORDING_SLACK);
-        // Only the first change after the last listing as ready counts.
+        let listed = self.status_changes.iter().filter(|change| {
+            change.server == arrival.server && change.at <= arrival.at + RECORDING_TOLERANCE
+        });
+        // The notification is the first change after the server was last listed as ready.
         let listed: Vec<&StatusChangeRecord> = listed.collect();
         let since_ready = listed.iter().rposition(|change| change.is_ready).map_or(0, |index| index + 1);
         let first = listed.get(since_ready)?;
@@ -260,7 +266,7 @@
         change.written_at.get(&gateway).map_or(notified_at, |written_at| notified_at.min(*written_at))
     }
 
-    /// The start of the process that ran at a time.
+    /// When the process that ran at this instant was started.
     fn started_at(&self, gateway: usize, at: Moment) -> Moment {
         let starts = self.processes.iter().filter(|record| {
             record.gateway == gateway && record.event == ProcessEvent::Started && record.at <= at
