--- a/crates/test-support/src/fake_load_reports.rs
+++ b/crates/test-support/src/fake_load_reports.rs
@@ -1,6 +1,7 @@
-//! Load reports of an xDS proxy about requests that were not sent.
+//! Load reports of an xDS proxy about simulated requests: the reported outcomes are drawn at random, no request is
+//! sent.
 
-use crate::fake_proxy::{FakeProxy, ProxyBehavior, RECONNECT_INTERVAL, connect, wait_for_service};
+use crate::fake_proxy::{FakeProxy, MAX_RECONNECT_BACKOFF, ProxyBehavior, connect, wait_for_service};
 use crate::resource_cache::{CachedEndpoint, ResourceCache};
 use bytes::Bytes;
 use latchhaven_xds::codec::ChunkCodec;
@@ -27,23 +28,23 @@
 use tonic::codegen::http::uri::PathAndQuery;
 use tonic::{Request, Status};
 
-/// The path of load reports.
 const LOAD_REPORTS_PATH: &str = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats";
-/// Reports that are queued at most.
 const MAX_QUEUED_REPORTS: usize = 4;
-/// Endpoints of each cluster in one report at most.
+/// Endpoints in one report, for each cluster.
 const MAX_REPORTED_ENDPOINTS: usize = 5;
-/// Time between two reports.
+/// Each report covers this interval.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Reports begin within this many ms of their stream.
-const MAX_START_DELAY: u64 = 1000;
-/// The sum of all weights of a route.
+/// The first report is sent after a random delay below this, so that proxies do not all report at the same time.
+const MAX_START_DELAY_MS: u64 = 1000;
+/// The sum of the cluster weights of a route, which are in parts per million.
 const TOTAL_WEIGHT: f64 = 1e6;
+/// Maps proxy numbers to distant seeds. Not the multiplier of the proxies' streams, so that both draw independently.
+const PROXY_SEED_MULTIPLIER: u64 = 0x2545_f491_4f6c_dd1d;
 
-/// Sends load reports until the service ends the stream.
+/// Sends load reports on one stream until the service closes it, or the sender of `reports` is dropped.
 ///
 /// # Errors
-/// The status with which the stream ended.
+/// The connection cannot be opened, or the service closes the stream with an error status.
 pub async fn send_load_reports(
     service: SocketAddr, mut reports: mpsc::Receiver<LoadStatsRequest>,
 ) -> Result<(), Status> {
@@ -71,31 +72,32 @@
     vec![Bytes::from(report.encode_to_vec())]
 }
 
-/// The outcomes of requests to one cluster.
+/// The outcomes to report for requests to one cluster.
 #[derive(Clone, Copy, Debug)]
 pub struct ClusterOutcome {
-    /// The share that fails, from 0 to 1.
+    /// The probability that a request fails, from 0 to 1.
     pub failure_share: f64,
-    /// The mean latency of the others, in ms.
+    /// The mean latency of the requests that succeed.
     pub mean_latency_ms: f64,
 }
 
-/// The outcomes of requests by cluster name.
+/// Maps the name of a cluster to the outcomes to report.
 pub type ClusterOutcomes = Arc<dyn Fn(&str) -> ClusterOutcome + Send + Sync>;
 
-/// The requests that a proxy reports.
+/// The load that a proxy reports.
 #[derive(Clone)]
 pub struct ReportedLoad {
-    /// Names of the request classes.
+    /// The names of the request classes that have requests.
     pub classes: &'static [&'static str],
-    /// Requests of each class in one second.
+    /// Requests of each class.
     pub requests_per_second: u64,
-    /// Their outcomes.
+    /// The outcomes of the requests, by cluster.
     pub outcomes: ClusterOutcomes,
 }
 
 impl ReportedLoad {
-    /// A report over one second in which the requests were routed by the resources of a cache.
+    /// A report over one second, with requests distributed over clusters and endpoints as the cached resources require.
+    /// `node` is the node id of the proxy.
     pub fn report(&self, cache: &ResourceCache, node: &str, rng: &mut Pcg64Mcg) -> LoadStatsRequest {
         let mut clusters = Vec::new();
         for class in self.classes {
@@ -141,7 +143,8 @@
     failed: u64,
 }
 
-/// Distributes requests over a few endpoints, and draws which of them fail.
+/// Distributes requests evenly over at most [`MAX_REPORTED_ENDPOINTS`] endpoints, beginning at a random one, and draws
+/// which requests fail.
 fn draw_counts(
     endpoints: &[CachedEndpoint], count: u64, failure_share: f64, rng: &mut Pcg64Mcg,
 ) -> BTreeMap<SocketAddr, Counts> {
@@ -177,28 +180,29 @@
 }
 
 impl FakeProxy {
-    /// Reports its load once a second while it is connected.
+    /// Sends a load report each second while the behavior has a service. Returns when the behavior stops the proxy, or
+    /// its sender is dropped.
     pub async fn run_load_reports(
         self, mut behavior: watch::Receiver<ProxyBehavior>, seed: u64, load: ReportedLoad,
     ) {
-        let proxy_seed = seed ^ (self.number as u64 + 1).wrapping_mul(0x2545_f491_4f6c_dd1d);
+        let proxy_seed = seed ^ (self.number as u64 + 1).wrapping_mul(PROXY_SEED_MULTIPLIER);
         let mut rng = Pcg64Mcg::seed_from_u64(proxy_seed);
         loop {
             let Some(connected) = wait_for_service(&mut behavior).await else { return };
             let (reports, report_receiver) = mpsc::channel(1);
             select! {
-                _ = send_load_reports(connected.service, report_receiver) => sleep(RECONNECT_INTERVAL).await,
-                () = self.make_reports(&load, reports, &mut rng) => {}
+                _ = send_load_reports(connected.service, report_receiver) => sleep(MAX_RECONNECT_BACKOFF).await,
+                () = self.produce_reports(&load, reports, &mut rng) => {}
                 changed = behavior.changed() => if changed.is_err() { return },
             }
         }
     }
 
-    async fn make_reports(
+    async fn produce_reports(
         &self, load: &ReportedLoad, reports: mpsc::Sender<LoadStatsRequest>, rng: &mut Pcg64Mcg,
     ) {
         let node = self.node();
-        sleep(Duration::from_millis(rng.random_range(0..MAX_START_DELAY))).await;
+        sleep(Duration::from_millis(rng.random_range(0..MAX_START_DELAY_MS))).await;
         loop {
             let report = load.report(&self.cache(), &node, rng);
             if reports.send(report).await.is_err() {
--- a/crates/test-support/src/fake_platform.rs
+++ b/crates/test-support/src/fake_platform.rs
@@ -1,4 +1,5 @@
-//! Service discovery and a platform with a state: calls get the state, and open streams get every change.
+//! Service discovery and a platform with a common state: a call receives the current state, an open stream receives
+//! each change.
 
 use crate::fake_http::{FakeHttpService, HttpCall, HttpReply, chunk, response};
 use crate::lock_ignoring_poison;
@@ -9,26 +10,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Interval of keepalives: the feed promises one every second, service discovery every two.
+/// Less than the promised intervals: the feed promises a keepalive every second, service discovery every two seconds.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(900);
+/// The age of an outcome report when it is sent.
+const OUTCOME_REPORT_AGE_MS: u64 = 500;
 
 #[derive(Debug)]
 struct State {
     list_version: u64,
     hosts: Vec<Value>,
     rollout: Value,
-    rollout_since: Instant,
+    rollout_updated_at: Instant,
 }
 
 impl State {
     /// The rollout state with its current age.
     fn rollout(&self) -> Value {
         let mut rollout = self.rollout.clone();
-        rollout["observedAgoMs"] = json!(self.rollout_since.elapsed().as_millis() as u64);
+        rollout["observedAgoMs"] = json!(self.rollout_updated_at.elapsed().as_millis() as u64);
         rollout
     }
 
-    /// The reply of service discovery to a fetch, or to a watch after a version.
+    /// The reply of service discovery: the complete list to a fetch; a stream to a watch, which begins with the list
+    /// unless the watch names the current version.
     fn discovery_reply(&self, request_line: &str) -> HttpReply {
         let list = endpoint_list(self.list_version, true, &self.hosts).to_string();
         let Some(after) = request_line.split("after=").nth(1) else {
@@ -38,7 +42,7 @@
         HttpReply::stream(if is_current { "" } else { &list })
     }
 
-    /// The reply of the platform to a vote, or to a call for the feed.
+    /// The reply of the platform: the rollout state to a vote; to any other call, a feed that begins with that state.
     fn platform_reply(&self, request_line: &str) -> HttpReply {
         if is_vote(request_line) {
             return HttpReply::KeepOpen(response(200, &self.rollout().to_string()));
@@ -47,34 +51,34 @@
     }
 }
 
-/// Service discovery and the platform.
+/// Service discovery and the platform, which send keepalives on all open streams until the process exits.
 #[derive(Clone)]
 pub struct FakePlatform {
     state: Arc<Mutex<State>>,
-    /// Service discovery.
+    /// The service that returns and streams the endpoint list.
     pub discovery: FakeHttpService,
-    /// The platform's feed, which also receives votes.
+    /// The service that streams rollout states and outcome reports, and receives votes.
     pub feed: FakeHttpService,
 }
 
-/// One vote on a stage of a rollout.
+/// A gateway's or control service's vote on one stage of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Vote {
-    /// The version that is voted on.
+    /// The number of the version that is rolled out.
     pub version: u64,
-    /// The stage of its rollout.
+    /// The index of the stage in the rollout, from 0.
     pub stage: u64,
-    /// The vote, `approve` or `reject`.
+    /// `approve` or `reject`, the value of the key `vote`.
     pub decision: String,
 }
 
 impl FakePlatform {
-    /// Starts with an endpoint list at this version, and a rollout state.
+    /// Starts both services with the initial endpoint list and its version, and the initial rollout state.
     ///
     /// # Panics
-    /// A socket cannot be opened.
+    /// No listening socket can be opened.
     pub fn start(list_version: u64, hosts: Vec<Value>, rollout: Value) -> Self {
-        let state = State { list_version, hosts, rollout, rollout_since: Instant::now() };
+        let state = State { list_version, hosts, rollout, rollout_updated_at: Instant::now() };
         let state = Arc::new(Mutex::new(state));
         let discovery_state = state.clone();
         let discovery =
@@ -85,7 +89,8 @@
         FakePlatform { state, discovery, feed }
     }
 
-    /// Replaces or adds hosts; those with the health `removed` are removed. Returns the list's version.
+    /// Adds hosts or replaces those with the same id, except that hosts with the health `removed` leave the list. Sends
+    /// the change to all watches under the next version, and returns that version.
     pub fn update_hosts(&self, hosts: &[Value]) -> u64 {
         let mut version = 0;
         self.discovery.send_line_with(|| {
@@ -103,29 +108,30 @@
         version
     }
 
-    /// Changes the rollout state.
+    /// Changes the rollout state and sends it to all open feeds. `cap` is the largest share of canary traffic, from 0
+    /// to 1.
     pub fn update_rollout(&self, version: u32, stage: u32, status: &str, cap: f64) {
         self.feed.send_line_with(|| {
             let mut current = lock_ignoring_poison(&self.state);
             current.rollout = rollout_state(version, stage, status, cap);
-            current.rollout_since = Instant::now();
+            current.rollout_updated_at = Instant::now();
             rollout_line(&current.rollout())
         });
     }
 
-    /// Reports outcomes of requests; `mean_latency_ms` in ms.
+    /// Sends an outcome report to all open feeds: of `count` requests of a version and request class, `failed` failed.
     pub fn report_outcomes(&self, version: u32, class: &str, count: u64, failed: u64, mean_latency_ms: f64) {
         let object = json!({"version": version, "kind": class, "requests": count, "failures": failed,
-            "avgMs": mean_latency_ms, "observedAgoMs": 500});
+            "avgMs": mean_latency_ms, "observedAgoMs": OUTCOME_REPORT_AGE_MS});
         self.feed.send_line(&json!({"type": "SAMPLE", "object": object}));
     }
 
-    /// All votes so far.
+    /// All votes received so far, in order.
     pub fn votes(&self) -> Vec<Vote> {
         lock_ignoring_poison(&self.feed.calls).iter().filter_map(parse_vote).collect()
     }
 
-    /// The version of the endpoint list.
+    /// The current version of the endpoint list, which each call of [`Self::update_hosts`] increments.
     pub fn list_version(&self) -> u64 {
         lock_ignoring_poison(&self.state).list_version
     }
@@ -153,16 +159,17 @@
     })
 }
 
-/// The configuration file of a control service, as text; `extra` is added to its settings.
+/// The text of a control service's configuration file. `extra` is inserted as further entries of the top-level object;
+/// `separate_endpoints` sends each endpoint as a resource of its own on incremental streams.
 pub fn control_config(
     name: &str, discovery: SocketAddr, platform: SocketAddr, listen: SocketAddr, separate_endpoints: bool,
     extra: &str,
 ) -> String {
     format!(
         r#"
-def product(name, effect, remember):
+def product(name, effect, dedup_window):
     return {{"name": name, "effect": effect, "aim-s": 0.6, "hard-limit-s": 2.0, "gain": 1.0, "group": "all",
-        "dedup-window-s": remember}}
+        "dedup-window-s": dedup_window}}
 
 control = {{
     "name": "{name}",
--- a/crates/test-support/src/fake_proxy.rs
+++ b/crates/test-support/src/fake_proxy.rs
@@ -1,4 +1,5 @@
-//! An xDS proxy on a socket. It retains its resources while it is disconnected, and reports them when it reconnects.
+//! An xDS proxy on a socket. Cached resources are retained while the proxy is disconnected, and their versions are
+//! reported when it reconnects.
 
 use crate::lock_ignoring_poison;
 use crate::resource_cache::{CacheRequest, ResourceCache};
@@ -10,6 +11,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::net::SocketAddr;
+use std::ops::Range;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 use tokio::select;
@@ -21,31 +23,32 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Request, Status, Streaming};
 
-/// The longest interval between two attempts to reconnect; it doubles from a tenth of this, with jitter.
-pub(crate) const RECONNECT_INTERVAL: Duration = Duration::from_secs(1);
-/// The first interval is the longest one divided by this.
-const FIRST_INTERVAL_DIVISOR: u32 = 10;
-/// The longest time in which a connection is opened.
+/// The backoff doubles after each failed stream up to this, before jitter.
+pub(crate) const MAX_RECONNECT_BACKOFF: Duration = Duration::from_secs(1);
+/// The initial backoff is the longest one divided by this.
+const INITIAL_BACKOFF_DIVISOR: u32 = 10;
+/// Each backoff is multiplied by a random factor of this range.
+const BACKOFF_JITTER: Range<f64> = 0.2..1.0;
+/// Maps proxy numbers to distant seeds.
+const PROXY_SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bytes of one response at most.
-const MAX_RESPONSE_LENGTH: usize = 64 << 20;
-/// Requests that are queued at most.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 const MAX_QUEUED_REQUESTS: usize = 64;
-/// The path of incremental aggregated streams.
+/// The method of aggregated streams (ADS) of the incremental form.
 const DELTA_PATH: &str = "/envoy.service.discovery.v3.AggregatedDiscoveryService/DeltaAggregatedResources";
-/// The path of full aggregated streams.
+/// The method of aggregated streams (ADS) of the full form, state of the world.
 const FULL_PATH: &str = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources";
 
 /// The behavior of a proxy; it can be changed while the proxy runs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProxyBehavior {
-    /// The service that it connects to; without one it is disconnected.
+    /// The control service to connect to; `None` disconnects the proxy.
     pub service: Option<SocketAddr>,
-    /// It rejects routes.
+    /// Set when the proxy rejects (NACK) every response with routes.
     pub rejects_routes: bool,
-    /// Increased to start a new stream.
+    /// Incremented to reconnect: each change of the behavior closes the stream and opens a new one.
     pub reconnects: u64,
-    /// It stops permanently.
+    /// Set to stop the proxy permanently.
     pub is_stopped: bool,
 }
 
@@ -56,7 +59,8 @@
     pub(crate) rejects_routes: bool,
 }
 
-/// Waits until a proxy has a service to connect to; none if it stops, or its behavior can no longer change.
+/// Waits until a proxy has a service to connect to. `None` if the proxy is stopped, or the sender of its behavior is
+/// dropped.
 pub(crate) async fn wait_for_service(
     behavior: &mut watch::Receiver<ProxyBehavior>,
 ) -> Option<ConnectedBehavior> {
@@ -72,48 +76,50 @@
     }
 }
 
-/// Called after each response with the number of the proxy, its resources, and the time.
+/// Called after each applied or rejected response with the number of the proxy, its resources, which are locked
+/// meanwhile, and the time.
 pub type ResponseObserver = Arc<dyn Fn(usize, &ResourceCache, Instant) + Send + Sync>;
 
-/// The proxy.
+/// A proxy. Clones share one cache.
 #[derive(Clone)]
 pub struct FakeProxy {
-    /// Its number, which its node id contains.
+    /// The number of the proxy among those of a test; part of the node id and of the seed.
     pub number: usize,
     cache: Arc<Mutex<ResourceCache>>,
 }
 
 impl FakeProxy {
-    /// A proxy without resources.
+    /// A proxy without resources, whose streams have the incremental or the full form.
     pub fn new(number: usize, incremental: bool) -> Self {
         let cache = ResourceCache::new(&node_id(number), incremental);
         FakeProxy { number, cache: Arc::new(Mutex::new(cache)) }
     }
 
-    /// Its node id.
+    /// The node id of the proxy in xDS requests.
     pub(crate) fn node(&self) -> String {
         node_id(self.number)
     }
 
-    /// Its resources.
+    /// Locks the cached resources.
     pub fn cache(&self) -> MutexGuard<'_, ResourceCache> {
         lock_ignoring_poison(&self.cache)
     }
 
-    /// Runs until its behavior stops it, or can no longer change.
+    /// Opens streams and applies responses, until the behavior stops the proxy or the sender of `behavior` is dropped.
+    /// `seed` determines the jitter of the backoff between streams.
     pub async fn run(
         self, mut behavior: watch::Receiver<ProxyBehavior>, seed: u64, observer: ResponseObserver,
     ) {
-        let proxy_seed = seed ^ (self.number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let proxy_seed = seed ^ (self.number as u64).wrapping_mul(PROXY_SEED_MULTIPLIER);
         let mut rng = Pcg64Mcg::seed_from_u64(proxy_seed);
-        let first_interval = RECONNECT_INTERVAL / FIRST_INTERVAL_DIVISOR;
-        let mut interval = first_interval;
+        let initial_backoff = MAX_RECONNECT_BACKOFF / INITIAL_BACKOFF_DIVISOR;
+        let mut backoff = initial_backoff;
         loop {
             let Some(connected) = wait_for_service(&mut behavior).await else { return };
             select! {
                 result = self.run_stream(connected, &observer) => {
-                    interval =
-                        if result.is_ok() { first_interval } else { (interval * 2).min(RECONNECT_INTERVAL) };
+                    backoff =
+                        if result.is_ok() { initial_backoff } else { (backoff * 2).min(MAX_RECONNECT_BACKOFF) };
                 }
                 changed = behavior.changed() => {
                     if changed.is_err() {
@@ -122,11 +128,11 @@
                     continue;
                 }
             }
-            sleep(interval.mul_f64(rng.random_range(0.2..1.0))).await;
+            sleep(backoff.mul_f64(rng.random_range(BACKOFF_JITTER))).await;
         }
     }
 
-    /// One stream, until it ends.
+    /// Opens one stream and applies its responses until the stream is closed.
     async fn run_stream(
         &self, connected: ConnectedBehavior, observer: &ResponseObserver,
     ) -> Result<(), Status> {
@@ -134,7 +140,7 @@
         let (requests, request_stream) = mpsc::channel(MAX_QUEUED_REQUESTS);
         let initial_requests = self.cache().initial_requests();
         send_all(&requests, initial_requests).await;
-        let mut grpc = Grpc::new(channel).max_decoding_message_size(MAX_RESPONSE_LENGTH);
+        let mut grpc = Grpc::new(channel).max_decoding_message_size(MAX_RESPONSE_BYTES);
         grpc.ready().await.map_err(|error| Status::unavailable(error.to_string()))?;
         let request = Request::new(ReceiverStream::new(request_stream));
         let rejects_routes = connected.rejects_routes;
@@ -161,7 +167,7 @@
     format!("proxy-{number}")
 }
 
-/// The receiver of one stream.
+/// Receives the responses of one stream and sends the next requests.
 struct ProxyStream<'a> {
     proxy: &'a FakeProxy,
     requests: mpsc::Sender<Vec<Bytes>>,
@@ -213,15 +219,15 @@
     })
 }
 
-/// Opens a connection to a service.
+/// Opens a connection to a control service.
 ///
 /// # Errors
-/// It is not opened within the timeout.
+/// The connection is refused, or is not opened within 3 s.
 pub async fn connect(service: SocketAddr) -> Result<Channel, Status> {
     let endpoint = Endpoint::from_shared(format!("http://{service}"))
         .map_err(|error| Status::internal(error.to_string()))?;
     match timeout(CONNECT_TIMEOUT, endpoint.tcp_nodelay(true).connect()).await {
         Ok(connection) => connection.map_err(|error| Status::unavailable(error.to_string())),
-        Err(_) => Err(Status::deadline_exceeded("no connection")),
+        Err(_) => Err(Status::deadline_exceeded("connection not opened within the timeout")),
     }
 }
--- a/crates/test-support/src/fake_server.rs
+++ b/crates/test-support/src/fake_server.rs
@@ -1,4 +1,4 @@
-//! A server on the `PostgreSQL` protocol whose behavior can be changed while it runs.
+//! A server that speaks the `PostgreSQL` protocol and whose behavior can be changed while it runs.
 
 use crate::postgres::{
     AUTHENTICATION_OK, READY_FOR_QUERY, TypedMessage, error_response, message, read_message, read_startup,
@@ -11,58 +11,57 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time between two checks whether a connection without handshake was closed.
-const HANDSHAKE_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// The SQLSTATEs of queries that were not executed.
-const NOT_EXECUTED: [&str; 2] = ["53300", "57P03"];
-/// Messages in each write of a flooding server.
-const FLOOD_MESSAGES: usize = 10_000;
-/// Bytes of a row without end that are written.
-const ENDLESS_ROW_LENGTH: usize = 1 << 20;
+/// The read timeout of a check whether a connection without handshake was closed.
+const HANDSHAKE_POLL_TIMEOUT: Duration = Duration::from_millis(2);
+/// The SQLSTATEs of errors that mean "not executed".
+const NOT_EXECUTED_SQLSTATES: [&str; 2] = ["53300", "57P03"];
+const FLOOD_MESSAGES_PER_WRITE: usize = 10_000;
+const ENDLESS_ROW_BYTES: usize = 1 << 20;
 
-/// The behavior of a server on a query.
+/// How a server responds to a query.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerBehavior {
     /// Responds with a row that contains the id of the query.
     Succeed,
-    /// The same, after a delay in ms.
+    /// As [`ServerBehavior::Succeed`], after a delay in milliseconds.
     SucceedAfter(u64),
-    /// Responds with an error of this SQLSTATE, and stays ready.
+    /// Responds with an error of this SQLSTATE, and is ready for the next query.
     Fail(&'static str),
     /// Responds with an error of this SQLSTATE, and closes the connection.
     FailAndClose(&'static str),
-    /// Fails every query of this number with this SQLSTATE; the others succeed.
+    /// Of the queries received so far, fails each whose number is a multiple of this interval, with this SQLSTATE. The
+    /// others succeed.
     FailOneIn(usize, &'static str),
-    /// Does not respond.
+    /// Sends no response; the connection stays open.
     NeverRespond,
-    /// Closes the connection after it has received the query.
+    /// Closes the connection when it has received the query.
     Reset,
-    /// Closes the connection after it has received the query; from then on [`ServerBehavior::NeverHandshake`].
+    /// Closes the connection when it has received the query, and changes to [`ServerBehavior::NeverHandshake`].
     ResetThenNeverHandshake,
-    /// Closes the connection in the middle of the row.
+    /// Writes the first half of a successful response and closes the connection.
     TruncateRow,
     /// Responds with bytes that are not a message.
     RespondGarbage,
-    /// Responds, and writes the row a second time after a delay in ms, before it reads another query.
+    /// Responds, and writes the row again after a delay in milliseconds, before it reads the next query.
     RespondTwice(u64),
-    /// Responds with a value of this length in bytes.
+    /// Responds with a row whose value has this length in bytes.
     LargeValue(usize),
-    /// Responds with a malformed error whose SQLSTATE means "not executed".
+    /// Responds with an error whose SQLSTATE means "not executed", followed by malformed fields.
     UndecodableError,
-    /// Responds with a row that never ends.
+    /// Writes a row description, then 1 MiB of a message that declares a length of about 2 GiB.
     EndlessRow,
-    /// Writes parameters without end.
+    /// Writes parameter messages until the connection is closed.
     FloodParameters,
-    /// Responds with notices and parameters around the row.
+    /// Responds with a notice and parameter messages before the row, and a parameter message after it.
     SucceedAmongNotices,
-    /// Accepts connections without a handshake until the behavior changes; established connections are served.
+    /// Completes no handshake of new connections until the behavior changes. Established connections succeed.
     NeverHandshake,
-    /// Responds and closes the connection.
+    /// As [`ServerBehavior::Succeed`], then closes the connection.
     SucceedAndClose,
 }
 
 impl ServerBehavior {
-    /// True if the connection is closed after the response.
+    /// Returns `true` if the server closes the connection after the response.
     fn closes_connection(self) -> bool {
         matches!(
             self,
@@ -75,57 +74,58 @@
     }
 }
 
-/// A query that a server received.
+/// The text of a received query, and its connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedQuery {
-    /// The number of its connection.
+    /// The number of the connection that carried the query, counted from 0.
     pub connection: usize,
-    /// Its text.
+    /// The SQL text, including the comment.
     pub text: String,
 }
 
 /// The arrival of a query, and whether it was executed.
 #[derive(Clone, Debug)]
 pub struct QueryArrival {
-    /// The id of the query.
+    /// The value of `id` in the comment of the query; empty if there is none.
     pub id: String,
-    /// When its last byte was received.
+    /// When the last byte of the query was received.
     pub at: Instant,
-    /// It was possibly executed.
+    /// Set when the query may have been executed: always, except for [`ServerBehavior::Fail`] with a SQLSTATE that
+    /// means "not executed".
     pub is_executed: bool,
 }
 
-/// The records of a server.
+/// What a server has recorded since its start.
 #[derive(Default)]
 pub struct ServerHistory {
-    /// The queries in order.
+    /// The received queries, in order.
     pub queries: Vec<ReceivedQuery>,
-    /// When these arrived, in order.
+    /// The arrivals of the queries, in order.
     pub arrivals: Vec<QueryArrival>,
-    /// Connections so far.
+    /// The number of accepted connections so far.
     pub connections: usize,
-    /// Numbers of the connections that have ended.
+    /// The numbers of the connections that are closed, in the order of closing.
     pub closed_connections: Vec<usize>,
-    /// The connections that were not closed by [`FakeServer::close_connections`].
+    /// The accepted connections, without those closed by [`FakeServer::close_connections`].
     pub open: Vec<TcpStream>,
 }
 
-/// The server.
+/// A running server. Clones share one server.
 #[derive(Clone)]
 pub struct FakeServer {
-    /// The address that it listens on.
+    /// The listening address, on loopback.
     pub addr: SocketAddr,
-    /// Its behavior on the next query.
+    /// The behavior on later queries, which [`FakeServer::set_behavior`] changes.
     pub behavior: Arc<Mutex<ServerBehavior>>,
-    /// Its records.
+    /// What the server has recorded.
     pub history: Arc<Mutex<ServerHistory>>,
 }
 
 impl FakeServer {
-    /// Starts a server.
+    /// Starts a server with this behavior.
     ///
     /// # Panics
-    /// Its socket cannot be opened.
+    /// The listening socket cannot be opened.
     pub fn start(behavior: ServerBehavior) -> Self {
         let behavior = Arc::new(Mutex::new(behavior));
         let history = Arc::new(Mutex::new(ServerHistory::default()));
@@ -134,7 +134,7 @@
         let addr = serve_connections(move |stream, number| {
             let mut history = lock(&connection_history);
             history.connections += 1;
-            history.open.push(stream.try_clone().expect("a second handle of the socket"));
+            history.open.push(stream.try_clone().expect("the socket handle can be duplicated"));
             drop(history);
             let behavior = connection_behavior.clone();
             let mut connection =
@@ -145,37 +145,37 @@
         FakeServer { addr, behavior, history }
     }
 
-    /// Changes its behavior.
+    /// Changes the behavior on later queries, on all connections.
     pub fn set_behavior(&self, behavior: ServerBehavior) {
         *lock(&self.behavior) = behavior;
     }
 
-    /// Closes all connections.
+    /// Closes all open connections; the server continues to accept new ones.
     pub fn close_connections(&self) {
         for stream in lock(&self.history).open.drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// When the queries so far arrived, in order.
+    /// The arrivals of the queries so far, in order.
     pub fn arrivals(&self) -> Vec<QueryArrival> {
         lock(&self.history).arrivals.clone()
     }
 
-    /// The queries so far, in order.
+    /// The queries received so far, in order.
     pub fn queries(&self) -> Vec<ReceivedQuery> {
         lock(&self.history).queries.clone()
     }
 }
 
-/// The response to one query.
+/// What remains to be written as the response to a query.
 enum Response {
     Bytes(Vec<u8>),
     Nothing,
-    ConnectionEnded,
+    ConnectionClosed,
 }
 
-/// One connection of a server. Its functions return none once the connection has ended.
+/// One connection of a server. Methods that return an `Option` return `None` when the connection is closed.
 struct ServerConnection {
     stream: TcpStream,
     number: usize,
@@ -195,7 +195,7 @@
             let response = match self.respond(behavior, &id) {
                 Response::Bytes(bytes) => bytes,
                 Response::Nothing => continue,
-                Response::ConnectionEnded => return None,
+                Response::ConnectionClosed => return None,
             };
             self.stream.write_all(&response).ok()?;
             if behavior.closes_connection() {
@@ -206,7 +206,7 @@
     }
 
     fn wait_for_handshake(&mut self) -> Option<()> {
-        self.stream.set_read_timeout(Some(HANDSHAKE_POLL_INTERVAL)).ok()?;
+        self.stream.set_read_timeout(Some(HANDSHAKE_POLL_TIMEOUT)).ok()?;
         while *lock(&self.behavior) == ServerBehavior::NeverHandshake {
             if self.stream.peek(&mut [0]).is_ok() {
                 return None;
@@ -215,11 +215,11 @@
         self.stream.set_read_timeout(None).ok()
     }
 
-    /// Records a query and returns its id.
+    /// Records a query and returns its id, which is empty if the query has none.
     fn record_query(&mut self, message: &TypedMessage) -> String {
         assert_eq!(message.kind, b'Q');
         let text = &message.body[..message.body.len() - 1];
-        let text = String::from_utf8(text.to_vec()).expect("a query in UTF-8");
+        let text = String::from_utf8(text.to_vec()).expect("the query is UTF-8");
         let id = text.split("id=").nth(1).and_then(|rest| rest.split([',', ' ']).next());
         let id = id.unwrap_or_default().to_string();
         lock(&self.history).queries.push(ReceivedQuery { connection: self.number, text });
@@ -227,12 +227,14 @@
     }
 
     fn record_arrival(&self, id: &str, behavior: ServerBehavior) {
-        let is_executed = !matches!(behavior, ServerBehavior::Fail(code) if NOT_EXECUTED.contains(&code));
+        let is_executed =
+            !matches!(behavior, ServerBehavior::Fail(code) if NOT_EXECUTED_SQLSTATES.contains(&code));
         let arrival = QueryArrival { id: id.to_string(), at: Instant::now(), is_executed };
         lock(&self.history).arrivals.push(arrival);
     }
 
-    /// The behavior for one query; some are followed by another one.
+    /// Returns the behavior for one query. [`ServerBehavior::ResetThenNeverHandshake`] applies to one query only and
+    /// then changes.
     fn take_behavior(&self) -> ServerBehavior {
         let mut behavior = lock(&self.behavior);
         let current = *behavior;
@@ -248,8 +250,8 @@
             ServerBehavior::Succeed | ServerBehavior::SucceedAndClose | ServerBehavior::NeverHandshake => {
                 success
             }
-            ServerBehavior::SucceedAfter(delay) => {
-                thread::sleep(Duration::from_millis(delay));
+            ServerBehavior::SucceedAfter(delay_ms) => {
+                thread::sleep(Duration::from_millis(delay_ms));
                 success
             }
             ServerBehavior::Fail(code) => [&error_response(code), READY_FOR_QUERY].concat(),
@@ -266,13 +268,13 @@
             ServerBehavior::Reset | ServerBehavior::ResetThenNeverHandshake => Vec::new(),
             ServerBehavior::TruncateRow => success[..success.len() / 2].to_vec(),
             ServerBehavior::RespondGarbage => b"HTTP/1.1 400 Bad Request\r\n\r\n".to_vec(),
-            ServerBehavior::RespondTwice(delay) => return self.respond_twice(delay, id, success),
+            ServerBehavior::RespondTwice(delay_ms) => return self.respond_twice(delay_ms, id, success),
             ServerBehavior::LargeValue(length) => [&row(&vec![b'v'; length]), READY_FOR_QUERY].concat(),
             ServerBehavior::UndecodableError => {
                 [&message(b'E', b"SERROR\0C53300\0\xff\xfe"), READY_FOR_QUERY].concat()
             }
             ServerBehavior::EndlessRow => {
-                [message(b'T', b"\0\x01")[..5].to_vec(), vec![0x7f; ENDLESS_ROW_LENGTH]].concat()
+                [message(b'T', b"\0\x01")[..5].to_vec(), vec![0x7f; ENDLESS_ROW_BYTES]].concat()
             }
             ServerBehavior::FloodParameters => return self.flood_parameters(),
             ServerBehavior::SucceedAmongNotices => among_notices(&success),
@@ -280,24 +282,25 @@
         Response::Bytes(response)
     }
 
-    /// Writes the response immediately if the row is repeated later, and returns the bytes that remain to be written.
-    fn respond_twice(&mut self, delay: u64, id: &str, success: Vec<u8>) -> Response {
-        let copy = row(id.as_bytes());
-        if delay == 0 {
-            return Response::Bytes([success, copy].concat());
+    /// Returns the response and the repeated row in one piece if the delay is 0. Otherwise writes the response, waits,
+    /// and returns the repeated row.
+    fn respond_twice(&mut self, delay_ms: u64, id: &str, success: Vec<u8>) -> Response {
+        let repeated_row = row(id.as_bytes());
+        if delay_ms == 0 {
+            return Response::Bytes([success, repeated_row].concat());
         }
         if self.stream.write_all(&success).is_err() {
-            return Response::ConnectionEnded;
+            return Response::ConnectionClosed;
         }
-        thread::sleep(Duration::from_millis(delay));
-        Response::Bytes(copy)
+        thread::sleep(Duration::from_millis(delay_ms));
+        Response::Bytes(repeated_row)
     }
 
-    /// Writes until the connection ends.
+    /// Writes until the connection is closed.
     fn flood_parameters(&mut self) -> Response {
-        let parameters = message(b'S', b"a\0b\0").repeat(FLOOD_MESSAGES);
+        let parameters = message(b'S', b"a\0b\0").repeat(FLOOD_MESSAGES_PER_WRITE);
         while self.stream.write_all(&parameters).is_ok() {}
-        Response::ConnectionEnded
+        Response::ConnectionClosed
     }
 }
 
--- a/crates/test-support/src/gateway.rs
+++ b/crates/test-support/src/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway process with fakes around it.
+//! A gateway as a child process, with a fake service discovery and a fake platform.
 
 use crate::fake_http::{FakeHttpService, HttpReply};
 use crate::fake_server::FakeServer;
@@ -13,7 +13,11 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering::SeqCst};
 
-/// A configuration that tests may change before the start.
+/// The version of the endpoint list in the configuration.
+const INITIAL_LIST_VERSION: u64 = 5;
+
+/// The configuration of a gateway with this endpoint list, whose only version is completely rolled out. Tests change it
+/// before the start.
 pub fn gateway_config(hosts: &[Value], discovery: SocketAddr, platform: SocketAddr) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "aim-s": 0.6, "hard-limit-s": 2.0, "effect": effect, "group": "all",
@@ -32,10 +36,10 @@
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5b",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
         "pipeline": {"address": platform.to_string(), "news": rollout_state(1, 0, "COMPLETE", 1.0)},
-        "known": endpoint_list(5, true, hosts), "settings": settings})
+        "known": endpoint_list(INITIAL_LIST_VERSION, true, hosts), "settings": settings})
 }
 
-/// Sets long timeouts of requests and connections, so that a test can act meanwhile on a busy machine.
+/// Sets timeouts of requests and connections that do not expire before a test has acted, even on a busy machine.
 ///
 /// # Panics
 /// The configuration has no classes.
@@ -48,30 +52,30 @@
     }
 }
 
-/// Numbers the configuration files of this process.
-static STARTED: AtomicU32 = AtomicU32::new(0);
+/// Gateways started by this process; numbers their configuration files.
+static STARTED_GATEWAYS: AtomicU32 = AtomicU32::new(0);
 
-/// A gateway as a child process.
+/// A gateway as a child process. Dropping this value does not terminate the process.
 pub struct GatewayProcess {
-    /// The child.
+    /// The process, whose standard error is a pipe that is read into `log`.
     pub child: Child,
-    /// The lines of its log so far.
+    /// The lines logged so far.
     pub log: Log,
-    /// While set, reading of its log is paused.
+    /// While `true`, no further lines of the log are read, so that the pipe fills up.
     pub log_paused: Arc<AtomicBool>,
-    /// The path of its configuration.
+    /// The path of the configuration file, which is in the folder for temporary files.
     pub config_path: String,
 }
 
-/// Starts a gateway with a configuration.
+/// Writes a configuration to a new file and starts a gateway with it. Does not wait until the gateway listens.
 ///
 /// # Panics
 /// The configuration cannot be written, or the program cannot be started.
 pub fn spawn_gateway(config: &str) -> GatewayProcess {
-    let number = STARTED.fetch_add(1, SeqCst);
+    let number = STARTED_GATEWAYS.fetch_add(1, SeqCst);
     let folder = std::env::temp_dir();
     let config_path = format!("{}/latchhaven-{}-{number}.json", folder.display(), std::process::id());
-    std::fs::write(&config_path, config).expect("the configuration is written");
+    std::fs::write(&config_path, config).expect("the configuration file is writable");
     // Both output streams go to one pipe, so that their lines are in one log.
     let mut command = Command::new("/bin/sh");
     command.args(["-c", "exec \"$0\" 1>&2"]).arg(program());
@@ -90,45 +94,46 @@
     config["discovery"].as_str().map(str::to_string)
 }
 
-/// A gateway, and the fakes around it.
+/// A gateway with a fake service discovery and a fake platform. Its process is killed when this value is dropped.
 pub struct Gateway {
     process: GatewayProcess,
-    /// Its configuration.
+    /// The configuration that the gateway was started with.
     pub config: Value,
-    /// The path of its configuration.
+    /// The path of the configuration file.
     pub path: String,
-    /// While set, reading of its log is paused.
+    /// While `true`, no further lines of the log are read, so that the pipe fills up.
     pub log_paused: Arc<AtomicBool>,
-    /// The address that it listens on.
+    /// The address on which the gateway accepts clients.
     pub addr: SocketAddr,
-    /// Service discovery.
+    /// Service discovery, which replies to each call with a stream that begins with an empty line: the endpoint list of
+    /// the configuration is confirmed, not replaced.
     pub discovery: FakeHttpService,
-    /// The platform.
+    /// The platform, which receives the gateway's votes.
     pub platform: FakeHttpService,
 }
 
 impl Gateway {
-    /// Starts a gateway for these servers.
+    /// Starts a gateway for these servers, which are listed as ready with version 1, and waits until it listens.
     ///
     /// # Panics
-    /// It does not listen within [`crate::wait::MAX_WAIT`].
+    /// The gateway does not listen within [`crate::wait::MAX_WAIT`].
     pub fn start(servers: &[&FakeServer]) -> Self {
         Self::start_with(servers, |_| ())
     }
 
-    /// Starts a gateway with a changed configuration.
+    /// As [`Self::start`], with a configuration that `change` has modified.
     ///
     /// # Panics
-    /// It does not listen within [`crate::wait::MAX_WAIT`].
+    /// The gateway does not listen within [`crate::wait::MAX_WAIT`].
     pub fn start_with(servers: &[&FakeServer], change: impl FnOnce(&mut Value)) -> Self {
         let platform = start_feed(&rollout_state(1, 0, "COMPLETE", 1.0), |_| HttpReply::Nothing);
         Self::start_with_platform(servers, platform, change)
     }
 
-    /// Starts a gateway with another platform and a changed configuration.
+    /// As [`Self::start_with`], with a platform that the caller has started.
     ///
     /// # Panics
-    /// It does not listen within [`crate::wait::MAX_WAIT`].
+    /// The gateway does not listen within [`crate::wait::MAX_WAIT`].
     pub fn start_with_platform(
         servers: &[&FakeServer], platform: FakeHttpService, change: impl FnOnce(&mut Value),
     ) -> Self {
@@ -148,19 +153,18 @@
     /// As [`Self::start_with`], then waits until the gateway watches the endpoint list.
     ///
     /// # Panics
-    /// It does not listen or watch within [`crate::wait::MAX_WAIT`].
+    /// The gateway does not listen or does not watch the list within [`crate::wait::MAX_WAIT`].
     pub fn start_watching(servers: &[&FakeServer], change: impl FnOnce(&mut Value)) -> Self {
         let gateway = Self::start_with(servers, change);
-        wait_until("the list is watched", || {
-            gateway.discovery.count_calls_containing("GET /v1/servers?watch=1&after=5 ") == 1
-        });
+        let watch_call = format!("GET /v1/servers?watch=1&after={INITIAL_LIST_VERSION} ");
+        wait_until("the list is watched", || gateway.discovery.count_calls_containing(&watch_call) == 1);
         gateway
     }
 
-    /// A client that has finished its startup.
+    /// Connects a client and completes its startup.
     ///
     /// # Panics
-    /// The gateway is not ready for a query.
+    /// The gateway does not report that it is ready for a query.
     pub fn client(&self) -> Client {
         let mut client = Client::connect(self.addr);
         client.send(&startup());
@@ -168,34 +172,34 @@
         client
     }
 
-    /// The number of lines of its log that contain this.
+    /// The number of lines logged so far that contain `part`.
     pub fn count_logged(&self, part: &str) -> usize {
         lock(&self.process.log).iter().filter(|line| line.contains(part)).count()
     }
 
-    /// True if a line of its log contains this.
+    /// Returns `true` if a line logged so far contains `part`.
     pub fn logged(&self, part: &str) -> bool {
         self.count_logged(part) > 0
     }
 
-    /// Sends it a signal.
+    /// Sends a signal, such as `TERM`, to the gateway.
     ///
     /// # Panics
     /// The signal cannot be sent.
     pub fn signal(&self, name: &str) {
-        assert!(send_signal(self.pid(), name), "the signal {name} is sent");
+        assert!(send_signal(self.pid(), name), "the signal {name} could not be sent");
     }
 
-    /// Replaces its configuration file, and sends SIGHUP.
+    /// Replaces the configuration file, and sends SIGHUP, so that the gateway reloads it.
     ///
     /// # Panics
     /// The file cannot be written, or the signal cannot be sent.
     pub fn reconfigure(&self, text: &str) {
-        std::fs::write(&self.path, text).expect("the configuration is written");
+        std::fs::write(&self.path, text).expect("the configuration file is writable");
         self.signal("HUP");
     }
 
-    /// The current value of a counter.
+    /// The current value of a counter, which the gateway prints on SIGUSR1.
     ///
     /// # Panics
     /// There is no such counter, or the counters are not printed within [`crate::wait::MAX_WAIT`].
@@ -207,31 +211,31 @@
         let line = log.iter().rfind(|line| line.contains("counters:")).expect("printed above");
         let value = line.split(&format!(" {name}=")).nth(1).and_then(|rest| rest.split(' ').next());
         let value = value.and_then(|value| value.parse().ok());
-        value.unwrap_or_else(|| panic!("{name} in {line}"))
+        value.unwrap_or_else(|| panic!("no counter {name} in {line}"))
     }
 
-    /// Waits until it exits, and returns its exit code.
+    /// Waits until the gateway exits, and returns its exit code; `None` if a signal terminated it.
     ///
     /// # Panics
-    /// It does not exit within [`crate::wait::MAX_WAIT`].
+    /// The gateway does not exit within [`crate::wait::MAX_WAIT`].
     pub fn wait_for_exit(&mut self) -> Option<i32> {
         let mut status = None;
-        wait_until("the gateway ends", || {
-            status = self.process.child.try_wait().expect("a child can be waited for");
+        wait_until("the gateway exits", || {
+            status = self.process.child.try_wait().expect("the exit status of a child process can be read");
             status.is_some()
         });
         status.and_then(|status| status.code())
     }
 
-    /// True while it runs.
+    /// Returns `true` if the gateway has not exited.
     ///
     /// # Panics
-    /// The child cannot be waited for.
+    /// The exit status cannot be read.
     pub fn is_alive(&mut self) -> bool {
-        self.process.child.try_wait().expect("a child can be waited for").is_none()
+        self.process.child.try_wait().expect("the exit status of a child process can be read").is_none()
     }
 
-    /// Its process id.
+    /// The process id of the gateway.
     pub fn pid(&self) -> u32 {
         self.process.child.id()
     }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -4,17 +4,17 @@
 //! - [`postgres`]: messages of the `PostgreSQL` protocol, and a client.
 //! - [`fake_server`]: a server on that protocol whose behavior can be changed.
 //! - [`fake_http`]: an HTTP service whose replies can be changed and whose streams can be written to.
-//! - [`history`]: the records of a run, and the rules that they are checked against.
+//! - [`history`]: the records of a run, and the rules that a run must follow.
 //! - [`platform_messages`]: the JSON of service discovery and of the platform.
-//! - [`fake_platform`]: service discovery and a platform with a state, which report its changes.
+//! - [`fake_platform`]: service discovery and a platform with a common state, which report each change of it.
 //! - [`process`]: the program as a child process: its log, counters and resource usage.
 //! - [`gateway`]: a gateway process with fakes around it.
 //! - [`resource_cache`]: the resources of an xDS proxy, without I/O.
 //! - [`fake_proxy`]: an xDS proxy on a socket.
-//! - [`fake_load_reports`]: load reports of such a proxy.
+//! - [`fake_load_reports`]: load reports of an xDS proxy.
 
 #![warn(clippy::pedantic)]
-#![allow(clippy::must_use_candidate, reason = "tests fail where a result is needed and not used")]
+#![allow(clippy::must_use_candidate, reason = "a test that ignores a result it needs fails")]
 #![allow(clippy::cast_possible_truncation, reason = "lengths and counts in tests are small")]
 #![allow(clippy::cast_precision_loss, reason = "counts in tests are small")]
 #![allow(clippy::cast_sign_loss, reason = "counts are not negative")]
@@ -36,7 +36,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 
-/// Serves each connection on a thread of its own; the connections are numbered from 0.
+/// Listens on a free port and serves each connection on a thread of its own. The second argument of `serve` is the
+/// connection's number, counted from 0. Returns the listening address.
 fn serve_connections(serve: impl Fn(TcpStream, usize) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port on loopback");
     let addr = listener.local_addr().expect("a bound listener has an address");
@@ -50,12 +51,13 @@
     addr
 }
 
-/// Locks a mutex; panics if another thread has panicked with the lock, so that its failure is not hidden.
+/// Locks a mutex. Panics if another thread panicked in the critical section, so that the failure of that thread
+/// is not hidden.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().expect("no thread fails while it has the lock")
+    mutex.lock().expect("another thread panicked in the critical section")
 }
 
-/// Locks a mutex, even if another thread has panicked with the lock: cleanup and records still need the state.
+/// Locks a mutex, even if another thread panicked in the critical section: cleanup and records still need the state.
 pub fn lock_ignoring_poison<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/test-support/src/process.rs
+++ b/crates/test-support/src/process.rs
@@ -11,42 +11,41 @@
 use std::thread;
 use std::time::Duration;
 
-/// Ticks of CPU time in one second.
+/// The unit of CPU time in `/proc/PID/stat`, `USER_HZ`.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// KiB in one MiB.
 const KIB_PER_MIB: f64 = 1024.0;
 /// The fields of `/proc/PID/stat` with the CPU time in user and in system mode, counted after the command.
 const CPU_TIME_FIELDS: [usize; 2] = [11, 12];
-/// The interval of checks whether the reading of a paused log is resumed.
-const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(2);
+const LOG_RESUME_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The program in the folder of this one, or in the folder above: tests are one folder below.
+/// The path of the program `latchhaven`: in the folder of the running executable, or in the folder above it, because
+/// Cargo builds test executables one folder below the programs.
 ///
 /// # Panics
-/// It was not built.
+/// The program was not built.
 pub fn program() -> PathBuf {
-    let this_program = std::env::current_exe().expect("a path of its own");
+    let this_program = std::env::current_exe().expect("the path of the running executable");
     let mut folders = this_program.ancestors().skip(1).take(2).map(|folder| folder.join("latchhaven"));
-    folders.find(|path| path.is_file()).expect("the program latchhaven is built first")
+    folders.find(|path| path.is_file()).expect("the program latchhaven was not built")
 }
 
-/// The lines that a child has logged so far.
+/// The lines that a child process has logged so far.
 pub type Log = Arc<Mutex<Vec<String>>>;
 
-/// The log of a child, read on a thread of its own.
+/// The log of a child process, which a separate thread reads.
 pub struct LogReader {
-    /// The lines so far.
+    /// The lines read so far.
     pub log: Log,
-    /// While set, reading is paused.
+    /// While `true`, no further lines are read, so that the pipe fills up.
     pub paused: Arc<AtomicBool>,
 }
 
-/// Reads the log of a child from its standard error.
+/// Starts a thread that reads the log of a child process from its standard error.
 ///
 /// # Panics
 /// The child's standard error is not a pipe.
 pub fn read_log(child: &mut Child) -> LogReader {
-    let lines = BufReader::new(child.stderr.take().expect("a pipe")).lines();
+    let lines = BufReader::new(child.stderr.take().expect("standard error is a pipe")).lines();
     let log = Log::default();
     let paused = Arc::new(AtomicBool::new(false));
     let filled_log = log.clone();
@@ -55,17 +54,17 @@
         for line in lines.map_while(Result::ok) {
             lock(&filled_log).push(line);
             while reader_paused.load(SeqCst) {
-                thread::sleep(PAUSE_POLL_INTERVAL);
+                thread::sleep(LOG_RESUME_POLL_INTERVAL);
             }
         }
     });
     LogReader { log, paused }
 }
 
-/// Waits until a child logs the address that it listens on.
+/// Waits until a child process logs its listening address.
 ///
 /// # Panics
-/// It does not within [`crate::wait::MAX_WAIT`].
+/// No address is logged within [`crate::wait::MAX_WAIT`].
 pub fn wait_for_address(log: &Log) -> SocketAddr {
     let mut addr = None;
     wait_until("the program listens", || {
@@ -79,34 +78,34 @@
     line.split("listening=").nth(1)?.split(' ').next()?.parse().ok()
 }
 
-/// Sends a signal to a process; true if it was sent.
+/// Sends a signal, such as `TERM`, to the process of this id. Returns `true` if it was sent.
 pub fn send_signal(process: u32, name: &str) -> bool {
     let status = Command::new("kill").args([&format!("-{name}"), &process.to_string()]).status();
     status.is_ok_and(|status| status.success())
 }
 
-/// CPU time and memory of a process.
+/// CPU time and memory of a process, as reported by the kernel.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceUsage {
-    /// CPU time so far, in seconds.
+    /// CPU time in user and system mode so far.
     pub cpu_seconds: f64,
-    /// The highest resident memory, in MiB.
+    /// The highest resident memory so far.
     pub peak_memory_mib: f64,
 }
 
-/// A control service as a child process that ends with its owner.
+/// A control service as a child process, which is killed when this value is dropped.
 pub struct Process {
     child: Child,
     log: Log,
-    /// The address that it listens on.
+    /// The listening address of its xDS service.
     pub addr: SocketAddr,
 }
 
 impl Process {
-    /// Starts a control service from its configuration file.
+    /// Starts a control service from its configuration file, and waits until it listens.
     ///
     /// # Panics
-    /// It does not listen within [`crate::wait::MAX_WAIT`].
+    /// The program cannot be started, or does not listen within [`crate::wait::MAX_WAIT`].
     pub fn start_control(config: &Path) -> Process {
         let mut command = Command::new(program());
         command.arg("control").arg(config).stderr(Stdio::piped()).stdout(Stdio::null());
@@ -120,17 +119,20 @@
         lock_ignoring_poison(&self.log)
     }
 
-    /// Lines of its log that contain this.
+    /// The lines logged so far that contain `part`.
     pub fn logged(&self, part: &str) -> Vec<String> {
         self.log().iter().filter(|line| line.contains(part)).cloned().collect()
     }
 
-    /// Sends it a signal.
+    /// Sends a signal, such as `TERM`. No error is reported if the process has exited.
     pub fn signal(&self, name: &str) {
         send_signal(self.child.id(), name);
     }
 
-    /// Its current counters: names and values.
+    /// Names and values of the current counters, which the process prints on SIGUSR1.
+    ///
+    /// # Panics
+    /// The counters are not printed within [`crate::wait::MAX_WAIT`].
     pub fn counters(&self) -> Vec<(String, u64)> {
         let printed_before = self.logged("counters").len();
         self.signal("USR1");
@@ -140,7 +142,7 @@
         pairs.filter_map(|(name, value)| Some((name.to_string(), value.parse().ok()?))).collect()
     }
 
-    /// Its resource usage so far; zeros if the kernel does not report it.
+    /// The resource usage so far; zeros if the kernel does not report it, as after the exit.
     pub fn resource_usage(&self) -> ResourceUsage {
         let read = |name: &str| std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id()));
         ResourceUsage {
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Kills it without notice.
+    /// Sends SIGKILL and waits for the exit.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/test-support/src/resource_cache.rs
+++ b/crates/test-support/src/resource_cache.rs
@@ -1,8 +1,8 @@
-//! The resources of an xDS proxy, without I/O and clock.
+//! The cached resources of an xDS proxy, without I/O and without a clock.
 //!
-//! - `decode`: the resources that are cached, decoded from their messages.
-//! - `cache`: applies responses, makes the next requests, and counts protocol violations.
-//! - `lookup`: routes and endpoints for requests.
+//! - `decode`: decodes resources from their messages.
+//! - `cache`: applies responses, produces the next requests, and counts protocol violations.
+//! - `lookup`: finds the routes and endpoints for requests.
 
 mod cache;
 mod decode;
--- a/crates/test-support/src/resource_cache/cache.rs
+++ b/crates/test-support/src/resource_cache/cache.rs
@@ -1,4 +1,4 @@
-//! Applies responses to the cached resources and makes the next requests. It counts protocol violations: an older
+//! Applies responses to the cached resources and produces the next requests. Counts protocol violations: an older
 //! version after a newer one, and a reference to a resource that is not cached.
 
 use super::decode::{CachedResource, decode};
@@ -13,19 +13,19 @@
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// The cluster in the node of every proxy.
+/// The cluster name that every proxy reports in its node.
 const NODE_CLUSTER: &str = "stand-in";
-/// The message of every rejection.
+/// The error message of every rejection.
 const REJECTION_MESSAGE: &str = "refused by the stand-in";
-/// The gRPC code of every rejection: invalid argument.
+/// The gRPC status `INVALID_ARGUMENT`.
 const REJECTION_CODE: i32 = 3;
 
-/// A request in either form of the protocol.
+/// A discovery request in either form of the protocol.
 #[derive(Clone, Debug)]
 pub enum CacheRequest {
-    /// The full form.
+    /// The full form, state of the world.
     Full(DiscoveryRequest),
-    /// The incremental form.
+    /// The incremental form, delta xDS.
     Incremental(DeltaDiscoveryRequest),
 }
 
@@ -46,31 +46,31 @@
     version_label: String,
     /// The nonce of the last response on this stream.
     nonce: String,
-    /// The names that were subscribed to; none before the first request.
+    /// The names that the last request subscribed to; `None` before the first request.
     subscribed: Option<BTreeSet<String>>,
-    /// The join of the versions of all labels.
+    /// The join of the versions in all labels received so far.
     newest_version: Option<ConfigVersion>,
-    /// A response was applied.
+    /// Set when a response was applied.
     has_response: bool,
 }
 
-/// The cached resources of a proxy.
+/// The cached resources of a proxy, and its subscriptions.
 #[derive(Clone, Debug)]
 pub struct ResourceCache {
     node: String,
     incremental: bool,
     types: BTreeMap<ResourceType, CachedType>,
-    /// Responses or resources with an older version than one before.
+    /// The number of responses or resources with an older version than one applied before.
     pub version_regressions: u64,
-    /// Responses after which a reference led to a resource that is not cached.
+    /// The number of responses after which routes referenced a resource that is not cached.
     pub dangling_responses: u64,
-    /// Responses that were rejected.
+    /// The number of responses that were rejected (NACK).
     pub rejected_responses: u64,
     signer: VersionSigner,
 }
 
 impl ResourceCache {
-    /// An empty cache of a proxy with this node id.
+    /// An empty cache of a proxy with this node id, whose streams have the incremental or the full form.
     pub fn new(node: &str, incremental: bool) -> Self {
         ResourceCache {
             node: node.to_string(),
@@ -83,25 +83,26 @@
         }
     }
 
-    /// True if its streams are incremental.
+    /// Returns `true` if the proxy's streams have the incremental form.
     pub fn is_incremental(&self) -> bool {
         self.incremental
     }
 
-    /// The first requests on a new stream; they report the cached versions.
+    /// The first requests on a new stream, which report the versions of the cached resources. Forgets the nonces of the
+    /// previous stream.
     pub fn initial_requests(&mut self) -> Vec<CacheRequest> {
         for state in self.types.values_mut() {
             state.nonce.clear();
         }
         let is_needed = |resource_type: &ResourceType| {
-            resource_type.is_wildcard() || !self.wanted(*resource_type).is_empty()
+            resource_type.is_wildcard() || !self.references_to(*resource_type).is_empty()
         };
         let types: Vec<ResourceType> = ResourceType::ALL.into_iter().filter(is_needed).collect();
         types.into_iter().map(|resource_type| self.request(resource_type, true, None)).collect()
     }
 
-    /// Names of a type that cached resources reference.
-    fn wanted(&self, resource_type: ResourceType) -> BTreeSet<String> {
+    /// Cached resources may reference names that are not cached; those are included.
+    fn references_to(&self, resource_type: ResourceType) -> BTreeSet<String> {
         let referencing = match resource_type {
             ResourceType::Endpoint => ResourceType::Cluster,
             ResourceType::LbEndpoint => ResourceType::Endpoint,
@@ -112,7 +113,7 @@
         resources.flat_map(|resource| resource.references.iter().cloned()).collect()
     }
 
-    /// The resources of a type, once a response was applied.
+    /// The cached resources of a type; `None` before a response of the type was applied.
     pub(super) fn resources(&self, resource_type: ResourceType) -> Option<&BTreeMap<String, CachedResource>> {
         let state = self.types.get(&resource_type).filter(|state| state.has_response)?;
         Some(&state.resources)
@@ -121,7 +122,7 @@
     fn request(
         &mut self, resource_type: ResourceType, is_first: bool, error: Option<Status>,
     ) -> CacheRequest {
-        let names = self.wanted(resource_type);
+        let names = self.references_to(resource_type);
         let node = Node { id: self.node.clone(), cluster: NODE_CLUSTER.to_string(), ..Node::default() };
         let state = self.types.entry(resource_type).or_default();
         let previous = state.subscribed.replace(names.clone()).unwrap_or_default();
@@ -151,19 +152,22 @@
         })
     }
 
-    /// Applies an encoded response, or rejects it. Returns the next requests.
+    /// Applies an encoded response, or rejects it if `reject` is set. Returns the next requests.
     ///
     /// # Panics
-    /// The bytes are not a response in the form of this proxy's streams.
+    /// The bytes are not a response of the form of this proxy's streams.
     pub fn apply_response(&mut self, bytes: &[u8], reject: bool) -> Vec<CacheRequest> {
         if self.incremental {
-            self.apply_incremental(&DeltaDiscoveryResponse::decode(bytes).expect("a response"), reject)
+            let response = DeltaDiscoveryResponse::decode(bytes).expect("an incremental response");
+            self.apply_incremental(&response, reject)
         } else {
-            self.apply_full(&DiscoveryResponse::decode(bytes).expect("a response"), reject)
+            let response = DiscoveryResponse::decode(bytes).expect("a full response");
+            self.apply_full(&response, reject)
         }
     }
 
-    /// Applies a response of the full form, or rejects it. Returns the next requests.
+    /// Applies a response of the full form, or rejects it if `reject` is set. Returns the next requests, or no
+    /// request if the type URL is unknown.
     pub fn apply_full(&mut self, response: &DiscoveryResponse, reject: bool) -> Vec<CacheRequest> {
         let Some(resource_type) = ResourceType::from_url(&response.type_url) else { return Vec::new() };
         self.types.entry(resource_type).or_default().nonce.clone_from(&response.nonce);
@@ -183,7 +187,8 @@
         self.accept(resource_type)
     }
 
-    /// Applies a response of the incremental form, or rejects it. Returns the next requests.
+    /// Applies a response of the incremental form, or rejects it if `reject` is set. Returns the next requests, or
+    /// no request if the type URL is unknown.
     pub fn apply_incremental(
         &mut self, response: &DeltaDiscoveryResponse, reject: bool,
     ) -> Vec<CacheRequest> {
@@ -214,7 +219,7 @@
         vec![self.request(resource_type, false, Some(error))]
     }
 
-    /// The label of a full response must not be older than one before.
+    /// Counts a regression if the version of a full response is older than the newest one of its type.
     fn record_response_version(&mut self, resource_type: ResourceType, label: &str) {
         let Some(label) = self.signer.parse_label(label) else { return };
         let state = self.types.entry(resource_type).or_default();
@@ -224,7 +229,7 @@
         state.advance_version(label.version);
     }
 
-    /// The label of one resource must not be older than that of the resource that it replaces.
+    /// Counts a regression if the version of one resource is older than that of the resource that it replaces.
     fn record_resource_version(&mut self, resource_type: ResourceType, name: &str, label: &str) {
         let Some(label) = self.signer.parse_label(label) else { return };
         let state = self.types.entry(resource_type).or_default();
@@ -236,7 +241,7 @@
         state.advance_version(label.version);
     }
 
-    /// Acknowledges a response and subscribes to what the new resources reference.
+    /// Acknowledges a response and updates the subscriptions to the resources that cached resources reference.
     fn accept(&mut self, resource_type: ResourceType) -> Vec<CacheRequest> {
         self.drop_unreferenced();
         self.dangling_responses += u64::from(self.dangling_reference().is_some());
@@ -244,7 +249,7 @@
         for referenced in [ResourceType::Endpoint, ResourceType::LbEndpoint, ResourceType::Route] {
             let subscribed = self.types.get(&referenced).and_then(|state| state.subscribed.as_ref());
             let is_first = subscribed.is_none();
-            let is_unchanged = subscribed.cloned().unwrap_or_default() == self.wanted(referenced);
+            let is_unchanged = subscribed.cloned().unwrap_or_default() == self.references_to(referenced);
             if referenced != resource_type && !is_unchanged {
                 requests.push(self.request(referenced, is_first, None));
             }
@@ -252,20 +257,23 @@
         requests
     }
 
-    /// Removes endpoints without a reference, as proxies do.
+    /// Removes endpoints that no cached resource references, as proxies do.
     fn drop_unreferenced(&mut self) {
         if self.resources(ResourceType::Cluster).is_none() {
             return;
         }
         for resource_type in [ResourceType::Endpoint, ResourceType::LbEndpoint] {
-            let wanted = self.wanted(resource_type);
+            let references = self.references_to(resource_type);
             if let Some(state) = self.types.get_mut(&resource_type) {
-                state.resources.retain(|name, _| wanted.iter().any(|want| is_wanted(want, name)));
+                state
+                    .resources
+                    .retain(|name, _| references.iter().any(|reference| matches_reference(reference, name)));
             }
         }
     }
 
-    /// A name that routes reference, directly or through a cluster, and that is not cached.
+    /// The first name that routes reference, directly or through a cluster, and that is not cached. `None` if every
+    /// referenced resource is cached, or no routes were received.
     pub fn dangling_reference(&self) -> Option<String> {
         let routes = self.resources(ResourceType::Route)?;
         let clusters = self.resources(ResourceType::Cluster);
@@ -282,7 +290,7 @@
         None
     }
 
-    /// The join of the versions of all responses of a type.
+    /// The join of the versions of all responses of a type; `None` before a version was received.
     pub fn newest_version(&self, resource_type: ResourceType) -> Option<ConfigVersion> {
         self.types.get(&resource_type)?.newest_version
     }
@@ -295,7 +303,7 @@
     }
 }
 
-/// True if a wanted name, or a wanted glob collection, covers the name.
-fn is_wanted(want: &str, name: &str) -> bool {
-    want == name || want.strip_suffix('*').is_some_and(|prefix| name.starts_with(prefix))
+/// Returns `true` if a reference is to the resource of this name, or to a glob collection that contains the name.
+fn matches_reference(reference: &str, name: &str) -> bool {
+    reference == name || reference.strip_suffix('*').is_some_and(|prefix| name.starts_with(prefix))
 }
--- a/crates/test-support/src/resource_cache/decode.rs
+++ b/crates/test-support/src/resource_cache/decode.rs
@@ -1,4 +1,4 @@
-//! The cached resources, decoded from their messages.
+//! Decodes the resources of the cache from their messages.
 
 use latchhaven_xds::load_stats::parse_address;
 use latchhaven_xds::pb::envoy::config::cluster::v3::Cluster;
@@ -19,62 +19,62 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Concurrent retries that a cluster allows without a limit in its circuit breaker, as in Envoy.
+/// The limit of retries in flight of a cluster whose circuit breaker sets none, as in Envoy.
 const DEFAULT_MAX_RETRIES: u32 = 3;
-/// The weight of an endpoint that has none.
+/// The weight of an endpoint whose message sets none.
 const DEFAULT_WEIGHT: u32 = 1;
 
-/// An endpoint.
+/// An endpoint of a cluster, as a proxy uses it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CachedEndpoint {
-    /// Its address.
+    /// The address that requests are sent to.
     pub addr: SocketAddr,
-    /// Its weight in load balancing.
+    /// The weight in load balancing, relative to the other endpoints of the cluster.
     pub weight: u32,
-    /// True if requests may be sent to it.
+    /// Set when the health status is `HEALTHY`, so that requests may be sent to the endpoint.
     pub is_healthy: bool,
 }
 
-/// A cluster of a route.
+/// A cluster of a route, and its share of the requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedCluster {
-    /// The cluster's name.
+    /// The name of the cluster resource.
     pub name: String,
-    /// Its share of the requests in parts per million.
+    /// The share of the requests, in parts per million.
     pub weight: u32,
 }
 
-/// A route.
+/// How the requests of one request class are routed and retried.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CachedRoute {
-    /// Its clusters.
+    /// The clusters that share the requests.
     pub clusters: Vec<WeightedCluster>,
-    /// Retries of one request at most.
+    /// The maximum number of retries of one request.
     pub max_retries: u32,
-    /// The conditions under which a request is retried.
+    /// The conditions under which a request is retried, as a comma-separated list.
     pub retry_on: String,
 }
 
-/// A resource of any type; fields of other types are empty.
+/// A resource of any type. Fields that belong to other types are empty.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CachedResource {
     pub(super) version_label: String,
-    /// Names that it references: a cluster its endpoints, a listener its routes, routes their clusters.
+    /// The names of referenced resources: a cluster references its endpoints, an endpoint resource its collections, a
+    /// listener its routes, and routes their clusters.
     pub(super) references: BTreeSet<String>,
     pub(super) endpoints: Vec<CachedEndpoint>,
     /// Routes by name.
     pub(super) routes: BTreeMap<String, CachedRoute>,
-    /// Of a cluster: retries in flight at most.
+    /// Of a cluster: the limit of retries in flight.
     pub(super) max_retries: u32,
 }
 
-/// A decoded resource.
 pub(super) struct DecodedResource {
     pub(super) name: String,
     pub(super) resource: CachedResource,
 }
 
-/// Decodes a resource; none if it is malformed.
+/// Decodes a resource; `None` if it is malformed.
 pub(super) fn decode(resource_type: ResourceType, any: &Any, version_label: &str) -> Option<DecodedResource> {
     let bytes = any.value.as_slice();
     let mut resource =
@@ -89,7 +89,7 @@
     Some(DecodedResource { name: name?, resource })
 }
 
-/// Each function fills in one type of resource and returns its name.
+/// Each `decode_` method fills in the fields of one type of resource, and returns the resource's name.
 impl CachedResource {
     fn decode_cluster(&mut self, bytes: &[u8]) -> Option<String> {
         let cluster = Cluster::decode(bytes).ok()?;
@@ -113,7 +113,7 @@
         Ok(assignment.cluster_name)
     }
 
-    /// A single endpoint does not contain its own name.
+    /// Returns an empty name: the message of a single endpoint does not contain its own name.
     fn decode_endpoint(&mut self, bytes: &[u8]) -> Result<String, DecodeError> {
         let endpoint = LbEndpoint::decode(bytes)?;
         self.endpoints.extend(cached_endpoint(&endpoint));
@@ -136,7 +136,7 @@
         Ok(configuration.name)
     }
 
-    /// Adds a route with weighted clusters; others are ignored.
+    /// Adds a route with weighted clusters. Other routes are ignored.
     fn add_route(&mut self, route: Route) {
         let Some(route::Action::Route(action)) = route.action else { return };
         let Some(route_action::ClusterSpecifier::WeightedClusters(weighted)) = action.cluster_specifier
@@ -152,7 +152,7 @@
     }
 }
 
-/// The name of the route configuration that a filter of a listener subscribes to.
+/// The name of the route configuration that a listener's filter refers to; `None` if it refers to none.
 fn route_config_name(filter: Filter) -> Result<Option<String>, DecodeError> {
     let Some(filter::ConfigType::TypedConfig(any)) = filter.config_type else { return Ok(None) };
     let manager = HttpConnectionManager::decode(any.value.as_slice())?;
--- a/crates/test-support/src/resource_cache/lookup.rs
+++ b/crates/test-support/src/resource_cache/lookup.rs
@@ -1,27 +1,28 @@
-//! The routes and endpoints that a proxy with these resources uses for requests.
+//! Finds the routes and endpoints that a proxy with the cached resources uses for requests.
 
 use super::cache::ResourceCache;
 use super::decode::{CachedEndpoint, CachedRoute};
 use latchhaven_xds::resources::ResourceType;
 
-/// The endpoints of a cluster.
+/// The endpoints of a cluster, and whether the cluster allows retries.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClusterEndpoints {
-    /// The endpoints, inline ones and those of collections.
+    /// Endpoints in the cluster's endpoint resource and in the collections that it references.
     pub endpoints: Vec<CachedEndpoint>,
-    /// Failed attempts may be retried in the cluster.
+    /// Set when failed attempts may be retried in the cluster.
     pub allows_retries: bool,
 }
 
 impl ResourceCache {
-    /// The route of a request class; `has_key`: for requests with a key, if they have a route of their own.
+    /// The route of a request class. `has_key` selects the route of requests with a deduplication key, if the class has
+    /// one.
     pub fn route(&self, class: &str, has_key: bool) -> Option<&CachedRoute> {
         let routes = &self.resources(ResourceType::Route)?.values().next()?.routes;
         let route_with_key = routes.get(&format!("{class}/keyed")).filter(|_| has_key);
         route_with_key.or_else(|| routes.get(class))
     }
 
-    /// The endpoints of a cluster; empty if it is not cached.
+    /// The endpoints of the cluster of this name; empty if it is not cached.
     pub fn cluster_endpoints(&self, cluster: &str) -> ClusterEndpoints {
         let clusters = self.resources(ResourceType::Cluster);
         let Some(cluster) = clusters.and_then(|clusters| clusters.get(cluster)) else {
@@ -41,7 +42,7 @@
         ClusterEndpoints { endpoints, allows_retries: cluster.max_retries > 0 }
     }
 
-    /// Adds the endpoints whose names have this prefix.
+    /// Adds the endpoints whose resource names have this prefix.
     fn add_collection(&self, prefix: &str, endpoints: &mut Vec<CachedEndpoint>) {
         let Some(endpoints_by_name) = self.resources(ResourceType::LbEndpoint) else { return };
         let from_prefix = endpoints_by_name.range(prefix.to_string()..);
@@ -49,14 +50,14 @@
         endpoints.extend(collection.flat_map(|(_, resource)| resource.endpoints.iter().cloned()));
     }
 
-    /// How many endpoints are inline in the endpoint resource of this name.
+    /// The number of endpoints that the endpoint resource of this name contains itself, without collections.
     pub fn inline_endpoint_count(&self, endpoints_name: &str) -> usize {
         let assignments = self.resources(ResourceType::Endpoint);
         let assignment = assignments.and_then(|assignments| assignments.get(endpoints_name));
         assignment.map_or(0, |assignment| assignment.endpoints.len())
     }
 
-    /// The share of a class's requests, in parts per million, that is routed to a version.
+    /// The share of a request class that is routed to a version, in parts per million.
     pub fn version_share(&self, class: &str, version: u32) -> u32 {
         let prefix = format!("b{version}/");
         let Some(route) = self.route(class, false) else { return 0 };
--- a/crates/test-support/src/wait.rs
+++ b/crates/test-support/src/wait.rs
@@ -1,17 +1,16 @@
-//! Bounded waits.
+//! Waits with a timeout.
 
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest wait of a test.
+/// The timeout of a test's wait for one condition.
 pub const MAX_WAIT: Duration = Duration::from_secs(20);
-/// Time between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Waits until a condition is true.
+/// Checks a condition periodically until it is true. `what` describes it in the message of the panic.
 ///
 /// # Panics
-/// The condition is not true within [`MAX_WAIT`]; `what` describes it.
+/// The condition is not true within [`MAX_WAIT`].
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
