--- a/crates/xds/src/server/discovery.rs
+++ b/crates/xds/src/server/discovery.rs
@@ -1,6 +1,6 @@
-//! Discovery streams: runs the [`Stream`] state machine over gRPC.
+//! Discovery streams (xDS): passes messages between gRPC and the [`Stream`] state machine.
 
-use super::context::{ServerContext, ServerEvent};
+use super::context::{ServerContext, ServerEvent, StreamKind};
 use super::discovery_method::DiscoveryMethod;
 use super::stream_task::{
     ResponseFuture, ResponseItem, ResponseSender, ResponseStream, first_request, service_unavailable,
@@ -17,7 +17,7 @@
 use tonic::server::StreamingService;
 use tonic::{Request, Status, Streaming};
 
-/// The gRPC service of one discovery stream.
+/// Serves the call that opens one discovery stream.
 pub(super) struct DiscoveryService {
     pub(super) context: ServerContext,
     pub(super) stream_number: u64,
@@ -45,13 +45,13 @@
     }
 }
 
-/// The task of one discovery stream.
+/// State of the task that serves one discovery stream.
 struct DiscoveryTask {
     stream: Stream,
     stream_number: u64,
     incremental: bool,
     context: ServerContext,
-    /// There is nothing to send until the next request or snapshot, or the endpoint subscription timeout.
+    /// Set while there is nothing to send. Cleared by a request, a new snapshot, or the endpoint subscription timeout.
     is_idle: bool,
 }
 
@@ -61,19 +61,20 @@
     ) -> Result<(), Status> {
         let Some(request) = first_request(&mut requests).await? else { return Ok(()) };
         self.on_request(request)?;
-        let node = self.stream.node_id().unwrap_or_default().to_string();
-        wait_for_admission(&self.context.events, self.stream_number, node, false).await?;
+        let node_id = self.stream.node_id().unwrap_or_default().to_string();
+        wait_for_admission(&self.context.events, self.stream_number, node_id, StreamKind::Discovery).await?;
         let mut endpoint_subscription_timeout = pin!(sleep(ENDPOINT_SUBSCRIPTION_TIMEOUT));
         let mut endpoint_subscription_timed_out = false;
         loop {
             self.report_events().await?;
             select! {
+                // Requests are read first, so that a response takes into account all that have arrived.
                 biased;
                 request = requests.message() => {
                     let Some(request) = request? else { return Ok(()) };
                     self.on_request(request)?;
                 }
-                // The response is selected after the queue has capacity, so that it is the newest.
+                // The response is selected once the queue has capacity, so that its content is the newest.
                 permit = responses.reserve(), if !self.is_idle => {
                     let Ok(permit) = permit else { return Ok(()) };
                     self.send_next_response(permit).await?;
@@ -112,6 +113,7 @@
         self.is_idle = response.is_none();
         let Some(response) = response else { return Ok(()) };
         if let Some(canary_shares) = response.canary_shares {
+            // Reported before the response is sent, since the proxy may then use the shares immediately.
             let event = ServerEvent::RoutesSent { stream: self.stream_number, canary_shares };
             self.context.events.send(event).await.map_err(service_unavailable)?;
         }
@@ -124,9 +126,9 @@
         let counters = &self.context.counters;
         let length: usize = chunks.iter().map(Bytes::len).sum();
         let (messages, bytes) = if self.incremental {
-            (&counters.incremental_messages, &counters.incremental_bytes)
+            (&counters.incremental_responses, &counters.incremental_bytes)
         } else {
-            (&counters.messages, &counters.bytes)
+            (&counters.sotw_responses, &counters.sotw_bytes)
         };
         messages.fetch_add(1, Ordering::Relaxed);
         bytes.fetch_add(length as u64, Ordering::Relaxed);
--- a/crates/xds/src/server/load_reports.rs
+++ b/crates/xds/src/server/load_reports.rs
@@ -1,6 +1,6 @@
-//! Streams of load reports (LRS).
+//! Load report streams (LRS).
 
-use super::context::{ServerContext, ServerEvent};
+use super::context::{ServerContext, ServerEvent, StreamKind};
 use super::stream_task::{
     ResponseFuture, ResponseSender, ResponseStream, first_request, service_unavailable, spawn_stream,
     wait_for_admission,
@@ -15,7 +15,7 @@
 use tonic::server::StreamingService;
 use tonic::{Request, Status, Streaming};
 
-/// The gRPC service of one stream of load reports.
+/// Serves the call that opens one load report stream.
 pub(super) struct LoadReportingService {
     pub(super) context: ServerContext,
     pub(super) stream_number: u64,
@@ -40,11 +40,11 @@
     responses: &ResponseSender,
 ) -> Result<(), Status> {
     let Some(first) = first_request(&mut requests).await? else { return Ok(()) };
-    let node = first.node.map(|node| node.id).unwrap_or_default();
-    if node.is_empty() || node.len() > MAX_NODE_ID_BYTES {
+    let node_id = first.node.map(|node| node.id).unwrap_or_default();
+    if node_id.is_empty() || node_id.len() > MAX_NODE_ID_BYTES {
         return Err(Status::invalid_argument("node.id: missing or too long"));
     }
-    wait_for_admission(&context.events, stream, node, true).await?;
+    wait_for_admission(&context.events, stream, node_id, StreamKind::LoadReport).await?;
     if responses.send(Ok(vec![reporting_instructions()])).await.is_err() {
         return Ok(());
     }
@@ -54,7 +54,8 @@
     Ok(())
 }
 
-/// The response with the clusters to report and the interval.
+/// The only response of the stream. Requests reports of all clusters, with counts of each endpoint, once in each
+/// [`LOAD_REPORT_INTERVAL`].
 fn reporting_instructions() -> Bytes {
     let interval = Duration { seconds: LOAD_REPORT_INTERVAL.as_secs().cast_signed(), nanos: 0 };
     let instructions = LoadStatsResponse {
@@ -69,7 +70,7 @@
 async fn process_report(
     request: &LoadStatsRequest, stream: u64, context: &ServerContext,
 ) -> Result<(), Status> {
-    let report = parse_load_report(request, &context.classes)
+    let report = parse_load_report(request, &context.class_names)
         .map_err(|error| Status::invalid_argument(error.to_string()))?;
     let (result, validation) = oneshot::channel();
     let event = ServerEvent::LoadReport { stream, report, result };
