--- a/crates/xds/tests/convergence/proxy.rs
+++ b/crates/xds/tests/convergence/proxy.rs
@@ -66,9 +66,9 @@
         let Some(connection) = &mut self.connection else { return };
         let Some(response) = connection.responses.pop_front() else { return };
         connection.requests.extend(self.cache.apply_response(&response.chunks.concat(), reject));
-        assert_eq!(self.cache.regressions, 0, "a response has an older version than one before");
+        assert_eq!(self.cache.version_regressions, 0, "a response has an older version than one before");
         assert_eq!(
-            self.cache.dangling,
+            self.cache.dangling_responses,
             0,
             "reference to {:?}, which is not cached: {:?}",
             self.cache.dangling_reference(),
