--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Reads batches of events on standard input, and writes the actions of each instance on standard output.
+//! The simulator's adapter: reads batches of messages from standard input, and writes the actions of each instance to
+//! standard output.
 
 #![warn(clippy::pedantic)]
 
--- a/crates/simulator-protocol/src/actions.rs
+++ b/crates/simulator-protocol/src/actions.rs
@@ -1,13 +1,13 @@
-//! Writes actions in the line format of the simulator.
+//! Writes the actions of a policy as lines for the simulator.
 
 use crate::fields::{MS_PER_S, encode_bytes};
 use latchhaven_policy::{Action, Millis, Verdict};
 use std::io::{self, Write};
 
-/// Writes one action as a line.
+/// Writes one action as one line. The caller has written the line that names the instance.
 ///
 /// # Errors
-/// The output cannot be written.
+/// Writing to `out` failed.
 pub fn write_action(action: &Action, out: &mut impl Write) -> io::Result<()> {
     match action {
         Action::SendAttempt { id, endpoint, timeout, .. } => {
--- a/crates/simulator-protocol/src/fields.rs
+++ b/crates/simulator-protocol/src/fields.rs
@@ -1,31 +1,31 @@
-//! The name=value pairs of one line.
+//! Splits a line into fields and parses their values.
 
 use crate::error::ProtocolError;
 use base64::{Engine, engine::general_purpose::STANDARD};
 use latchhaven_policy::{AttemptOutcome, LoadReport, Millis};
 use std::str::FromStr;
 
-/// Milliseconds in a second: the simulator's unit of time.
+/// The simulator states times in seconds.
 pub(crate) const MS_PER_S: f64 = 1000.0;
-/// Fields whose text runs to the end of the line.
+/// Fields whose value extends to the end of the line and may contain spaces.
 const REST_OF_LINE_FIELDS: [&str; 2] = ["params", "what"];
-/// The text of an empty byte string.
-const NO_BYTES: &str = "-";
+/// Value of a field with an empty byte string; an empty value would count as a missing field.
+const EMPTY_BYTES: &str = "-";
 
-/// The name=value pairs of one line.
+/// The fields of one line: name=value pairs, separated by single spaces.
 pub struct Fields<'a>(Vec<(&'a str, &'a str)>);
 
 impl<'a> Fields<'a> {
-    /// Splits the rest of a line, after the name of its message.
+    /// Splits `rest`, the line without the name of its message.
     ///
     /// # Errors
-    /// A part that is not a name=value pair.
+    /// A part is not a name=value pair.
     pub fn parse(mut rest: &'a str) -> Result<Self, ProtocolError> {
         let mut pairs = Vec::new();
         while !rest.is_empty() {
             let part = rest.split(' ').next().unwrap_or(rest);
             let pair = part.split_once('=');
-            let (name, value) = pair.ok_or_else(|| ProtocolError::NoPair(part.to_string()))?;
+            let (name, value) = pair.ok_or_else(|| ProtocolError::NotAPair(part.to_string()))?;
             if REST_OF_LINE_FIELDS.contains(&name) {
                 pairs.push((name, &rest[name.len() + 1..]));
                 break;
@@ -36,13 +36,13 @@
         Ok(Fields(pairs))
     }
 
-    /// A field's text, if it is present.
+    /// Returns the value of the first field with this name, `None` if there is none; the value may be empty.
     #[must_use]
     pub fn optional(&self, name: &'static str) -> Option<&'a str> {
         self.0.iter().find(|(key, _)| *key == name).map(|(_, value)| *value)
     }
 
-    /// A field's text.
+    /// Returns the value of a required field, which is not empty.
     ///
     /// # Errors
     /// The field is missing or empty.
@@ -50,42 +50,42 @@
         self.optional(name).filter(|value| !value.is_empty()).ok_or(ProtocolError::Missing(name))
     }
 
-    /// A number, if the field is present.
+    /// Parses the value of an optional field as a number; `None` if the field is missing.
     ///
     /// # Errors
-    /// The field is present and not such a number.
+    /// The value is not a number of the type `T`.
     pub fn optional_number<T: FromStr>(&self, name: &'static str) -> Result<Option<T>, ProtocolError> {
-        let unreadable = |value: &str| ProtocolError::Unreadable(name, value.to_string());
-        self.optional(name).map(|value| value.parse().map_err(|_| unreadable(value))).transpose()
+        let invalid_value = |value: &str| ProtocolError::InvalidValue(name, value.to_string());
+        self.optional(name).map(|value| value.parse().map_err(|_| invalid_value(value))).transpose()
     }
 
-    /// A number.
+    /// Parses the value of a required field as a number.
     ///
     /// # Errors
-    /// The field is missing or not such a number.
+    /// The field is missing, or the value is not a number of the type `T`.
     pub fn number<T: FromStr>(&self, name: &'static str) -> Result<T, ProtocolError> {
         self.optional_number(name)?.ok_or(ProtocolError::Missing(name))
     }
 
-    /// A time in seconds, as milliseconds.
+    /// Parses the value of a required field, in seconds, and returns it in milliseconds.
     ///
     /// # Errors
-    /// The field is missing or not a finite number.
+    /// The field is missing, or the value is not a finite number.
     pub fn ms(&self, name: &'static str) -> Result<Millis, ProtocolError> {
-        Ok(self.real(name)? * MS_PER_S)
+        Ok(self.finite(name)? * MS_PER_S)
     }
 
     pub(crate) fn optional_ms(&self, name: &'static str) -> Result<Option<Millis>, ProtocolError> {
-        Ok(self.optional_real(name)?.map(|seconds| seconds * MS_PER_S))
+        Ok(self.optional_finite(name)?.map(|seconds| seconds * MS_PER_S))
     }
 
-    pub(crate) fn real(&self, name: &'static str) -> Result<f64, ProtocolError> {
-        self.optional_real(name)?.ok_or(ProtocolError::Missing(name))
+    pub(crate) fn finite(&self, name: &'static str) -> Result<f64, ProtocolError> {
+        self.optional_finite(name)?.ok_or(ProtocolError::Missing(name))
     }
 
-    pub(crate) fn optional_real(&self, name: &'static str) -> Result<Option<f64>, ProtocolError> {
+    pub(crate) fn optional_finite(&self, name: &'static str) -> Result<Option<f64>, ProtocolError> {
         match self.optional_number::<f64>(name)? {
-            Some(value) if !value.is_finite() => Err(ProtocolError::Unreadable(name, value.to_string())),
+            Some(value) if !value.is_finite() => Err(ProtocolError::InvalidValue(name, value.to_string())),
             value => Ok(value),
         }
     }
@@ -94,25 +94,25 @@
         match self.optional(name) {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
-            Some(value) => Err(ProtocolError::Unreadable(name, value.to_string())),
+            Some(value) => Err(ProtocolError::InvalidValue(name, value.to_string())),
         }
     }
 
-    /// A field whose value is one of a few words.
-    pub(crate) fn word<T>(
-        &self, name: &'static str, read: impl Fn(&str) -> Option<T>,
+    /// Parses the value of a required field with `parse`, which returns `None` for an unknown keyword.
+    pub(crate) fn keyword<T>(
+        &self, name: &'static str, parse: impl Fn(&str) -> Option<T>,
     ) -> Result<T, ProtocolError> {
         let value = self.text(name)?;
-        read(value).ok_or_else(|| ProtocolError::Unreadable(name, value.to_string()))
+        parse(value).ok_or_else(|| ProtocolError::InvalidValue(name, value.to_string()))
     }
 
-    pub(crate) fn owned(&self, name: &'static str) -> Result<String, ProtocolError> {
+    pub(crate) fn owned_text(&self, name: &'static str) -> Result<String, ProtocolError> {
         self.text(name).map(str::to_string)
     }
 
     pub(crate) fn outcome(&self) -> Result<AttemptOutcome, ProtocolError> {
-        self.word("ending", |word| {
-            Some(match word {
+        self.keyword("ending", |keyword| {
+            Some(match keyword {
                 "served" => AttemptOutcome::Success,
                 "server_error" => AttemptOutcome::Error,
                 "turned_away" => AttemptOutcome::Rejected,
@@ -128,23 +128,23 @@
 
     pub(crate) fn load(&self) -> Result<LoadReport, ProtocolError> {
         let text = self.optional("metrics").unwrap_or("");
-        let unreadable = || ProtocolError::Unreadable("metrics", text.to_string());
+        let invalid_value = || ProtocolError::InvalidValue("metrics", text.to_string());
         let parse_pair = |pair: &str| {
-            let (name, value) = pair.split_once(':').ok_or_else(unreadable)?;
+            let (name, value) = pair.split_once(':').ok_or_else(invalid_value)?;
             let value = value.parse::<f64>().ok().filter(|value| value.is_finite());
-            Ok((name.to_string(), value.ok_or_else(unreadable)?))
+            Ok((name.to_string(), value.ok_or_else(invalid_value)?))
         };
         text.split(',').filter(|pair| !pair.is_empty()).map(parse_pair).collect()
     }
 
     pub(crate) fn bytes(&self, name: &'static str) -> Result<Vec<u8>, ProtocolError> {
         let text = self.text(name)?;
-        let encoded = if text == NO_BYTES { "" } else { text };
-        STANDARD.decode(encoded).map_err(|_| ProtocolError::Unreadable(name, encoded.to_string()))
+        let encoded = if text == EMPTY_BYTES { "" } else { text };
+        STANDARD.decode(encoded).map_err(|_| ProtocolError::InvalidValue(name, encoded.to_string()))
     }
 }
 
-/// The text of a byte string in a field.
+/// Encodes a byte string as the value of a field, in base64.
 pub(crate) fn encode_bytes(bytes: &[u8]) -> String {
-    if bytes.is_empty() { NO_BYTES.to_string() } else { STANDARD.encode(bytes) }
+    if bytes.is_empty() { EMPTY_BYTES.to_string() } else { STANDARD.encode(bytes) }
 }
--- a/crates/simulator-protocol/src/host.rs
+++ b/crates/simulator-protocol/src/host.rs
@@ -1,4 +1,4 @@
-//! Many instances that share no state, served from one stream of batches.
+//! Runs many policy instances on one stream of batches.
 
 use crate::actions::write_action;
 use crate::error::{HostError, ProtocolError};
@@ -11,8 +11,8 @@
 use std::io::{self, BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Numbered lists that are stored.
-const LIST_BANKS: usize = 16;
+/// Slots for endpoint lists that messages refer to by number.
+const LIST_SLOTS: usize = 16;
 
 /// The events of one instance in the current batch.
 struct InstanceBatch {
@@ -20,34 +20,37 @@
     events: Vec<Event>,
 }
 
-/// A numbered list whose entries are being sent.
+/// An endpoint list whose entries have not all arrived.
 struct PartialList {
-    bank: usize,
+    slot: usize,
     expected_entries: usize,
     entries: Vec<EndpointEntry>,
 }
 
-/// Many instances that share no state.
+/// Runs policy instances that share no state. The input is grouped into batches: all messages of a batch have the same
+/// time, and the actions of all instances are written at its end.
 #[derive(Default)]
 pub struct InstanceHost {
-    /// By name; an instance that was stopped has no policy.
+    /// Policies by the name of the instance; `None` if the instance was stopped.
     instances: BTreeMap<String, Option<Policy>>,
-    lists: [Option<Vec<EndpointEntry>>; LIST_BANKS],
-    /// The time in ms of the current batch; none between batches.
+    lists: [Option<Vec<EndpointEntry>>; LIST_SLOTS],
+    /// Time of the current batch; `None` between batches.
     now: Option<Millis>,
     batches: Vec<InstanceBatch>,
-    /// The selected instance, by its index in `batches`.
+    /// Index in `batches` of the selected instance; `None` before a batch selects one.
     current: Option<usize>,
     partial_list: Option<PartialList>,
 }
 
 impl InstanceHost {
-    /// Serves until the end of input.
+    /// Processes `input` until its end and writes the actions to `output`, which is flushed after each batch.
+    ///
+    /// Replaces the panic hook of the process while it runs.
     ///
     /// # Errors
-    /// Malformed input, with its line, or a failure of input or output.
+    /// A line is malformed, the input ends within a batch, or reading or writing failed.
     pub fn serve(&mut self, mut input: impl BufRead, mut output: impl Write) -> Result<(), HostError> {
-        // A panic of a policy is answered on the output; the default hook would also print it.
+        // A panic of a policy is written to the output; the default hook would also print it to standard error.
         let hook = std::panic::take_hook();
         std::panic::set_hook(Box::new(|_| ()));
         let result = self.serve_lines(&mut input, &mut output);
@@ -63,33 +66,37 @@
             number += 1;
             let at_line = |error| HostError::Input { line: number, error };
             if input.read_until(b'\n', &mut bytes)? == 0 {
-                return if self.now.is_some() { Err(at_line(ProtocolError::Truncated)) } else { Ok(()) };
+                return match self.now {
+                    Some(_) => Err(at_line(ProtocolError::IncompleteBatch("the end of input"))),
+                    None => Ok(()),
+                };
             }
-            let line = std::str::from_utf8(&bytes).map_err(|_| at_line(ProtocolError::NotText))?;
+            let line = std::str::from_utf8(&bytes).map_err(|_| at_line(ProtocolError::NotUtf8))?;
             let line = line.trim_end_matches(['\n', '\r']);
-            if !line.is_empty() && self.on_line(line).map_err(at_line)? {
-                self.reply(output)?;
+            if !line.is_empty() && self.process_line(line).map_err(at_line)? {
+                self.end_batch(output)?;
                 output.flush()?;
             }
         }
     }
 
-    /// Processes one line; true at the end of a batch.
-    fn on_line(&mut self, line: &str) -> Result<bool, ProtocolError> {
-        let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
+    /// Processes one line. Returns `true` if the line ends a batch.
+    fn process_line(&mut self, line: &str) -> Result<bool, ProtocolError> {
+        let (name, rest) = line.split_once(' ').unwrap_or((line, ""));
         let fields = Fields::parse(rest)?;
-        if self.partial_list.is_some() && word != "ENTRY" {
-            return Err(ProtocolError::InsideList(word.to_string()));
+        if self.partial_list.is_some() && name != "ENTRY" {
+            return Err(ProtocolError::InsideList(name.to_string()));
         }
-        if word == "MARK" {
-            return self.begin_batch(&fields);
+        if name == "MARK" {
+            self.begin_batch(&fields)?;
+            return Ok(false);
         }
         if self.now.is_none() {
-            return Err(ProtocolError::OutsideBatch(word.to_string()));
+            return Err(ProtocolError::OutsideBatch(name.to_string()));
         }
-        match word {
+        match name {
             "FLUSH" => {
-                self.check_enlisted()?;
+                self.check_instances_started()?;
                 return Ok(true);
             }
             "ON" => self.select_instance(fields.text("i")?),
@@ -99,18 +106,18 @@
                 list.entries.push(parse_endpoint_entry(&fields)?);
                 self.store_complete_list();
             }
-            "ENLIST" => self.enlist(&fields)?,
-            _ => self.on_message(word, &fields)?,
+            "ENLIST" => self.start_instance(&fields)?,
+            _ => self.process_message(name, &fields)?,
         }
         Ok(false)
     }
 
-    fn begin_batch(&mut self, fields: &Fields) -> Result<bool, ProtocolError> {
+    fn begin_batch(&mut self, fields: &Fields) -> Result<(), ProtocolError> {
         if self.now.is_some() {
-            return Err(ProtocolError::Truncated);
+            return Err(ProtocolError::IncompleteBatch("MARK"));
         }
         self.now = Some(fields.ms("sim-time-s")?);
-        Ok(false)
+        Ok(())
     }
 
     fn select_instance(&mut self, name: &str) {
@@ -122,12 +129,12 @@
     }
 
     fn begin_list(&mut self, fields: &Fields) -> Result<(), ProtocolError> {
-        let bank = fields.number::<usize>("bank")?;
-        if bank >= LIST_BANKS {
-            return Err(ProtocolError::Unreadable("bank", bank.to_string()));
+        let slot = fields.number::<usize>("bank")?;
+        if slot >= LIST_SLOTS {
+            return Err(ProtocolError::InvalidValue("bank", slot.to_string()));
         }
         let expected_entries = fields.number("records")?;
-        self.partial_list = Some(PartialList { bank, expected_entries, entries: Vec::new() });
+        self.partial_list = Some(PartialList { slot, expected_entries, entries: Vec::new() });
         self.store_complete_list();
         Ok(())
     }
@@ -135,19 +142,19 @@
     fn store_complete_list(&mut self) {
         let is_complete = |list: &mut PartialList| list.entries.len() == list.expected_entries;
         if let Some(list) = self.partial_list.take_if(is_complete) {
-            self.lists[list.bank] = Some(list.entries);
+            self.lists[list.slot] = Some(list.entries);
         }
     }
 
-    fn check_enlisted(&self) -> Result<(), ProtocolError> {
+    fn check_instances_started(&self) -> Result<(), ProtocolError> {
         match self.batches.iter().find(|batch| !self.instances.contains_key(&batch.name)) {
-            Some(batch) => Err(ProtocolError::NotEnlisted(batch.name.clone())),
+            Some(batch) => Err(ProtocolError::NotRunning(batch.name.clone())),
             None => Ok(()),
         }
     }
 
-    fn enlist(&mut self, fields: &Fields) -> Result<(), ProtocolError> {
-        let current = self.current.ok_or(ProtocolError::NoInstance("ENLIST".to_string()))?;
+    fn start_instance(&mut self, fields: &Fields) -> Result<(), ProtocolError> {
+        let current = self.current.ok_or(ProtocolError::NoInstanceSelected("ENLIST".to_string()))?;
         let seed = fields.number("rng-seed")?;
         let settings = settings::parse(fields.text("params")?).map_err(ProtocolError::Settings)?;
         let batch = &mut self.batches[current];
@@ -156,13 +163,13 @@
         Ok(())
     }
 
-    fn on_message(&mut self, word: &str, fields: &Fields) -> Result<(), ProtocolError> {
-        let message = parse_message(word, fields)?;
-        let current = self.current.ok_or(ProtocolError::NoInstance(word.to_string()))?;
+    fn process_message(&mut self, name: &str, fields: &Fields) -> Result<(), ProtocolError> {
+        let message = parse_message(name, fields)?;
+        let current = self.current.ok_or(ProtocolError::NoInstanceSelected(name.to_string()))?;
         let batch = &mut self.batches[current];
         let instance = self.instances.get_mut(&batch.name);
         let Some(policy) = instance.filter(|policy| policy.is_some() || message == Message::Halt) else {
-            return Err(ProtocolError::NotEnlisted(batch.name.clone()));
+            return Err(ProtocolError::NotRunning(batch.name.clone()));
         };
         match message {
             Message::Halt => {
@@ -170,15 +177,17 @@
                 batch.events.clear();
             }
             Message::Event(event) => batch.events.push(event),
-            Message::EndpointList { kind, list_version, bank } => {
-                let entries = stored_entries(&self.lists, bank)?;
+            Message::EndpointList { kind, list_version, slot } => {
+                let entries = stored_entries(&self.lists, slot)?;
                 batch.events.push(Event::EndpointUpdate { kind, list_version, entries });
             }
         }
         Ok(())
     }
 
-    fn reply(&mut self, output: &mut impl Write) -> io::Result<()> {
+    /// Passes the events of the batch to the instances, in the order in which the batch selected them, and writes their
+    /// actions.
+    fn end_batch(&mut self, output: &mut impl Write) -> io::Result<()> {
         let now = self.now.take().unwrap_or_default();
         self.current = None;
         for batch in std::mem::take(&mut self.batches) {
@@ -199,13 +208,12 @@
     }
 }
 
-/// The stored entries of the list in `bank`.
 fn stored_entries(
-    lists: &[Option<Vec<EndpointEntry>>], bank: Option<usize>,
+    lists: &[Option<Vec<EndpointEntry>>], slot: Option<usize>,
 ) -> Result<Vec<EndpointEntry>, ProtocolError> {
-    let bank = bank.ok_or(ProtocolError::Missing("bank"))?;
-    let stored = lists.get(bank).and_then(Option::as_ref);
-    stored.cloned().ok_or(ProtocolError::NoSuchList(bank))
+    let slot = slot.ok_or(ProtocolError::Missing("bank"))?;
+    let stored = lists.get(slot).and_then(Option::as_ref);
+    stored.cloned().ok_or(ProtocolError::UnknownList(slot))
 }
 
 fn write_actions(instance: &str, actions: &[Action], output: &mut impl Write) -> io::Result<()> {
--- a/crates/simulator-protocol/src/lib.rs
+++ b/crates/simulator-protocol/src/lib.rs
@@ -1,14 +1,14 @@
 //! The simulator's line protocol.
 //!
-//! [`InstanceHost`] serves many instances from one stream of batches: [`fields`] splits lines, [`messages`] parses
-//! messages to an instance, [`actions`] writes its actions, and [`settings`] parses its configuration. The words of the
-//! simulator occur in these modules only.
+//! [`InstanceHost`] runs many policy instances on one stream of batches: [`fields`] splits a line into fields,
+//! [`messages`] parses the messages to an instance, [`actions`] writes its actions, and [`settings`] parses its
+//! configuration. Only these modules contain the names that the simulator uses for messages, fields and settings.
 
 #![warn(clippy::pedantic)]
 #![allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "versions are checked to be small integers"
+    reason = "versions are checked to be integers below 65536"
 )]
 #![allow(clippy::struct_excessive_bools, reason = "each flag is a key of the settings")]
 
--- a/crates/simulator-protocol/src/messages.rs
+++ b/crates/simulator-protocol/src/messages.rs
@@ -1,4 +1,4 @@
-//! Parses messages to an instance from the line format of the simulator.
+//! Parses the simulator's messages to an instance.
 
 use crate::error::ProtocolError;
 use crate::fields::Fields;
@@ -7,41 +7,41 @@
     RolloutPhase, RolloutState, UpdateFailure, UpdateKind, Version, VoteOutcome,
 };
 
-/// Versions are less than this.
+/// Versions in endpoint lists are integers below this number.
 const VERSION_LIMIT: f64 = 65536.0;
-/// The value of `how` in a rollout's state that answers a vote.
-const ANSWERS_VOTE: u32 = 1;
+/// Value of `how` in a rollout state that is the reply to a vote.
+const VOTE_REPLY: u32 = 1;
 
-/// One message to an instance.
+/// A message to an instance, parsed from one line.
 #[derive(Debug, PartialEq)]
 pub enum Message {
-    /// An event for the policy.
+    /// An event that the policy handles at the end of the batch.
     Event(Event),
-    /// An endpoint list whose entries were sent before.
+    /// An endpoint list whose entries were sent before and stored in a slot.
     EndpointList {
-        /// How it relates to the current list.
+        /// Whether the list replaces the current one or changes it.
         kind: UpdateKind,
-        /// The list's version.
+        /// Version of the list; 0 if the message has none.
         list_version: u64,
-        /// The number under which its entries were sent.
-        bank: Option<usize>,
+        /// The slot of the entries; `None`, which is an error, if the message has none.
+        slot: Option<usize>,
     },
-    /// The instance stops.
+    /// Stops the instance and discards its state and its events of the current batch.
     Halt,
 }
 
-/// Parses one entry of a list.
+/// Parses one entry of an endpoint list.
 ///
 /// # Errors
-/// The field that is missing or cannot be read.
+/// A field is missing or has an invalid value.
 pub fn parse_endpoint_entry(fields: &Fields) -> Result<EndpointEntry, ProtocolError> {
-    let version = fields.real("build")?;
+    let version = fields.finite("build")?;
     if version.fract() != 0.0 || !(0.0..VERSION_LIMIT).contains(&version) {
-        return Err(ProtocolError::Unreadable("build", version.to_string()));
+        return Err(ProtocolError::InvalidValue("build", version.to_string()));
     }
     Ok(EndpointEntry {
-        endpoint: fields.owned("instance")?,
-        status: fields.word("state", |word| match word {
+        endpoint: fields.owned_text("instance")?,
+        status: fields.keyword("state", |keyword| match keyword {
             "healthy" => Some(EndpointStatus::Ready),
             "cordoned" => Some(EndpointStatus::Draining),
             "deregistered" => Some(EndpointStatus::Removed),
@@ -51,31 +51,31 @@
         zone: fields.optional("az").unwrap_or("").to_string(),
         cell: fields.optional_number("cluster")?.unwrap_or(0),
         instance_type: fields.optional("model").unwrap_or("").to_string(),
-        weight: fields.optional_real("power-hint")?.unwrap_or(1.0),
+        weight: fields.optional_finite("power-hint")?.unwrap_or(1.0),
         started_at: fields.optional_ms("online-since-s")?.unwrap_or(0.0),
     })
 }
 
-/// Parses one message to an instance.
+/// Parses a message to an instance; `name` is the first word of its line.
 ///
 /// # Errors
-/// An unknown message, or the field that is missing or invalid.
-pub fn parse_message(word: &str, fields: &Fields) -> Result<Message, ProtocolError> {
-    let event = match word {
+/// The message is unknown, or a field is missing or has an invalid value.
+pub fn parse_message(name: &str, fields: &Fields) -> Result<Message, ProtocolError> {
+    let event = match name {
         "HALT" => return Ok(Message::Halt),
         "SYNC" => return endpoint_list(fields),
         "JOB_IN" => Event::RequestReceived(incoming_request(fields)?),
         "STREAMING" => Event::ResponseStarted {
             id: fields.number("handle")?,
             attempt: fields.number("go")?,
-            endpoint: fields.owned("instance")?,
+            endpoint: fields.owned_text("instance")?,
             elapsed: fields.ms("duration-s")?,
         },
         "RESOLVED" => Event::AttemptCompleted(completed_attempt(fields)?),
         "ABORTED" => Event::ClientDisconnected { id: fields.number("handle")? },
-        "REMINDER" => Event::TimerFired { token: fields.owned("handle")? },
+        "REMINDER" => Event::TimerFired { token: fields.owned_text("handle")? },
         "CHECK_RESULT" => Event::HealthCheckCompleted {
-            endpoint: fields.owned("instance")?,
+            endpoint: fields.owned_text("instance")?,
             outcome: fields.outcome()?,
             elapsed: fields.ms("duration-s")?,
             load: fields.load()?,
@@ -84,17 +84,17 @@
         "SHIP_STATE" => rollout_event(fields)?,
         "DIGEST" => Event::OutcomesReported(outcome_report(fields)?),
         "REPORTED_WRONG" => Event::WrongResponseReported {
-            endpoint: fields.owned("instance")?,
-            class: fields.owned("profile")?,
+            endpoint: fields.owned_text("instance")?,
+            class: fields.owned_text("profile")?,
             age: fields.ms("age-s")?,
         },
-        _ => return Err(ProtocolError::UnknownMessage(word.to_string())),
+        _ => return Err(ProtocolError::UnknownMessage(name.to_string())),
     };
     Ok(Message::Event(event))
 }
 
 fn endpoint_list(fields: &Fields) -> Result<Message, ProtocolError> {
-    let kind = fields.word("kind", |word| match word {
+    let kind = fields.keyword("kind", |keyword| match keyword {
         "D" => Some(Some(UpdateKind::Delta)),
         "F" => Some(Some(UpdateKind::Snapshot)),
         "C" => Some(Some(UpdateKind::CachedSnapshot)),
@@ -105,13 +105,13 @@
         return Ok(Message::Event(Event::EndpointUpdateFailed(UpdateFailure::default())));
     };
     let list_version = fields.optional_number("index")?.unwrap_or(0);
-    Ok(Message::EndpointList { kind, list_version, bank: fields.optional_number("bank")? })
+    Ok(Message::EndpointList { kind, list_version, slot: fields.optional_number("bank")? })
 }
 
 fn incoming_request(fields: &Fields) -> Result<IncomingRequest, ProtocolError> {
     Ok(IncomingRequest {
         id: fields.number("handle")?,
-        class: fields.owned("profile")?,
+        class: fields.owned_text("profile")?,
         tenant: fields.optional("realm").filter(|realm| *realm != "0").map(str::to_string),
         sticky_key: fields.optional("target-key").map(str::to_string),
         queued_for: 0.0,
@@ -126,7 +126,7 @@
     Ok(CompletedAttempt {
         id: fields.number("handle")?,
         attempt: fields.number("go")?,
-        endpoint: fields.owned("instance")?,
+        endpoint: fields.owned_text("instance")?,
         outcome: fields.outcome()?,
         is_final: fields.flag("ended")?,
         elapsed: fields.ms("duration-s")?,
@@ -138,7 +138,7 @@
 fn outcome_report(fields: &Fields) -> Result<OutcomeReport, ProtocolError> {
     Ok(OutcomeReport {
         version: fields.number("rel")?,
-        class: fields.owned("profile")?,
+        class: fields.owned_text("profile")?,
         attempts: fields.number("count")?,
         failures: fields.optional_number("errors")?.unwrap_or(0),
         mean_latency: fields.optional_ms("duration-s")?,
@@ -146,11 +146,11 @@
     })
 }
 
-/// The state of the newest version: an update, or the answer to a vote.
+/// Parses the state of the newest version's rollout: an update, or the reply to a vote.
 fn rollout_event(fields: &Fields) -> Result<Event, ProtocolError> {
     let outcome = fields.outcome()?;
-    let answers_vote = fields.optional_number::<u32>("how")?.unwrap_or(0) == ANSWERS_VOTE;
-    Ok(match (answers_vote, outcome) {
+    let is_vote_reply = fields.optional_number::<u32>("how")?.unwrap_or(0) == VOTE_REPLY;
+    Ok(match (is_vote_reply, outcome) {
         (true, AttemptOutcome::Success) => Event::VoteCompleted(VoteOutcome::Counted(rollout_state(fields)?)),
         (true, AttemptOutcome::Timeout) => Event::VoteCompleted(VoteOutcome::Unknown),
         (true, _) => Event::VoteCompleted(VoteOutcome::NotCounted),
@@ -163,14 +163,14 @@
     Ok(RolloutState {
         version: fields.number("rel")?,
         stage: fields.optional_number("wave")?.unwrap_or(0),
-        phase: fields.word("where-at", |word| match word {
+        phase: fields.keyword("where-at", |keyword| match keyword {
             "0" => Some(RolloutPhase::Canary),
             "1" => Some(RolloutPhase::RollingBack),
             "2" => Some(RolloutPhase::Promoted),
             "3" => Some(RolloutPhase::RolledBack),
             _ => None,
         })?,
-        traffic_cap: fields.real("allowed")?,
+        traffic_cap: fields.finite("allowed")?,
         age: fields.optional_ms("age-s")?.unwrap_or(0.0),
     })
 }
--- a/crates/simulator-protocol/src/settings/checks.rs
+++ b/crates/simulator-protocol/src/settings/checks.rs
@@ -1,13 +1,14 @@
-//! The checks of settings: units, ranges and contradictions between keys.
+//! Checks settings for wrong units, values out of range, and contradictions between keys.
 
 use super::schema::{
     Class, DiscoveryMode, Idempotency, Permissions, Rollout, Rules, SettingsSchema, VoteMode,
 };
 use crate::error::SettingsError;
 use serde_json::Value;
+use std::fmt::Display;
 
-/// Keys of times, without the unit.
-const TIMES: [&str; 15] = [
+/// Keys of times, without the suffix for the unit.
+const TIME_KEYS: [&str; 15] = [
     "aim",
     "hard-limit",
     "dedup-window",
@@ -25,36 +26,24 @@
     "fall",
 ];
 
-/// Units that are not accepted.
-const WRONG_UNITS: [&str; 6] = ["ns", "us", "ms", "m", "min", "h"];
+/// Suffixes of units that a time cannot have.
+const UNSUPPORTED_UNITS: [&str; 6] = ["ns", "us", "ms", "m", "min", "h"];
 
-/// One check of a setting.
-struct Check {
-    is_violated: bool,
-    key: &'static str,
-    problem: &'static str,
-}
-
-/// A check of the setting under `key`.
-const fn check(is_violated: bool, key: &'static str, problem: &'static str) -> Check {
-    Check { is_violated, key, problem }
-}
-
-/// Rejects a time in another unit than seconds: as an unknown key it would be ignored, and a default would apply.
-pub(super) fn units(text: &str) -> Result<(), SettingsError> {
+/// Rejects a time in another unit than seconds: its key would be ignored as unknown, and a default would apply.
+pub(super) fn check_units(text: &str) -> Result<(), SettingsError> {
     let value: Option<Value> = serde_json::from_str(text).ok();
     match value.as_ref().and_then(time_in_wrong_unit) {
-        Some(key) => Err(SettingsError::Invalid { key, problem: "unknown unit, times are in seconds" }),
+        Some(key) => Err(SettingsError::UnknownUnit { key }),
         None => Ok(()),
     }
 }
 
-/// The path of the first time in another unit than seconds.
+/// Returns the path of the first time in another unit than seconds, unless the object also has that time in seconds.
 fn time_in_wrong_unit(value: &Value) -> Option<String> {
     match value {
         Value::Object(fields) => fields.iter().find_map(|(key, value)| {
             let (name, unit) = key.rsplit_once('-').unwrap_or((key, ""));
-            let is_time = WRONG_UNITS.contains(&unit) && TIMES.contains(&name);
+            let is_time = UNSUPPORTED_UNITS.contains(&unit) && TIME_KEYS.contains(&name);
             if is_time && !fields.contains_key(&format!("{name}-s")) {
                 return Some(key.clone());
             }
@@ -65,74 +54,111 @@
     }
 }
 
-/// Rejects the first setting that contradicts another or is outside its range.
-pub(super) fn consistency(settings: &SettingsSchema) -> Result<(), SettingsError> {
-    let checks = [
-        check(settings.classes.is_empty(), "classes", "none given"),
-        check(settings.gateway_count <= settings.gateway_index, "me", "not below replicas-of-me"),
-    ];
-    let is_known_zone = settings.zones.is_empty() || settings.zones.contains(&settings.zone);
-    let is_subscribed = settings.discovery_mode == DiscoveryMode::Subscribed;
-    let checks = checks
-        .into_iter()
-        .chain(rollout(&settings.rollout))
-        .chain(permissions(&settings.permissions))
-        .chain(rules(&settings.rules, is_subscribed))
-        .chain([check(!is_known_zone, "locality", "not among azs")]);
-    if let Some(violated) = checks.into_iter().find(|check| check.is_violated) {
-        return Err(SettingsError::Invalid { key: violated.key.to_string(), problem: violated.problem });
-    }
+/// Rejects the first setting that contradicts another or is out of range.
+pub(super) fn check_consistency(settings: &SettingsSchema) -> Result<(), SettingsError> {
+    let SettingsSchema { gateway_count, gateway_index, zones, zone, .. } = settings;
+    require(!settings.classes.is_empty(), "classes", "at least one class", "none")?;
+    require(
+        gateway_index < gateway_count,
+        "me",
+        format_args!("a number below replicas-of-me ({gateway_count})"),
+        gateway_index,
+    )?;
+    check_rollout(&settings.rollout)?;
+    check_permissions(&settings.permissions)?;
+    check_rules(&settings.rules, settings.discovery_mode == DiscoveryMode::Subscribed)?;
+    let is_known_zone = zones.is_empty() || zones.contains(zone);
+    require(
+        is_known_zone,
+        "locality",
+        format_args!("one of azs ({})", zones.join(", ")),
+        format_args!("'{zone}'"),
+    )?;
     settings.classes.iter().try_for_each(|class| check_class(class, &settings.classes))
 }
 
-fn rollout(rollout: &Rollout) -> [Check; 8] {
+fn check_rollout(rollout: &Rollout) -> Result<(), SettingsError> {
     let is_clocked = rollout.vote_mode == VoteMode::Clocked;
-    let is_outside = |cap: &f64| !(0.0..=1.0).contains(cap);
-    [
-        check(rollout.stage_caps.is_empty(), "domain.caps", "none given"),
-        check(rollout.stage_caps.iter().any(is_outside), "domain.caps", "not from 0 to 1"),
-        check(rollout.window <= 0.0, "domain.window-s", "not above 0"),
-        check(rollout.allowance < 0.0, "domain.allowance", "below 0"),
-        check(rollout.vote_lease <= 0.0, "domain.vote-ttl-s", "not above 0"),
-        check(rollout.rollback_quorum == 0, "domain.votes-to-revert", "0"),
-        check(!is_clocked && rollout.promote_quorum == 0, "domain.votes-to-go", "0"),
-        check(is_clocked && rollout.pause_quorum == 0, "domain.to-pause", "0"),
-    ]
+    require(!rollout.stage_caps.is_empty(), "domain.caps", "at least one cap", "none")?;
+    for cap in &rollout.stage_caps {
+        require((0.0..=1.0).contains(cap), "domain.caps", "caps from 0 to 1", cap)?;
+    }
+    require_positive(rollout.window, "domain.window-s")?;
+    require_not_negative(rollout.allowance, "domain.allowance")?;
+    require_positive(rollout.vote_lease, "domain.vote-ttl-s")?;
+    require_vote(rollout.rollback_quorum, "domain.votes-to-revert", "at least 1")?;
+    if is_clocked {
+        require_vote(rollout.pause_quorum, "domain.to-pause", "at least 1 with vote-mode clocked")
+    } else {
+        require_vote(rollout.promote_quorum, "domain.votes-to-go", "at least 1 unless vote-mode is clocked")
+    }
 }
 
-fn permissions(permissions: &Permissions) -> [Check; 3] {
-    [
-        check(permissions.max_attempts == 0, "permissions.try-limit", "0"),
-        check(permissions.idle_timeout <= 0.0, "permissions.conn-idle-s", "not above 0"),
-        check(permissions.connect_timeout <= 0.0, "permissions.dial-timeout-s", "not above 0"),
-    ]
+fn check_permissions(permissions: &Permissions) -> Result<(), SettingsError> {
+    let max_attempts = permissions.max_attempts;
+    require(max_attempts > 0, "permissions.try-limit", "at least 1", max_attempts)?;
+    require_positive(permissions.idle_timeout, "permissions.conn-idle-s")?;
+    require_positive(permissions.connect_timeout, "permissions.dial-timeout-s")
 }
 
-fn rules(rules: &Rules, is_subscribed: bool) -> [Check; 6] {
-    let is_share = rules.initial_capacity > 0.0 && rules.initial_capacity <= 1.0;
-    [
-        check(!is_share, "rules.cold-from", "not above 0 up to 1"),
-        check(rules.overload_multiple <= 0.0, "rules.tip-multiple", "not above 0"),
-        check(rules.overload_window <= 0.0, "rules.fall-s", "not above 0"),
-        check(rules.warmup_duration < 0.0, "rules.warm-up-s", "below 0"),
-        check(rules.drain_grace < 0.0, "rules.drain-grace-s", "below 0"),
-        check(is_subscribed && rules.max_poll_interval <= 0.0, "rules.ask-within-s", "not above 0"),
-    ]
+fn check_rules(rules: &Rules, is_subscribed: bool) -> Result<(), SettingsError> {
+    let capacity = rules.initial_capacity;
+    require(capacity > 0.0 && capacity <= 1.0, "rules.cold-from", "a number above 0 and up to 1", capacity)?;
+    require_positive(rules.overload_multiple, "rules.tip-multiple")?;
+    require_positive(rules.overload_window, "rules.fall-s")?;
+    require_not_negative(rules.warmup_duration, "rules.warm-up-s")?;
+    require_not_negative(rules.drain_grace, "rules.drain-grace-s")?;
+    require(
+        !is_subscribed || rules.max_poll_interval > 0.0,
+        "rules.ask-within-s",
+        "a number above 0 with registry-mode subscribe",
+        rules.max_poll_interval,
+    )
 }
 
 fn check_class(class: &Class, all: &[Class]) -> Result<(), SettingsError> {
-    let is_named_twice = all.iter().filter(|other| other.name == class.name).count() > 1;
-    let lacks_window = class.idempotency == Idempotency::Keyed && class.dedup_window <= 0.0;
-    let checks = [
-        (is_named_twice, "named twice"),
-        (class.latency_objective <= 0.0, "aim-s: not above 0"),
-        (class.timeout < class.latency_objective, "hard-limit-s: below aim-s"),
-        (lacks_window, "dedup-window-s: not above 0"),
-    ];
-    match checks.into_iter().find(|(is_violated, _)| *is_violated) {
-        Some((_, problem)) => {
-            Err(SettingsError::Invalid { key: format!("classes '{}'", class.name), problem })
-        }
-        None => Ok(()),
+    let Class { name, latency_objective, timeout, .. } = class;
+    let name_count = all.iter().filter(|other| other.name == *name).count();
+    let key = |key: &str| format!("classes '{name}': {key}");
+    require(
+        name_count == 1,
+        &key("name"),
+        "a name that no other class has",
+        format_args!("{name_count} classes"),
+    )?;
+    require_positive(*latency_objective, &key("aim-s"))?;
+    require(
+        timeout >= latency_objective,
+        &key("hard-limit-s"),
+        format_args!("at least aim-s ({latency_objective})"),
+        timeout,
+    )?;
+    require(
+        class.idempotency != Idempotency::Keyed || class.dedup_window > 0.0,
+        &key("dedup-window-s"),
+        "a number above 0 with effect deduplicated",
+        class.dedup_window,
+    )
+}
+
+fn require_positive(number: f64, key: &str) -> Result<(), SettingsError> {
+    require(number > 0.0, key, "a number above 0", number)
+}
+
+fn require_not_negative(number: f64, key: &str) -> Result<(), SettingsError> {
+    require(number >= 0.0, key, "at least 0", number)
+}
+
+fn require_vote(quorum: u32, key: &str, expected: &str) -> Result<(), SettingsError> {
+    require(quorum > 0, key, expected, quorum)
+}
+
+fn require(
+    is_met: bool, key: &str, expected: impl Display, found: impl Display,
+) -> Result<(), SettingsError> {
+    if is_met {
+        return Ok(());
     }
+    let (expected, found) = (expected.to_string(), found.to_string());
+    Err(SettingsError::Invalid { key: key.to_string(), expected, found })
 }
--- a/crates/simulator-protocol/src/settings/mod.rs
+++ b/crates/simulator-protocol/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings object: parsed, checked, and turned into the policy's configuration.
+//! Parses and checks the settings object, and converts it into the policy's configuration.
 
 mod checks;
 mod schema;
@@ -14,54 +14,55 @@
 use schema::SettingsSchema;
 use update_delays::UpdateDelays;
 
-/// The longest polling interval in seconds of a gateway on sockets whose settings say that lists are pushed: sockets do not
-/// offer that, so that it subscribes instead.
+/// The longest polling interval of a gateway on sockets if the settings state that lists are pushed and contain no
+/// interval above 0. Lists cannot be pushed on sockets, so the gateway subscribes instead.
 const DEFAULT_MAX_POLL_INTERVAL_S: f64 = 10.0;
 
-/// Milliseconds of a time in seconds.
-fn ms(seconds: f64) -> Millis {
+fn seconds_to_millis(seconds: f64) -> Millis {
     seconds * MS_PER_S
 }
 
-/// The settings that an instance is started with, checked.
+/// The checked settings of one instance. The policy's configuration and that of an adapter are derived from them.
 pub struct Settings {
     schema: SettingsSchema,
     update_delays: UpdateDelays,
 }
 
-/// The limits of an adapter that publishes decisions instead of deciding on each request.
+/// The limits that an adapter enforces itself if it publishes decisions instead of deciding on each request.
 pub struct PublishingLimits {
-    /// The limits on the exposure of canaries.
+    /// Limits of the attempts that a canary may get.
     pub exposure: ExposureConfig,
-    /// How endpoints warm up.
+    /// How the capacity of a started endpoint grows.
     pub slow_start: SlowStartConfig,
-    /// Attempts of one request at most.
+    /// Limit of the attempts at one request, the first included.
     pub max_attempts: usize,
 }
 
-/// Parses and checks the settings object.
+/// Parses and checks the settings object, a JSON text. Unknown keys are ignored, except a time in a unit other than
+/// seconds if the object does not also have this time in seconds.
 ///
 /// # Errors
-/// The first key that is missing, has another form, or contradicts another one.
+/// The text is not JSON, or a key is missing, has an invalid value, or contradicts another; names the first such key.
 pub fn parse(text: &str) -> Result<Settings, SettingsError> {
-    checks::units(text)?;
+    checks::check_units(text)?;
     let mut reader = serde_json::Deserializer::from_str(text);
     let schema: SettingsSchema = serde_path_to_error::deserialize(&mut reader)
         .map_err(|error| SettingsError::Malformed(error.to_string()))?;
-    checks::consistency(&schema)?;
-    let update_delays = UpdateDelays::in_simulator(ms(schema.rules.max_poll_interval));
+    checks::check_consistency(&schema)?;
+    let update_delays = UpdateDelays::in_simulator(seconds_to_millis(schema.rules.max_poll_interval));
     Ok(Settings { schema, update_delays })
 }
 
 impl Settings {
-    /// The configuration of upstream connections, for an adapter on sockets.
+    /// Returns the timeouts of connections to endpoints and to the platform, and what endpoints may be sent and report;
+    /// for an adapter on sockets.
     #[must_use]
     pub fn upstream_connections(&self) -> UpstreamConnectionConfig {
         let permissions = &self.schema.permissions;
         UpstreamConnectionConfig {
-            idle_timeout: ms(permissions.idle_timeout),
-            connect_timeout: ms(permissions.connect_timeout),
-            vote_timeout: ms(self.schema.rollout.answer_timeout),
+            idle_timeout: seconds_to_millis(permissions.idle_timeout),
+            connect_timeout: seconds_to_millis(permissions.connect_timeout),
+            vote_timeout: seconds_to_millis(self.schema.rollout.reply_timeout),
             health_checks: permissions.health_checks,
             load_reporting: match self.schema.load_report.transport {
                 schema::LoadTransport::Disabled => LoadReporting::Disabled,
@@ -71,7 +72,8 @@
         }
     }
 
-    /// The same settings for sockets, where a gateway subscribes to endpoint lists even if the simulator pushes them.
+    /// Converts the settings for an adapter on sockets, where a gateway subscribes to endpoint lists even if the
+    /// settings state that lists are pushed.
     #[must_use]
     pub fn on_sockets(mut self) -> Self {
         let is_pushed = self.schema.discovery_mode == schema::DiscoveryMode::Pushed;
@@ -85,13 +87,14 @@
         self
     }
 
-    /// The request classes.
+    /// Returns the request classes in the order of the settings; at least one, each with another name.
     #[must_use]
     pub fn classes(&self) -> Vec<RequestClass> {
         self.schema.classes.iter().map(request_class).collect()
     }
 
-    /// The limits of an adapter that publishes decisions.
+    /// Returns the limits that an adapter enforces itself if it publishes decisions instead of deciding on each
+    /// request.
     #[must_use]
     pub fn publishing_limits(&self) -> PublishingLimits {
         PublishingLimits {
@@ -101,7 +104,7 @@
         }
     }
 
-    /// Starts the policy of one instance; `seed` initializes its random number generator.
+    /// Creates the policy of one instance; `seed` initializes its random number generator.
     #[must_use]
     pub fn start_policy(self, seed: u64) -> Policy {
         Policy::new(PolicyConfig {
@@ -129,19 +132,21 @@
             cancel: permissions.cancel,
             health_checks: permissions.health_checks,
             peer_messages: permissions.peer_messages,
-            max_retry_after: permissions.retry_after.then_some(ms(permissions.max_retry_after)),
+            max_retry_after: permissions
+                .retry_after
+                .then_some(seconds_to_millis(permissions.max_retry_after)),
         }
     }
 
     fn discovery(&self) -> DiscoveryConfig {
         DiscoveryConfig {
             requires_subscription: self.schema.discovery_mode == schema::DiscoveryMode::Subscribed,
-            max_poll_interval: ms(self.schema.rules.max_poll_interval),
+            max_poll_interval: seconds_to_millis(self.schema.rules.max_poll_interval),
             update_delay_after_start: self.update_delays.start,
-            update_delay_after_loss: self.update_delays.lost_watch,
-            update_delay_after_silence: self.update_delays.silent_watch,
-            update_delay_after_move: self.update_delays.moved,
-            drain_grace: ms(self.schema.rules.drain_grace),
+            update_delay_after_loss: self.update_delays.watch_loss,
+            update_delay_after_silence: self.update_delays.watch_silence,
+            update_delay_after_move: self.update_delays.address_change,
+            drain_grace: seconds_to_millis(self.schema.rules.drain_grace),
         }
     }
 
@@ -149,9 +154,9 @@
         let rules = &self.schema.rules;
         SlowStartConfig {
             initial_capacity: rules.initial_capacity,
-            duration: ms(rules.warmup_duration),
+            duration: seconds_to_millis(rules.warmup_duration),
             overload_multiple: rules.overload_multiple,
-            overload_window: ms(rules.overload_window),
+            overload_window: seconds_to_millis(rules.overload_window),
         }
     }
 
@@ -160,9 +165,9 @@
         ExposureConfig {
             allowance: rollout.allowance,
             stage_caps: rollout.stage_caps.clone(),
-            window: ms(rollout.window),
+            window: seconds_to_millis(rollout.window),
             per_class: rollout.exposure_scope == schema::ExposureScope::PerClass,
-            idempotent_only_stages: rollout.closed_stages,
+            idempotent_only_stages: rollout.idempotent_only_stages,
             sticky_keys: rollout.sticky_keys,
         }
     }
@@ -178,10 +183,10 @@
             promote_quorum: rollout.promote_quorum,
             pause_quorum: rollout.pause_quorum,
             rollback_quorum: rollout.rollback_quorum,
-            vote_lease: ms(rollout.vote_lease),
-            min_stage_duration: ms(rollout.min_stage_duration),
-            auto_promote_after: ms(rollout.auto_promote_after),
-            reply_timeout: ms(rollout.answer_timeout),
+            vote_lease: seconds_to_millis(rollout.vote_lease),
+            min_stage_duration: seconds_to_millis(rollout.min_stage_duration),
+            auto_promote_after: seconds_to_millis(rollout.auto_promote_after),
+            reply_timeout: seconds_to_millis(rollout.reply_timeout),
             keeps_baseline: rollout.style == schema::RolloutStyle::SideBySide,
         }
     }
@@ -200,10 +205,10 @@
             schema::DedupScope::Zone => DedupScope::Zone,
             schema::DedupScope::Cell => DedupScope::Cell,
         },
-        dedup_window: ms(class.dedup_window),
-        latency_objective: ms(class.latency_objective),
+        dedup_window: seconds_to_millis(class.dedup_window),
+        latency_objective: seconds_to_millis(class.latency_objective),
         objective_per_work: class.objective_per_work,
-        timeout: ms(class.timeout),
+        timeout: seconds_to_millis(class.timeout),
         priority_weight: class.priority_weight,
         late_value_share: class.late_value_share,
         streamed: class.streamed,
--- a/crates/simulator-protocol/src/settings/schema.rs
+++ b/crates/simulator-protocol/src/settings/schema.rs
@@ -1,9 +1,11 @@
-//! The settings object. Field names are the terms of the code; the keys of the simulator occur in `rename` only. Times
-//! are in seconds.
+//! The settings object as it is deserialized. Fields have the names of the policy's configuration; `rename` contains
+//! the keys of the simulator. Times are in seconds.
 
 use serde::Deserialize;
 
-/// A class of requests.
+const DEFAULT_IDLE_TIMEOUT_S: f64 = 30.0;
+const DEFAULT_CONNECT_TIMEOUT_S: f64 = 0.25;
+
 #[derive(Deserialize)]
 pub(super) struct Class {
     pub(super) name: String,
@@ -38,7 +40,7 @@
     NonIdempotent,
 }
 
-/// The endpoints that share their record of idempotency keys.
+/// Which endpoints share a record of idempotency keys.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum DedupScope {
@@ -48,7 +50,7 @@
     Cell,
 }
 
-/// How versions are rolled out.
+/// How versions are rolled out and voted on.
 #[derive(Deserialize)]
 pub(super) struct Rollout {
     pub(super) allowance: f64,
@@ -59,7 +61,7 @@
     #[serde(rename = "counts")]
     pub(super) exposure_scope: ExposureScope,
     #[serde(rename = "closed-stages", default)]
-    pub(super) closed_stages: u32,
+    pub(super) idempotent_only_stages: u32,
     #[serde(rename = "no-return", default)]
     pub(super) sticky_keys: bool,
     #[serde(rename = "vote-mode")]
@@ -77,11 +79,11 @@
     #[serde(rename = "auto-after-s", default)]
     pub(super) auto_promote_after: f64,
     #[serde(rename = "api-timeout-s", default)]
-    pub(super) answer_timeout: f64,
+    pub(super) reply_timeout: f64,
     pub(super) style: RolloutStyle,
 }
 
-/// What the exposure of a canary is counted by.
+/// Whether the limits on a canary's traffic apply to all requests together or to each class separately.
 #[derive(Deserialize, PartialEq)]
 pub(super) enum ExposureScope {
     #[serde(rename = "all")]
@@ -90,7 +92,7 @@
     PerClass,
 }
 
-/// How votes on a stage are counted.
+/// How the platform turns votes into a decision.
 #[derive(Deserialize, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum VoteMode {
@@ -99,7 +101,7 @@
     Clocked,
 }
 
-/// Whether endpoints of the baseline remain while a canary is promoted.
+/// Whether all baseline endpoints remain until a canary is promoted (`SideBySide`) or are replaced one after another.
 #[derive(Deserialize, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum RolloutStyle {
@@ -107,7 +109,7 @@
     Rolling,
 }
 
-/// What a gateway may do.
+/// What the settings permit a gateway to do.
 #[derive(Deserialize)]
 pub(super) struct Permissions {
     #[serde(rename = "cancelling")]
@@ -130,24 +132,21 @@
     pub(super) connect_timeout: f64,
 }
 
-/// Seconds.
 fn default_idle_timeout() -> f64 {
-    30.0
+    DEFAULT_IDLE_TIMEOUT_S
 }
 
-/// Seconds.
 fn default_connect_timeout() -> f64 {
-    0.25
+    DEFAULT_CONNECT_TIMEOUT_S
 }
 
-/// How endpoints report their load.
 #[derive(Deserialize, Default)]
 pub(super) struct LoadReport {
     #[serde(rename = "via", default)]
     pub(super) transport: LoadTransport,
 }
 
-/// What carries load reports.
+/// Which responses of endpoints contain load reports.
 #[derive(Deserialize, Default)]
 pub(super) enum LoadTransport {
     #[default]
@@ -159,7 +158,7 @@
     HealthChecks,
 }
 
-/// What requests cost.
+/// Costs that routing avoids.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(super) struct Prices {
@@ -167,7 +166,7 @@
     pub(super) cross_zone: f64,
 }
 
-/// How endpoints are discovered, drained and warmed up.
+/// How endpoints are discovered, drained, warmed up and overloaded.
 #[derive(Deserialize)]
 pub(super) struct Rules {
     #[serde(rename = "ask-within-s")]
@@ -184,7 +183,7 @@
     pub(super) overload_window: f64,
 }
 
-/// How endpoint lists reach a gateway.
+/// Whether endpoint lists are pushed to a gateway, or the gateway opens a watch or polls.
 #[derive(Deserialize, PartialEq)]
 pub(super) enum DiscoveryMode {
     #[serde(rename = "automatic")]
@@ -193,7 +192,7 @@
     Subscribed,
 }
 
-/// The complete object.
+/// The complete settings object.
 #[derive(Deserialize)]
 pub(super) struct SettingsSchema {
     #[serde(rename = "azs", default)]
--- a/crates/simulator-protocol/src/settings/update_delays.rs
+++ b/crates/simulator-protocol/src/settings/update_delays.rs
@@ -1,41 +1,38 @@
-//! When a change of the endpoint list counts as reported to a gateway that did not receive it.
+//! Delays after which an update of the endpoint list counts as delivered to a gateway that did not receive it.
 
 use latchhaven_policy::Millis;
 
-/// Polling intervals after which the simulator counts a change as reported to a gateway whose call failed.
+/// In the simulator, an update counts as delivered this number of longest polling intervals after a failed call.
 const FAILED_CALL_POLLS: f64 = 4.0;
-/// Time in ms after which discovery counts a change as reported to a gateway on sockets that it cannot reach.
+/// Discovery counts an update as delivered after this time to a gateway on sockets that it cannot reach.
 const SOCKET_UPDATE_DELAY: Millis = 6000.0;
-/// Time in ms after which it does so where the gateway has moved to another address.
+/// Discovery does so after this time if the gateway has switched to another address of discovery.
 const SOCKET_MOVE_DELAY: Millis = 4000.0;
 
-/// When changes count as reported to a gateway that misses them, in ms.
+/// Times from an event until a missed update counts as delivered; see `latchhaven_policy::DiscoveryConfig`.
 pub(super) struct UpdateDelays {
-    /// Since the gateway's start.
     pub(super) start: Millis,
-    /// Since its watch was lost.
-    pub(super) lost_watch: Millis,
-    /// Since the last message on a watch that is still open.
-    pub(super) silent_watch: Millis,
-    /// Since it moved to another address of discovery.
-    pub(super) moved: Millis,
+    pub(super) watch_loss: Millis,
+    /// Counted from the last message on a watch that is still open.
+    pub(super) watch_silence: Millis,
+    /// Counted from the gateway's switch to another address of discovery.
+    pub(super) address_change: Millis,
 }
 
 impl UpdateDelays {
-    /// The delays in the simulator, given the longest polling interval in ms.
     pub(super) fn in_simulator(max_poll_interval: Millis) -> Self {
         let delay = FAILED_CALL_POLLS * max_poll_interval;
-        UpdateDelays { start: delay, lost_watch: delay, silent_watch: delay, moved: delay }
+        UpdateDelays { start: delay, watch_loss: delay, watch_silence: delay, address_change: delay }
     }
 
-    /// The delays on sockets. Where the settings say that lists are pushed, a change counts as reported immediately, unless the
-    /// watch is open and silent or the gateway has moved.
+    /// If the settings state that lists are pushed, a missed update counts as delivered immediately, unless the watch
+    /// is open and silent or the gateway has switched to another address.
     pub(super) fn on_sockets(is_pushed: bool) -> Self {
         UpdateDelays {
             start: 0.0,
-            lost_watch: if is_pushed { 0.0 } else { SOCKET_UPDATE_DELAY },
-            silent_watch: SOCKET_UPDATE_DELAY,
-            moved: SOCKET_MOVE_DELAY,
+            watch_loss: if is_pushed { 0.0 } else { SOCKET_UPDATE_DELAY },
+            watch_silence: SOCKET_UPDATE_DELAY,
+            address_change: SOCKET_MOVE_DELAY,
         }
     }
 }
--- a/crates/simulator-protocol/tests/lines.rs
+++ b/crates/simulator-protocol/tests/lines.rs
@@ -1,4 +1,4 @@
-//! Good and malformed lines of the simulator.
+//! Valid and malformed lines of the simulator.
 
 use latchhaven_policy::*;
 use latchhaven_simulator_protocol::actions::write_action;
@@ -11,11 +11,12 @@
 
 fn serve(input: &str) -> (String, Option<String>) {
     let mut output = Vec::new();
-    let ended = InstanceHost::default().serve(input.as_bytes(), &mut output);
-    (String::from_utf8(output).expect("text"), ended.err().map(|fault| fault.to_string()))
+    let result = InstanceHost::default().serve(input.as_bytes(), &mut output);
+    (String::from_utf8(output).expect("text"), result.err().map(|error| error.to_string()))
 }
 
-fn enlisted(rest: &str) -> String {
+/// A batch that starts an instance with a list of one endpoint, and continues with `rest`.
+fn batch_with_started_instance(rest: &str) -> String {
     format!(
         "MARK sim-time-s=9.5\nON i=gateway-0\nENLIST rng-seed=5 params={SETTINGS}\n\
          DIRECTORY bank=3 records=1\nENTRY instance=10.0.0.1:80 state=healthy build=4 az=x extra=1\n\
@@ -52,8 +53,8 @@
 #[case("SHIP_STATE ending=turned_away how=1", Event::VoteCompleted(VoteOutcome::NotCounted))]
 #[case("SHIP_STATE ending=no_answer", Event::RolloutUnavailable)]
 fn message_is_parsed_as_event(#[case] line: &str, #[case] event: Event) {
-    let (word, rest) = line.split_once(' ').expect("fields");
-    assert_eq!(parse_message(word, &Fields::parse(rest).expect("pairs")), Ok(Message::Event(event)));
+    let (name, rest) = line.split_once(' ').expect("fields");
+    assert_eq!(parse_message(name, &Fields::parse(rest).expect("pairs")), Ok(Message::Event(event)));
 }
 
 #[rstest]
@@ -82,81 +83,96 @@
 #[rstest]
 #[case("instance=a:1 state=cordoned build=4", Ok((EndpointStatus::Draining, 0.0)))]
 #[case("instance=a:1 state=healthy build=4 online-since-s=6.1", Ok((EndpointStatus::Ready, 6100.0)))]
-#[case("instance=a:1 state=well build=4", Err("field 'state' cannot be read: 'well'"))]
-#[case("instance=a:1 state=healthy build=4.5", Err("field 'build' cannot be read: '4.5'"))]
-fn list_entry_is_parsed(#[case] line: &str, #[case] wanted: Result<(EndpointStatus, Millis), &str>) {
+#[case("instance=a:1 state=well build=4", Err("field 'state' has an invalid value: 'well'"))]
+#[case("instance=a:1 state=healthy build=4.5", Err("field 'build' has an invalid value: '4.5'"))]
+fn list_entry_is_parsed(#[case] line: &str, #[case] expected: Result<(EndpointStatus, Millis), &str>) {
     let entry = parse_endpoint_entry(&Fields::parse(line).expect("pairs"));
     assert_eq!(
-        entry.map(|entry| (entry.status, entry.started_at)).map_err(|fault| fault.to_string()),
-        wanted.map_err(str::to_string)
+        entry.map(|entry| (entry.status, entry.started_at)).map_err(|error| error.to_string()),
+        expected.map_err(str::to_string)
     );
 }
 
 #[rstest]
-fn batch_is_answered_in_order_and_stopped_instance_forgets() {
-    let first = enlisted("JOB_IN handle=7 profile=pay ttl-s=0.5\nFLUSH\n\n");
-    let (output, fault) = serve(&first);
-    assert_eq!(fault, None);
+fn batch_output_ends_with_yield_and_restarted_instance_has_no_state() {
+    let first = batch_with_started_instance("JOB_IN handle=7 profile=pay ttl-s=0.5\nFLUSH\n\n");
+    let (output, error) = serve(&first);
+    assert_eq!(error, None);
     assert!(output.starts_with("CONTEXT i=gateway-0\n") && output.ends_with("YIELD\n"), "{output}");
     assert!(output.contains("PASS_ON handle=7 instance=10.0.0.1:80 max-wait-s="));
-    let again = format!("{first}{}FLUSH\n", enlisted("").replace("ENLIST", "HALT\nENLIST"));
-    let (output, fault) = serve(&again);
-    assert_eq!((fault, output.matches("WAKE_ME").count()), (None, 2));
+    let again =
+        format!("{first}{}FLUSH\n", batch_with_started_instance("").replace("ENLIST", "HALT\nENLIST"));
+    let (output, error) = serve(&again);
+    assert_eq!((error, output.matches("WAKE_ME").count()), (None, 2));
 }
 
 #[rstest]
-fn list_number_refers_to_list_sent_last() {
+fn slot_contains_the_list_sent_last() {
     let second = "DIRECTORY bank=3 records=1\nENTRY instance=10.0.0.2:80 state=healthy build=4\n\
                   SYNC index=2 kind=F bank=3\nJOB_IN handle=7 profile=pay ttl-s=0.5\nFLUSH\n";
-    let (output, fault) = serve(&enlisted(second));
-    assert_eq!(fault, None);
+    let (output, error) = serve(&batch_with_started_instance(second));
+    assert_eq!(error, None);
     assert!(output.contains("PASS_ON handle=7 instance=10.0.0.2:80"), "{output}");
 }
 
 #[rstest]
-#[case("FLUSH\n", "line 1: FLUSH outside a batch")]
-#[case("MARK sim-time-s=x\n", "line 1: field 'sim-time-s' cannot be read: 'x'")]
+#[case("FLUSH\n", "line 1: expected MARK to start a batch, found FLUSH")]
+#[case("MARK sim-time-s=x\n", "line 1: field 'sim-time-s' has an invalid value: 'x'")]
 #[case("MARK\n", "line 1: field 'sim-time-s' is missing")]
-#[case("MARK sim-time-s=1\nABORTED handle=1\n", "line 2: ABORTED before any ON")]
+#[case("MARK sim-time-s=1\nABORTED handle=1\n", "line 2: expected ON to select an instance, found ABORTED")]
 #[case(
     "MARK sim-time-s=1\nON i=gateway-9\nABORTED handle=1\n",
-    "line 3: ON for instance 'gateway-9', which is not enlisted"
+    "line 3: instance 'gateway-9' is not running, expected ENLIST"
 )]
 #[case(
     "MARK sim-time-s=1\nON i=gateway-9\nFLUSH\n",
-    "line 3: ON for instance 'gateway-9', which is not enlisted"
+    "line 3: instance 'gateway-9' is not running, expected ENLIST"
 )]
-#[case("MARK sim-time-s=1\nDIRECTORY bank=99 records=0\n", "line 2: field 'bank' cannot be read: '99'")]
-#[case("MARK sim-time-s=1\nENTRY instance=a\n", "line 2: ENTRY outside a list")]
-#[case("MARK sim-time-s=1\nWHAT now\n", "line 2: 'now' is no name=value pair")]
-#[case("MARK sim-time-s=1\n", "line 2: input ends inside a batch")]
-fn malformed_line_is_named(#[case] input: &str, #[case] wanted: &str) {
-    assert_eq!(serve(input).1.as_deref(), Some(wanted));
+#[case("MARK sim-time-s=1\nDIRECTORY bank=99 records=0\n", "line 2: field 'bank' has an invalid value: '99'")]
+#[case("MARK sim-time-s=1\nENTRY instance=a\n", "line 2: expected DIRECTORY before ENTRY")]
+#[case("MARK sim-time-s=1\nWHAT now\n", "line 2: expected a name=value pair, found 'now'")]
+#[case("MARK sim-time-s=1\n", "line 2: expected FLUSH to end the batch, found the end of input")]
+fn malformed_line_is_reported_with_its_number(#[case] input: &str, #[case] expected: &str) {
+    assert_eq!(serve(input).1.as_deref(), Some(expected));
 }
 
 #[rstest]
 #[case("WHAT handle=1", "unknown message 'WHAT'")]
-#[case("ABORTED handle=x", "field 'handle' cannot be read: 'x'")]
+#[case("ABORTED handle=x", "field 'handle' has an invalid value: 'x'")]
 #[case(
     "RESOLVED handle=1 ending=great go=0 instance=a duration-s=1",
-    "field 'ending' cannot be read: 'great'"
+    "field 'ending' has an invalid value: 'great'"
 )]
-#[case("SYNC index=1 kind=F bank=9", "list 9 has not been sent")]
-fn malformed_event_is_named(#[case] line: &str, #[case] wanted: &str) {
-    let fault = serve(&enlisted(&format!("{line}\n"))).1.expect("a fault");
-    assert!(fault.ends_with(wanted), "{fault}");
+#[case("SYNC index=1 kind=F bank=9", "endpoint list 9 was not sent")]
+fn malformed_message_to_instance_is_reported(#[case] line: &str, #[case] expected: &str) {
+    let error = serve(&batch_with_started_instance(&format!("{line}\n"))).1.expect("an error");
+    assert!(error.ends_with(expected), "{error}");
 }
 
 #[rstest]
 #[case(r#""allowance": 1.0, "#, "", "missing field `allowance`")]
-#[case(r#""caps": [0.1, 1.0]"#, r#""caps": []"#, "domain.caps")]
-#[case(r#""fall-s": 1.5"#, r#""fall-s": 0"#, "rules.fall-s")]
-#[case(r#""replicas-of-me": 2"#, r#""replicas-of-me": 0"#, "me: not below replicas-of-me")]
-#[case(r#""hard-limit-s": 2.0"#, r#""hard-limit-s": 0.2"#, "hard-limit-s")]
-#[case(r#""at_most_once""#, r#""deduplicated""#, "dedup-window-s")]
-#[case(r#""single""#, r#""clocked""#, "domain.to-pause")]
-fn settings_that_leave_a_rule_open_are_refused(#[case] was: &str, #[case] now: &str, #[case] named: &str) {
-    assert!(settings::parse(SETTINGS).is_ok() && SETTINGS.contains(was));
-    let fault = settings::parse(&SETTINGS.replace(was, now)).err().expect("a fault").to_string();
-    assert!(fault.contains(named), "{fault}");
+#[case(r#""caps": [0.1, 1.0]"#, r#""caps": []"#, "domain.caps: expected at least one cap, found none")]
+#[case(r#""fall-s": 1.5"#, r#""fall-s": 0"#, "rules.fall-s: expected a number above 0, found 0")]
+#[case(
+    r#""replicas-of-me": 2"#,
+    r#""replicas-of-me": 0"#,
+    "me: expected a number below replicas-of-me (0), found 0"
+)]
+#[case(
+    r#""hard-limit-s": 2.0"#,
+    r#""hard-limit-s": 0.2"#,
+    "hard-limit-s: expected at least aim-s (0.5), found 0.2"
+)]
+#[case(
+    r#""at_most_once""#,
+    r#""deduplicated""#,
+    "dedup-window-s: expected a number above 0 with effect deduplicated, found 0"
+)]
+#[case(r#""single""#, r#""clocked""#, "domain.to-pause: expected at least 1 with vote-mode clocked, found 0")]
+fn incomplete_or_contradictory_settings_are_rejected(
+    #[case] old: &str, #[case] new: &str, #[case] expected: &str,
+) {
+    assert!(settings::parse(SETTINGS).is_ok() && SETTINGS.contains(old));
+    let error = settings::parse(&SETTINGS.replace(old, new)).err().expect("an error").to_string();
+    assert!(error.contains(expected), "{error}");
 }
--- a/crates/simulator-protocol/tests/settings.rs
+++ b/crates/simulator-protocol/tests/settings.rs
@@ -1,10 +1,10 @@
-//! The keys and words of the settings object.
+//! The keys and keywords of the settings object.
 
 use latchhaven_simulator_protocol::settings;
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// Every key that is read, with a value that differs from its default.
+/// All keys, each with a value that differs from its default.
 fn all_keys() -> Value {
     json!({
         "azs": ["x", "y"],
@@ -61,7 +61,7 @@
 /// Keys whose default contradicts the other values.
 const REQUIRED_BY_OTHERS: [&str; 3] = ["/classes/0/dedup-window-s", "/domain/votes-to-go", "/locality"];
 
-/// The JSON pointers of all keys under a value.
+/// Returns the JSON pointers of all keys below `value`, whose own pointer is `prefix`.
 fn pointers(value: &Value, prefix: &str) -> Vec<String> {
     let children: Vec<(String, &Value)> = match value {
         Value::Object(fields) => fields.iter().map(|(key, child)| (key.clone(), child)).collect(),
@@ -82,7 +82,7 @@
     settings::parse(&settings.to_string()).err().map(|error| error.to_string())
 }
 
-/// The path in an error's text, as a JSON pointer.
+/// Returns the path at the beginning of an error's text as a JSON pointer.
 fn pointer_in(error: &str) -> String {
     let path = error.split(": ").next().unwrap_or_default();
     format!("/{}", path.replace('[', "/").replace("].", "/").replace(']', "").replace('.', "/"))
@@ -93,7 +93,7 @@
     let complete = all_keys();
     assert_eq!(error_of(&complete), None);
     let pointers = pointers(&complete, "");
-    assert_eq!(pointers.len(), 54, "53 keys and the place of the class");
+    assert_eq!(pointers.len(), 54, "53 keys and the index of the class");
     for pointer in &pointers {
         let mut changed = complete.clone();
         *changed.pointer_mut(pointer).expect("a key") = json!(null);
@@ -129,13 +129,13 @@
 #[case("/domain/style", &["side_by_side", "rolling"])]
 #[case("/load-report/via", &["silent", "piggyback", "pull"])]
 #[case("/registry-mode", &["automatic", "subscribe"])]
-fn words_of_a_key_are_accepted_and_no_other(#[case] pointer: &str, #[case] words: &[&str]) {
+fn only_keywords_of_a_key_are_accepted(#[case] pointer: &str, #[case] keywords: &[&str]) {
     let mut settings = all_keys();
-    for word in words {
-        *settings.pointer_mut(pointer).expect("a key") = json!(word);
-        assert_eq!(error_of(&settings), None, "{word}");
+    for keyword in keywords {
+        *settings.pointer_mut(pointer).expect("a key") = json!(keyword);
+        assert_eq!(error_of(&settings), None, "{keyword}");
     }
     *settings.pointer_mut(pointer).expect("a key") = json!("other");
     let error = error_of(&settings).expect("an error");
-    assert!(words.iter().all(|word| error.contains(&format!("`{word}`"))), "{error}");
+    assert!(keywords.iter().all(|keyword| error.contains(&format!("`{keyword}`"))), "{error}");
 }
