--- a/crates/operator-config/src/control_config.rs
+++ b/crates/operator-config/src/control_config.rs
@@ -1,7 +1,7 @@
-//! The records that a configuration file is parsed into.
+//! The structs that a configuration file is parsed into.
 //!
-//! `rename` maps the keys that operators write to fields; [`key_of_field`] maps back the fields that are checked. The
-//! documentation of the fields is part of the schema.
+//! `rename` maps the keys that operators write to fields; [`key_of_field`] maps fields back to keys for errors. The doc
+//! comments of the fields are published in the schema.
 
 use crate::limits::{DEFAULT_CONNECT_TIMEOUT_MS, DEFAULT_MAX_STREAMS};
 use garde::Validate;
@@ -11,7 +11,7 @@
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 use std::path::PathBuf;
 
-/// Checked fields whose keys have other names, with these keys.
+/// Fields that are checked and whose keys have other names: field, key.
 const RENAMED_KEYS: [(&str, &str); 4] = [
     ("max_streams", "streams_most"),
     ("class_header", "product_header"),
@@ -19,10 +19,10 @@
     ("connect_timeout_ms", "connect_within_ms"),
 ];
 
-/// The key of a field in the path of a failed check.
+/// Returns the path with its last field replaced by the key that operators write.
 pub(crate) fn key_of_field(path: &str) -> String {
     let (parent, field) = path.rsplit_once('.').unwrap_or(("", path));
-    match RENAMED_KEYS.iter().find(|(renamed, _)| *renamed == field) {
+    match RENAMED_KEYS.iter().find(|(renamed_field, _)| *renamed_field == field) {
         Some((_, key)) => format!("{parent}.{key}"),
         None => path.to_string(),
     }
@@ -34,23 +34,23 @@
 #[schemars(rename = "Plan")]
 #[garde(allow_unvalidated)]
 pub struct ControlConfig {
-    /// This service's name, in logs and towards proxies.
+    /// The name of this service in logs and towards proxies; 1 to 64 ASCII characters.
     #[garde(length(min = 1, max = 64), ascii)]
     pub name: String,
-    /// Address and port of discovery, which serves the endpoint list.
+    /// Address and port of the discovery service, from which the control service gets the endpoint list.
     pub discovery: SocketAddr,
-    /// Address and port of the platform; without one no configuration is published.
+    /// Address and port of the platform, which reports the rollout state; without it no configuration is published.
     pub platform: Option<SocketAddr>,
-    /// The seed of the random number generator.
+    /// The seed of the random number generator; 0 by default.
     #[serde(default)]
     pub seed: u64,
-    /// Request classes, permissions, rules and votes: the object that the platform sends to gateways, with the same names
-    /// and units.
+    /// Request classes, permissions, rules and voting: the same object, with the same keys and units, as the platform
+    /// sends to gateways.
     pub settings: serde_json::Value,
-    /// The file of the state store; without one a restarted service knows published versions only from proxies.
+    /// Path of the state store; without it a restarted control service knows the published versions only from proxies.
     pub state: Option<PathBuf>,
-    /// A file whose content is the key that signs versions; the same for all control services of a site. Without it
-    /// a version that a proxy reports protects the proxy's own stream only.
+    /// Path of a file with the key that signs versions; all control services of a site need the same key. Without it, a
+    /// version that a proxy reports protects only the stream of this proxy from older versions.
     pub shared_key_file: Option<PathBuf>,
     /// The xDS server for proxies.
     #[garde(dive)]
@@ -63,54 +63,56 @@
 #[schemars(rename = "Xds")]
 #[garde(allow_unvalidated)]
 pub struct XdsConfig {
-    /// The address on which proxies connect; other than loopback only if `allowed_networks` is set.
+    /// Address and port on which the server listens for proxies. An address other than loopback requires another
+    /// network in `allowed_networks`.
     #[garde(custom(loopback_or_allowed(&self.allowed_networks)))]
     pub listen: SocketAddr,
-    /// Networks from which proxies may connect; checked before the first read.
+    /// Networks from which proxies may connect, 1 to 256; loopback by default. A connection from another network is
+    /// closed before anything is read from it.
     #[serde(default = "loopback_networks")]
     #[schemars(with = "Vec<String>")]
     #[garde(length(min = 1, max = 256))]
     pub allowed_networks: Vec<IpNet>,
-    /// The maximum number of streams of proxies, open or pending.
+    /// Limit of the streams of proxies, open or pending; 2000 by default.
     #[serde(rename = "streams_most", default = "default_max_streams")]
     #[garde(range(min = 1, max = 100_000))]
     pub max_streams: usize,
-    /// The address on which each proxy listens for clients.
+    /// Address and port on which each proxy listens for clients.
     pub listener: SocketAddr,
-    /// The header that names a request's class.
+    /// The header of a request that contains the name of its class; `x-product` by default.
     #[serde(rename = "product_header", default = "default_class_header")]
     #[garde(length(min = 1, max = 64), ascii)]
     pub class_header: String,
-    /// The header with a request's sticky key.
+    /// The header of a request that contains its sticky key; `x-key` by default.
     #[serde(default = "default_key_header")]
     #[garde(length(min = 1, max = 64), ascii)]
     pub key_header: String,
-    /// The concurrency limit of an endpoint of weight 1 after its slow start, over all proxies.
+    /// Limit of the requests in flight to an endpoint of weight 1 after its slow start, for all proxies together.
     #[serde(rename = "in_flight_per_host")]
     #[garde(range(min = 1, max = 100_000))]
     pub max_in_flight_per_endpoint: u32,
-    /// The timeout of connecting to an endpoint, in ms.
+    /// The timeout of a connection attempt of a proxy to an endpoint, in milliseconds; 250 by default.
     #[serde(rename = "connect_within_ms", default = "default_connect_timeout")]
     #[garde(range(min = 1, max = 60_000))]
     pub connect_timeout_ms: u32,
-    /// The source of the counts that judge versions; both sources count the same attempts.
+    /// The source of the outcome counts by which versions are judged; both sources count the same attempts.
     #[serde(rename = "evidence", default)]
     pub outcome_source: OutcomeSource,
-    /// Incremental streams get each endpoint as a resource of its own (LEDS): the size of an update is proportional to
-    /// the number of changed endpoints.
+    /// If `true`, incremental streams receive each endpoint as a separate resource (LEDS), so that the size of an
+    /// update is proportional to the number of changed endpoints; `false` by default.
     #[serde(rename = "hosts_apart", default)]
     pub separate_endpoints: bool,
 }
 
-/// The source of the counts that judge versions.
+/// The source of the outcome counts by which versions are judged.
 #[derive(Clone, Copy, Debug, Default, Deserialize, JsonSchema, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 #[schemars(rename = "Evidence")]
 pub enum OutcomeSource {
-    /// Load reports of proxies; the platform's counts while there are none.
+    /// Load reports of proxies; while there are none, the counts of the platform.
     #[default]
     Proxies,
-    /// The platform's counts only.
+    /// The counts of the platform only.
     Platform,
 }
 
@@ -136,13 +138,13 @@
     "x-key".to_string()
 }
 
-/// Listening beyond loopback needs allowed networks beyond loopback.
+/// A server that listens on an address other than loopback needs an allowed network other than loopback.
 fn loopback_or_allowed(networks: &[IpNet]) -> impl FnOnce(&SocketAddr, &()) -> garde::Result + '_ {
     move |listen, ()| {
         let is_allowed = networks.iter().any(|network| !network.addr().is_loopback());
         if listen.ip().is_loopback() || is_allowed {
             return Ok(());
         }
-        Err(garde::Error::new("not on loopback, and allowed_networks names no other network"))
+        Err(garde::Error::new("expected a loopback address, or another network in allowed_networks"))
     }
 }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,12 +1,13 @@
 //! Configuration files of operators.
 //!
-//! A file is a Starlark script (functions, loops, `load` of files in the same folder) that sets `control`, a dict. It is
-//! evaluated within limits of size, steps, memory and depth, without a clock or random numbers, and parsed into
-//! [`ControlConfig`], whose keys are all checked. The platform's settings stay JSON; the control service parses them.
+//! A file is a Starlark script (functions, loops, `load` of files in the same folder) that sets `control`, a dict. A
+//! script is evaluated within limits of size, steps, memory and depth, without a clock or random numbers. The dict is
+//! parsed into [`ControlConfig`], and all keys are checked except those below `settings`, which the control service
+//! checks.
 //!
-//! - `control_config`: the records and their schema.
+//! - `control_config`: the structs that a dict is parsed into, and their schema.
 //! - `script`: evaluates a script and its loads.
-//! - `error`: the errors of a file, with their locations.
+//! - `error`: errors in files, with their locations.
 //! - `location`: finds the line of a key.
 //! - `limits`: limits of files and their evaluation, and defaults.
 
@@ -31,19 +32,19 @@
 /// The name that a script must set.
 const CONFIG_NAME: &str = "control";
 
-/// A parsed file.
+/// A configuration file that was evaluated and checked.
 #[derive(Clone, Debug)]
 pub struct LoadedConfig {
-    /// The checked records.
+    /// The configuration, with defaults for keys that the script did not set.
     pub config: ControlConfig,
-    /// The value that the script set, from which the records were parsed.
+    /// The dict that the script set, as JSON and without defaults.
     pub json: Value,
 }
 
-/// Reads, evaluates and checks a file.
+/// Reads, evaluates and checks a configuration file.
 ///
 /// # Errors
-/// All errors of the file, each with the file, the line if it is known, and the key.
+/// The file cannot be read, evaluated or parsed (one error), or values are out of range (an error for each).
 pub fn read(path: &Path) -> Result<LoadedConfig, ConfigErrors> {
     let EvaluatedScript { value, text } = script::evaluate(path, CONFIG_NAME)?;
     let error_at = |key: String, message: String| ConfigError {
@@ -57,16 +58,27 @@
         error_at(full_key(&error.path().to_string(), &message), message)
     })?;
     config.validate().map_err(|report| {
-        let errors = report
-            .iter()
-            .map(|(path, error)| error_at(key_of_field(&format!("{CONFIG_NAME}.{path}")), error.to_string()));
+        let errors = report.iter().map(|(path, error)| {
+            let key = key_of_field(&path.to_string());
+            let message = format!("{error}, found {}", found_value(&value, &key));
+            error_at(format!("{CONFIG_NAME}.{key}"), message)
+        });
         ConfigErrors(errors.collect())
     })?;
     Ok(LoadedConfig { config, json: value })
 }
 
-/// The key at which a value does not fit, from its path and the message of the deserializer. An unknown field is named
-/// only in the message, below the path.
+/// Describes the value of the key with this path for an error: a list by its length, any other value as JSON.
+fn found_value(config: &Value, key: &str) -> String {
+    match config.pointer(&format!("/{}", key.replace('.', "/"))) {
+        Some(Value::Array(values)) => format!("{} values", values.len()),
+        Some(value) => value.to_string(),
+        None => "no value".to_string(),
+    }
+}
+
+/// Returns the full path of the key that the deserializer did not accept. If the field is unknown, only `message`
+/// contains its name, and `path` ends at its parent.
 fn full_key(path: &str, message: &str) -> String {
     let is_unknown_field = message.starts_with("unknown field");
     let unknown_field = if is_unknown_field { message.split('`').nth(1) } else { None };
@@ -78,7 +90,7 @@
     }
 }
 
-/// The JSON schema of `control`, as published in `docs/control-schema.json`.
+/// Returns the JSON schema of `control`, which is published in `docs/control-schema.json`.
 #[must_use]
 pub fn schema() -> Value {
     schemars::schema_for!(ControlConfig).to_value()
--- a/crates/operator-config/src/limits.rs
+++ b/crates/operator-config/src/limits.rs
@@ -1,24 +1,24 @@
-//! Limits of a configuration file and of its evaluation, and the defaults of optional keys.
+//! Limits of a configuration file and of its evaluation, and defaults of optional keys.
 
-/// Bytes of one file.
-pub(crate) const MAX_FILE_SIZE: u64 = 1 << 20;
-/// Calls and loop iterations of one file: bounds the time of its evaluation.
+pub(crate) const MAX_FILE_BYTES: u64 = 1 << 20;
+/// Calls and loop iterations of one file; limits the time of its evaluation.
 pub(crate) const MAX_STEPS: u64 = 1_000_000;
-/// Bytes of all values of one file.
-pub(crate) const MAX_HEAP_SIZE: usize = 64 << 20;
-/// Depth of nested calls.
+/// Memory of all values of one file.
+pub(crate) const MAX_HEAP_BYTES: usize = 64 << 20;
+/// Nesting depth of calls in a script.
 pub(crate) const MAX_CALL_DEPTH: usize = 100;
-/// Depth of files that load one another.
-const MAX_LOAD_DEPTH: usize = 8;
-/// Loads of one script in total; a file is evaluated for each `load` of it.
-const MAX_LOADS: usize = 64;
+/// Nesting depth of loads.
+pub(crate) const MAX_LOAD_DEPTH: usize = 8;
+/// Loads of one script in total; a file that is loaded several times is evaluated each time.
+pub(crate) const MAX_LOADS: usize = 64;
 
-/// The default of `streams_most`: streams of proxies, open or pending.
+/// Default of the key `streams_most`.
 pub(crate) const DEFAULT_MAX_STREAMS: usize = 2000;
-/// The default of `connect_within_ms`, in ms.
+/// Default of the key `connect_within_ms`.
 pub(crate) const DEFAULT_CONNECT_TIMEOUT_MS: u32 = 250;
 
-/// True where a file at this depth may not load another one, as the number `load_count` of the script.
+/// Returns `true` if a file at nesting depth `depth`, 0 for the script itself, may not load another one. `load_count`
+/// is the number of loads so far, this one included.
 pub(crate) fn exceeds_load_limits(depth: usize, load_count: usize) -> bool {
     depth >= MAX_LOAD_DEPTH || load_count > MAX_LOADS
 }
--- a/crates/operator-config/src/script.rs
+++ b/crates/operator-config/src/script.rs
@@ -1,7 +1,7 @@
 //! Evaluates a Starlark script within limits of size, steps, memory and depth.
 
 use crate::error::{ConfigError, ConfigProblem, LoadError};
-use crate::limits::{self, MAX_CALL_DEPTH, MAX_FILE_SIZE, MAX_HEAP_SIZE, MAX_STEPS};
+use crate::limits::{self, MAX_CALL_DEPTH, MAX_FILE_BYTES, MAX_HEAP_BYTES, MAX_STEPS};
 use crate::location::line_of;
 use serde_json::Value;
 use starlark::environment::{FrozenModule, Globals, Module};
@@ -10,15 +10,14 @@
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
 
-/// The result of a script.
 pub(crate) struct EvaluatedScript {
-    /// The value of the name that the script set.
+    /// The dict that the script set.
     pub(crate) value: Value,
-    /// The script's own text.
+    /// The text of the script, without the files that it loads.
     pub(crate) text: String,
 }
 
-/// Evaluates a file and returns the dict of a name that it sets.
+/// Evaluates a script and returns the dict that it sets under `name`.
 pub(crate) fn evaluate(path: &Path, name: &str) -> Result<EvaluatedScript, ConfigError> {
     let text = read_file(path)?;
     let load_count = RefCell::new(0);
@@ -31,11 +30,23 @@
     let exported = exported.ok_or_else(|| error(ConfigProblem::NotSet))?;
     let value = exported.value().to_json_value().map_err(|failure| script_error(failure.to_string()))?;
     if !value.is_object() {
-        return Err(ConfigError { line: line_of(&text, name), ..error(ConfigProblem::NotADict) });
+        let problem = ConfigProblem::NotADict(json_type(&value));
+        return Err(ConfigError { line: line_of(&text, name), ..error(problem) });
     }
     Ok(EvaluatedScript { value, text })
 }
 
+fn json_type(value: &Value) -> &'static str {
+    match value {
+        Value::Null => "null",
+        Value::Bool(_) => "a boolean",
+        Value::Number(_) => "a number",
+        Value::String(_) => "a string",
+        Value::Array(_) => "a list",
+        Value::Object(_) => "a dict",
+    }
+}
+
 fn error_in(path: &Path, problem: ConfigProblem) -> ConfigError {
     ConfigError { file: path.display().to_string(), line: None, key: None, problem }
 }
@@ -43,17 +54,21 @@
 fn read_file(path: &Path) -> Result<String, ConfigError> {
     let unreadable = |error: std::io::Error| error_in(path, ConfigProblem::Unreadable(error.to_string()));
     let metadata = std::fs::metadata(path).map_err(unreadable)?;
-    if !metadata.is_file() || metadata.len() > MAX_FILE_SIZE {
-        return Err(error_in(path, ConfigProblem::NotAFileWithinLimit));
+    if !metadata.is_file() {
+        return Err(error_in(path, ConfigProblem::NotAFile));
+    }
+    if metadata.len() > MAX_FILE_BYTES {
+        return Err(error_in(path, ConfigProblem::TooLarge(metadata.len())));
     }
     std::fs::read_to_string(path).map_err(unreadable)
 }
 
-/// Loads files of one folder only.
+/// Evaluates files and their loads, which may only name files in the same folder.
 struct ModuleLoader<'a> {
     folder: PathBuf,
-    /// The number of loads so far, of all files of a script.
+    /// Loads so far, in the script and all files that it loads.
     load_count: &'a RefCell<usize>,
+    /// Nesting depth of the file that is evaluated; 0 for the script itself.
     depth: usize,
 }
 
@@ -70,7 +85,9 @@
                 let mut evaluator = Evaluator::new(&module);
                 evaluator.set_loader(self);
                 evaluator.set_max_tick_count(MAX_STEPS).map_err(|error| limit_error(error.to_string()))?;
-                evaluator.set_max_heap_size(MAX_HEAP_SIZE).map_err(|error| limit_error(error.to_string()))?;
+                evaluator
+                    .set_max_heap_size(MAX_HEAP_BYTES)
+                    .map_err(|error| limit_error(error.to_string()))?;
                 evaluator
                     .set_max_callstack_size(MAX_CALL_DEPTH)
                     .map_err(|error| limit_error(error.to_string()))?;
@@ -82,7 +99,7 @@
 
     fn load_file(&self, name: &str) -> Result<FrozenModule, LoadError> {
         *self.load_count.borrow_mut() += 1;
-        // A path could leave the folder.
+        // A name with a path could refer to a file outside the folder.
         if name.contains(['/', '\\']) || name.starts_with('.') || name.is_empty() {
             return Err(LoadError::OutsideFolder(name.to_string()));
         }
@@ -91,9 +108,9 @@
         }
         let path = self.folder.join(name);
         let text = read_file(&path)?;
-        let inner =
+        let nested =
             ModuleLoader { folder: self.folder.clone(), load_count: self.load_count, depth: self.depth + 1 };
-        Ok(inner.evaluate(&path, &text)?)
+        Ok(nested.evaluate(&path, &text)?)
     }
 }
 
@@ -103,7 +120,7 @@
     }
 }
 
-/// An error of the interpreter, with its location.
+/// Converts an error of the interpreter; uses `path` if the interpreter does not report a location.
 fn located_error(path: &Path, error: &starlark::Error) -> ConfigError {
     let span = error.span();
     ConfigError {
--- a/crates/operator-config/tests/errors.rs
+++ b/crates/operator-config/tests/errors.rs
@@ -1,4 +1,4 @@
-//! The errors of invalid files: file, line, key and text.
+//! Errors in invalid files: file, line, key and text.
 
 use latchhaven_operator_config::read;
 use std::path::PathBuf;
@@ -15,7 +15,7 @@
 }
 "#;
 
-/// A folder that is removed with the test.
+/// A folder for the files of one test, removed when dropped.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -31,7 +31,7 @@
         path
     }
 
-    /// The errors of a script, without its folder.
+    /// Reads `text` as a script and returns its errors, without the folder in paths.
     fn errors(&self, text: &str) -> String {
         let path = self.write("control.star", text);
         let errors = read(&path).expect_err(text).to_string();
@@ -63,19 +63,19 @@
             VALID.replace("    \"discovery\": \"127.0.0.1:1\",\n", ""),
             "control.star:1: control: missing field `discovery`",
         ),
-        (VALID.replace("64", "0"), "control.star:8: control.xds.in_flight_per_host: lower than 1"),
+        (VALID.replace("64", "0"), "control.star:8: control.xds.in_flight_per_host: lower than 1, found 0"),
         (
             VALID.replace("64", "\"64\""),
             "control.star:8: control.xds.in_flight_per_host: invalid type: string \"64\", expected u32",
         ),
-        (with_xds("\"streams_most\": 0,"), "control.star:6: control.xds.streams_most: lower than 1"),
+        (with_xds("\"streams_most\": 0,"), "control.star:6: control.xds.streams_most: lower than 1, found 0"),
         (
             with_xds("\"connect_within_ms\": 60001,"),
-            "control.star:6: control.xds.connect_within_ms: greater than 60000",
+            "control.star:6: control.xds.connect_within_ms: greater than 60000, found 60001",
         ),
         (
             with_xds("\"product_header\": \"\","),
-            "control.star:6: control.xds.product_header: length is lower than 1",
+            "control.star:6: control.xds.product_header: length is lower than 1, found \"\"",
         ),
         (
             with_xds("\"evidence\": \"both\","),
@@ -83,11 +83,11 @@
         ),
         (
             VALID.replace("127.0.0.1:2", "10.1.2.3:2"),
-            "control.star:6: control.xds.listen: not on loopback, and allowed_networks names no other network",
+            "control.star:6: control.xds.listen: expected a loopback address, or another network in allowed_networks, found \"10.1.2.3:2\"",
         ),
         (
             VALID.replace("64", "0").replace("\"a\"", "\"\""),
-            "control.star:2: control.name: length is lower than 1\ncontrol.star:8: control.xds.in_flight_per_host: lower than 1",
+            "control.star:2: control.name: length is lower than 1, found \"\"\ncontrol.star:8: control.xds.in_flight_per_host: lower than 1, found 0",
         ),
     ] {
         assert_eq!(folder.errors(&text), expected);
@@ -100,12 +100,15 @@
     folder.write("broken.star", "x = 1\ny = nothing\n");
     folder.write("empty.star", "");
     for (text, expected) in [
-        ("contrl = {}\n", "control.star: control: not set"),
-        ("x = 1\ncontrol = [1]\n", "control.star:2: control: not a dict"),
-        ("load(\"../a.star\", \"a\")\n", "load of '../a.star': only files in the same folder, by name"),
+        ("contrl = {}\n", "control.star: control: not set, expected a dict"),
+        ("x = 1\ncontrol = [1]\n", "control.star:2: control: expected a dict, found a list"),
+        (
+            "load(\"../a.star\", \"a\")\n",
+            "load of '../a.star': only files in the same folder, expected a name without a path",
+        ),
         (
             "load(\"control.star\", \"control\")\n",
-            "load of 'control.star': too many loads, or loads in a circle",
+            "load of 'control.star': expected at most 64 loads, nested at most 8 deep and not in a circle",
         ),
         ("load(\"broken.star\", \"x\")\n", "broken.star:2: Variable `nothing` not found"),
         ("load(\"empty.star\", \"x\")\n", "Module has no symbol `x`"),
@@ -124,7 +127,7 @@
     let missing = read(&folder.0.join("missing.star")).expect_err("no file").to_string();
     assert!(missing.ends_with("missing.star: No such file or directory (os error 2)"), "{missing}");
     let is_folder = read(&folder.0).expect_err("a folder").to_string();
-    assert_eq!(is_folder, format!("{}: not a file of at most 1048576 bytes", folder.0.display()));
+    assert_eq!(is_folder, format!("{}: expected a regular file", folder.0.display()));
     let large = folder.errors(&"#".repeat((1 << 20) + 1));
-    assert_eq!(large, "control.star: not a file of at most 1048576 bytes");
+    assert_eq!(large, "control.star: expected at most 1048576 bytes, found 1048577");
 }
