--- a/crates/simulator-protocol/tests/lines.rs
+++ b/crates/simulator-protocol/tests/lines.rs
@@ -132,6 +132,11 @@
 #[case("MARK sim-time-s=1\nENTRY instance=a\n", "line 2: expected DIRECTORY before ENTRY")]
 #[case("MARK sim-time-s=1\nWHAT now\n", "line 2: expected a name=value pair, found 'now'")]
 #[case("MARK sim-time-s=1\n", "line 2: expected FLUSH to end the batch, found the end of input")]
+#[case("MARK sim-time-s=1\nMARK sim-time-s=2\n", "line 2: expected FLUSH to end the batch, found MARK")]
+#[case(
+    "MARK sim-time-s=1\nDIRECTORY bank=3 records=1\nFLUSH\n",
+    "line 3: expected ENTRY inside an endpoint list, found FLUSH"
+)]
 fn malformed_line_is_reported_with_its_number(#[case] input: &str, #[case] expected: &str) {
     assert_eq!(serve(input).1.as_deref(), Some(expected));
 }
@@ -168,6 +173,9 @@
     r#""deduplicated""#,
     "dedup-window-s: expected a number above 0 with effect deduplicated, found 0"
 )]
+#[case(r#"[0.1, 1.0]"#, r#"[0.1, 1.5]"#, "domain.caps: expected caps from 0 to 1, found 1.5")]
+#[case(r#""locality": "x""#, r#""locality": "y""#, "locality: expected one of azs (x), found 'y'")]
+#[case(r#""fall-s": 1.5"#, r#""fall-ms": 1500"#, "rules.fall-ms: unknown unit, expected seconds")]
 #[case(r#""single""#, r#""clocked""#, "domain.to-pause: expected at least 1 with vote-mode clocked, found 0")]
 fn incomplete_or_contradictory_settings_are_rejected(
     #[case] old: &str, #[case] new: &str, #[case] expected: &str,
