--- a/crates/cli/tests/gateway/attempts.rs
+++ b/crates/cli/tests/gateway/attempts.rs
@@ -6,7 +6,7 @@
 };
 use latchhaven_test_support::fake_server::{FakeServer, ServerBehavior};
 use latchhaven_test_support::gateway::{Gateway, use_long_timeouts};
-use latchhaven_test_support::postgres::{Client, SqlState, insert, outcome, query, select};
+use latchhaven_test_support::postgres::{Client, SqlState, insert, query, query_result, select};
 use latchhaven_test_support::wait::wait_until;
 use rstest::rstest;
 use serde_json::json;
@@ -38,7 +38,7 @@
     let server = FakeServer::start(behavior);
     let gateway = Gateway::start(&[&server]);
     let response = gateway.client().query(&insert("a1", "pay", 1000));
-    assert_eq!(outcome(&response), expected.map(str::to_string).map_err(SqlState::from));
+    assert_eq!(query_result(&response), expected.map(str::to_string).map_err(SqlState::from));
     assert_eq!(response.iter().filter(|message| message.kind == b'Z').count(), 1);
     assert!(gateway.counter(counter) >= 1, "{counter}");
     // A non-idempotent request that may have been executed is not retried.
@@ -58,7 +58,10 @@
     unreachable.addr = closed.local_addr().unwrap();
     drop(closed);
     let gateway = Gateway::start(&[&unreachable]);
-    assert_eq!(outcome(&gateway.client().query(&insert("a1", "pay", 900))), Err(SqlState::from(REJECTED)));
+    assert_eq!(
+        query_result(&gateway.client().query(&insert("a1", "pay", 900))),
+        Err(SqlState::from(REJECTED))
+    );
     assert!(gateway.counter("attempts_unconnected_total") >= 1);
     assert!(server.queries().is_empty());
 }
@@ -68,7 +71,7 @@
 fn statement_is_forwarded_unchanged_except_for_its_remaining_time() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let gateway = Gateway::start(&[&server]);
-    assert_eq!(outcome(&gateway.client().query(&insert("a1", "pay", 1900))), Ok("a1".to_string()));
+    assert_eq!(query_result(&gateway.client().query(&insert("a1", "pay", 1900))), Ok("a1".to_string()));
     let text = server.queries()[0].text.clone();
     let remaining_ms = text.split("d=").nth(1).unwrap().split(',').next().unwrap().parse::<u32>().unwrap();
     assert!((1..=1900).contains(&remaining_ms), "{remaining_ms}");
@@ -86,12 +89,14 @@
     client.send(&query(&select("a1", "look", 1500)));
     wait_until("both servers have the query", || silent.queries().len() + other.queries().len() >= 2);
     let first = if silent.queries().is_empty() { &other } else { &silent };
-    wait_until("the first connection is closed", || first.seen.lock().unwrap().ended.contains(&0));
-    assert_eq!(outcome(&client.read_response()), Err(SqlState::from(REJECTED)));
+    wait_until("the first connection is closed", || {
+        first.history.lock().unwrap().closed_connections.contains(&0)
+    });
+    assert_eq!(query_result(&client.read_response()), Err(SqlState::from(REJECTED)));
     wait_until("all connections are closed", || {
         [&silent, &other].iter().all(|server| {
-            let seen = server.seen.lock().unwrap();
-            seen.ended.len() == seen.connections
+            let history = server.history.lock().unwrap();
+            history.closed_connections.len() == history.connections
         })
     });
     assert_eq!(gateway.counter("invariant_violations_total"), 0);
@@ -110,7 +115,7 @@
     wait_until("one server has the query", || first.queries().len() + second.queries().len() == 1);
     let unused = if first.queries().is_empty() { &first } else { &second };
     unused.set_behavior(ServerBehavior::Succeed);
-    assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
+    assert_eq!(query_result(&client.read_response()), Ok("a1".to_string()));
     // The late row arrives meanwhile.
     thread::sleep(Duration::from_millis(300));
     assert_served(&mut client, "a2", 1900);
@@ -125,8 +130,10 @@
     let gateway = Gateway::start(&[&server]);
     let mut client = gateway.client();
     for n in 0..5 {
-        assert_eq!(outcome(&client.query(&insert(&format!("a{n}"), "pay", 1900))), Ok(format!("a{n}")));
-        wait_until("the connection is closed", || server.seen.lock().unwrap().ended.len() == n + 1);
+        assert_eq!(query_result(&client.query(&insert(&format!("a{n}"), "pay", 1900))), Ok(format!("a{n}")));
+        wait_until("the connection is closed", || {
+            server.history.lock().unwrap().closed_connections.len() == n + 1
+        });
     }
     assert_eq!((server.queries().len(), gateway.counter("attempts_succeeded_total")), (5, 5));
 }
@@ -144,13 +151,13 @@
         };
         clients.iter_mut().enumerate().for_each(send);
         for client in &mut clients {
-            assert_eq!(outcome(&client.read_response()).unwrap().len(), 400_000);
+            assert_eq!(query_result(&client.read_response()).unwrap().len(), 400_000);
         }
     }
     assert_eq!((gateway.counter("malformed_responses_total"), gateway.counter("attempts_total")), (0, 32));
     // A length above the limit is rejected before the data is received.
     server.set_behavior(ServerBehavior::LargeValue(600_000));
-    assert_eq!(outcome(&clients[0].query(&insert("b", "pay", 15_000))), Err(SqlState::from("XX000")));
+    assert_eq!(query_result(&clients[0].query(&insert("b", "pay", 15_000))), Err(SqlState::from("XX000")));
 }
 
 /// A request that is written to a connection that the server has closed would be lost with an unknown outcome.
@@ -160,8 +167,10 @@
     let gateway = Gateway::start(&[&server]);
     let mut client = gateway.client();
     for n in 0..10 {
-        assert_eq!(outcome(&client.query(&insert(&format!("a{n}"), "pay", 900))), Ok(format!("a{n}")));
-        wait_until("the connection is closed", || server.seen.lock().unwrap().ended.len() == n + 1);
+        assert_eq!(query_result(&client.query(&insert(&format!("a{n}"), "pay", 900))), Ok(format!("a{n}")));
+        wait_until("the connection is closed", || {
+            server.history.lock().unwrap().closed_connections.len() == n + 1
+        });
     }
     assert_eq!(gateway.counter("attempts_connection_lost_total"), 0);
 }
@@ -175,7 +184,7 @@
     client.send(&query(&insert("a1", "pay", 60_000)));
     wait_until_received(&server, 1);
     drop(client);
-    wait_until("the attempt is cancelled", || server.seen.lock().unwrap().ended == [0]);
+    wait_until("the attempt is cancelled", || server.history.lock().unwrap().closed_connections == [0]);
     assert_eq!(
         (gateway.counter("clients_disconnected_total"), gateway.counter("attempts_cancelled_total")),
         (1, 1)
@@ -210,7 +219,7 @@
 /// time. The retry is allowed in time here but waits for a connection beyond the window.
 #[test]
 fn retry_is_not_sent_after_its_deduplication_window() {
-    let server = FakeServer::start(ServerBehavior::ResetForGood);
+    let server = FakeServer::start(ServerBehavior::ResetThenNeverHandshake);
     let gateway = Gateway::start_with(&[&server], |config| {
         use_long_timeouts(config);
         config["settings"]["classes"][1]["dedup-window-s"] = json!(DEDUPLICATION_WINDOW.as_secs_f64());
@@ -219,11 +228,11 @@
     client.send(&query(&insert("a1", "book", 20_000)));
     wait_until_received(&server, 1);
     let sent_at = Instant::now();
-    wait_until("the retry waits for a connection", || server.seen.lock().unwrap().connections >= 2);
+    wait_until("the retry waits for a connection", || server.history.lock().unwrap().connections >= 2);
     wait_until("the window is over", || sent_at.elapsed() > DEDUPLICATION_WINDOW);
     server.set_behavior(ServerBehavior::Succeed);
     // Any error is valid, as long as the request is not sent again and other requests are.
-    let outcome = outcome(&client.read_response());
+    let outcome = query_result(&client.read_response());
     assert!(outcome.is_err(), "{outcome:?}");
     wait_until_served(&gateway);
     let sent = server.queries();
--- a/crates/cli/tests/gateway/upstream_pool.rs
+++ b/crates/cli/tests/gateway/upstream_pool.rs
@@ -9,7 +9,7 @@
 use latchhaven_test_support::fake_server::{FakeServer, ReceivedQuery, ServerBehavior};
 use latchhaven_test_support::gateway::{Gateway, use_long_timeouts};
 use latchhaven_test_support::platform_messages::{endpoint_list, host, rollout_state};
-use latchhaven_test_support::postgres::{Client, insert, outcome, query, row, select};
+use latchhaven_test_support::postgres::{Client, insert, query, query_result, row, select};
 use latchhaven_test_support::wait::wait_until;
 use rstest::rstest;
 use serde_json::json;
@@ -74,10 +74,10 @@
 
 /// Receives the next event, which has to report a ready connection, and passes it to the pool.
 async fn await_connection_ready(pool: &mut UpstreamPool, events: &mut mpsc::Receiver<DriverEvent>) {
-    let Some(DriverEvent::ConnectionReady { connection, is_first }) = events.recv().await else {
+    let Some(DriverEvent::ConnectionReady { connection, is_newly_opened }) = events.recv().await else {
         panic!("no connection is ready")
     };
-    pool.on_connection_ready(connection, is_first, 0.0);
+    pool.on_connection_ready(connection, is_newly_opened, 0.0);
 }
 
 /// Receives the next event, which has to report that a call has ended. Returns the result of the call.
@@ -99,8 +99,8 @@
 ) -> AttemptOutcome {
     loop {
         match events.recv().await.unwrap() {
-            DriverEvent::ConnectionReady { connection, is_first } => {
-                pool.on_connection_ready(connection, is_first, 0.0);
+            DriverEvent::ConnectionReady { connection, is_newly_opened } => {
+                pool.on_connection_ready(connection, is_newly_opened, 0.0);
             }
             DriverEvent::ConnectionClosed { connection } => pool.on_connection_closed(&connection),
             DriverEvent::CallEnded { result, .. } => return result.outcome,
@@ -133,14 +133,14 @@
     for n in 0..5 {
         assert_served(&mut client, &format!("a{n}"), 900);
     }
-    assert_eq!(server.seen.lock().unwrap().connections, 1);
+    assert_eq!(server.history.lock().unwrap().connections, 1);
     server.set_behavior(ServerBehavior::SucceedAfter(100));
     let mut others: Vec<Client> = (0..2).map(|_| gateway.client()).collect();
     others
         .iter_mut()
         .enumerate()
         .for_each(|(n, other)| other.send(&query(&select(&format!("b{n}"), "look", 900))));
-    let outcomes: Vec<_> = others.iter_mut().map(|other| outcome(&other.read_response())).collect();
+    let outcomes: Vec<_> = others.iter_mut().map(|other| query_result(&other.read_response())).collect();
     assert_eq!(outcomes, [Ok("b0".to_string()), Ok("b1".to_string())]);
     let (first, second) = (server.queries()[5].connection, server.queries()[6].connection);
     assert_ne!(first, second);
@@ -155,7 +155,7 @@
         assert!(pool.send(ENDPOINT, queued_call(SECOND_CALL), 0.0));
         // The connection's task has not run yet, so these bytes arrive after the pool has assigned the call to the
         // connection.
-        server.seen.lock().unwrap().open[0].write_all(&row(b"not asked for")).unwrap();
+        server.history.lock().unwrap().open[0].write_all(&row(b"not asked for")).unwrap();
         thread::sleep(Duration::from_millis(50));
         let result = next_call_result(&mut events).await;
         assert_eq!((result.outcome, result.value.is_none()), (AttemptOutcome::NotSent, true));
@@ -170,7 +170,9 @@
         let server = FakeServer::start(ServerBehavior::Succeed);
         let (mut pool, mut events) = pool_with_idle_connection(&server).await;
         server.close_connections();
-        wait_until("the connection is closed", || server.seen.lock().unwrap().ended.len() == 1);
+        wait_until("the connection is closed", || {
+            server.history.lock().unwrap().closed_connections.len() == 1
+        });
         assert!(pool.send(ENDPOINT, queued_call(SECOND_CALL), 0.0));
         assert_eq!(run_until_call_ends(&mut pool, &mut events).await, AttemptOutcome::Success);
     });
@@ -191,7 +193,9 @@
         assert!(pool.send("s1", queued_call(FIRST_CALL), 0.0));
         assert!(!pool.send(ENDPOINT, queued_call(SECOND_CALL), 0.0));
         assert_eq!(run_until_call_ends(&mut pool, &mut events).await, AttemptOutcome::Success);
-        wait_until("the evicted connection is closed", || one.seen.lock().unwrap().ended == [0]);
+        wait_until("the evicted connection is closed", || {
+            one.history.lock().unwrap().closed_connections == [0]
+        });
         assert_eq!((one.queries().len(), other.queries().len()), (0, 1));
     });
 }
@@ -244,7 +248,7 @@
         assert!(pool.send(ENDPOINT, queued_call(SECOND_CALL), 0.0));
         assert_eq!(pool.cancel(ENDPOINT, SECOND_CALL), CancelResult::Unwritten);
         assert!(matches!(events.recv().await, Some(DriverEvent::ConnectionClosed { .. })));
-        wait_until("the connection is closed", || server.seen.lock().unwrap().ended == [0]);
+        wait_until("the connection is closed", || server.history.lock().unwrap().closed_connections == [0]);
         assert!(server.queries().is_empty());
     });
 }
@@ -279,7 +283,7 @@
         config["settings"]["permissions"]["conn-idle-s"] = json!(0.3);
     });
     gateway.client().query(&select("a1", "look", 900));
-    wait_until("the connection is closed", || server.seen.lock().unwrap().ended == [0]);
+    wait_until("the connection is closed", || server.history.lock().unwrap().closed_connections == [0]);
 }
 
 /// A request that stays queued for an address that is no longer listed would wait until its timeout.
@@ -290,7 +294,7 @@
     let gateway = Gateway::start_watching(&[&stuck], use_long_timeouts);
     let mut client = client_with_queued_request(&gateway, &stuck);
     gateway.discovery.send_line(&endpoint_list(9, true, &[host("s0", good.addr, "up", 1)]));
-    assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
+    assert_eq!(query_result(&client.read_response()), Ok("a1".to_string()));
     assert_eq!(gateway.counter("attempts_not_sent_total"), 1);
 }
 
@@ -303,10 +307,10 @@
     let line = json!({"type": "ROLLOUT", "object": rollout_state(2, 0, "IN_PROGRESS", 0.1)});
     gateway.platform.send_line(&line);
     wait_until("a connection is opened for the rerouted request", || {
-        stuck.seen.lock().unwrap().connections == 2
+        stuck.history.lock().unwrap().connections == 2
     });
     stuck.set_behavior(ServerBehavior::Succeed);
-    assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
+    assert_eq!(query_result(&client.read_response()), Ok("a1".to_string()));
 }
 
 /// After a suspension, the end of a handshake and the update that replaces its endpoint are both pending: the update
@@ -322,7 +326,7 @@
     thread::sleep(Duration::from_millis(100));
     gateway.discovery.send_line(&endpoint_list(9, true, &[host("s0", good.addr, "up", 1)]));
     gateway.signal("CONT");
-    assert_eq!(outcome(&client.read_response()), Ok("a1".to_string()));
+    assert_eq!(query_result(&client.read_response()), Ok("a1".to_string()));
     assert_eq!((stuck.queries().len(), good.queries().len()), (0, 1));
 }
 
@@ -338,6 +342,6 @@
     wait_until_received(&server, 2);
     server.set_behavior(ServerBehavior::NeverHandshake);
     second.send(&query(&insert("a3", "pay", 15_000)));
-    assert_eq!(outcome(&first.read_response()), Ok("a2".to_string()));
-    assert_eq!(outcome(&second.read_response()), Ok("a3".to_string()));
+    assert_eq!(query_result(&first.read_response()), Ok("a2".to_string()));
+    assert_eq!(query_result(&second.read_response()), Ok("a3".to_string()));
 }
--- a/crates/gateway/src/net/discovery_calls.rs
+++ b/crates/gateway/src/net/discovery_calls.rs
@@ -7,7 +7,7 @@
 use crate::counters::COUNTERS;
 use crate::discovery::calls::CallId;
 use crate::limits::SERVICE_CONNECT_TIMEOUT;
-use crate::limits::discovery::{CALL_TIMEOUT, WATCH_SILENCE_TIMEOUT, silence_beyond_keepalive};
+use crate::limits::discovery::{CALL_TIMEOUT, WATCH_SILENCE_TIMEOUT, silence_after_missed_keepalive};
 use crate::proto::http::{BodyBuffer, ResponsePart};
 use crate::proto::json::{JsonFrame, JsonFramer};
 use latchhaven_policy::UpdateFailure;
@@ -131,7 +131,7 @@
         // keepalive, or closed within one.
         let may_have_sent_update = self.has_head && (!self.has_delivered || self.framer.is_within_object());
         UpdateFailure {
-            silent_for: silence_beyond_keepalive(self.has_delivered, self.last_received_at.elapsed()),
+            silent_for: silence_after_missed_keepalive(self.has_delivered, self.last_received_at.elapsed()),
             may_have_lost_update: may_have_sent_update
                 || error.is_malformed_data()
                 || self.connection.has_unparsed_input(),
--- a/crates/gateway/src/proto/pg/statement.rs
+++ b/crates/gateway/src/proto/pg/statement.rs
@@ -2,7 +2,9 @@
 //! class, timeout and optional parameters. Only statements of exactly this form are forwarded to endpoints.
 
 use crate::clock::{MICROS_PER_MS, millis};
-use crate::limits::messages::{MAX_REQUEST_TIMEOUT, MAX_VALUE, MAX_WORD, MIN_REQUEST_TIMEOUT};
+use crate::limits::messages::{
+    MAX_IDENTIFIER_BYTES, MAX_REQUEST_TIMEOUT, MAX_VALUE_BYTES, MIN_REQUEST_TIMEOUT,
+};
 use bytes::Bytes;
 use latchhaven_policy::Millis;
 use std::ops::Range;
@@ -34,11 +36,11 @@
     /// The closing quote of the item is missing.
     #[error("statement: the item has no end")]
     UnterminatedItem,
-    /// The item is empty, longer than [`MAX_WORD`], or has invalid characters.
+    /// The item is empty, longer than [`MAX_IDENTIFIER_BYTES`], or has invalid characters.
     #[error("statement: the item is no word")]
     InvalidItem,
-    /// The INSERT does not have exactly one value of hexadecimal digits, or the value is longer than [`MAX_VALUE`];
-    /// or the SELECT does not end after the item.
+    /// The INSERT does not have exactly one value of hexadecimal digits, or the value is longer than
+    /// [`MAX_VALUE_BYTES`]; or the SELECT does not end after the item.
     #[error("statement: not one value in hex, up to 64 KiB")]
     InvalidValue,
     /// An entry of the comment has no `=`; entries are separated by commas.
@@ -50,7 +52,7 @@
     /// The comment has two entries with the same name.
     #[error("comment: duplicate name")]
     DuplicateName,
-    /// A value in the comment is empty, longer than [`MAX_WORD`], or has invalid characters.
+    /// A value in the comment is empty, longer than [`MAX_IDENTIFIER_BYTES`], or has invalid characters.
     #[error("comment: a value is no word")]
     InvalidEntryValue,
     /// The comment has no entry `id`, the request's id.
@@ -171,7 +173,7 @@
 fn is_insert_value(rest: &str) -> bool {
     let value = rest.strip_prefix(", '\\x").and_then(|rest| rest.strip_suffix(INSERT_SUFFIX));
     value.is_some_and(|value| {
-        value.len() <= DIGITS_PER_BYTE * MAX_VALUE
+        value.len() <= DIGITS_PER_BYTE * MAX_VALUE_BYTES
             && value.len().is_multiple_of(DIGITS_PER_BYTE)
             && value.bytes().all(|byte| byte.is_ascii_hexdigit())
     })
@@ -258,5 +260,5 @@
 /// comment.
 fn is_identifier(text: &str) -> bool {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"_-.:".contains(&byte);
-    (1..=MAX_WORD).contains(&text.len()) && text.bytes().all(is_plain)
+    (1..=MAX_IDENTIFIER_BYTES).contains(&text.len()) && text.bytes().all(is_plain)
 }
