--- a/crates/experiments/src/reconnect_storm/gateway_work.rs
+++ b/crates/experiments/src/reconnect_storm/gateway_work.rs
@@ -1,11 +1,11 @@
-//! The queues of gateways, and the loss of one gateway.
+//! The work queues of gateways, and the loss of one gateway.
 
-use super::model::{HANDSHAKE_COST, LOST_AT, PAYMENT_KIND, ReconnectStyle, Work};
+use super::model::{GATEWAY_LOST_AT, HANDSHAKE_COST, PAYMENT_KIND, ReconnectStyle, Work};
 use super::simulation::{Simulation, StormEvent};
 use latchhaven_client::call::AttemptOutcome;
 use rand::RngExt;
 
-/// The share of the payments in flight to a lost gateway that were executed.
+/// Probability that a payment in flight to the lost gateway was executed, although its response was lost.
 const EXECUTED_SHARE: f64 = 0.5;
 
 impl Simulation {
@@ -16,7 +16,7 @@
         self.begin_work(gateway);
     }
 
-    /// Begins the work at the head of the queue, if the gateway is free.
+    /// Begins the work at the head of the queue, if the gateway is up and not busy.
     fn begin_work(&mut self, index: usize) {
         let gateway = &mut self.gateways[index];
         if gateway.is_busy || !gateway.is_up {
@@ -38,46 +38,46 @@
         self.gateways[gateway].is_busy = false;
         let Some(work) = self.gateways[gateway].queue.pop_front() else { return };
         match work {
-            Work::Handshake { client, link } => {
+            Work::Handshake { client, connection } => {
                 self.gateways[gateway].pending_handshakes -= 1;
-                self.finish_handshake(client, link);
+                self.finish_handshake(client, connection);
             }
-            Work::Request { client, link, call } => self.finish_request(client, link, call),
+            Work::Request { client, connection, call } => self.finish_request(client, connection, call),
         }
         self.begin_work(gateway);
     }
 
-    fn finish_handshake(&mut self, client: usize, link: u64) {
-        if !self.clients[client].links.contains_key(&link) {
+    fn finish_handshake(&mut self, client: usize, connection: u64) {
+        if !self.clients[client].gateway_by_connection.contains_key(&connection) {
             self.counts.wasted_work += self.request_work * HANDSHAKE_COST;
             return;
         }
         self.clients[client].failures = 0;
-        let actions = self.clients[client].pool.on_connected(link, self.now);
+        let actions = self.clients[client].pool.on_connected(connection, self.now);
         self.perform(client, actions);
     }
 
-    fn finish_request(&mut self, client: usize, link: u64, call: u64) {
+    fn finish_request(&mut self, client: usize, connection: u64, call: u64) {
         let pending = self.calls.get(&call);
-        let is_awaited = pending.is_some_and(|pending| pending.is_sent_on(link));
-        // A payment is executed even if its client no longer waits.
+        let has_waiting_client = pending.is_some_and(|pending| pending.is_in_flight_on(connection));
+        // The gateway cannot know that a client has given up: a payment is executed even then.
         if pending.is_some_and(|pending| pending.kind == PAYMENT_KIND) {
             *self.counts.executions.entry(call).or_default() += 1;
         }
-        if !is_awaited {
+        if !has_waiting_client {
             self.counts.wasted_work += self.request_work;
             return;
         }
         self.on_attempt_ended(call, AttemptOutcome::Success);
         self.clients[client].failures = 0;
         if std::mem::take(&mut self.clients[client].is_disconnected) {
-            self.counts.recovered_after.push(self.now - LOST_AT);
+            self.counts.recovered_after.push(self.now - GATEWAY_LOST_AT);
         }
-        let actions = self.clients[client].pool.release(link, self.now);
+        let actions = self.clients[client].pool.release(connection, self.now);
         self.perform(client, actions);
     }
 
-    /// The first gateway is lost, with its queue and its connections.
+    /// Takes down the first gateway, which loses its queue and its connections.
     pub(super) fn lose_gateway(&mut self) {
         let gateway = &mut self.gateways[0];
         gateway.is_up = false;
@@ -86,37 +86,41 @@
         gateway.pending_handshakes = 0;
         gateway.queue.clear();
         for client in 0..self.clients.len() {
-            let links = self.clients[client].links.iter();
-            let lost: Vec<u64> = links.filter(|(_, gateway)| **gateway == 0).map(|(link, _)| *link).collect();
-            for link in lost {
-                self.lose_connection(client, link);
+            let gateway_by_connection = self.clients[client].gateway_by_connection.iter();
+            let lost: Vec<u64> = gateway_by_connection
+                .filter(|(_, gateway)| **gateway == 0)
+                .map(|(connection, _)| *connection)
+                .collect();
+            for connection in lost {
+                self.lose_connection(client, connection);
             }
         }
     }
 
-    fn lose_connection(&mut self, client: usize, link: u64) {
-        self.clients[client].links.remove(&link);
+    fn lose_connection(&mut self, client: usize, connection: u64) {
+        self.clients[client].gateway_by_connection.remove(&connection);
         self.clients[client].is_disconnected = true;
         self.counts.disconnected += 1;
         let mut calls = self.calls.iter();
-        let sent = calls.find(|(_, call)| call.client == client && call.is_sent_on(link));
+        let sent = calls.find(|(_, call)| call.client == client && call.is_in_flight_on(connection));
         if let Some(id) = sent.map(|(id, _)| *id) {
             self.lose_call(id);
         }
         let pool = &mut self.clients[client].pool;
         let actions = match self.style {
-            ReconnectStyle::Library => pool.on_connection_lost(link, None, self.now),
-            _ => pool.discard(link, self.now),
+            ReconnectStyle::Library => pool.on_connection_lost(connection, None, self.now),
+            _ => pool.discard(connection, self.now),
         };
         self.perform(client, actions);
-        // Applications without the library reconnect even without a call.
+        // Applications without the library reconnect even without a call. The id of this acquisition belongs to no
+        // call, so the connection is released as soon as the pool assigns it.
         if self.style != ReconnectStyle::Library {
             let actions = self.clients[client].pool.acquire(u64::MAX - client as u64, 0.0, self.now);
             self.perform(client, actions);
         }
     }
 
-    /// A call was in flight. A share of the payments was executed, and only the response was lost.
+    /// Fails the attempt of a call that was in flight on a lost connection. A payment may have been executed before.
     fn lose_call(&mut self, id: u64) {
         if self.calls[&id].kind == PAYMENT_KIND && self.rng.random::<f64>() < EXECUTED_SHARE {
             *self.counts.executions.entry(id).or_default() += 1;
--- a/crates/experiments/src/reconnect_storm/model.rs
+++ b/crates/experiments/src/reconnect_storm/model.rs
@@ -1,4 +1,4 @@
-//! Gateways, clients and calls, and what is counted.
+//! The state of gateways, clients and calls, and the counts of one simulation.
 
 use latchhaven_client::call::{Call, Idempotency};
 use latchhaven_client::pool::Pool;
@@ -7,44 +7,43 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Milliseconds in one second.
 pub(super) const MILLIS_PER_SECOND: Millis = 1000.0;
-/// When the first gateway is lost, in ms.
-pub(super) const LOST_AT: Millis = 10_000.0;
-/// When it is available again, in ms.
-pub(super) const BACK_AT: Millis = 35_000.0;
-/// Calls of one client in one second.
+/// Simulated time at which the first gateway is lost.
+pub(super) const GATEWAY_LOST_AT: Millis = 10_000.0;
+/// Simulated time at which the lost gateway accepts connections again.
+pub(super) const GATEWAY_RESTORED_AT: Millis = 35_000.0;
+/// Mean number of calls that each client starts per second.
 pub(super) const CALLS_PER_SECOND: f64 = 0.5;
-/// The work of a handshake, in requests.
+/// Work of a handshake, as a multiple of the work of a request.
 pub(super) const HANDSHAKE_COST: f64 = 3.0;
-/// Connections in handshake at most; further ones are refused.
+/// Limit of pending handshakes per gateway; further connections are refused.
 pub(super) const MAX_PENDING_HANDSHAKES: usize = 1024;
-/// The latency objective of a call, in ms.
+/// A call counts as served in time if it succeeds within this time from its start.
 pub(super) const LATENCY_OBJECTIVE: Millis = 600.0;
-/// The timeout of a call, in ms.
+/// Time from the start of a call until its client gives up.
 pub(super) const CALL_TIMEOUT: Millis = 2_500.0;
-/// The shortest time remaining with which a request is sent, in ms.
+/// Shortest time remaining until the deadline of a call with which a request is still sent.
 pub(super) const MIN_REQUEST_TIME: Millis = 5.0;
-/// How long servers recognize a repeated request by its key, in ms.
+/// How long servers recognize a repeated request by its idempotency key.
 const DEDUP_WINDOW: Millis = 5_000.0;
-/// The latency of a message, in ms.
+/// Time until a connection attempt reaches its gateway.
 pub(super) const NETWORK_LATENCY: Millis = 1.0;
 
-/// A kind of call.
+/// Properties shared by all calls of one kind.
 pub(super) struct CallKind {
     pub(super) effect: Idempotency,
-    /// The value of an answer within the latency objective.
+    /// Value of a call that is served within the latency objective; also the call's priority in the pool's queue.
     pub(super) value: f64,
 }
 
-/// The kinds of calls, equally frequent. The last one is a payment without a key.
+/// The kinds of calls, equally frequent. The last one is a payment without an idempotency key.
 pub(super) const CALL_KINDS: [CallKind; 4] = [
     CallKind { effect: Idempotency::Idempotent, value: 1.0 },
     CallKind { effect: Idempotency::Idempotent, value: 1.0 },
     CallKind { effect: Idempotency::IdempotencyKey { dedup_window: DEDUP_WINDOW }, value: 2.0 },
     CallKind { effect: Idempotency::NonIdempotent, value: 3.0 },
 ];
-/// The index of the kind that must not be executed twice.
+/// Index in `CALL_KINDS` of the payment, which must not be executed twice.
 pub(super) const PAYMENT_KIND: usize = 3;
 
 /// How a client reconnects.
@@ -69,7 +68,7 @@
         ReconnectStyle::Exponential,
     ];
 
-    /// The name in the results.
+    /// Name of the style in the printed results.
     pub(super) fn name(self) -> &'static str {
         match self {
             ReconnectStyle::Library => "library",
@@ -80,16 +79,16 @@
     }
 }
 
-/// A unit of work of a gateway.
+/// A handshake or a request in the queue of a gateway.
 #[derive(Clone, Copy)]
 pub(super) enum Work {
-    Handshake { client: usize, link: u64 },
-    Request { client: usize, link: u64, call: u64 },
+    Handshake { client: usize, connection: u64 },
+    Request { client: usize, connection: u64, call: u64 },
 }
 
 pub(super) struct Gateway {
     pub(super) is_up: bool,
-    /// Increased when it is lost: work of an earlier incarnation is discarded.
+    /// Incremented when the gateway is lost: work of an earlier incarnation is discarded.
     pub(super) incarnation: u64,
     pub(super) queue: VecDeque<Work>,
     pub(super) pending_handshakes: usize,
@@ -106,21 +105,21 @@
     pub(super) pool: Pool,
     pub(super) budget: RetryBudget,
     pub(super) rng: Pcg64Mcg,
-    /// The gateways of open connections.
-    pub(super) links: BTreeMap<u64, usize>,
-    /// When its pool is polled next, in ms.
+    /// Gateway of each connection that is open or in handshake, by the connection's number in the pool.
+    pub(super) gateway_by_connection: BTreeMap<u64, usize>,
+    /// When the pool is polled next; infinite while no poll is scheduled.
     pub(super) next_poll_at: Millis,
-    /// Consecutive failures.
+    /// Failed connection attempts, and failed call attempts without the library, since the last success.
     pub(super) failures: u32,
-    /// It lost its gateway and has not been served since.
+    /// Set when the client's gateway is lost, until a call of the client is served.
     pub(super) is_disconnected: bool,
 }
 
-/// An attempt in flight.
+/// The attempt of a call that was sent and has no outcome yet.
 #[derive(Clone, Copy)]
-pub(super) struct SentAttempt {
+pub(super) struct AttemptInFlight {
     pub(super) at: Millis,
-    pub(super) link: u64,
+    pub(super) connection: u64,
 }
 
 pub(super) struct PendingCall {
@@ -128,33 +127,38 @@
     pub(super) kind: usize,
     pub(super) started_at: Millis,
     pub(super) call: Call,
-    pub(super) sent: Option<SentAttempt>,
-    /// It is queued for a connection.
+    pub(super) sent: Option<AttemptInFlight>,
+    /// Set while the call waits in the pool for a connection.
     pub(super) is_queued: bool,
 }
 
 impl PendingCall {
-    pub(super) fn is_sent_on(&self, link: u64) -> bool {
-        self.sent.is_some_and(|sent| sent.link == link)
+    pub(super) fn is_in_flight_on(&self, connection: u64) -> bool {
+        self.sent.is_some_and(|sent| sent.connection == connection)
     }
 }
 
 /// The counts of one simulation.
 #[derive(Default)]
 pub(super) struct Counts {
+    /// Total value of the calls that were started.
     pub(super) value_requested: f64,
+    /// Total value of the calls that were served within the latency objective.
     pub(super) value_in_time: f64,
-    /// Work whose client no longer waited, in ms.
-    pub(super) wasted_work: f64,
-    /// All work, in ms.
-    pub(super) work: f64,
+    /// Work for clients that no longer waited.
+    pub(super) wasted_work: Millis,
+    /// Work that gateways began, including the wasted work.
+    pub(super) work: Millis,
+    /// Connection attempts by second of simulated time.
     pub(super) connects_by_second: BTreeMap<u64, u64>,
-    /// How often each payment was executed.
+    /// Number of executions of each payment, by the number of the call.
     pub(super) executions: BTreeMap<u64, u32>,
-    /// When clients that lost their gateway were served again, in ms after the loss.
+    /// Times from the loss until disconnected clients were served again.
     pub(super) recovered_after: Vec<Millis>,
-    /// Clients that lost their gateway.
+    /// Connections, open or in handshake, that were lost with the gateway; a client has one at most.
     pub(super) disconnected: usize,
+    /// Calls that the library finished without knowing whether they were executed.
     pub(super) unknown_outcomes: u64,
+    /// Greatest length of a gateway's queue.
     pub(super) longest_queue: usize,
 }
--- a/crates/experiments/src/reconnect_storm/simulation.rs
+++ b/crates/experiments/src/reconnect_storm/simulation.rs
@@ -1,8 +1,9 @@
-//! The events of one simulation: calls, their attempts and outcomes.
+//! The event loop of one simulation: calls, their attempts and outcomes.
 
 use super::model::{
-    BACK_AT, CALL_KINDS, CALL_TIMEOUT, CALLS_PER_SECOND, Client, Counts, Gateway, LATENCY_OBJECTIVE, LOST_AT,
-    MILLIS_PER_SECOND, MIN_REQUEST_TIME, PAYMENT_KIND, PendingCall, ReconnectStyle,
+    CALL_KINDS, CALL_TIMEOUT, CALLS_PER_SECOND, Client, Counts, GATEWAY_LOST_AT, GATEWAY_RESTORED_AT,
+    Gateway, LATENCY_OBJECTIVE, MILLIS_PER_SECOND, MIN_REQUEST_TIME, PAYMENT_KIND, PendingCall,
+    ReconnectStyle,
 };
 use super::sizes::Sizes;
 use crate::event_queue::EventQueue;
@@ -16,9 +17,9 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// The wall clock at the start, in ms; constant, so that runs are reproducible.
+/// Wall clock at the start; constant, so that runs are reproducible.
 const WALL_CLOCK_START: Millis = 1e12;
-/// The limits of each client's pool; times in ms.
+/// Limits of each client's pool.
 const POOL_LIMITS: PoolLimits = PoolLimits {
     max_connections: 1,
     max_connecting: 1,
@@ -26,8 +27,10 @@
     idle_timeout: 30_000.0,
     max_age: 600_000.0,
 };
-/// Separates the seeds of the pools.
+/// Multiplier of the seed that keeps the seeds of the pools apart from those of the clients.
 const POOL_SEED_FACTOR: u64 = 1_000_003;
+/// Bits by which the number of a client is shifted to form its seed.
+const CLIENT_SEED_SHIFT: u32 = 20;
 
 /// An event in simulated time.
 #[derive(Clone, Copy, Debug)]
@@ -36,28 +39,28 @@
     StartCall(usize),
     /// The backoff of a call is over.
     AttemptCall(u64),
-    /// A client's pool is due.
+    /// The scheduled poll of a client's pool is due.
     PollPool(usize),
     /// A gateway has finished the work at the head of its queue.
     FinishWork { gateway: usize, incarnation: u64 },
     /// A client's connection attempt reaches a gateway.
-    Connect { client: usize, link: u64, gateway: usize },
-    /// A call has timed out.
+    Connect { client: usize, connection: u64, gateway: usize },
+    /// The timeout of a call has passed; without effect if the call has finished.
     CallTimeout(u64),
-    /// The first gateway is lost.
+    /// The first gateway goes down.
     LoseGateway,
-    /// The first gateway is available again.
-    ReturnGateway,
+    /// The first gateway accepts connections again.
+    RestoreGateway,
 }
 
-/// One simulation.
+/// The state of one simulation, in one reconnect style.
 pub(super) struct Simulation {
     pub(super) style: ReconnectStyle,
     pub(super) now: Millis,
     pub(super) gateways: Vec<Gateway>,
     pub(super) clients: Vec<Client>,
     pub(super) calls: BTreeMap<u64, PendingCall>,
-    /// The work of one request, in ms.
+    /// Time that a gateway works on one request.
     pub(super) request_work: Millis,
     pub(super) rng: Pcg64Mcg,
     pub(super) counts: Counts,
@@ -88,8 +91,8 @@
         for (client, at) in starts.into_iter().enumerate() {
             simulation.schedule(at, StormEvent::StartCall(client));
         }
-        simulation.schedule(LOST_AT, StormEvent::LoseGateway);
-        simulation.schedule(BACK_AT, StormEvent::ReturnGateway);
+        simulation.schedule(GATEWAY_LOST_AT, StormEvent::LoseGateway);
+        simulation.schedule(GATEWAY_RESTORED_AT, StormEvent::RestoreGateway);
         simulation
     }
 
@@ -97,7 +100,7 @@
         self.events.push(at, event);
     }
 
-    /// Runs until a time in ms.
+    /// Processes all events up to the simulated time `until`; returns the counts.
     pub(super) fn run(mut self, until: Millis) -> Counts {
         while let Some((at, event)) = self.events.pop(until) {
             self.now = at;
@@ -105,17 +108,19 @@
                 StormEvent::StartCall(client) => self.start_call(client),
                 StormEvent::AttemptCall(call) => self.attempt_call(call),
                 StormEvent::PollPool(client) => self.poll_pool(client),
-                StormEvent::Connect { client, link, gateway } => self.on_connect(client, link, gateway),
+                StormEvent::Connect { client, connection, gateway } => {
+                    self.on_connect(client, connection, gateway);
+                }
                 StormEvent::FinishWork { gateway, incarnation } => self.finish_work(gateway, incarnation),
                 StormEvent::CallTimeout(call) => self.on_call_timeout(call),
                 StormEvent::LoseGateway => self.lose_gateway(),
-                StormEvent::ReturnGateway => self.gateways[0].is_up = true,
+                StormEvent::RestoreGateway => self.gateways[0].is_up = true,
             }
         }
         self.counts
     }
 
-    /// The current time on both clocks.
+    /// Current simulated time on the monotonic clock and the wall clock.
     pub(super) fn timestamp(&self) -> Timestamp {
         timestamp_at(self.now)
     }
@@ -137,7 +142,7 @@
         self.attempt_call(id);
     }
 
-    /// Queues a call in the client's pool.
+    /// Queues a call in the client's pool, unless the call is queued or in flight.
     fn attempt_call(&mut self, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         if call.is_queued || call.sent.is_some() {
@@ -156,40 +161,41 @@
         self.perform(client, actions);
     }
 
-    /// An attempt has ended.
-    pub(super) fn on_attempt_ended(&mut self, id: u64, end: AttemptOutcome) {
+    /// Records the outcome of an attempt: finishes the call after a success, otherwise retries as the style does.
+    pub(super) fn on_attempt_ended(&mut self, id: u64, outcome: AttemptOutcome) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let Some(sent) = call.sent.take() else { return };
-        if end == AttemptOutcome::Success {
+        if outcome == AttemptOutcome::Success {
             if self.now - call.started_at <= LATENCY_OBJECTIVE {
                 self.counts.value_in_time += CALL_KINDS[call.kind].value;
             }
             self.calls.remove(&id);
         } else if self.style == ReconnectStyle::Library {
-            self.retry_as_library_decides(id, end, sent.at);
+            self.retry_by_library_rules(id, outcome, sent.at);
         } else {
-            self.retry_blindly(id);
+            self.retry_until_timeout(id);
         }
     }
 
-    fn retry_as_library_decides(&mut self, id: u64, end: AttemptOutcome, sent_at: Millis) {
+    fn retry_by_library_rules(&mut self, id: u64, outcome: AttemptOutcome, sent_at: Millis) {
         let now = self.timestamp();
         let Some(call) = self.calls.get_mut(&id) else { return };
         let client = &mut self.clients[call.client];
         let sent = timestamp_at(sent_at);
-        match call.call.on_attempt_ended(end, sent, &mut client.budget, &mut client.rng, &now) {
-            NextStep::Attempt { backoff: after, .. } => {
-                self.schedule(self.now + after, StormEvent::AttemptCall(id));
+        match call.call.on_attempt_ended(outcome, sent, &mut client.budget, &mut client.rng, &now) {
+            NextStep::Attempt { backoff, .. } => {
+                self.schedule(self.now + backoff, StormEvent::AttemptCall(id));
             }
-            NextStep::Finish(outcome) => {
-                self.counts.unknown_outcomes += u64::from(outcome == CallOutcome::Unknown);
+            NextStep::Finish(call_outcome) => {
+                self.counts.unknown_outcomes += u64::from(call_outcome == CallOutcome::Unknown);
                 self.calls.remove(&id);
             }
         }
     }
 
-    /// Applications without the library retry every call after their delay, until its timeout.
-    fn retry_blindly(&mut self, id: u64) {
+    /// Retries a call after the delay of the style until its timeout, as applications without the library do: even
+    /// calls that may have been executed are sent again.
+    fn retry_until_timeout(&mut self, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let client = call.client;
         let started_at = call.started_at;
@@ -202,21 +208,21 @@
         }
     }
 
-    /// A call timed out: the connection on which it was sent is closed.
+    /// Closes the connection on which the timed-out call is in flight.
     fn on_call_timeout(&mut self, id: u64) {
         let Some(call) = self.calls.remove(&id) else { return };
         let client = call.client;
         let sent = call.sent;
         self.clients[client].pool.cancel_acquire(id);
         if call.kind == PAYMENT_KIND && sent.is_some() {
-            // Retained only to count its execution.
+            // Kept without an attempt, so that a later execution of the payment is still counted.
             self.calls.insert(id, PendingCall { sent: None, is_queued: false, ..call });
         }
         let Some(sent) = sent else { return };
-        self.clients[client].links.remove(&sent.link);
+        self.clients[client].gateway_by_connection.remove(&sent.connection);
         let actions = match self.style {
-            ReconnectStyle::Library => self.clients[client].pool.on_timeout(sent.link, self.now),
-            _ => self.clients[client].pool.discard(sent.link, self.now),
+            ReconnectStyle::Library => self.clients[client].pool.on_timeout(sent.connection, self.now),
+            _ => self.clients[client].pool.discard(sent.connection, self.now),
         };
         self.perform(client, actions);
     }
@@ -227,8 +233,8 @@
     Client {
         pool: Pool::new(sizes.gateways, POOL_LIMITS, pool_seed),
         budget: RetryBudget::default(),
-        rng: Pcg64Mcg::seed_from_u64(sizes.seed ^ (index as u64) << 20),
-        links: BTreeMap::new(),
+        rng: Pcg64Mcg::seed_from_u64(sizes.seed ^ (index as u64) << CLIENT_SEED_SHIFT),
+        gateway_by_connection: BTreeMap::new(),
         next_poll_at: f64::INFINITY,
         failures: 0,
         is_disconnected: false,
