--- a/crates/experiments/src/reconnect_storm/connections.rs
+++ b/crates/experiments/src/reconnect_storm/connections.rs
@@ -106,7 +106,7 @@
             let actions = state.pool.on_connect_failed(connection, self.now);
             return self.perform(client, actions);
         }
-        // After `discard` the pool asks for an immediate connection: the delay of the style is added to it.
+        // After `discard` the pool connects again without a delay: the delay of the style is added here.
         let actions = state.pool.discard(connection, self.now);
         let delay = self.reconnect_delay(client);
         for action in actions {
--- a/crates/experiments/src/reconnect_storm/gateway_work.rs
+++ b/crates/experiments/src/reconnect_storm/gateway_work.rs
@@ -60,7 +60,7 @@
     fn finish_request(&mut self, client: usize, connection: u64, call: u64) {
         let pending = self.calls.get(&call);
         let has_waiting_client = pending.is_some_and(|pending| pending.is_in_flight_on(connection));
-        // The gateway cannot know that a client has given up: a payment is executed even then.
+        // A gateway executes a payment even if the call has timed out at its client.
         if pending.is_some_and(|pending| pending.kind == PAYMENT_KIND) {
             *self.counts.executions.entry(call).or_default() += 1;
         }
--- a/crates/experiments/src/reconnect_storm/model.rs
+++ b/crates/experiments/src/reconnect_storm/model.rs
@@ -20,7 +20,7 @@
 pub(super) const MAX_PENDING_HANDSHAKES: usize = 1024;
 /// A call counts as served in time if it succeeds within this time from its start.
 pub(super) const LATENCY_OBJECTIVE: Millis = 600.0;
-/// Time from the start of a call until its client gives up.
+/// Time from the start of a call until its client closes the connection and no longer retries.
 pub(super) const CALL_TIMEOUT: Millis = 2_500.0;
 /// Shortest time remaining until the deadline of a call with which a request is still sent.
 pub(super) const MIN_REQUEST_TIME: Millis = 5.0;
--- a/crates/experiments/src/reconnect_storm/simulation.rs
+++ b/crates/experiments/src/reconnect_storm/simulation.rs
@@ -27,7 +27,7 @@
     idle_timeout: 30_000.0,
     max_age: 600_000.0,
 };
-/// Multiplier of the seed that keeps the seeds of the pools apart from those of the clients.
+/// Multiplier of the seed, so that the random numbers of pools and clients are independent.
 const POOL_SEED_FACTOR: u64 = 1_000_003;
 /// Bits by which the number of a client is shifted to form its seed.
 const CLIENT_SEED_SHIFT: u32 = 20;
@@ -215,7 +215,7 @@
         let sent = call.sent;
         self.clients[client].pool.cancel_acquire(id);
         if call.kind == PAYMENT_KIND && sent.is_some() {
-            // Kept without an attempt, so that a later execution of the payment is still counted.
+            // Inserted again without an attempt, so that a later execution of the payment is counted.
             self.calls.insert(id, PendingCall { sent: None, is_queued: false, ..call });
         }
         let Some(sent) = sent else { return };
--- a/crates/experiments/src/soak.rs
+++ b/crates/experiments/src/soak.rs
@@ -1,12 +1,12 @@
-//! Gateway processes on loopback under faults drawn by seed: signals, outages of discovery, servers that drain, stop
-//! and restart at their addresses, and clients that use their connections until a gateway is killed. The records are
-//! checked against the rules of `latchhaven_test_support::history`.
+//! Runs gateway processes on loopback under faults drawn from a seed: signals, outages of discovery, and servers that
+//! drain, stop and restart at their addresses. Clients use their connections for as long as these are open, also
+//! while a gateway shuts down. The records are checked against the rules of `latchhaven_test_support::history`.
 //!
 //! - `sizes`: the command line.
-//! - `schedule`: the faults and their times; pure.
+//! - `schedule`: the faults and their times, drawn without side effects.
 //! - `directory`: the endpoint list, and the discovery service of each gateway.
 //! - `gateways`: the gateway processes.
-//! - `clients`: clients and connection floods.
+//! - `clients`: client threads and connection floods.
 //! - `runner`: runs a schedule.
 
 mod clients;
@@ -16,40 +16,41 @@
 mod schedule;
 mod sizes;
 
-use runner::Run;
+use runner::SoakRun;
 use schedule::Schedule;
 use serde_json::{Value, json};
 pub(crate) use sizes::Sizes;
 use std::time::Duration;
 
-/// Violations that are printed individually.
+/// Limit of the violations that are printed in full.
 const PRINTED_VIOLATIONS: usize = 5;
-/// The drain grace in the gateways' configuration.
-const DRAIN_GRACE: Duration = Duration::from_secs(1);
+/// The drain grace period in the gateways' configuration.
+const DRAIN_GRACE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Runs the faults of a seed; returns the results, and whether there were no violations.
+/// Runs the faults of a seed. Returns the results, and `true` if requests were served, no gateway crashed and no rule
+/// was violated.
 pub(crate) fn run(sizes: &Sizes) -> (Value, bool) {
     let schedule = Schedule::draw(sizes.seed, sizes.gateways, sizes.servers, sizes.seconds);
-    let mut run = Run::start(sizes);
-    run.play(&schedule);
-    let outcome = run.finish();
-    let violations = outcome.history.violations(DRAIN_GRACE);
-    let is_passed = violations.is_empty() && outcome.crashes.is_empty() && outcome.served > 0;
+    let mut run = SoakRun::start(sizes);
+    run.run_schedule(&schedule);
+    let records = run.finish();
+    let violations = records.history.violations(DRAIN_GRACE_PERIOD);
+    let is_passed = violations.is_empty() && records.crashes.is_empty() && records.served > 0;
     let printed: Vec<String> =
-        violations.iter().take(PRINTED_VIOLATIONS).map(|found| format!("{found:?}")).collect();
+        violations.iter().take(PRINTED_VIOLATIONS).map(|violation| format!("{violation:?}")).collect();
     let results = json!({
         "experiment": "soak",
         "seed": sizes.seed,
         "seconds": sizes.seconds,
         "gateways": sizes.gateways,
         "faults": schedule.counts(),
-        "requests": outcome.history.requests.len(),
-        "served": outcome.served,
-        "rejected": outcome.rejected,
-        "arrivals": outcome.history.arrivals.len(),
+        "requests": records.history.requests.len(),
+        "served": records.served,
+        "rejected": records.rejected,
+        "arrivals": records.history.arrivals.len(),
         "breaks": violations.len(),
         "first_breaks": printed,
-        "crashes": outcome.crashes,
+        "crashes": records.crashes,
         "passed": is_passed,
     });
     (results, is_passed)
--- a/crates/experiments/src/soak/clients.rs
+++ b/crates/experiments/src/soak/clients.rs
@@ -1,4 +1,5 @@
-//! Clients: each uses one connection for as long as it is open, also while its gateway shuts down.
+//! Client threads and connection floods. Each client uses one connection for as long as it is open, also while its
+//! gateway shuts down.
 
 use latchhaven_test_support::history::{RequestEnd, RequestRecord};
 use latchhaven_test_support::postgres::{insert, outcome, query, read_message, select, startup};
@@ -11,39 +12,42 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// The range of request timeouts, in ms.
-const TIMEOUTS: std::ops::Range<u32> = 300..2000;
-/// The range of pauses between two requests of a client, in ms; shorter than the gateways' idle timeout.
-const PAUSES: std::ops::Range<u64> = 5..120;
-/// How long a client waits for an answer after the timeout of its request.
-const EXTRA_WAIT: Duration = Duration::from_millis(1500);
-/// The delay of a reconnect after a refused connection.
+const REQUEST_TIMEOUTS_MS: std::ops::Range<u32> = 300..2000;
+/// Range of the pauses between two requests of a client; shorter than the gateways' idle timeout, so that idle
+/// connections are not closed.
+const PAUSES_MS: std::ops::Range<u64> = 5..120;
+/// How long a client waits for the response after the timeout of its request, and for each message while connecting.
+const RESPONSE_GRACE_PERIOD: Duration = Duration::from_millis(1500);
+/// Delay before the next attempt to connect after a failed one.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
-/// Connections of a connection flood.
 const FLOOD_CONNECTIONS: usize = 120;
 /// How long the idle connections of a connection flood stay open.
 const FLOOD_DURATION: Duration = Duration::from_secs(3);
-/// The SQLSTATEs of a request that was definitely not executed.
-const REJECTIONS: [&str; 2] = ["53300", "57P03"];
+/// Timeout of the queries of a connection flood.
+const FLOOD_TIMEOUT_MS: u32 = 900;
+/// SQLSTATEs of responses to requests that were certainly not executed.
+const REJECTION_SQLSTATES: [&str; 2] = ["53300", "57P03"];
 
-/// The inputs of a client thread.
+/// What a client thread needs to run: its gateway, and where its records go.
 #[derive(Clone)]
 pub(super) struct ClientSetup {
     pub(super) gateway: usize,
     pub(super) address: SocketAddr,
+    /// Start of the run, from which the times of records are counted.
     pub(super) started_at: Instant,
-    pub(super) is_over: Arc<AtomicBool>,
+    /// Set at the end of the run: the client exits after its current request.
+    pub(super) stop_requested: Arc<AtomicBool>,
     pub(super) records: mpsc::Sender<RequestRecord>,
 }
 
-/// Starts a client; `number` is part of the ids of its requests.
+/// Starts a client thread. `number` differs between clients and is part of the ids of the client's requests.
 pub(super) fn start_client(setup: ClientSetup, number: usize, seed: u64) -> JoinHandle<()> {
     let rng = Pcg64Mcg::seed_from_u64(seed ^ ((number as u64) << 32));
     let mut client = Client { setup, number, rng, connection: None, requests: 0 };
     thread::spawn(move || {
-        while !client.setup.is_over.load(SeqCst) {
+        while !client.setup.stop_requested.load(SeqCst) {
             client.send_request();
-            let pause = client.rng.random_range(PAUSES);
+            let pause = client.rng.random_range(PAUSES_MS);
             thread::sleep(Duration::from_millis(pause));
         }
     })
@@ -56,8 +60,11 @@
         let connections: Vec<TcpStream> =
             (0..FLOOD_CONNECTIONS).filter_map(|_| TcpStream::connect(setup.address).ok()).collect();
         for (index, mut connection) in connections.iter().enumerate().filter(|(index, _)| index % 2 == 0) {
-            let messages =
-                [startup(), query(""), query(&select(&format!("{number:x}c{index:x}"), "look", 900))];
+            let messages = [
+                startup(),
+                query(""),
+                query(&select(&format!("{number:x}c{index:x}"), "look", FLOOD_TIMEOUT_MS)),
+            ];
             let _ = connection.write_all(&messages.concat());
         }
         thread::sleep(FLOOD_DURATION);
@@ -73,24 +80,24 @@
 }
 
 impl Client {
-    /// Sends one request and records its end.
+    /// Sends one request and records how it ended.
     fn send_request(&mut self) {
         let Some(mut connection) = self.connection.take().or_else(|| self.connect()) else {
             return thread::sleep(RECONNECT_DELAY);
         };
         self.requests += 1;
         let id = format!("{:x}a{:x}", self.number, self.requests);
-        let timeout = self.rng.random_range(TIMEOUTS);
+        let timeout = self.rng.random_range(REQUEST_TIMEOUTS_MS);
         let class = ["look", "book", "pay"][self.rng.random_range(0..3)];
         let text = if class == "look" { select(&id, class, timeout) } else { insert(&id, class, timeout) };
         let timeout = Duration::from_millis(timeout.into());
         if connection.write_all(&query(&text)).is_err() {
-            // The gateway closed the connection between requests: it did not read this one.
+            // The gateway closed the connection between two requests, so it has not read this request.
             return;
         }
         let sent_at = self.setup.started_at.elapsed();
-        let _ = connection.set_read_timeout(Some(timeout + EXTRA_WAIT));
-        let end = read_end(&mut connection, &id);
+        let _ = connection.set_read_timeout(Some(timeout + RESPONSE_GRACE_PERIOD));
+        let end = read_response(&mut connection, &id);
         let record = RequestRecord {
             id,
             gateway: self.setup.gateway,
@@ -109,7 +116,7 @@
     fn connect(&self) -> Option<TcpStream> {
         let mut stream = TcpStream::connect(self.setup.address).ok()?;
         stream.set_nodelay(true).ok()?;
-        stream.set_read_timeout(Some(EXTRA_WAIT)).ok()?;
+        stream.set_read_timeout(Some(RESPONSE_GRACE_PERIOD)).ok()?;
         stream.write_all(&startup()).ok()?;
         loop {
             match read_message(&mut stream)?.kind {
@@ -121,20 +128,20 @@
     }
 }
 
-/// Reads the answer to a request up to its end.
-fn read_end(connection: &mut TcpStream, id: &str) -> RequestEnd {
+/// Reads the response to the request `id` until the gateway is ready for the next query.
+fn read_response(connection: &mut TcpStream, id: &str) -> RequestEnd {
     let mut messages = Vec::new();
-    let mut is_fatal = false;
+    let mut has_error = false;
     loop {
-        // An incomplete message counts as none.
+        // An incomplete message counts as no message.
         let Some(message) = read_message(connection) else {
-            if is_fatal {
+            if has_error {
                 break;
             }
             return if is_closed(connection) { RequestEnd::Closed } else { RequestEnd::Unanswered };
         };
         let kind = message.kind;
-        is_fatal |= kind == b'E';
+        has_error |= kind == b'E';
         messages.push(message);
         if kind == b'Z' {
             break;
@@ -143,7 +150,7 @@
     match outcome(&messages) {
         Ok(value) if value == id => RequestEnd::Served,
         Ok(_) => RequestEnd::WrongValue,
-        Err(code) if REJECTIONS.contains(&code.0.as_str()) => RequestEnd::Rejected,
+        Err(code) if REJECTION_SQLSTATES.contains(&code.0.as_str()) => RequestEnd::Rejected,
         Err(_) => RequestEnd::Failed,
     }
 }
--- a/crates/experiments/src/soak/directory.rs
+++ b/crates/experiments/src/soak/directory.rs
@@ -1,4 +1,5 @@
-//! The endpoint list, and a discovery service for each gateway, so that each notification is recorded by gateway.
+//! The endpoint list, and a discovery service of its own for each gateway, so that notifications are recorded by
+//! gateway.
 
 use super::schedule::DiscoveryFault;
 use latchhaven_test_support::fake_http::{FakeHttpService, HttpReply, STREAM_HEAD, chunk, response};
@@ -11,25 +12,24 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// Addresses of the discovery service of each gateway; it moves between them.
-const ADDRESSES: usize = 2;
-/// The first version of the list.
-const FIRST_VERSION: u64 = 5;
-/// Bytes of a list that are sent before it is cut off.
-const CUT_OFF_LENGTH: usize = 20;
+/// Addresses between which the discovery service of each gateway moves.
+const ADDRESSES_PER_GATEWAY: usize = 2;
+const FIRST_LIST_VERSION: u64 = 5;
+/// Bytes of a list that `DiscoveryFault::CutOff` sends before it closes the connection.
+const CUT_OFF_BYTES: usize = 20;
 
-/// The state of all services.
+/// The state that the discovery services of all gateways share.
 struct State {
     started_at: Instant,
     addresses: Vec<SocketAddr>,
-    /// The listed health of each server.
+    /// Health of each server as listed: `up`, `draining` or `removed`.
     health: Vec<&'static str>,
     version: u64,
     status_changes: Vec<StatusChangeRecord>,
-    /// The current fault of discovery by gateway, and its start.
+    /// Current discovery fault of each gateway that has one, and when it began.
     faults: BTreeMap<usize, (DiscoveryFault, Moment)>,
     outages: Vec<OutageRecord>,
-    /// The list that was last written to each gateway.
+    /// List that was last written to each gateway; the first list before that.
     written: Vec<Value>,
 }
 
@@ -47,7 +47,7 @@
         endpoint_list(self.version, true, &hosts)
     }
 
-    /// Records that all changes so far are written to a gateway now; returns the list.
+    /// Records that all changes so far are written to a gateway now; returns the list to write.
     fn write_to(&mut self, gateway: usize) -> Value {
         let now = self.now();
         for change in &mut self.status_changes {
@@ -58,23 +58,24 @@
         list
     }
 
+    /// The reply of the gateway's discovery service to a call, under the gateway's current fault.
     fn reply(&mut self, gateway: usize) -> HttpReply {
         match self.faults.get(&gateway).map(|(fault, _)| *fault) {
             Some(DiscoveryFault::Unavailable) => HttpReply::Close(response(503, "")),
             Some(DiscoveryFault::Silent) => HttpReply::Nothing,
             Some(DiscoveryFault::CutOff) => {
                 let list = self.write_to(gateway).to_string();
-                HttpReply::Close(format!("{STREAM_HEAD}{}", chunk(&list[..CUT_OFF_LENGTH])))
+                HttpReply::Close(format!("{STREAM_HEAD}{}", chunk(&list[..CUT_OFF_BYTES])))
             }
             None => HttpReply::stream(&self.write_to(gateway).to_string()),
         }
     }
 }
 
-/// The list, and its services.
+/// The endpoint list, and the discovery services that publish it.
 pub(super) struct Directory {
     state: Arc<Mutex<State>>,
-    /// By gateway, then by address.
+    /// Discovery services by gateway, then by address.
     services: Vec<Vec<FakeHttpService>>,
 }
 
@@ -84,7 +85,7 @@
             started_at,
             addresses: servers.to_vec(),
             health: vec!["up"; servers.len()],
-            version: FIRST_VERSION,
+            version: FIRST_LIST_VERSION,
             status_changes: Vec::new(),
             faults: BTreeMap::new(),
             outages: Vec::new(),
@@ -96,21 +97,22 @@
             let state = state.clone();
             FakeHttpService::start(move |_| lock_ignoring_poison(&state).reply(gateway))
         };
-        let services = (0..gateways).map(|gateway| (0..ADDRESSES).map(|_| service(gateway)).collect());
+        let services =
+            (0..gateways).map(|gateway| (0..ADDRESSES_PER_GATEWAY).map(|_| service(gateway)).collect());
         Directory { services: services.collect(), state }
     }
 
-    /// The address of a gateway's service after this number of moves.
+    /// Address of a gateway's discovery service after this number of moves.
     pub(super) fn address(&self, gateway: usize, moves: usize) -> SocketAddr {
-        self.services[gateway][moves % ADDRESSES].addr
+        self.services[gateway][moves % ADDRESSES_PER_GATEWAY].addr
     }
 
-    /// The list that was last written to a gateway.
+    /// List that was last written to a gateway; the first list before that.
     pub(super) fn written_list(&self, gateway: usize) -> Value {
         lock_ignoring_poison(&self.state).written[gateway].clone()
     }
 
-    /// Lists a server as `up`, `draining` or `removed`.
+    /// Lists a server as `up`, `draining` or `removed`, and notifies all gateways without a discovery fault.
     pub(super) fn list_server(&self, server: usize, health: &'static str) {
         {
             let mut state = lock_ignoring_poison(&self.state);
@@ -132,18 +134,18 @@
             for service in services {
                 service.send_line_with(|| lock_ignoring_poison(&self.state).list());
             }
-            // A gateway without an open watch was not notified.
+            // Without an open watch a gateway was not notified.
             if services.iter().any(|service| !service.all_streams_closed()) {
                 lock_ignoring_poison(&self.state).write_to(gateway);
             }
         }
     }
 
-    /// Sends a keepalive on each watch.
+    /// Sends a keepalive on each watch of the gateways without a discovery fault.
     pub(super) fn send_keepalives(&self) {
         for (gateway, services) in self.services.iter().enumerate() {
-            let is_silent = lock_ignoring_poison(&self.state).faults.contains_key(&gateway);
-            if !is_silent {
+            let has_fault = lock_ignoring_poison(&self.state).faults.contains_key(&gateway);
+            if !has_fault {
                 for service in services {
                     service.write(&chunk("\n"));
                 }
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Starts a fault of discovery for a gateway. False if it already has one.
+    /// Begins a discovery fault of a gateway. Returns `false` if the gateway already has one.
     pub(super) fn begin_fault(&self, gateway: usize, fault: DiscoveryFault) -> bool {
         {
             let mut state = lock_ignoring_poison(&self.state);
@@ -167,25 +169,25 @@
         true
     }
 
-    /// Ends the fault of discovery for a gateway.
+    /// Ends the discovery fault of a gateway, if there is one.
     pub(super) fn end_fault(&self, gateway: usize) {
         let was_silent = {
             let mut state = lock_ignoring_poison(&self.state);
             let now = state.now();
             let Some((fault, from)) = state.faults.remove(&gateway) else { return };
-            // A cut-off list was written: the gateway counts as notified.
+            // No outage is recorded for a cut-off list: the list was written, so the gateway counts as notified.
             if fault == DiscoveryFault::Unavailable {
                 state.outages.push(OutageRecord { gateway, from, until: now });
             }
             fault == DiscoveryFault::Silent
         };
         if was_silent {
-            // A watch without keepalives is closed.
+            // Closes the watches that got no keepalives, so that the gateway opens new ones.
             self.services[gateway].iter().for_each(FakeHttpService::close_streams);
         }
     }
 
-    /// All changes of the list, and all outages of discovery.
+    /// All changes of the list, and all recorded outages of discovery, so far.
     pub(super) fn records(&self) -> (Vec<StatusChangeRecord>, Vec<OutageRecord>) {
         let state = lock_ignoring_poison(&self.state);
         (state.status_changes.clone(), state.outages.clone())
--- a/crates/experiments/src/soak/gateways.rs
+++ b/crates/experiments/src/soak/gateways.rs
@@ -10,42 +10,46 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The shortest time from SIGTERM to SIGKILL: the longest client timeout, 3 s at most, plus 0.7 s.
-pub(super) const SHUTDOWN_TIME: Duration = Duration::from_millis(2000 + 700);
-/// The longest client timeout, in s.
-const CLIENT_TIMEOUT_S: f64 = 2.0;
-
-/// One gateway.
+/// The longest client timeout in the gateways' configuration.
+const CLIENT_TIMEOUT_MS: u64 = 2000;
+/// A gateway shuts down within its longest client timeout, of which 3 s at most count, plus this margin.
+const SHUTDOWN_MARGIN_MS: u64 = 700;
+/// Time from SIGTERM to SIGKILL: the shortest that a gateway needs to complete its pending requests.
+pub(super) const SHUTDOWN_TIME: Duration = Duration::from_millis(CLIENT_TIMEOUT_MS + SHUTDOWN_MARGIN_MS);
+
+/// A gateway, which has the same name and address in all its processes.
 struct Gateway {
     process: GatewayProcess,
     address: SocketAddr,
-    /// Moves of its discovery service.
-    moves: usize,
-    /// It got SIGTERM and was not restarted yet.
-    is_ending: bool,
+    /// How often the gateway's discovery service has moved to another address.
+    discovery_moves: usize,
+    /// Set after SIGTERM, until the process is replaced.
+    is_shutting_down: bool,
 }
 
-/// All gateways.
+/// The gateways of a run, and the records of their processes.
 pub(super) struct GatewayGroup {
     started_at: Instant,
     platform: FakeHttpService,
     gateways: Vec<Gateway>,
     pub(super) processes: Vec<ProcessRecord>,
-    /// Processes that exited without a signal, or with an error.
+    /// Processes that exited without SIGTERM, or with an error status after it.
     pub(super) crashes: Vec<String>,
 }
 
-fn config(directory: &Directory, gateway: usize, moves: usize, count: usize, platform: SocketAddr) -> Value {
-    let mut config = gateway_config(&[], directory.address(gateway, moves), platform);
+fn config(
+    directory: &Directory, gateway: usize, discovery_moves: usize, count: usize, platform: SocketAddr,
+) -> Value {
+    let mut config = gateway_config(&[], directory.address(gateway, discovery_moves), platform);
     config["name"] = json!(format!("n{gateway}"));
     config["known"] = directory.written_list(gateway);
     let settings = &mut config["settings"];
     settings["me"] = json!(gateway);
     settings["replicas-of-me"] = json!(count);
-    // As in large deployments: with this interval a change counts as reported after 6 s.
+    // The interval of large deployments: with 10 s, a change counts as reported after 6 s.
     settings["rules"]["ask-within-s"] = json!(10.0);
     for class in settings["classes"].as_array_mut().into_iter().flatten() {
-        class["hard-limit-s"] = json!(CLIENT_TIMEOUT_S);
+        class["hard-limit-s"] = json!(Duration::from_millis(CLIENT_TIMEOUT_MS).as_secs_f64());
     }
     config
 }
@@ -56,7 +60,7 @@
         let start = |gateway| {
             let process = spawn_gateway(&config(directory, gateway, 0, count, platform.addr).to_string());
             let address = wait_for_address(&process.log);
-            Gateway { process, address, moves: 0, is_ending: false }
+            Gateway { process, address, discovery_moves: 0, is_shutting_down: false }
         };
         let gateways: Vec<Gateway> = (0..count).map(start).collect();
         let mut started =
@@ -65,45 +69,43 @@
         started
     }
 
-    /// The addresses of the gateways.
     pub(super) fn addresses(&self) -> Vec<SocketAddr> {
         self.gateways.iter().map(|gateway| gateway.address).collect()
     }
 
-    pub(super) fn is_ending(&self, gateway: usize) -> bool {
-        self.gateways[gateway].is_ending
+    pub(super) fn is_shutting_down(&self, gateway: usize) -> bool {
+        self.gateways[gateway].is_shutting_down
     }
 
-    /// Sends SIGTERM to a gateway.
     pub(super) fn terminate(&mut self, gateway: usize) {
-        self.gateways[gateway].is_ending = true;
+        self.gateways[gateway].is_shutting_down = true;
         self.record(gateway, ProcessEvent::Terminated);
         self.signal(gateway, "TERM");
     }
 
-    /// Kills a gateway, and restarts it at its address.
-    pub(super) fn replace(&mut self, gateway: usize, directory: &Directory) {
+    /// Sends SIGKILL to a gateway, and starts a new process at its address.
+    pub(super) fn kill_and_restart(&mut self, gateway: usize, directory: &Directory) {
         let count = self.gateways.len();
-        self.check(gateway);
+        self.record_crash(gateway);
         let replaced = &mut self.gateways[gateway];
         let _ = replaced.process.child.kill();
         let _ = replaced.process.child.wait();
         self.record(gateway, ProcessEvent::Killed);
         let replaced = &mut self.gateways[gateway];
-        let mut config = config(directory, gateway, replaced.moves, count, self.platform.addr);
+        let mut config = config(directory, gateway, replaced.discovery_moves, count, self.platform.addr);
         config["listen"] = json!(replaced.address.to_string());
         replaced.process = spawn_gateway(&config.to_string());
         wait_for_address(&replaced.process.log);
-        replaced.is_ending = false;
+        replaced.is_shutting_down = false;
         self.record(gateway, ProcessEvent::Started);
     }
 
-    /// Moves the discovery service of a gateway, and sends it SIGHUP.
+    /// Moves the discovery service of a gateway to another address, and has the gateway reload its configuration.
     pub(super) fn reload(&mut self, gateway: usize, directory: &Directory) {
         let count = self.gateways.len();
-        self.gateways[gateway].moves += 1;
+        self.gateways[gateway].discovery_moves += 1;
         let reloaded = &self.gateways[gateway];
-        let config = config(directory, gateway, reloaded.moves, count, self.platform.addr);
+        let config = config(directory, gateway, reloaded.discovery_moves, count, self.platform.addr);
         if std::fs::write(&reloaded.process.config_path, config.to_string()).is_ok() {
             self.signal(gateway, "HUP");
         }
@@ -113,7 +115,7 @@
         send_signal(self.gateways[gateway].process.child.id(), name);
     }
 
-    /// The log lines of the current process of each gateway.
+    /// Log lines of the current process of each gateway, each with the gateway's name in front.
     pub(super) fn logs(&self) -> Vec<String> {
         let gateways = self.gateways.iter().enumerate();
         let logs = gateways.map(|(index, gateway)| (index, gateway.process.log.lock()));
@@ -124,21 +126,21 @@
         lines.collect()
     }
 
-    /// Kills all gateways, and records crashes.
+    /// Records crashes, and sends SIGKILL to all gateways.
     pub(super) fn stop(&mut self) {
         for gateway in 0..self.gateways.len() {
-            self.check(gateway);
+            self.record_crash(gateway);
             let child = &mut self.gateways[gateway].process.child;
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Records a process that has exited without a signal, or with an error.
-    fn check(&mut self, gateway: usize) {
+    /// Records a crash if the process has exited without SIGTERM, or with an error status after it.
+    fn record_crash(&mut self, gateway: usize) {
         let checked = &mut self.gateways[gateway];
         let Ok(Some(status)) = checked.process.child.try_wait() else { return };
-        if !checked.is_ending || !status.success() {
+        if !checked.is_shutting_down || !status.success() {
             self.crashes.push(format!("n{gateway}: {status}"));
         }
     }
--- a/crates/experiments/src/soak/runner.rs
+++ b/crates/experiments/src/soak/runner.rs
@@ -1,4 +1,4 @@
-//! Runs a schedule: starts each fault at its time, and its later steps.
+//! Runs a schedule: injects each fault at its time, and carries out the later steps of faults.
 
 use super::clients::{ClientSetup, start_client, start_connection_flood};
 use super::directory::Directory;
@@ -13,60 +13,69 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// The interval of checks for due faults and steps.
-const TICK: Duration = Duration::from_millis(2);
-/// The interval of keepalives of discovery.
+/// Interval of checks for due faults and steps.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Interval of keepalives on the watches of discovery.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// The time from the listing of a server as draining until it rejects requests.
+/// Time from the listing of a server as draining until the server rejects requests.
 const DRAIN_NOTICE: Duration = Duration::from_millis(200);
-/// The time from there until its process ends.
+/// Time from when a draining server begins to reject requests until its process exits.
 const DRAIN_TIME: Duration = Duration::from_millis(1500);
-/// The time from there until another process answers at its address, and from there until it is listed.
-const BOOT_TIME: Duration = Duration::from_millis(1500);
-/// The reply of a draining server: the query was not executed.
-const DRAINING: ServerBehavior = ServerBehavior::Fail("53300");
-/// The first client number of connection floods.
-const FIRST_FLOOD: usize = 1 << 16;
+/// Time from the exit of a server until another process starts at its address, and from that start until a
+/// server with an even number is listed again.
+const RESTART_DELAY: Duration = Duration::from_millis(1500);
+/// Time from the start of a server with an odd number until the server is listed again: by then, gateways have
+/// forgotten the earlier entry.
+const LONG_RELISTING_DELAY: Duration = RESTART_DELAY.saturating_mul(6);
+/// Behavior of a draining server: rejects queries with an SQLSTATE that says that they were not executed.
+const REJECT_WHILE_DRAINING: ServerBehavior = ServerBehavior::Fail("53300");
+/// Offset of the numbers of connection floods, above the numbers of all clients.
+const FIRST_FLOOD_NUMBER: usize = 1 << 16;
 
-/// A later step of a fault.
+/// A step of a fault that is due some time after the fault began.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Kill { gateway: usize },
     Resume { gateway: usize },
-    RecoverDiscovery { gateway: usize },
+    EndDiscoveryFault { gateway: usize },
     RejectRequests { server: usize },
-    Stop { server: usize },
-    Boot { server: usize },
-    List { server: usize },
-    Answer { server: usize },
+    StopServer { server: usize },
+    StartServer { server: usize },
+    ListServer { server: usize },
+    EndHang { server: usize },
 }
 
-/// The records of a run.
-pub(super) struct Outcome {
+/// What was recorded in a run.
+pub(super) struct RunRecords {
     pub(super) history: History,
+    /// Requests that got their own value.
     pub(super) served: usize,
+    /// Requests that were rejected, and so not executed.
     pub(super) rejected: usize,
+    /// Gateway processes that exited without SIGTERM, or with an error status after it.
     pub(super) crashes: Vec<String>,
 }
 
-/// A run.
-pub(super) struct Run {
+/// A run: servers, discovery, gateways and clients, and the steps of faults that are due later.
+pub(super) struct SoakRun {
     sizes: Sizes,
     started_at: Instant,
     servers: Vec<FakeServer>,
-    /// Servers that are being replaced or do not respond.
-    busy_servers: Vec<bool>,
+    /// Whether each server is being replaced or does not respond.
+    reserved_servers: Vec<bool>,
     directory: Directory,
     gateways: GatewayGroup,
     setups: Vec<ClientSetup>,
     threads: Vec<JoinHandle<()>>,
-    is_over: Arc<AtomicBool>,
+    stop_requested: Arc<AtomicBool>,
     records: mpsc::Receiver<RequestRecord>,
+    /// Later steps of faults, and when they are due.
     steps: Vec<(Duration, Step)>,
-    floods: usize,
+    /// Connection floods so far.
+    flood_count: usize,
 }
 
-impl Run {
+impl SoakRun {
     /// Starts servers, discovery, gateways and clients.
     pub(super) fn start(sizes: &Sizes) -> Self {
         let started_at = Instant::now();
@@ -75,13 +84,13 @@
         let addresses: Vec<_> = servers.iter().map(|server| server.addr).collect();
         let directory = Directory::start(started_at, &addresses, sizes.gateways);
         let gateways = GatewayGroup::start(started_at, &directory, sizes.gateways);
-        let is_over = Arc::new(AtomicBool::new(false));
+        let stop_requested = Arc::new(AtomicBool::new(false));
         let (sender, records) = mpsc::channel();
         let setup = |(gateway, address)| ClientSetup {
             gateway,
             address,
             started_at,
-            is_over: is_over.clone(),
+            stop_requested: stop_requested.clone(),
             records: sender.clone(),
         };
         let setups: Vec<ClientSetup> = gateways.addresses().into_iter().enumerate().map(setup).collect();
@@ -91,24 +100,24 @@
                 start_client(setup.clone(), number, sizes.seed)
             })
         });
-        Run {
+        SoakRun {
             sizes: sizes.clone(),
             started_at,
-            busy_servers: vec![false; servers.len()],
+            reserved_servers: vec![false; servers.len()],
             servers,
             directory,
             gateways,
             threads: clients.collect(),
             setups,
-            is_over,
+            stop_requested,
             records,
             steps: Vec::new(),
-            floods: 0,
+            flood_count: 0,
         }
     }
 
-    /// Runs all faults until the end of the run.
-    pub(super) fn play(&mut self, schedule: &Schedule) {
+    /// Runs all faults of the schedule; returns at the end of the run.
+    pub(super) fn run_schedule(&mut self, schedule: &Schedule) {
         let end = Duration::from_secs(self.sizes.seconds);
         let mut faults = schedule.0.iter().peekable();
         let mut keepalive_at = Duration::ZERO;
@@ -122,13 +131,13 @@
                 self.directory.send_keepalives();
                 keepalive_at = now + KEEPALIVE_INTERVAL;
             }
-            thread::sleep(TICK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Waits for the answers to all requests, and collects the records.
-    pub(super) fn finish(mut self) -> Outcome {
-        self.is_over.store(true, SeqCst);
+    /// Waits for the outcomes of all requests, stops the gateways, and collects the records.
+    pub(super) fn finish(mut self) -> RunRecords {
+        self.stop_requested.store(true, SeqCst);
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
@@ -145,7 +154,7 @@
         let arrivals = self.arrivals();
         let processes = std::mem::take(&mut self.gateways.processes);
         let history = History { requests, arrivals, status_changes, processes, outages };
-        Outcome { history, served, rejected, crashes: std::mem::take(&mut self.gateways.crashes) }
+        RunRecords { history, served, rejected, crashes: std::mem::take(&mut self.gateways.crashes) }
     }
 
     fn now(&self) -> Duration {
@@ -161,14 +170,14 @@
             eprintln!("{:.3} {fault:?}", self.now().as_secs_f64());
         }
         match fault {
-            Fault::Kill { gateway } if !self.gateways.is_ending(gateway) => {
-                self.gateways.replace(gateway, &self.directory);
+            Fault::Kill { gateway } if !self.gateways.is_shutting_down(gateway) => {
+                self.gateways.kill_and_restart(gateway, &self.directory);
             }
-            Fault::Restart { gateway } if !self.gateways.is_ending(gateway) => {
+            Fault::Restart { gateway } if !self.gateways.is_shutting_down(gateway) => {
                 self.gateways.terminate(gateway);
                 self.schedule(SHUTDOWN_TIME, Step::Kill { gateway });
             }
-            Fault::Reload { gateway, times } if !self.gateways.is_ending(gateway) => {
+            Fault::Reload { gateway, times } if !self.gateways.is_shutting_down(gateway) => {
                 (0..times).for_each(|_| self.gateways.reload(gateway, &self.directory));
             }
             Fault::Pause { gateway, duration } => {
@@ -179,7 +188,7 @@
                 let affected = gateway.map_or(0..self.sizes.gateways, |gateway| gateway..gateway + 1);
                 for gateway in affected {
                     if self.directory.begin_fault(gateway, fault) {
-                        self.schedule(duration, Step::RecoverDiscovery { gateway });
+                        self.schedule(duration, Step::EndDiscoveryFault { gateway });
                     }
                 }
             }
@@ -189,26 +198,28 @@
             }
             Fault::Hang { server, duration } if self.reserve(server) => {
                 self.servers[server].set_behavior(ServerBehavior::NeverRespond);
-                self.schedule(duration, Step::Answer { server });
+                self.schedule(duration, Step::EndHang { server });
             }
             Fault::Reset { server } => self.servers[server].close_connections(),
             Fault::ConnectionFlood { gateway } => {
-                self.floods += 1;
-                let flood = start_connection_flood(&self.setups[gateway], FIRST_FLOOD + self.floods);
+                self.flood_count += 1;
+                let flood =
+                    start_connection_flood(&self.setups[gateway], FIRST_FLOOD_NUMBER + self.flood_count);
                 self.threads.push(flood);
             }
-            // The server or gateway is under another fault.
+            // The gateway is shutting down, or `reserve` refused the server: the fault is skipped.
             _ => {}
         }
     }
 
-    /// Reserves a server for a fault, unless it is under one or fewer than half would remain.
+    /// Reserves a server for a fault. Returns `false` if the server is already reserved, or if no more than half of the
+    /// servers are without a reservation.
     fn reserve(&mut self, server: usize) -> bool {
-        let available = self.busy_servers.iter().filter(|is_busy| !**is_busy).count();
-        if self.busy_servers[server] || 2 * available <= self.servers.len() {
+        let available = self.reserved_servers.iter().filter(|is_reserved| !**is_reserved).count();
+        if self.reserved_servers[server] || 2 * available <= self.servers.len() {
             return false;
         }
-        self.busy_servers[server] = true;
+        self.reserved_servers[server] = true;
         true
     }
 
@@ -223,34 +234,34 @@
 
     fn run_step(&mut self, step: Step) {
         match step {
-            Step::Kill { gateway } => self.gateways.replace(gateway, &self.directory),
+            Step::Kill { gateway } => self.gateways.kill_and_restart(gateway, &self.directory),
             Step::Resume { gateway } => self.gateways.signal(gateway, "CONT"),
-            Step::RecoverDiscovery { gateway } => self.directory.end_fault(gateway),
+            Step::EndDiscoveryFault { gateway } => self.directory.end_fault(gateway),
             Step::RejectRequests { server } => {
-                self.servers[server].set_behavior(DRAINING);
-                self.schedule(DRAIN_TIME, Step::Stop { server });
+                self.servers[server].set_behavior(REJECT_WHILE_DRAINING);
+                self.schedule(DRAIN_TIME, Step::StopServer { server });
             }
-            Step::Stop { server } => {
+            Step::StopServer { server } => {
                 self.directory.list_server(server, "removed");
                 self.servers[server].set_behavior(ServerBehavior::NeverHandshake);
                 self.servers[server].close_connections();
-                self.schedule(BOOT_TIME, Step::Boot { server });
+                self.schedule(RESTART_DELAY, Step::StartServer { server });
             }
-            Step::Boot { server } => {
+            Step::StartServer { server } => {
                 self.servers[server].close_connections();
                 self.servers[server].set_behavior(ServerBehavior::Succeed);
-                // Some are listed only after gateways have forgotten their earlier entry.
-                let listed_after = BOOT_TIME * if server.is_multiple_of(2) { 1 } else { 6 };
-                self.schedule(listed_after, Step::List { server });
+                let is_relisted_soon = server.is_multiple_of(2);
+                let listed_after = if is_relisted_soon { RESTART_DELAY } else { LONG_RELISTING_DELAY };
+                self.schedule(listed_after, Step::ListServer { server });
             }
-            Step::List { server } => {
+            Step::ListServer { server } => {
                 self.directory.list_server(server, "up");
-                self.busy_servers[server] = false;
+                self.reserved_servers[server] = false;
             }
-            Step::Answer { server } => {
+            Step::EndHang { server } => {
                 self.servers[server].set_behavior(ServerBehavior::Succeed);
                 self.servers[server].close_connections();
-                self.busy_servers[server] = false;
+                self.reserved_servers[server] = false;
             }
         }
     }
--- a/crates/experiments/tests/soak.rs
+++ b/crates/experiments/tests/soak.rs
@@ -1,9 +1,10 @@
-//! Short runs of the soak, by seed. Longer runs with more seeds: `docs/results/incident-pellow.md`.
+//! Runs the soak experiment for a short time with two seeds. Longer runs with more seeds are described in
+//! `docs/results/incident-pellow.md`.
 
 use rstest::rstest;
 use std::process::Command;
 
-/// Seconds of faults and requests.
+/// Duration of each run.
 const SECONDS: &str = "24";
 
 #[rstest]
