--- a/crates/experiments/src/xds/exposure.rs
+++ b/crates/experiments/src/xds/exposure.rs
@@ -1,26 +1,27 @@
-//! Samples of the canary's share over all proxies, which have the same traffic.
+//! Samples of the canary's traffic share: the mean over all proxies, which have the same traffic.
 
 use super::faults::FaultTimes;
 use super::rollout_script::RolloutScript;
 use super::testbed::Testbed;
 
-/// The rounding error by which a share may exceed its cap.
-const TOLERANCE: f64 = 1e-9;
+/// Rounding error by which a share may exceed its cap.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// The samples so far.
+/// What the samples so far showed.
 #[derive(Default)]
 pub(super) struct ExposureSamples {
     pub(super) count: u64,
     /// Samples above the cap.
     pub(super) breaches: u64,
-    /// The highest excess over the cap.
+    /// Highest excess of a sample over the cap; 0 if none exceeded the cap.
     pub(super) worst_excess: f64,
-    /// The highest share of unreachable proxies.
-    pub(super) max_unreachable_share: f64,
+    /// Highest part of a sample that is due to proxies under a fault.
+    pub(super) max_affected_share: f64,
 }
 
 impl ExposureSamples {
-    /// Samples the newest version's share.
+    /// Samples the traffic share of the newest version. Samples are not checked against the cap while the baseline is
+    /// the newest version, or while proxies may have outdated shares because the control service was down.
     pub(super) fn sample(&mut self, testbed: &Testbed, script: &RolloutScript, faults: &FaultTimes) {
         let proxy_count = testbed.proxies.len();
         let affected_count = testbed.affected_count;
@@ -29,16 +30,16 @@
         let share = (affected + unaffected) / proxy_count as f64;
         let mut limit = script.binding_cap();
         self.count += 1;
-        // The share of unreachable proxies cannot be lowered; the limit is at least that.
+        // The control service cannot lower the share of proxies under a fault: the limit is at least their share.
         if affected_count > 0 && faults.affects_proxies_now() {
-            let unreachable_share = affected / proxy_count as f64;
-            limit = limit.max(unreachable_share);
-            self.max_unreachable_share = self.max_unreachable_share.max(unreachable_share);
+            let affected_share = affected / proxy_count as f64;
+            limit = limit.max(affected_share);
+            self.max_affected_share = self.max_affected_share.max(affected_share);
         }
         let is_canary = script.version > 1;
         if is_canary && !faults.affects_control_now() {
             self.worst_excess = self.worst_excess.max(share - limit);
-            self.breaches += u64::from(share > limit + TOLERANCE);
+            self.breaches += u64::from(share > limit + ROUNDING_TOLERANCE);
         }
     }
 }
--- a/crates/experiments/src/xds/faults.rs
+++ b/crates/experiments/src/xds/faults.rs
@@ -1,21 +1,22 @@
-//! Faults: their effects, and when they begin and end.
+//! The faults: their effects on proxies and the control service, and when they begin and end.
 
-use super::rollout_script::CAP_GRACE;
+use super::rollout_script::CAP_GRACE_PERIOD;
 use super::sizes::Sizes;
 use super::testbed::Testbed;
 use latchhaven_test_support::fake_proxy::ProxyBehavior;
 use std::time::{Duration, Instant};
 
-/// The time until a killed control service is restarted.
+/// Time until the killed control service is restarted.
 const CONTROL_DOWN_TIME: Duration = Duration::from_secs(2);
-/// Decisions this close to a time without control service count as disturbed.
+/// Decisions this shortly before or after a time without control service count as disturbed.
 const CONTROL_MARGIN: Duration = Duration::from_secs(5);
-/// Decisions this close to a fault count as disturbed at the proxies that it affects.
+/// Decisions this shortly before or after a fault count as disturbed at the affected proxies.
 const FAULT_MARGIN: Duration = Duration::from_secs(1);
 
-/// When faults began and ended.
+/// When the faults began and ended; `None` before that.
 #[derive(Default)]
 pub(super) struct FaultTimes {
+    /// When the faults of `Sizes` began; set in every run, also in one without faults.
     began: Option<Instant>,
     ended: Option<Instant>,
     control_killed: Option<Instant>,
@@ -23,7 +24,8 @@
 }
 
 impl FaultTimes {
-    /// Begins and ends faults: they last for the second third of the experiment.
+    /// Begins and ends the faults when they are due. Faults of proxies last for the second third of the experiment; the
+    /// control service is restarted `CONTROL_DOWN_TIME` after SIGKILL.
     pub(super) fn advance(&mut self, elapsed: Duration, sizes: &Sizes, testbed: &mut Testbed) {
         let third = Duration::from_secs(sizes.seconds) / 3;
         if elapsed >= third && self.began.is_none() {
@@ -62,25 +64,26 @@
         }
     }
 
-    /// True while the affected proxies may have outdated shares.
+    /// Returns `true` while the affected proxies may have outdated shares.
     pub(super) fn affects_proxies_now(&self) -> bool {
-        self.began.is_some() && self.ended.is_none_or(|at| at.elapsed() < CAP_GRACE)
+        self.began.is_some() && self.ended.is_none_or(|at| at.elapsed() < CAP_GRACE_PERIOD)
     }
 
-    /// True while proxies may have outdated shares because the control service was down.
+    /// Returns `true` while proxies may have outdated shares because the control service was down.
     pub(super) fn affects_control_now(&self) -> bool {
-        self.control_killed.is_some() && self.control_restarted.is_none_or(|at| at.elapsed() < CAP_GRACE)
+        self.control_killed.is_some()
+            && self.control_restarted.is_none_or(|at| at.elapsed() < CAP_GRACE_PERIOD)
     }
 
-    /// True if a decision was close to a time without control service.
-    pub(super) fn affected_control_at(&self, decision: Instant) -> bool {
+    /// Returns `true` if a decision was within `CONTROL_MARGIN` of a time without control service.
+    pub(super) fn is_near_control_outage(&self, decision: Instant) -> bool {
         let Some(down_at) = self.control_killed else { return false };
-        let back_at = self.control_restarted.unwrap_or_else(Instant::now);
-        decision + CONTROL_MARGIN >= down_at && decision <= back_at + CONTROL_MARGIN
+        let restarted_at = self.control_restarted.unwrap_or_else(Instant::now);
+        decision + CONTROL_MARGIN >= down_at && decision <= restarted_at + CONTROL_MARGIN
     }
 
-    /// True if a decision was close to a fault of the affected proxies.
-    pub(super) fn affected_proxies_at(&self, decision: Instant) -> bool {
+    /// Returns `true` if a decision was within `FAULT_MARGIN` of a fault of the affected proxies.
+    pub(super) fn is_near_proxy_fault(&self, decision: Instant) -> bool {
         self.began.is_some_and(|at| decision + FAULT_MARGIN >= at)
             && self.ended.is_none_or(|at| decision <= at + FAULT_MARGIN)
     }
--- a/crates/experiments/src/xds/propagation.rs
+++ b/crates/experiments/src/xds/propagation.rs
@@ -1,4 +1,4 @@
-//! The time until proxies used decisions.
+//! The time from a decision of the platform until proxies used it.
 
 use super::faults::FaultTimes;
 use super::rollout_script::Decision;
@@ -9,25 +9,26 @@
 /// Significant digits of the histograms.
 const HISTOGRAM_DIGITS: u8 = 3;
 
-/// Times from decisions to their use, in ms.
+/// Times from each decision until each proxy used it, in milliseconds.
 pub(super) struct PropagationTimes {
-    /// Without faults.
+    /// Times of decisions and proxies that no fault affected.
     pub(super) undisturbed: Histogram<u64>,
-    /// Of decisions and proxies that faults affected.
+    /// Times of decisions and proxies that a fault affected.
     pub(super) disturbed: Histogram<u64>,
-    /// Pairs of a decision and a proxy that never used it.
+    /// Number of pairs of a decision and a proxy that never used the decision.
     pub(super) never_used: u64,
 }
 
 impl PropagationTimes {
-    /// Measures all decisions at all proxies.
+    /// Computes the times of all decisions at all proxies from the proxies' recorded states.
     pub(super) fn measure(decisions: &[Decision], testbed: &Testbed, faults: &FaultTimes) -> Self {
         let mut times = PropagationTimes { undisturbed: histogram(), disturbed: histogram(), never_used: 0 };
         for decision in decisions {
-            let affects_control = faults.affected_control_at(decision.at);
-            let affects_proxies = faults.affected_proxies_at(decision.at);
+            let is_near_control_outage = faults.is_near_control_outage(decision.at);
+            let is_near_proxy_fault = faults.is_near_proxy_fault(decision.at);
             for proxy in 0..testbed.proxies.len() {
-                let is_disturbed = affects_control || (affects_proxies && testbed.is_affected(proxy));
+                let is_disturbed =
+                    is_near_control_outage || (is_near_proxy_fault && testbed.is_affected(proxy));
                 times.record(time_to_use(decision, proxy, testbed), is_disturbed);
             }
         }
@@ -48,7 +49,7 @@
     Histogram::new(HISTOGRAM_DIGITS).expect("valid bounds")
 }
 
-/// The ms until a proxy used a decision.
+/// Time in milliseconds from a decision until a proxy used it; `None` if the proxy never did.
 fn time_to_use(decision: &Decision, proxy: usize, testbed: &Testbed) -> Option<u64> {
     let history = testbed.history(proxy);
     let mut states = history.iter().filter(|state| state.at >= decision.at);
@@ -56,23 +57,23 @@
     Some(millis(first_use.at.duration_since(decision.at)))
 }
 
-/// The ms after the control service's return until all proxies used the last decision before it; none if one did
-/// not, or the service was not killed.
+/// Time in milliseconds from the restart of the control service until all proxies used the last decision before the
+/// restart; `None` if a proxy did not, or if the service was not killed.
 pub(super) fn recovery_time(decisions: &[Decision], testbed: &Testbed, faults: &FaultTimes) -> Option<u64> {
-    let back_at = faults.control_restarted?;
-    let last_decision = decisions.iter().rfind(|decision| decision.at <= back_at);
+    let restarted_at = faults.control_restarted?;
+    let last_decision = decisions.iter().rfind(|decision| decision.at <= restarted_at);
     let recovered = |proxy: usize| {
         let history = testbed.history(proxy);
-        let mut states = history.iter().filter(|state| state.at >= back_at);
+        let mut states = history.iter().filter(|state| state.at >= restarted_at);
         let state =
             states.find(|state| last_decision.is_none_or(|decision| state.meets(&decision.expectation)))?;
-        Some(millis(state.at.duration_since(back_at)))
+        Some(millis(state.at.duration_since(restarted_at)))
     };
     let times: Option<Vec<u64>> = (0..testbed.proxies.len()).map(recovered).collect();
     times?.into_iter().max()
 }
 
-/// A histogram in the results.
+/// Count, percentiles and maximum of a histogram, as printed in the results.
 pub(super) fn histogram_results(times: &Histogram<u64>) -> Value {
     json!({"count": times.len(), "p50_ms": times.value_at_quantile(0.5), "p99_ms": times.value_at_quantile(0.99),
         "max_ms": times.max()})
--- a/crates/experiments/src/xds/rollout_script.rs
+++ b/crates/experiments/src/xds/rollout_script.rs
@@ -1,5 +1,5 @@
-//! The decisions of the platform: versions are rolled out, advanced and rolled back; in between, hosts drain and
-//! return.
+//! The decisions that the platform reports: versions are rolled out, advanced to the next stage and rolled back; in
+//! between, single hosts drain and become available again.
 
 use latchhaven_policy::Version;
 use latchhaven_proxy_config::version::{RolloutStatus, RolloutVersion};
@@ -11,39 +11,38 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The time after which a lower cap applies: the drain grace of the configuration, and the latency of sockets.
-pub(super) const CAP_GRACE: Duration = Duration::from_millis(2_050);
-/// The version that all hosts run at the start.
+/// Time after which a lower cap must be met: the drain grace period of the configuration, and the latency of sockets.
+pub(super) const CAP_GRACE_PERIOD: Duration = Duration::from_millis(2_050);
+/// Version that all hosts run at the start.
 const BASELINE: u32 = 1;
-/// The canary's cap in each stage.
+/// Cap of canary traffic in each stage, as a share of all traffic.
 const STAGE_CAPS: [f64; 3] = [0.1, 0.5, 1.0];
-/// The interval of decisions on the rollout; the others are on single hosts.
+/// One in this many decisions concerns the rollout; the others concern single hosts.
 const DECISIONS_PER_ROLLOUT_STEP: u64 = 3;
-/// Hosts per host that runs the canary.
-const HOSTS_PER_CANARY: usize = 4;
-/// Separates the random numbers of this script from those of the proxies.
+/// One in this many hosts runs the canary during a rollout.
+const HOSTS_PER_CANARY_HOST: usize = 4;
+/// Changes the seed, so that the random numbers of this script differ from those of the proxies.
 const SEED_MASK: u64 = 7;
-/// Zones of the hosts.
 const ZONES: usize = 3;
-/// Hosts whose addresses differ only in their last octet.
+/// Hosts whose addresses differ only in the last octet.
 const HOSTS_PER_SUBNET: usize = 200;
-/// The port of all hosts.
 const HOST_PORT: u16 = 5432;
 
-/// The condition on a proxy's state that shows that it uses a decision.
+/// Condition on the state of a proxy that uses a decision.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Expectation {
-    /// The rollout has reached at least this state.
+    /// The rollout at the proxy is in this state or a later one.
     Rollout { version: u32, status: RolloutStatus, stage: u32 },
-    /// The endpoint list is at least of this version.
+    /// The endpoint list at the proxy has this version or a later one.
     EndpointList(u64),
 }
 
 impl Expectation {
-    /// All hosts run the baseline.
+    /// The condition at the start, when all hosts run the baseline.
     pub(super) const INITIAL: Expectation =
         Expectation::Rollout { version: BASELINE, status: RolloutStatus::Promoted, stage: 0 };
 
+    /// `list_version`: the version of the proxy's endpoint list; 0 without a list.
     pub(super) fn is_met(&self, rollout: Option<RolloutVersion>, list_version: u64) -> bool {
         match self {
             Expectation::EndpointList(version) => list_version >= *version,
@@ -54,21 +53,21 @@
     }
 }
 
-/// A decision of the platform.
+/// A decision of the platform, and what shows that a proxy uses the decision.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Decision {
     pub(super) at: Instant,
     pub(super) expectation: Expectation,
 }
 
-/// A cap that the platform reported.
+/// A cap of canary traffic that the platform reported.
 struct CapChange {
     at: Instant,
     version: u32,
     cap: f64,
 }
 
-/// The hosts' entries in the first endpoint list.
+/// Entries of the first endpoint list: all hosts are up and run the baseline.
 pub(super) fn initial_hosts(count: usize) -> Vec<Value> {
     (0..count).map(|index| entry(index, "up", BASELINE)).collect()
 }
@@ -82,17 +81,19 @@
     entry
 }
 
-/// The script and its progress.
+/// Draws and reports the decisions, and records the caps that were reported.
 pub(super) struct RolloutScript {
     platform: FakePlatform,
     host_count: usize,
     rng: Pcg64Mcg,
-    /// The newest version.
+    /// Newest version; the baseline before the first rollout.
     pub(super) version: u32,
     stage: u32,
+    /// Hosts that run the canary; empty between rollouts.
     canary_hosts: Vec<usize>,
     draining_host: Option<usize>,
     decisions: u64,
+    /// All caps reported so far, in the order of time.
     caps: Vec<CapChange>,
 }
 
@@ -111,19 +112,19 @@
         }
     }
 
-    /// Makes the next decision.
+    /// Makes the next decision and reports it to the platform's clients.
     pub(super) fn step(&mut self) -> Decision {
         let at = Instant::now();
         self.decisions += 1;
         let expectation = if self.decisions.is_multiple_of(DECISIONS_PER_ROLLOUT_STEP) {
             self.advance_rollout()
         } else {
-            self.drain_or_return_host()
+            self.drain_or_restore_host()
         };
         Decision { at, expectation }
     }
 
-    fn drain_or_return_host(&mut self) -> Expectation {
+    fn drain_or_restore_host(&mut self) -> Expectation {
         if let Some(index) = self.draining_host.take() {
             return self.update_hosts(&[entry(index, "up", BASELINE)]);
         }
@@ -153,7 +154,7 @@
     }
 
     fn begin_rollout(&mut self) -> Expectation {
-        self.canary_hosts = (0..self.host_count.div_ceil(HOSTS_PER_CANARY)).collect();
+        self.canary_hosts = (0..self.host_count.div_ceil(HOSTS_PER_CANARY_HOST)).collect();
         self.version += 1;
         self.stage = 0;
         // The rollout is reported first, so that its hosts are canaries as soon as they are listed.
@@ -179,10 +180,11 @@
         self.caps.push(CapChange { at: Instant::now(), version: self.version, cap });
     }
 
-    /// The highest cap that applies to the newest version now: an earlier one applies during the grace.
+    /// Highest cap that applies to the newest version now. After a change, the earlier cap applies as well during
+    /// `CAP_GRACE_PERIOD`.
     pub(super) fn binding_cap(&self) -> f64 {
         let now = Instant::now();
-        let is_recent = |change: &&CapChange| now.duration_since(change.at) < CAP_GRACE;
+        let is_recent = |change: &&CapChange| now.duration_since(change.at) < CAP_GRACE_PERIOD;
         let recent_count = self.caps.iter().rev().take_while(is_recent).count();
         let (earlier, recent) = self.caps.split_at(self.caps.len() - recent_count);
         let newest = self.last_cap(&self.caps).unwrap_or(STAGE_CAPS[0]);
@@ -191,11 +193,11 @@
         }
         let own_caps = recent.iter().filter(|change| change.version == self.version);
         let highest = own_caps.map(|change| change.cap).fold(newest, f64::max);
-        // The cap before the oldest recent change applies as well.
+        // The cap before the oldest recent change still applied within the grace period.
         highest.max(self.last_cap(earlier).unwrap_or(0.0))
     }
 
-    /// The last cap of the newest version.
+    /// Last cap among `changes` of the newest version; `None` without such a change.
     fn last_cap(&self, changes: &[CapChange]) -> Option<f64> {
         changes.iter().rev().find(|change| change.version == self.version).map(|change| change.cap)
     }
--- a/crates/experiments/src/xds/testbed.rs
+++ b/crates/experiments/src/xds/testbed.rs
@@ -21,20 +21,21 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::sync::watch;
 
-/// Requests of each class that a proxy reports in one second.
+/// Requests of each class that a proxy reports per second.
 const REQUESTS_PER_SECOND: u64 = 20;
-/// The mean latency that proxies report, in ms.
-const REPORTED_LATENCY: f64 = 20.0;
-/// The interval of checks whether all proxies meet an expectation.
+/// Mean latency that proxies report.
+const REPORTED_LATENCY_MS: f64 = 20.0;
+/// Interval of checks whether all proxies meet an expectation.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The sum of all weights of a route.
+/// Sum of all weights of a route.
 const TOTAL_WEIGHT: f64 = 1e6;
 
-/// The state of a proxy from a time on.
+/// The rollout and the endpoint list that a proxy uses, from a point in time until the next state.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ProxyState {
     pub(super) at: Instant,
     rollout: Option<RolloutVersion>,
+    /// Version of the endpoint list; 0 without a list.
     list_version: u64,
 }
 
@@ -59,10 +60,10 @@
     }
 }
 
-/// The states of all proxies so far, by their numbers.
+/// States of each proxy so far in the order of time, by the number of the proxy.
 type Histories = Arc<Vec<Mutex<Vec<ProxyState>>>>;
 
-/// The behavior of a group of proxies.
+/// Proxies that share one behavior, which can be changed while they run.
 struct ProxyGroup {
     behavior: watch::Sender<ProxyBehavior>,
     receiver: watch::Receiver<ProxyBehavior>,
@@ -76,12 +77,12 @@
     }
 }
 
-/// All parts of the experiment.
+/// The platform, the control service and the proxies of one experiment, with the recorded states of the proxies.
 pub(super) struct Testbed {
     pub(super) platform: FakePlatform,
     pub(super) control: Process,
     pub(super) proxies: Vec<FakeProxy>,
-    /// The number of proxies that faults affect: the first ones.
+    /// Number of proxies that faults affect; these have the lowest numbers.
     pub(super) affected_count: usize,
     pub(super) started_at: Instant,
     affected: ProxyGroup,
@@ -128,7 +129,7 @@
             let behavior = self.group(proxy.number).receiver.clone();
             self.runtime.spawn(proxy.clone().run(behavior, seed, observer.clone()));
         }
-        let outcome = ClusterOutcome { failure_share: 0.0, mean_latency: REPORTED_LATENCY };
+        let outcome = ClusterOutcome { failure_share: 0.0, mean_latency: REPORTED_LATENCY_MS };
         let load = ReportedLoad {
             classes: &["look", "book", "pay"],
             requests: REQUESTS_PER_SECOND,
@@ -144,7 +145,7 @@
         if self.is_affected(proxy) { &self.affected } else { &self.unaffected }
     }
 
-    /// True if faults affect a proxy.
+    /// Returns `true` if faults affect a proxy.
     pub(super) fn is_affected(&self, proxy: usize) -> bool {
         proxy < self.affected_count
     }
@@ -160,22 +161,22 @@
         self.affected.behavior.send_modify(&change);
     }
 
-    /// Restarts the control service and connects all proxies to it.
+    /// Starts a new control service with the same configuration, and directs all proxies to its address.
     pub(super) fn restart_control(&mut self) {
         self.control = Process::start_control(&self.config_path);
         let addr = self.control.addr;
         self.change_all(|behavior| behavior.service = Some(addr));
     }
 
-    /// The states of a proxy so far.
+    /// States of a proxy so far, in the order of time.
     pub(super) fn history(&self, proxy: usize) -> MutexGuard<'_, Vec<ProxyState>> {
         lock_ignoring_poison(&self.histories[proxy])
     }
 
-    /// Waits until all proxies meet an expectation; returns the time in ms, or none after the limit.
-    pub(super) fn wait_for_all(&self, expectation: Expectation, limit: Duration) -> Option<u64> {
+    /// Waits until all proxies meet an expectation. Returns the time in milliseconds, or `None` after the timeout.
+    pub(super) fn wait_for_all(&self, expectation: Expectation, timeout: Duration) -> Option<u64> {
         let start = Instant::now();
-        while start.elapsed() < limit {
+        while start.elapsed() < timeout {
             let mut states = (0..self.proxies.len()).map(|proxy| self.history(proxy).last().copied());
             if states.all(|state| state.is_some_and(|state| state.meets(&expectation))) {
                 return Some(millis(start.elapsed()));
@@ -185,18 +186,18 @@
         None
     }
 
-    /// The sum over some proxies of the share of one class that is routed to a version.
+    /// Sum over a range of proxies of the traffic share that they route to a version, of the request class `look`.
     pub(super) fn total_share(&self, proxies: std::ops::Range<usize>, version: u32) -> f64 {
         let proxies = self.proxies[proxies].iter();
         proxies.map(|proxy| f64::from(proxy.cache().version_share("look", version)) / TOTAL_WEIGHT).sum()
     }
 
-    /// A sum over the caches of all proxies.
+    /// Sum of a count over the caches of all proxies.
     pub(super) fn sum(&self, count: fn(&ResourceCache) -> u64) -> u64 {
         self.proxies.iter().map(|proxy| count(&proxy.cache())).sum()
     }
 
-    /// Stops everything and removes its files.
+    /// Stops the control service and the proxies, and removes the files of the experiment.
     pub(super) fn stop(self) {
         drop(self.control);
         let _ = std::fs::remove_dir_all(&self.folder);
@@ -204,12 +205,12 @@
     }
 }
 
-/// A duration in ms, without fractions.
+/// Milliseconds of a duration, rounded down.
 pub(super) fn millis(duration: Duration) -> u64 {
     duration.as_millis() as u64
 }
 
-/// Writes the control service's configuration.
+/// Writes the control service's configuration and key file; returns the path of the configuration.
 fn write_config(folder: &Path, platform: &FakePlatform) -> PathBuf {
     let key_path = folder.join("versions.key");
     let _ = std::fs::write(&key_path, "of the lab");
@@ -223,7 +224,7 @@
     config_path
 }
 
-/// Records each change of a proxy's state.
+/// Returns an observer that records each change of a proxy's state.
 fn record_states(histories: Histories) -> ResponseObserver {
     Arc::new(move |number, cache, at| {
         let state = ProxyState::of(cache, at);
