--- a/crates/experiments/src/soak/clients.rs
+++ b/crates/experiments/src/soak/clients.rs
@@ -2,7 +2,7 @@
 //! gateway shuts down.
 
 use latchhaven_test_support::history::{RequestEnd, RequestRecord};
-use latchhaven_test_support::postgres::{insert, outcome, query, read_message, select, startup};
+use latchhaven_test_support::postgres::{insert, query, query_result, read_message, select, startup};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::io::{ErrorKind, Write};
@@ -147,7 +147,7 @@
             break;
         }
     }
-    match outcome(&messages) {
+    match query_result(&messages) {
         Ok(value) if value == id => RequestEnd::Served,
         Ok(_) => RequestEnd::WrongValue,
         Err(code) if REJECTION_SQLSTATES.contains(&code.0.as_str()) => RequestEnd::Rejected,
--- a/crates/gateway/src/net/clients/mod.rs
+++ b/crates/gateway/src/net/clients/mod.rs
@@ -46,7 +46,7 @@
     classes: Vec<KnownClass>,
     /// The ids of pending requests, as given by clients; each is unique.
     pending_ids: RefCell<BTreeSet<Bytes>>,
-    /// Permits to read a message above [`MAX_READ_AHEAD`](crate::limits::clients::MAX_READ_AHEAD).
+    /// Permits to read a message above [`MAX_READ_AHEAD_BYTES`](crate::limits::clients::MAX_READ_AHEAD_BYTES).
     large_messages: Semaphore,
     next_session_id: Cell<u64>,
     next_request_id: Cell<u32>,
--- a/crates/gateway/src/net/clients/reading.rs
+++ b/crates/gateway/src/net/clients/reading.rs
@@ -3,7 +3,7 @@
 use super::Clients;
 use super::client_session::SharedSessionState;
 use super::session::{ReadOutcome, SessionTask};
-use crate::limits::clients::{InputProgress, MAX_READ_AHEAD};
+use crate::limits::clients::{InputProgress, MAX_READ_AHEAD_BYTES};
 use crate::limits::shutdown::{CloseTime, WaitingConnection};
 use crate::net::io::has_unread_bytes;
 use crate::net::read_some;
@@ -56,7 +56,7 @@
 
     /// Reads input that arrived before the connection is to be closed. `buffered`: bytes in the buffer before the wait.
     async fn read_before_closing(&mut self, buffered: usize) -> io::Result<ReadOutcome> {
-        // `read_some` yields after a read of `MAX_READ` bytes: if dropped there, it has added them to the buffer.
+        // `read_some` yields after a read of `MAX_READ_BYTES`: if dropped there, it has added them to the buffer.
         let has_read = self.input.bytes.len() > buffered
             || has_unread_bytes(self.stream) && read_some(self.stream, &mut self.input.bytes).await? > 0;
         Ok(if has_read { ReadOutcome::Read } else { ReadOutcome::CloseRequired })
@@ -64,7 +64,7 @@
 
     fn input_progress(&self) -> InputProgress {
         InputProgress {
-            since: self.session.last_activity.get(),
+            last_activity: self.session.last_activity.get(),
             has_requested: self.session.has_requested.get(),
             message_began: self.message_started_at,
         }
@@ -89,9 +89,9 @@
         let connection = WaitingConnection {
             is_evicted: self.session.is_evicted(),
             has_requested: self.session.has_requested.get(),
-            is_message_begun: self.has_partial_message,
+            has_partial_message: self.has_partial_message,
             is_pipelined: self.is_pipelined,
-            since: self.session.last_activity.get(),
+            last_activity: self.session.last_activity.get(),
             waiting_since: self.waiting_since,
         };
         connection.close_time(self.clients.shutdown.started_at())
@@ -115,9 +115,9 @@
 
 impl Clients {
     /// Reads available bytes. Returns their number, or 0 if the client has closed its side. A message above
-    /// [`MAX_READ_AHEAD`] is read to its end with a permit, which bounds the memory for large messages.
+    /// [`MAX_READ_AHEAD_BYTES`] is read to its end with a permit, which bounds the memory for large messages.
     async fn read_message(&self, stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<usize> {
-        if buffer.len() < MAX_READ_AHEAD {
+        if buffer.len() < MAX_READ_AHEAD_BYTES {
             return read_some(stream, buffer).await;
         }
         let _permit = self.large_messages.acquire().await;
--- a/crates/gateway/src/net/platform/messages.rs
+++ b/crates/gateway/src/net/platform/messages.rs
@@ -1,7 +1,7 @@
 //! Parses the platform's messages: rollout states and outcome counts.
 
 use crate::clock::millis;
-use crate::limits::platform::MAX_AGE;
+use crate::limits::platform::MAX_REPORT_AGE;
 use latchhaven_policy::{Millis, OutcomeReport, RolloutPhase, RolloutState, Version};
 use serde::Deserialize;
 use serde_json::{Map, Value};
@@ -19,13 +19,13 @@
     /// The traffic cap is not between 0 and 1.
     #[error("maxWeight: expected a number from 0 to 1")]
     InvalidTrafficCap,
-    /// The age of a rollout state is negative or above [`MAX_AGE`].
-    #[error("observedAgoMs: expected milliseconds from 0 to {}", millis(MAX_AGE))]
+    /// The age of a rollout state is negative or above [`MAX_REPORT_AGE`].
+    #[error("observedAgoMs: expected milliseconds from 0 to {}", millis(MAX_REPORT_AGE))]
     InvalidAge,
     /// Outcome counts with more failures than attempts, an age out of range, or a negative latency.
     #[error(
         "SAMPLE: expected failures <= requests, avgMs >= 0, and observedAgoMs from 0 to {}",
-        millis(MAX_AGE)
+        millis(MAX_REPORT_AGE)
     )]
     InvalidOutcomes,
     /// A line that is not a keepalive has no type, or one that is not a string.
@@ -77,7 +77,7 @@
 }
 
 fn is_valid_age(age: Millis) -> bool {
-    (0.0..=millis(MAX_AGE)).contains(&age)
+    (0.0..=millis(MAX_REPORT_AGE)).contains(&age)
 }
 
 #[derive(Deserialize)]
--- a/crates/gateway/src/proto/pg/backend.rs
+++ b/crates/gateway/src/proto/pg/backend.rs
@@ -2,7 +2,7 @@
 
 use super::error::ParseError;
 use super::framing::{LENGTH_FIELD_BYTES, length_field, split_message};
-use crate::limits::messages::{MAX_ROW, MAX_SMALL_MESSAGE};
+use crate::limits::messages::{MAX_ROW_BYTES, MAX_SMALL_MESSAGE_BYTES};
 use bytes::{Bytes, BytesMut};
 use std::ops::RangeInclusive;
 
@@ -75,7 +75,7 @@
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<BackendMessage>, ParseError> {
         loop {
             self.check_header(buffer)?;
-            let Some(message) = split_message(buffer, MAX_ROW)? else { return Ok(None) };
+            let Some(message) = split_message(buffer, MAX_ROW_BYTES)? else { return Ok(None) };
             if let Some(message) = self.on_message(message.kind, &message.body, &message.raw)? {
                 return Ok(Some(message));
             }
@@ -101,11 +101,11 @@
     /// state.
     fn valid_lengths(&self, kind: u8) -> Option<RangeInclusive<usize>> {
         match kind {
-            AUTHENTICATION | BACKEND_KEY_DATA if !self.is_started => Some(8..=MAX_SMALL_MESSAGE),
-            ROW_DESCRIPTION => Some(MIN_ROW_DESCRIPTION..=MAX_SMALL_MESSAGE),
-            DATA_ROW => Some(ROW_HEADER_BYTES as usize..=MAX_ROW),
+            AUTHENTICATION | BACKEND_KEY_DATA if !self.is_started => Some(8..=MAX_SMALL_MESSAGE_BYTES),
+            ROW_DESCRIPTION => Some(MIN_ROW_DESCRIPTION..=MAX_SMALL_MESSAGE_BYTES),
+            DATA_ROW => Some(ROW_HEADER_BYTES as usize..=MAX_ROW_BYTES),
             COMMAND_COMPLETE | ERROR_RESPONSE | NOTICE_RESPONSE | PARAMETER_STATUS => {
-                Some(5..=MAX_SMALL_MESSAGE)
+                Some(5..=MAX_SMALL_MESSAGE_BYTES)
             }
             READY_FOR_QUERY => Some(5..=5),
             _ => None,
