--- a/crates/experiments/src/event_queue.rs
+++ b/crates/experiments/src/event_queue.rs
@@ -1,10 +1,12 @@
-//! Events in simulated time, ordered by time; events of the same time are in the order in which they were scheduled.
+//! Events in simulated time, ordered by time; events of the same time in the order of their scheduling.
 
+use latchhaven_policy::Millis;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
 struct ScheduledEvent<E> {
-    at: f64,
+    at: Millis,
+    /// Position in the order of scheduling, which decides between events of the same time.
     sequence: u64,
     event: E,
 }
@@ -24,32 +26,31 @@
 }
 
 impl<E> Ord for ScheduledEvent<E> {
-    /// The earliest event is the greatest: the heap returns it first.
+    /// Reverses the order of time: `BinaryHeap` returns the greatest element, which has to be the earliest event.
     fn cmp(&self, other: &Self) -> Ordering {
         other.at.total_cmp(&self.at).then(other.sequence.cmp(&self.sequence))
     }
 }
 
-/// Scheduled events; times are in ms.
+/// Events that were scheduled and not processed.
 pub(crate) struct EventQueue<E> {
     last_sequence: u64,
     scheduled: BinaryHeap<ScheduledEvent<E>>,
 }
 
 impl<E> EventQueue<E> {
-    /// An empty queue.
     pub(crate) fn new() -> Self {
         EventQueue { last_sequence: 0, scheduled: BinaryHeap::new() }
     }
 
-    /// Schedules an event.
-    pub(crate) fn push(&mut self, at: f64, event: E) {
+    pub(crate) fn push(&mut self, at: Millis, event: E) {
         self.last_sequence += 1;
         self.scheduled.push(ScheduledEvent { at, sequence: self.last_sequence, event });
     }
 
-    /// The next event before a time, with its own time.
-    pub(crate) fn pop(&mut self, before: f64) -> Option<(f64, E)> {
+    /// Removes the earliest event and returns its time with it. `None` if the queue is empty, or if the earliest event
+    /// is not before `before`: that event is lost, so a run ends with this call.
+    pub(crate) fn pop(&mut self, before: Millis) -> Option<(Millis, E)> {
         self.scheduled.pop().filter(|next| next.at < before).map(|next| (next.at, next.event))
     }
 }
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -2,8 +2,8 @@
 //! results last, and exits with 1 if a requirement was not met.
 
 #![warn(clippy::pedantic)]
-#![allow(clippy::cast_possible_truncation, reason = "counts and times in ms are small")]
-#![allow(clippy::cast_precision_loss, reason = "counts and times in ms stay below 2^53")]
+#![allow(clippy::cast_possible_truncation, reason = "counts and times in milliseconds are small")]
+#![allow(clippy::cast_precision_loss, reason = "counts and times in milliseconds stay below 2^53")]
 #![allow(clippy::cast_sign_loss, reason = "times and counts are not negative")]
 
 mod event_queue;
@@ -15,7 +15,7 @@
 use clap::{Parser, Subcommand};
 use std::process::ExitCode;
 
-/// Measures this project's programs against fakes.
+/// Runs seeded experiments with simulated load, hosts and faults.
 #[derive(Parser)]
 #[command(name = "latchhaven-experiments", version)]
 struct Cli {
@@ -30,7 +30,7 @@
     /// Many clients lose a gateway simultaneously, in simulated time.
     #[command(name = "crowd")]
     ReconnectStorm(reconnect_storm::Sizes),
-    /// Days in simulated time: requests are routed by configured proxies, by gateways, and evenly.
+    /// Days with rollouts in simulated time: requests are routed by proxies, by gateways, and evenly.
     #[command(name = "day")]
     RolloutSimulation(rollout_simulation::Sizes),
     /// Gateway processes under faults; their records are checked against the rules.
