--- a/crates/experiments/src/rollout_simulation/exposure.rs
+++ b/crates/experiments/src/rollout_simulation/exposure.rs
@@ -1,32 +1,32 @@
-//! The limit on the canary's share of all requests.
+//! The check of the canary's traffic against its cap.
 
 use super::model::RoutingMode;
-use super::parameters::{DRAIN_GRACE, EXPOSURE_ALLOWANCE, EXPOSURE_WINDOW};
+use super::parameters::{DRAIN_GRACE_PERIOD, EXPOSURE_ALLOWANCE_PER_WINDOW, EXPOSURE_WINDOW};
 use super::simulation::Simulation;
 use latchhaven_policy::Millis;
 use std::collections::VecDeque;
 
 impl Simulation {
-    /// Checks the canary's share over all proxies or gateways in the last window.
-    pub(super) fn sample_exposure(&mut self) {
+    /// Compares the attempts at the canary with its cap, over all proxies or gateways and the last window.
+    pub(super) fn check_exposure(&mut self) {
         let window_start = self.now - EXPOSURE_WINDOW;
-        remove_until(&mut self.arrivals, window_start);
-        remove_until(&mut self.canary_attempts, window_start);
+        remove_until(&mut self.recent_arrivals, window_start);
+        remove_until(&mut self.recent_canary_attempts, window_start);
         if !self.rollout.is_canary(self.rollout.state.version) {
             return;
         }
-        let cap = self.highest_cap_since(window_start.min(self.now - DRAIN_GRACE));
-        // Each gateway has an allowance of its own; the proxies of a control service share one.
+        let cap = self.highest_cap_since(window_start.min(self.now - DRAIN_GRACE_PERIOD));
+        // Each gateway enforces the cap with its own allowance; the proxies of a control service share one allowance.
         let allowances = if self.mode == RoutingMode::Gateways { self.gateways.len() as f64 } else { 1.0 };
-        let limit = EXPOSURE_ALLOWANCE * allowances + cap * self.arrivals.len() as f64;
-        self.counts.samples += 1;
-        self.counts.samples_over_cap += u64::from(self.canary_attempts.len() as f64 > limit);
+        let limit = EXPOSURE_ALLOWANCE_PER_WINDOW * allowances + cap * self.recent_arrivals.len() as f64;
+        self.counts.exposure_samples += 1;
+        self.counts.exposure_samples_over_cap += u64::from(self.recent_canary_attempts.len() as f64 > limit);
     }
 
-    /// The highest cap that applied at or after a time.
+    /// The highest cap in force at `time` or later.
     fn highest_cap_since(&self, time: Millis) -> f64 {
         let mut highest = 0.0f64;
-        for change in self.rollout.caps.iter().rev() {
+        for change in self.rollout.cap_history.iter().rev() {
             highest = highest.max(change.cap);
             if change.at <= time {
                 break;
@@ -36,7 +36,7 @@
     }
 }
 
-/// Removes times at or before a time; times are in ascending order.
+/// Removes the times up to and including `time`; `times` is in ascending order.
 fn remove_until(times: &mut VecDeque<Millis>, time: Millis) {
     while times.front().is_some_and(|at| *at <= time) {
         times.pop_front();
--- a/crates/experiments/src/rollout_simulation/gateway.rs
+++ b/crates/experiments/src/rollout_simulation/gateway.rs
@@ -1,18 +1,17 @@
-//! One gateway with its policy.
+//! A simulated gateway: its policy, pending events and timer.
 
 use latchhaven_policy::{Event, Millis, Policy};
 
-/// One gateway.
 pub(super) struct Gateway {
     pub(super) policy: Policy,
-    /// Events that the policy has not handled.
+    /// Events that were not passed to the policy yet.
     pub(super) events: Vec<Event>,
-    /// When its timer fires, in ms.
-    pub(super) timer_at: Millis,
+    /// When the policy's timer fires; `None` if no timer is set.
+    pub(super) timer_at: Option<Millis>,
 }
 
 impl Gateway {
     pub(super) fn new(policy: Policy) -> Self {
-        Gateway { policy, events: Vec::new(), timer_at: 0.0 }
+        Gateway { policy, events: Vec::new(), timer_at: Some(0.0) }
     }
 }
--- a/crates/experiments/src/rollout_simulation/model.rs
+++ b/crates/experiments/src/rollout_simulation/model.rs
@@ -1,22 +1,22 @@
 //! Hosts, requests, the rollout, and counts.
 
 use super::parameters::{
-    INITIAL_SPEED, LATENCY_OBJECTIVE, MEAN_WORK, NON_IDEMPOTENT_CLASS, REQUEST_TIMEOUT, WARM_UP, WORKERS,
-    endpoint_name,
+    INITIAL_VERSION, LATENCY_OBJECTIVE, MEAN_SERVICE_TIME, NON_IDEMPOTENT_CLASS, REQUEST_TIMEOUT,
+    WARM_UP_INITIAL_SPEED, WARM_UP_TIME, WORKERS_PER_HOST, endpoint_name,
 };
 use latchhaven_policy::{
     AttemptOutcome, EndpointEntry, EndpointStatus, Millis, RolloutPhase, RolloutState, Verdict, Version,
 };
 use std::collections::BTreeMap;
 
-/// What routes requests.
+/// The components that route requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum RoutingMode {
     /// Proxies with configurations of a control service.
     Proxies,
     /// Gateways that decide on each request.
     Gateways,
-    /// All hosts get the same share; nothing analyses the canary.
+    /// Each request goes to a host drawn uniformly, without retries; rollouts advance by time, without votes.
     Even,
 }
 
@@ -24,7 +24,7 @@
     /// All modes in the order of the results.
     pub(super) const ALL: [RoutingMode; 3] = [RoutingMode::Proxies, RoutingMode::Gateways, RoutingMode::Even];
 
-    /// The name in the results.
+    /// The key of the mode in the printed results.
     pub(super) fn name(self) -> &'static str {
         match self {
             RoutingMode::Proxies => "handout",
@@ -36,18 +36,18 @@
 
 pub(super) struct Host {
     pub(super) version: Version,
-    /// When it started with its version, in ms.
-    pub(super) started_at: Millis,
-    /// When each worker is free, in ms.
+    /// When the host started with its version; `None` if it has been warm since the start of the day.
+    pub(super) started_at: Option<Millis>,
+    /// When each worker has completed its last request.
     pub(super) workers_free_at: Vec<Millis>,
 }
 
 impl Host {
     pub(super) fn new() -> Self {
-        Host { version: Version(1), started_at: 0.0, workers_free_at: vec![0.0; WORKERS] }
+        Host { version: INITIAL_VERSION, started_at: None, workers_free_at: vec![0.0; WORKERS_PER_HOST] }
     }
 
-    /// Its entry in the endpoint list.
+    /// The entry of the host in the endpoint list.
     pub(super) fn entry(&self, index: usize) -> EndpointEntry {
         EndpointEntry {
             endpoint: endpoint_name(index),
@@ -57,32 +57,32 @@
             cell: 0,
             instance_type: String::new(),
             weight: 1.0,
-            started_at: self.started_at,
+            started_at: self.started_at.unwrap_or(0.0),
         }
     }
 
-    /// The time in ms that a request takes; `drawn` has a mean of 1.
-    pub(super) fn work_time(&self, now: Millis, slowdown: f64, drawn: f64) -> Millis {
+    /// Time for which a request occupies a worker. `exponential_sample` is drawn with a mean of 1.
+    pub(super) fn service_time(&self, now: Millis, slowdown: f64, exponential_sample: f64) -> Millis {
         let warmup =
-            if self.started_at > 0.0 { ((now - self.started_at) / WARM_UP).clamp(0.0, 1.0) } else { 1.0 };
-        MEAN_WORK * slowdown * drawn / (INITIAL_SPEED + (1.0 - INITIAL_SPEED) * warmup)
+            self.started_at.map_or(1.0, |started_at| ((now - started_at) / WARM_UP_TIME).clamp(0.0, 1.0));
+        MEAN_SERVICE_TIME * slowdown * exponential_sample
+            / (WARM_UP_INITIAL_SPEED + (1.0 - WARM_UP_INITIAL_SPEED) * warmup)
     }
 
-    /// The worker that is free first.
     pub(super) fn first_free_worker(&mut self) -> &mut Millis {
         let workers = self.workers_free_at.iter_mut();
         workers.min_by(|left, right| left.total_cmp(right)).expect("a host has workers")
     }
 }
 
-/// The defect of a bad version.
+/// A fault that all hosts of a bad version have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Defect {
-    /// Some requests of all classes fail.
+    /// A share of the requests of all classes fails.
     Failures,
     /// Half of the requests that are not idempotent fail.
     NonIdempotentFailures,
-    /// All requests are slow.
+    /// Requests of all classes are slow.
     Slow,
 }
 
@@ -102,11 +102,12 @@
     }
 }
 
-/// The effect of a defect on a request class.
+/// How a defect changes requests of one class.
 #[derive(Clone, Copy)]
 pub(super) struct DefectEffect {
+    /// Probability that a request fails.
     pub(super) failure_share: f64,
-    /// The factor on the mean work.
+    /// Factor by which the service time is longer.
     pub(super) slowdown: f64,
 }
 
@@ -114,29 +115,31 @@
     pub(super) const NONE: DefectEffect = DefectEffect { failure_share: 0.0, slowdown: 1.0 };
 }
 
-/// A change of the canary's cap.
+/// A change of the share of requests that the canary may receive.
 #[derive(Clone, Copy)]
 pub(super) struct CapChange {
     pub(super) at: Millis,
     pub(super) cap: f64,
 }
 
-/// The platform's rollout of the newest version.
+/// The platform's state: the rollout of the newest version, and what was published.
 pub(super) struct Rollout {
     pub(super) state: RolloutState,
-    /// When the state began, in ms.
+    /// When `state` was set.
     pub(super) state_since: Millis,
     pub(super) defects: BTreeMap<Version, Defect>,
-    /// Rollouts that have begun.
-    pub(super) begun: usize,
+    /// Number of rollouts that have started.
+    pub(super) started_rollouts: usize,
+    /// Version of the next endpoint list.
     pub(super) list_version: u64,
-    pub(super) caps: Vec<CapChange>,
+    /// All changes of the cap, in the order of time.
+    pub(super) cap_history: Vec<CapChange>,
 }
 
 impl Rollout {
     pub(super) fn new(bad_version: Version, defect: Defect) -> Self {
         let state = RolloutState {
-            version: Version(1),
+            version: INITIAL_VERSION,
             stage: 0,
             phase: RolloutPhase::Promoted,
             traffic_cap: 1.0,
@@ -146,9 +149,9 @@
             state,
             state_since: 0.0,
             defects: BTreeMap::from([(bad_version, defect)]),
-            begun: 0,
+            started_rollouts: 0,
             list_version: 1,
-            caps: vec![CapChange { at: 0.0, cap: 1.0 }],
+            cap_history: vec![CapChange { at: 0.0, cap: 1.0 }],
         }
     }
 
@@ -156,13 +159,15 @@
         self.defects.contains_key(&version)
     }
 
-    /// True if the version is a canary or was rolled back.
+    /// Returns `true` if the version is in rollout, rolling back or rolled back, and no later rollout has started.
     pub(super) fn is_canary(&self, version: Version) -> bool {
-        self.state.version == version && self.state.phase != RolloutPhase::Promoted && version > Version(1)
+        self.state.version == version
+            && self.state.phase != RolloutPhase::Promoted
+            && version > INITIAL_VERSION
     }
 }
 
-/// A vote that was cast.
+/// A verdict that a gateway or the control service cast on a stage of a rollout.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) struct Vote {
     pub(super) version: Version,
@@ -170,20 +175,26 @@
     pub(super) verdict: Verdict,
 }
 
+/// The cluster that a proxy drew for a request, and the retries that its route allows.
+pub(super) struct SelectedRoute {
+    pub(super) cluster: String,
+    pub(super) retries_left: u32,
+    /// The retry conditions of the route, in the notation of Envoy's `retry_on`.
+    pub(super) retry_on: String,
+}
+
 pub(super) struct Request {
-    /// The proxy or gateway that routes it.
+    /// Index of the proxy or gateway that routes the request.
     pub(super) router: usize,
+    /// Index in `CLASSES`.
     pub(super) class: usize,
     pub(super) arrived_at: Millis,
+    /// Set when the request has its final status.
     pub(super) is_closed: bool,
-    pub(super) met_bad_version: bool,
+    pub(super) reached_bad_version: bool,
     pub(super) attempts: Vec<Attempt>,
-    /// Proxies: the cluster of the request.
-    pub(super) cluster: String,
-    /// Proxies: the remaining retries.
-    pub(super) retries_left: u32,
-    /// Proxies: conditions for a retry.
-    pub(super) retry_on: String,
+    /// Set when a proxy has drawn a cluster for the request.
+    pub(super) route: Option<SelectedRoute>,
 }
 
 impl Request {
@@ -193,15 +204,13 @@
             class,
             arrived_at,
             is_closed: false,
-            met_bad_version: false,
+            reached_bad_version: false,
             attempts: Vec::new(),
-            cluster: String::new(),
-            retries_left: 0,
-            retry_on: String::new(),
+            route: None,
         }
     }
 
-    pub(super) fn is_in_time(&self, now: Millis) -> bool {
+    pub(super) fn meets_objective(&self, now: Millis) -> bool {
         now - self.arrived_at <= LATENCY_OBJECTIVE
     }
 
@@ -209,11 +218,11 @@
         now - self.arrived_at > REQUEST_TIMEOUT
     }
 
-    /// True if another attempt may execute it a second time.
-    pub(super) fn may_be_executed(&self) -> bool {
+    /// Returns `true` if a host may have executed the request: another attempt may execute it a second time.
+    pub(super) fn may_have_been_executed(&self) -> bool {
         self.attempts
             .iter()
-            .any(|attempt| !attempt.has_ended || !attempt.outcome.is_definitely_not_executed())
+            .any(|attempt| !attempt.is_completed || !attempt.outcome.is_definitely_not_executed())
     }
 }
 
@@ -221,39 +230,44 @@
     pub(super) host: usize,
     pub(super) version: Version,
     pub(super) sent_at: Millis,
-    /// The outcome, drawn when it was sent.
+    /// Drawn when the attempt is sent.
     pub(super) outcome: AttemptOutcome,
-    pub(super) has_ended: bool,
+    /// Set when the attempt has completed or was cancelled.
+    pub(super) is_completed: bool,
 }
 
-/// An attempt that ended just now.
-pub(super) struct EndedAttempt {
+/// The completion of an attempt, passed to the router that sent it.
+pub(super) struct AttemptCompletion {
+    /// Index in the request's attempts.
     pub(super) number: u32,
     pub(super) host: usize,
     pub(super) outcome: AttemptOutcome,
     pub(super) elapsed: Millis,
-    /// The request's timeout has passed.
+    /// Set when the timeout of the request has passed.
     pub(super) is_late: bool,
 }
 
-impl EndedAttempt {
+impl AttemptCompletion {
     pub(super) fn is_success(&self) -> bool {
         self.outcome == AttemptOutcome::Success && !self.is_late
     }
 }
 
-/// The counts of one or several days.
+/// Counts over one or several days.
 #[derive(Default)]
 pub(super) struct Counts {
+    /// Sum of the values of all requests.
     pub(super) value_requested: f64,
-    pub(super) value_in_time: f64,
+    /// Sum of the values of the requests that succeeded within the latency objective.
+    pub(super) value_within_objective: f64,
     pub(super) requests: u64,
-    /// Closed requests with an attempt at a bad version.
-    pub(super) met_bad_version: u64,
+    /// Closed requests that had an attempt at a bad version.
+    pub(super) reached_bad_version: u64,
+    /// Requests that were closed without success.
     pub(super) failed: u64,
-    /// Samples of the canary's share.
-    pub(super) samples: u64,
-    pub(super) samples_over_cap: u64,
+    /// Checks of the canary's traffic against its cap.
+    pub(super) exposure_samples: u64,
+    pub(super) exposure_samples_over_cap: u64,
     /// Attempts that may have executed a non-idempotent request twice.
     pub(super) repeated_non_idempotent: u64,
 }
@@ -261,12 +275,12 @@
 impl Counts {
     pub(super) fn add(&mut self, other: &Counts) {
         self.value_requested += other.value_requested;
-        self.value_in_time += other.value_in_time;
+        self.value_within_objective += other.value_within_objective;
         self.requests += other.requests;
-        self.met_bad_version += other.met_bad_version;
+        self.reached_bad_version += other.reached_bad_version;
         self.failed += other.failed;
-        self.samples += other.samples;
-        self.samples_over_cap += other.samples_over_cap;
+        self.exposure_samples += other.exposure_samples;
+        self.exposure_samples_over_cap += other.exposure_samples_over_cap;
         self.repeated_non_idempotent += other.repeated_non_idempotent;
     }
 }
--- a/crates/experiments/src/rollout_simulation/outcomes.rs
+++ b/crates/experiments/src/rollout_simulation/outcomes.rs
@@ -1,23 +1,24 @@
-//! Outcomes of attempts that the platform reports.
+//! Counts of attempts by outcome, from which the platform makes its reports.
 
 use super::parameters::{CLASSES, OUTCOME_REPORT_AGE};
 use latchhaven_policy::{AttemptOutcome, Millis, OutcomeReport, Version};
 use std::collections::BTreeMap;
 
-/// Outcomes of attempts at one version in one class.
+/// Outcomes of the attempts at one version in one class.
 #[derive(Clone, Copy, Default)]
 pub(super) struct OutcomeCounts {
     attempts: u64,
     failures: u64,
-    /// Of attempts that did not fail, in ms.
+    /// Sum over the attempts that did not fail.
     total_latency: Millis,
 }
 
-/// Outcomes that the platform has not reported.
+/// Outcomes since the last report.
 #[derive(Default)]
 pub(super) struct UnreportedOutcomes {
+    /// Counts by version and index of the class.
     pub(super) counts: BTreeMap<(Version, usize), OutcomeCounts>,
-    pub(super) reported_at: Millis,
+    pub(super) last_reported_at: Millis,
 }
 
 impl UnreportedOutcomes {
--- a/crates/experiments/src/rollout_simulation/platform.rs
+++ b/crates/experiments/src/rollout_simulation/platform.rs
@@ -1,21 +1,16 @@
-//! The platform: rollouts, their hosts, and its reports.
+//! The platform: starts hosts, advances rollouts, and reports the endpoint list, rollout states and outcomes.
 
 use super::model::{CapChange, RoutingMode, Vote};
 use super::outcomes::outcome_report;
 use super::parameters::{
-    OUTCOME_REPORT_INTERVAL, ROLLBACK_TIME, ROLLOUT_STARTS, SOAK_TIME, STAGE_CAPS, STAGE_HOST_SHARES,
-    UNANALYSED_STAGE_TIME, host_address,
+    INITIAL_VERSION, OUTCOME_REPORT_INTERVAL, ROLLBACK_TIME, ROLLOUT_STARTS, ROLLOUT_VERSIONS, SOAK_TIME,
+    STAGE_CAPS, STAGE_HOST_SHARES, STAGE_TIME_WITHOUT_ANALYSIS, host_address,
 };
 use super::simulation::Simulation;
 use latchhaven_policy::{
     EndpointEntry, Event, Millis, RolloutPhase, RolloutState, UpdateKind, Verdict, Version,
 };
 
-/// The version before the first rollout, and the versions of the two rollouts.
-const FIRST_VERSION: Version = Version(1);
-const SECOND_VERSION: Version = Version(2);
-const THIRD_VERSION: Version = Version(3);
-
 impl Simulation {
     /// Reports the endpoint list to the control service and all gateways.
     pub(super) fn publish_endpoints(&mut self) {
@@ -50,36 +45,37 @@
         let age = self.rollout.state.age;
         self.rollout.state = RolloutState { version, stage, phase, traffic_cap, age };
         self.rollout.state_since = self.now;
-        self.rollout.caps.push(CapChange { at: self.now, cap: traffic_cap });
+        self.rollout.cap_history.push(CapChange { at: self.now, cap: traffic_cap });
         self.publish_rollout();
     }
 
-    /// Starts this share of the hosts with a version; requests in flight are completed.
-    fn deploy(&mut self, host_share: f64, version: Version) {
+    /// Restarts hosts with a version until a share of all hosts runs it, and publishes the endpoint list. Attempts in
+    /// flight complete as drawn.
+    fn deploy_version(&mut self, host_share: f64, version: Version) {
         let count = (host_share * self.hosts.len() as f64).round() as usize;
         for host in self.hosts.iter_mut().take(count).filter(|host| host.version != version) {
             host.version = version;
-            host.started_at = self.now;
+            host.started_at = Some(self.now);
         }
         self.publish_endpoints();
     }
 
-    /// Advances the rollout by votes or, without canary analysis, by time.
+    /// Advances the rollout by votes or, in the mode without canary analysis, by time.
     pub(super) fn advance_rollout(&mut self) {
         let RolloutState { version, stage, phase, .. } = self.rollout.state;
         match phase {
-            RolloutPhase::Promoted | RolloutPhase::RolledBack => self.begin_due_rollout(),
+            RolloutPhase::Promoted | RolloutPhase::RolledBack => self.start_due_rollout(),
             RolloutPhase::RollingBack => self.finish_due_rollback(version, stage),
             RolloutPhase::Canary => self.advance_canary(version, stage),
         }
-        // A version may be rejected after its promotion.
-        let is_rejected = self.is_voted(version, stage, Verdict::RollBack) && version > FIRST_VERSION;
+        // Voters may reject a version after its promotion.
+        let is_rejected = self.has_vote(version, stage, Verdict::RollBack) && version > INITIAL_VERSION;
         if phase == RolloutPhase::Promoted && is_rejected {
             self.set_rollout(version, stage, RolloutPhase::RollingBack, 0.0);
         }
     }
 
-    fn is_voted(&self, version: Version, stage: u32, verdict: Verdict) -> bool {
+    fn has_vote(&self, version: Version, stage: u32, verdict: Verdict) -> bool {
         self.votes.contains(&Vote { version, stage, verdict })
     }
 
@@ -87,35 +83,36 @@
         self.now - self.rollout.state_since
     }
 
-    fn begin_due_rollout(&mut self) {
-        let begun = self.rollout.begun;
-        if begun >= ROLLOUT_STARTS.len() || self.now < ROLLOUT_STARTS[begun] {
+    fn start_due_rollout(&mut self) {
+        let started_rollouts = self.rollout.started_rollouts;
+        if started_rollouts >= ROLLOUT_STARTS.len() || self.now < ROLLOUT_STARTS[started_rollouts] {
             return;
         }
-        self.rollout.begun += 1;
-        let version = Version(1 + self.rollout.begun as u32);
+        self.rollout.started_rollouts += 1;
+        let version = ROLLOUT_VERSIONS[started_rollouts];
         self.set_rollout(version, 0, RolloutPhase::Canary, STAGE_CAPS[0]);
-        self.deploy(STAGE_HOST_SHARES[0], version);
+        self.deploy_version(STAGE_HOST_SHARES[0], version);
     }
 
     fn finish_due_rollback(&mut self, version: Version, stage: u32) {
         if self.time_in_state() < ROLLBACK_TIME {
             return;
         }
-        let is_second_good = !self.rollout.is_bad(SECOND_VERSION);
-        let baseline =
-            if version == THIRD_VERSION && is_second_good { SECOND_VERSION } else { FIRST_VERSION };
-        self.deploy(1.0, baseline);
+        let [first, second] = ROLLOUT_VERSIONS;
+        // The baseline is the version before, or the initial version if the version before is bad.
+        let baseline = if version == second && !self.rollout.is_bad(first) { first } else { INITIAL_VERSION };
+        self.deploy_version(1.0, baseline);
         self.set_rollout(version, stage, RolloutPhase::RolledBack, 0.0);
     }
 
     fn advance_canary(&mut self, version: Version, stage: u32) {
-        if self.is_voted(version, stage, Verdict::RollBack) {
+        if self.has_vote(version, stage, Verdict::RollBack) {
             return self.set_rollout(version, stage, RolloutPhase::RollingBack, 0.0);
         }
         let is_approved =
-            self.is_voted(version, stage, Verdict::Promote) && self.time_in_state() >= SOAK_TIME;
-        let is_unanalysed = self.mode == RoutingMode::Even && self.time_in_state() >= UNANALYSED_STAGE_TIME;
+            self.has_vote(version, stage, Verdict::Promote) && self.time_in_state() >= SOAK_TIME;
+        let is_unanalysed =
+            self.mode == RoutingMode::Even && self.time_in_state() >= STAGE_TIME_WITHOUT_ANALYSIS;
         if !is_approved && !is_unanalysed {
             return;
         }
@@ -124,16 +121,16 @@
             self.set_rollout(version, stage, RolloutPhase::Promoted, 1.0);
         } else {
             self.set_rollout(version, next_stage as u32, RolloutPhase::Canary, STAGE_CAPS[next_stage]);
-            self.deploy(STAGE_HOST_SHARES[next_stage], version);
+            self.deploy_version(STAGE_HOST_SHARES[next_stage], version);
         }
     }
 
-    /// Reports outcomes to the control service and all gateways at their interval.
+    /// Reports the sampled outcomes to the control service and all gateways when the report interval has passed.
     pub(super) fn report_outcomes(&mut self) {
-        if self.now - self.outcomes.reported_at < OUTCOME_REPORT_INTERVAL {
+        if self.now - self.outcomes.last_reported_at < OUTCOME_REPORT_INTERVAL {
             return;
         }
-        self.outcomes.reported_at = self.now;
+        self.outcomes.last_reported_at = self.now;
         for ((version, class), counts) in std::mem::take(&mut self.outcomes.counts) {
             let report = Event::OutcomesReported(outcome_report(version, class, counts));
             if let Some(proxy_group) = &mut self.proxy_group {
