--- a/crates/gateway/src/net/clients/requests.rs
+++ b/crates/gateway/src/net/clients/requests.rs
@@ -8,8 +8,8 @@
 use crate::clock::millis;
 use crate::counters::COUNTERS;
 use crate::invariant;
-use crate::limits::clients::{MAX_READ_AHEAD, SLOW_WRITE};
-use crate::net::{Answer, DriverEvent, read_some};
+use crate::limits::clients::{MAX_READ_AHEAD_BYTES, SLOW_WRITE_THRESHOLD};
+use crate::net::{DriverEvent, FinalResponse, read_some};
 use crate::proto::pg::{self, Statement, StatementError};
 use bytes::Bytes;
 use latchhaven_policy::{Millis, RequestId};
@@ -105,9 +105,9 @@
         let clients = self.clients;
         let id = RequestId(clients.next_request_id.get());
         clients.next_request_id.set(id.0.wrapping_add(1));
-        let (reply, final_response) = oneshot::channel();
+        let (response_sender, final_response) = oneshot::channel();
         let pending_id = PendingId::new(clients, statement.id.clone());
-        let received = DriverEvent::RequestReceived { id, statement, arrived_at, reply };
+        let received = DriverEvent::RequestReceived { id, statement, arrived_at, response_sender };
         let _ = clients.events.send(received).await;
         let completed = self.complete_request(id, final_response).await;
         drop(pending_id);
@@ -118,13 +118,13 @@
     }
 
     async fn complete_request(
-        &mut self, id: RequestId, final_response: oneshot::Receiver<Answer>,
+        &mut self, id: RequestId, final_response: oneshot::Receiver<FinalResponse>,
     ) -> io::Result<()> {
         let final_response = self.wait_for_final_response(id, final_response).await?;
         let write_started_at = self.clients.clock.now();
         let written = self.write_final_response(final_response).await;
         // Input that arrived during the write was not read.
-        if self.clients.clock.now() - write_started_at > millis(SLOW_WRITE) {
+        if self.clients.clock.now() - write_started_at > millis(SLOW_WRITE_THRESHOLD) {
             record_unread(&mut self.input.unread_since, self.stream, write_started_at);
         }
         written
@@ -132,14 +132,14 @@
 
     /// Waits for the final response, and reads ahead to detect that the client disconnects.
     async fn wait_for_final_response(
-        &mut self, id: RequestId, mut final_response: oneshot::Receiver<Answer>,
-    ) -> io::Result<Answer> {
+        &mut self, id: RequestId, mut final_response: oneshot::Receiver<FinalResponse>,
+    ) -> io::Result<FinalResponse> {
         let clients = self.clients;
         let stream = self.stream;
         let mut is_abandoned = false;
         loop {
             self.input.record_arrival(stream, clients.clock.now());
-            let can_read = self.input.bytes.len() < MAX_READ_AHEAD;
+            let can_read = self.input.bytes.len() < MAX_READ_AHEAD_BYTES;
             let has_queued_input = !self.input.bytes.is_empty();
             self.input.is_pipelined |= has_queued_input;
             let ReadBuffer { bytes, unread_since, .. } = &mut self.input;
@@ -147,7 +147,7 @@
                 biased;
                 received = &mut final_response => {
                     invariant!(received.is_ok(), "every request gets a final response");
-                    return Ok(received.unwrap_or(Answer::Failed));
+                    return Ok(received.unwrap_or(FinalResponse::Failed));
                 }
                 // The queries that are queued behind this one need a response before SIGKILL as well.
                 () = clients.wait_until_abandon_time(self.session), if has_queued_input && !is_abandoned => {
@@ -169,14 +169,14 @@
         }
     }
 
-    async fn write_final_response(&self, final_response: Answer) -> io::Result<()> {
+    async fn write_final_response(&self, final_response: FinalResponse) -> io::Result<()> {
         let ready = Bytes::from_static(pg::encode::READY);
         match final_response {
-            Answer::Success([description, row, completion]) => {
+            FinalResponse::Success { description, row, completion } => {
                 self.write(&[description, row, completion, ready]).await
             }
-            Answer::Rejected { retry_after } => self.write(&[rejection(retry_after), ready]).await,
-            Answer::Failed => {
+            FinalResponse::Rejected { retry_after } => self.write(&[rejection(retry_after), ready]).await,
+            FinalResponse::Failed => {
                 let code = pg::sqlstate::INTERNAL_ERROR;
                 let error = pg::encode::error(false, code, "voided: it may have run", None);
                 self.write(&[error, ready]).await
--- a/crates/gateway/src/net/upstream/pool.rs
+++ b/crates/gateway/src/net/upstream/pool.rs
@@ -5,7 +5,7 @@
 use super::connection_task;
 use crate::counters::COUNTERS;
 use crate::invariant;
-use crate::limits::upstream::{MAX_LARGE_ANSWERS, max_idle_for_reuse};
+use crate::limits::upstream::{MAX_LARGE_RESPONSES, max_idle_for_reuse};
 use crate::net::{DriverEvent, is_unusable};
 use crate::proto::pg::{self, Statement};
 use latchhaven_policy::{EndpointEntry, EndpointStatus, LoadReporting, Millis, UpstreamConnectionConfig};
@@ -116,7 +116,7 @@
             max_connections,
             last_generation: 0,
             config,
-            large_responses: Arc::new(Semaphore::new(MAX_LARGE_ANSWERS)),
+            large_responses: Arc::new(Semaphore::new(MAX_LARGE_RESPONSES)),
             events,
         }
     }
@@ -184,14 +184,16 @@
         self.open_connection(endpoint, queued)
     }
 
-    /// Assigns the oldest queued call to a connection that is ready, or makes the connection idle. `is_first`: the
-    /// connection was just opened.
-    pub fn on_connection_ready(&mut self, connection: Rc<UpstreamConnection>, is_first: bool, now: Millis) {
+    /// Assigns the oldest queued call to a connection that is ready, or makes the connection idle. `is_newly_opened`:
+    /// the connection was just opened.
+    pub fn on_connection_ready(
+        &mut self, connection: Rc<UpstreamConnection>, is_newly_opened: bool, now: Millis,
+    ) {
         let Some(endpoint) = self.endpoints.get_mut(&connection.endpoint) else { return connection.close() };
         if endpoint.generation != connection.generation || connection.is_closed.get() {
             return connection.close();
         }
-        endpoint.connecting -= usize::from(is_first);
+        endpoint.connecting -= usize::from(is_newly_opened);
         if let Some(queued) = endpoint.queue.pop_front() {
             self.start_call(connection, &queued, now);
             return;
--- a/crates/gateway/src/proto/http.rs
+++ b/crates/gateway/src/proto/http.rs
@@ -1,7 +1,9 @@
 //! The client side of HTTP/1.1: encodes requests, and parses responses whose body has a length, is chunked, or
 //! extends to the end of the connection.
 
-use crate::limits::messages::{MAX_CHUNK_LINE, MAX_CHUNK_SIZE_DIGITS, MAX_HTTP_BODY, MAX_HTTP_HEAD};
+use crate::limits::messages::{
+    MAX_CHUNK_LINE_BYTES, MAX_CHUNK_SIZE_DIGITS, MAX_HTTP_BODY_BYTES, MAX_HTTP_HEAD_BYTES,
+};
 use bytes::{Buf, Bytes, BytesMut};
 
 /// Separates the head of a response from its body.
@@ -90,13 +92,13 @@
                 }
                 ParserState::UntilClose => return Ok(body_part(buffer.split().freeze())),
                 ParserState::ChunkSize => {
-                    let Some(line) = split_line(buffer, MAX_CHUNK_LINE)? else { return Ok(None) };
+                    let Some(line) = split_line(buffer, MAX_CHUNK_LINE_BYTES)? else { return Ok(None) };
                     let size = parse_chunk_size(&line)
                         .ok_or(ParseError::Malformed("expected a hexadecimal chunk size"))?;
                     self.state = if size == 0 { ParserState::Trailer } else { ParserState::ChunkData(size) };
                 }
                 ParserState::ChunkEnd => {
-                    let Some(line) = split_line(buffer, MAX_CHUNK_LINE)? else { return Ok(None) };
+                    let Some(line) = split_line(buffer, MAX_CHUNK_LINE_BYTES)? else { return Ok(None) };
                     if !line.is_empty() {
                         return Err(ParseError::Malformed(
                             "expected the end of a line after the data of a chunk",
@@ -105,7 +107,7 @@
                     self.state = ParserState::ChunkSize;
                 }
                 ParserState::Trailer => {
-                    let Some(line) = split_line(buffer, MAX_HTTP_HEAD)? else { return Ok(None) };
+                    let Some(line) = split_line(buffer, MAX_HTTP_HEAD_BYTES)? else { return Ok(None) };
                     if line.is_empty() {
                         self.state = ParserState::Head;
                         return Ok(Some(ResponsePart::End));
@@ -123,9 +125,9 @@
     }
 
     fn next_head(&mut self, buffer: &mut BytesMut) -> Result<Option<ResponsePart>, ParseError> {
-        let window = &buffer[..buffer.len().min(MAX_HTTP_HEAD)];
+        let window = &buffer[..buffer.len().min(MAX_HTTP_HEAD_BYTES)];
         let Some(end) = window.windows(HEAD_END.len()).position(|bytes| bytes == HEAD_END) else {
-            return if buffer.len() >= MAX_HTTP_HEAD { Err(ParseError::TooLong) } else { Ok(None) };
+            return if buffer.len() >= MAX_HTTP_HEAD_BYTES { Err(ParseError::TooLong) } else { Ok(None) };
         };
         let head = buffer.split_to(end + HEAD_END.len());
         let text = std::str::from_utf8(&head[..end]);
@@ -229,7 +231,7 @@
     Ok(Some(line))
 }
 
-/// Collects the body of a response, up to [`MAX_HTTP_BODY`] bytes.
+/// Collects the body of a response, up to [`MAX_HTTP_BODY_BYTES`] bytes.
 #[derive(Default)]
 pub struct BodyBuffer {
     bytes: BytesMut,
@@ -239,9 +241,9 @@
     /// Appends the bytes of a [`ResponsePart::Body`].
     ///
     /// # Errors
-    /// The bytes that were not removed yet would exceed [`MAX_HTTP_BODY`]: close the connection.
+    /// The bytes that were not removed yet would exceed [`MAX_HTTP_BODY_BYTES`]: close the connection.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), ParseError> {
-        if self.bytes.len() + bytes.len() > MAX_HTTP_BODY {
+        if self.bytes.len() + bytes.len() > MAX_HTTP_BODY_BYTES {
             return Err(ParseError::TooLong);
         }
         self.bytes.extend_from_slice(bytes);
