--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -21,7 +21,8 @@
 const MIN_SERVICE_QUALITY: f64 = 0.8;
 /// Share of the latency objective left from which a success has full service quality: less indicates queueing.
 const FULL_QUALITY_TIME_LEFT: f64 = 0.6;
-/// Factor on the shed probability of retries: clients retry rejected requests.
+/// Ratio of a retry's rejection probability to that of a first attempt. Retries are shed more often because each
+/// rejection makes clients send further retries.
 const RETRY_SHED_FACTOR: f64 = 4.0;
 /// Time after which the service quality of a request has half its initial weight.
 pub(crate) const SERVICE_LEVEL_HALF_LIFE: Millis = 1000.0;
@@ -36,8 +37,9 @@
     class.latency_objective * INITIAL_LATENCY_SHARE
 }
 
-/// The probability of rejecting a request on arrival; below 0 without overload. `service_levels`: of all requests, then
-/// of the tenant's. The first is the prior of the second, since a gateway receives few requests of one tenant.
+/// The probability of rejecting a tenant's request on arrival; 0 or below without overload. `service_levels`: the
+/// service level of all requests, then that of the tenant's requests. The first is the prior of the second, since a
+/// gateway receives few requests of one tenant.
 pub(crate) fn shed_probability(service_levels: [&mut ServiceLevel; 2], now: Millis) -> f64 {
     let mut mean_quality = 1.0;
     for service in service_levels {
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -87,7 +87,8 @@
     pub mean_latency: Option<Millis>,
 }
 
-/// What has happened since the last batch of events, one variant for each kind.
+/// Something that has happened, such as the arrival of a request or the outcome of an attempt. The adapter reports
+/// events to the policy in batches.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The discovery service delivered the endpoint list, or changes to it. A [`UpdateKind::Delta`] or
--- a/crates/policy/src/list_lease.rs
+++ b/crates/policy/src/list_lease.rs
@@ -14,8 +14,8 @@
 
 /// Subtracted from the end of a lease: a process may be suspended between reading its clock and writing.
 const LEASE_SAFETY_MARGIN: Millis = 250.0;
-/// Share of the drain grace period by which evidence of readiness outlasts the delay of updates. The rest allows for an
-/// endpoint that still responds successfully shortly after it is listed as draining.
+/// Share of the drain grace period, after the delay of updates, at which evidence of readiness expires. The remaining
+/// share is a margin for endpoints that still respond successfully shortly after they are listed as draining.
 const EVIDENCE_GRACE_SHARE: f64 = 0.5;
 
 /// Until when the endpoint list may be used.
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -1,8 +1,8 @@
 //! Outlier detection: which endpoints are ejected, and how many attempts each may have in flight.
 //!
 //! [`Policy`](crate::Policy) calls [`record_outcome`] for each completed attempt and [`record_reported_errors`] for
-//! each report of other senders; both update the endpoint and return the reason to eject it, if there is one. An
-//! ejection lasts for [`EJECTION_DURATION`]. The concurrency limit grows with responses well within the latency
+//! each report on the attempts of other senders, such as proxies. Each of the two functions updates the endpoint and
+//! returns the reason to eject it, or `None` if the endpoint is not to be ejected. An ejection lasts for [`EJECTION_DURATION`]. The concurrency limit grows with responses well within the latency
 //! objective and falls with late ones.
 
 use crate::config::GatewayIdentity;
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Sends a request to one of some endpoints. Returns `false` if none is available to it.
+    /// Sends an attempt at the request to an endpoint of `groups`. Returns `false` if none is available to the request.
     fn route(&mut self, id: RequestId, groups: &VersionGroups, now: Millis) -> bool {
         let draw = self.rng.random::<f64>();
         let is_canary_first = routing::is_canary_first(draw, &self.group_draw_inputs(groups));
@@ -295,7 +295,7 @@
                 latency_bias_age: now - endpoint.latency_bias_updated_at,
                 capacity: registry.capacity(index, now),
             };
-            load.value()
+            load.expected_load()
         };
         routing::choose_of_two(&available, load, &mut self.rng)
     }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -55,7 +55,8 @@
     (EARLY_RETRY_DELAY_SHARE * class.latency_objective).max(heavy_work).min(class.latency_objective)
 }
 
-/// The timeout of an attempt: at the latency objective, so that the endpoint drops late work unexecuted.
+/// The timeout of an attempt sent now: the time left until the deadline of the request's latency objective, so that the
+/// endpoint drops late work unexecuted; at least [`TIME_LIMIT_SAFETY_MARGIN`].
 pub(crate) fn attempt_timeout(request: &Request, now: Millis) -> Millis {
     (request.objective_deadline - now).max(TIME_LIMIT_SAFETY_MARGIN)
 }
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -172,9 +172,10 @@
 }
 
 impl EndpointLoad {
-    /// Expected attempts in flight per unit of capacity after one more is sent. A gateway with few attempts of its own
-    /// in flight infers the load from other gateways from latencies.
-    pub(crate) fn value(&self) -> f64 {
+    /// Expected attempts in flight per unit of capacity after one more is sent. Raised by [`CROSS_ZONE_BIAS`] for an
+    /// endpoint in another zone, and by high latencies: they show the load that other gateways cause, which a gateway
+    /// with few attempts of its own in flight does not see otherwise.
+    pub(crate) fn expected_load(&self) -> f64 {
         let bias = if self.crosses_zones { CROSS_ZONE_BIAS } else { 0.0 };
         let decay = half_life_decay(self.latency_bias_age, LATENCY_BIAS_HALF_LIFE);
         let slowness = (self.latency_bias * decay).exp();
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -14,7 +14,7 @@
 /// Share of a warming endpoint's budget (the attempts beyond which it is overloaded) that all gateways together use at
 /// full load.
 const BUDGET_SHARE: f64 = 0.5;
-/// Ratio to the usual arrival rate up to which a burst raises the refill rate.
+/// Ratio to the mean arrival rate up to which a burst raises the refill rate.
 const MAX_BURST_RATIO: f64 = 1.5;
 /// Interval within which each endpoint of a gateway's subset gets a request, so that its state is current.
 const SUBSET_VISIT_INTERVAL: Millis = 4000.0;
@@ -25,14 +25,15 @@
 /// Window over which the arrival rate is counted, and time constant of its running mean.
 pub(crate) const ARRIVAL_RATE_WINDOW: Millis = 2000.0;
 pub(crate) const ARRIVAL_RETENTION: Millis = 2.0 * ARRIVAL_RATE_WINDOW;
-/// Age of a start beyond which the listed time is not used if the start arrives as a change rather than in a snapshot.
-const MAX_DISCOVERY_DELAY: Millis = 60_000.0;
+/// Longest plausible time from an endpoint's start until a change of the list reports the start. If a change (not a
+/// snapshot) states a start longer ago than this, the start counts as now.
+const MAX_START_REPORT_DELAY: Millis = 60_000.0;
 
 /// When an endpoint started by this gateway's clock; `listed_start`: the time on the list. The wall clocks of gateways
 /// and of the machines that list starts may differ by an hour. Therefore a start in the future counts as now, and so
 /// does one long ago that arrives as a change.
 pub(crate) fn start_by_own_clock(listed_start: Millis, is_snapshot: bool, now: Millis) -> Millis {
-    let is_recent = now - listed_start <= MAX_DISCOVERY_DELAY;
+    let is_recent = now - listed_start <= MAX_START_REPORT_DELAY;
     let is_plausible = listed_start <= now && (is_recent || is_snapshot);
     if is_plausible { listed_start } else { now }
 }
@@ -49,14 +50,14 @@
     /// Sum of the warm-up factors of the ready endpoints: the number of warm endpoints with the same capacity.
     pub(crate) total_warmup_factor: f64,
     /// Running mean, before the refill, of arrivals per millisecond and unit of capacity.
-    pub(crate) usual_rate: f64,
+    pub(crate) mean_arrival_rate: f64,
 }
 
 /// Rates of one refill of a gateway's token buckets.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Refill {
     /// Running mean, after the refill, of arrivals per millisecond and unit of capacity.
-    pub(crate) usual_rate: f64,
+    pub(crate) mean_arrival_rate: f64,
     /// The share of the endpoints that is this gateway's subset.
     pub(crate) subset_share: f64,
     /// Tokens per millisecond of an endpoint at full capacity.
@@ -65,16 +66,16 @@
     elapsed: Millis,
 }
 
-/// Computes the refill rates, the subset's size and the usual arrival rate from recent arrivals.
+/// Computes the refill rates, the subset's size and the mean arrival rate from recent arrivals.
 pub(crate) fn refill(inputs: &RefillInputs, config: &SlowStartConfig) -> Refill {
     let RefillInputs { elapsed, arrivals, ready_endpoints, total_warmup_factor, .. } = *inputs;
     let arrival_rate = arrivals as f64 / ARRIVAL_RATE_WINDOW / total_warmup_factor.max(1.0);
-    let usual_rate =
-        inputs.usual_rate + (elapsed / ARRIVAL_RATE_WINDOW).min(1.0) * (arrival_rate - inputs.usual_rate);
-    let subset_size = (SUBSET_VISIT_INTERVAL * usual_rate * total_warmup_factor).max(MIN_SUBSET_SIZE);
-    let bounded_rate = arrival_rate.min(MAX_BURST_RATIO * usual_rate);
+    let mean_arrival_rate = inputs.mean_arrival_rate
+        + (elapsed / ARRIVAL_RATE_WINDOW).min(1.0) * (arrival_rate - inputs.mean_arrival_rate);
+    let subset_size = (SUBSET_VISIT_INTERVAL * mean_arrival_rate * total_warmup_factor).max(MIN_SUBSET_SIZE);
+    let bounded_rate = arrival_rate.min(MAX_BURST_RATIO * mean_arrival_rate);
     Refill {
-        usual_rate,
+        mean_arrival_rate,
         subset_share: subset_size / ready_endpoints.max(1) as f64,
         token_rate: BUDGET_SHARE * config.overload_multiple * bounded_rate,
         elapsed,
--- a/crates/policy/src/state/exposure.rs
+++ b/crates/policy/src/state/exposure.rs
@@ -69,9 +69,9 @@
         self.attempts_by_version.entry((version, bucket)).or_default().record(now, retention);
     }
 
-    /// The number of retained counts of attempts, one for each version and bucket.
+    /// The number of pairs of a version and a bucket for which attempt times are retained.
     #[must_use]
-    pub fn retained_versions(&self) -> usize {
+    pub fn attempt_window_count(&self) -> usize {
         self.attempts_by_version.len()
     }
 
--- a/crates/policy/src/state/registry.rs
+++ b/crates/policy/src/state/registry.rs
@@ -158,7 +158,7 @@
     /// Times at which requests arrived, without those that clients sent again.
     pub arrivals: SlidingWindow,
     /// Running mean of arrivals per millisecond and fully warmed-up endpoint.
-    pub usual_rate: f64,
+    pub mean_arrival_rate: f64,
     /// Share of the ready endpoints that this gateway tries first; above 1 if its traffic suffices for all of them.
     pub subset_share: f64,
     /// When slow-start tokens were last added to all endpoints.
@@ -240,10 +240,10 @@
             arrivals: self.arrivals.count_since(now - ARRIVAL_RATE_WINDOW),
             ready_endpoints: self.endpoints.ready().count(),
             total_warmup_factor: self.endpoints.ready().map(|index| self.warmup_factor(index, now)).sum(),
-            usual_rate: self.usual_rate,
+            mean_arrival_rate: self.mean_arrival_rate,
         };
         let refill = slow_start::refill(&inputs, &self.slow_start);
-        self.usual_rate = refill.usual_rate;
+        self.mean_arrival_rate = refill.mean_arrival_rate;
         self.subset_share = refill.subset_share;
         for index in self.endpoints.indices() {
             let warmup_factor = self.warmup_factor(index, now);
--- a/crates/policy/tests/policy/many_gateways.rs
+++ b/crates/policy/tests/policy/many_gateways.rs
@@ -37,8 +37,8 @@
     gateways: Vec<TestGateway>,
     /// Each gateway's share of all requests.
     shares: Vec<f64>,
-    /// Each gateway's fraction of its next request, from 0 to 1.
-    next_request: Vec<f64>,
+    /// Requests that each gateway is due but has not received, accumulated step by step; below 1 after each step.
+    accumulated_requests: Vec<f64>,
 }
 
 impl Simulation {
@@ -51,8 +51,8 @@
         let shares = (0..size.gateways).map(share).collect();
         let gateways = (0..size.gateways).map(|index| Simulation::gateway(size, index)).collect();
         // Fractions differ, so that gateways do not send simultaneously. Multiples of the golden ratio spread evenly.
-        let next_request = (0..size.gateways).map(|index| f64::from(index) * 0.618 % 1.0).collect();
-        Simulation { gateways, shares, next_request }
+        let accumulated_requests = (0..size.gateways).map(|index| f64::from(index) * 0.618 % 1.0).collect();
+        Simulation { gateways, shares, accumulated_requests }
     }
 
     fn gateway(size: SimulationSize, index: u32) -> TestGateway {
@@ -72,13 +72,13 @@
 
     fn serve_for(&mut self, duration: Millis) {
         for _ in 0..(duration / STEP) as usize {
-            for ((gateway, share), next_request) in
-                self.gateways.iter_mut().zip(&self.shares).zip(&mut self.next_request)
+            for ((gateway, share), accumulated_requests) in
+                self.gateways.iter_mut().zip(&self.shares).zip(&mut self.accumulated_requests)
             {
-                *next_request += share * STEP / REQUEST_INTERVAL;
-                while *next_request >= 1.0 {
+                *accumulated_requests += share * STEP / REQUEST_INTERVAL;
+                while *accumulated_requests >= 1.0 {
                     gateway.request("look", None);
-                    *next_request -= 1.0;
+                    *accumulated_requests -= 1.0;
                 }
                 gateway.step();
             }
--- a/crates/policy/tests/policy/robustness.rs
+++ b/crates/policy/tests/policy/robustness.rs
@@ -113,7 +113,7 @@
         exposure.record_attempt(Version(number), 0, 100.0 * f64::from(number));
     }
     assert_eq!((registry.endpoints.iter().count(), registry.index_by_id.len()), (2, 2));
-    assert!(requests.retained_tenants() <= MAX_TENANTS && exposure.retained_versions() <= MAX_VERSIONS);
+    assert!(requests.retained_tenants() <= MAX_TENANTS && exposure.attempt_window_count() <= MAX_VERSIONS);
     // The index of a removed endpoint is not reused while an attempt is in flight there.
     let in_use = registry.index_of(&entry.endpoint).unwrap();
     registry.endpoints[in_use].in_flight = 1;
--- a/crates/policy/tests/policy/support/scenarios.rs
+++ b/crates/policy/tests/policy/support/scenarios.rs
@@ -1,4 +1,5 @@
-//! Outcomes of attempts, and gateways at the start of a canary.
+//! Shared test scenarios: functions that decide the outcome and latency of each attempt, and gateways at the start of
+//! a canary.
 
 use super::{SentAttempt, TestConfig, TestGateway};
 use latchhaven_policy::{AttemptOutcome, Millis, RolloutPhase, Version};
