--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -73,8 +73,8 @@
     (time_left / FULL_QUALITY_TIME_LEFT).clamp(0.0, 1.0)
 }
 
-/// The mean service quality of requests that other senders report; `error_rate`: the share that failed, `time_left`:
-/// the mean share of the latency objective that was left at the successes.
+/// The mean service quality, from 0 to 1, of reported attempts of other senders (proxies); `error_rate`: the share that
+/// failed, `time_left`: the mean share of the latency objective that was left at the successes.
 pub(crate) fn reported_quality(error_rate: f64, time_left: f64) -> f64 {
     (1.0 - error_rate) * service_quality(time_left)
 }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -253,9 +253,9 @@
             .partition(only_subset, |version| self.exposure.canary(version, lowest_version).is_some())
     }
 
-    /// Returns `true` if this process has resumed after a stall later than `at`.
-    pub(crate) fn has_stalled_since(&self, at: Millis) -> bool {
-        self.resumed_at.is_some_and(|resumed_at| at < resumed_at)
+    /// Returns `true` if this process has resumed from a stall after `start`.
+    pub(crate) fn has_stalled_since(&self, start: Millis) -> bool {
+        self.resumed_at.is_some_and(|resumed_at| start < resumed_at)
     }
 
     /// Updates the typical latency of the class of a successful request, and the version of its sticky key; `elapsed`:
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -72,7 +72,7 @@
     pub age: Millis,
 }
 
-/// Counts of other senders' attempts at one endpoint, in one class, over a reporting period.
+/// Counts of attempts that other senders, such as proxies, sent to one endpoint, in one class, over a reporting period.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointOutcomes {
     /// The id of the endpoint that the attempts were sent to.
@@ -171,7 +171,7 @@
     VoteCompleted(VoteOutcome),
     /// A reporting period ended: counts of attempts at one version.
     OutcomesReported(OutcomeReport),
-    /// A reporting period ended: counts of other senders' attempts at one endpoint.
+    /// A reporting period ended: counts of attempts that other senders, such as proxies, sent to one endpoint.
     EndpointOutcomesReported(EndpointOutcomes),
     /// A client reported that a response, although successful, was wrong.
     WrongResponseReported {
--- a/crates/policy/src/log_event.rs
+++ b/crates/policy/src/log_event.rs
@@ -16,7 +16,8 @@
     ConnectionsLost,
     /// The running mean of the endpoint's error rate exceeded the limit after an error of this gateway's own attempt.
     Errors,
-    /// The running mean of the endpoint's error rate exceeded the limit after a report of other senders.
+    /// The running mean of the endpoint's error rate exceeded the limit after a report on attempts of
+    /// other senders, such as proxies.
     ReportedErrors,
 }
 
@@ -110,7 +111,7 @@
     EndpointEjected {
         /// The endpoint's id.
         endpoint: String,
-        /// Number of endpoints and restarts so far that occupied this place in the endpoint table.
+        /// Number of endpoints and restarts so far that occupied this slot of the endpoint table.
         incarnation: u32,
         /// The condition that led to the ejection.
         reason: EjectionReason,
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -2,8 +2,9 @@
 //!
 //! [`Policy`](crate::Policy) calls [`record_outcome`] for each completed attempt and [`record_reported_errors`] for
 //! each report on the attempts of other senders, such as proxies. Each of the two functions updates the endpoint and
-//! returns the reason to eject it, or `None` if the endpoint is not to be ejected. An ejection lasts for [`EJECTION_DURATION`]. The concurrency limit grows with responses well within the latency
-//! objective and falls with late ones.
+//! returns the reason to eject it, or `None` if the endpoint is not to be ejected. An ejection lasts for
+//! [`EJECTION_DURATION`]. The concurrency limit grows with responses well within the latency objective and falls with
+//! late ones.
 
 use crate::config::GatewayIdentity;
 use crate::log_event::EjectionReason;
@@ -58,8 +59,8 @@
     connect_failure_rate > MAX_CONNECT_FAILURE_RATE && in_flight == 0
 }
 
-/// Updates an endpoint by a report of other senders and returns the reason to eject it, if there is one. `error_rate`:
-/// the share of the `attempts` that failed.
+/// Updates an endpoint by a report on attempts of other senders, such as proxies. Returns the reason to eject the
+/// endpoint, or `None` if it is not to be ejected. `error_rate`: the share of the `attempts` that failed.
 pub(crate) fn record_reported_errors(
     endpoint: &mut Endpoint, attempts: f64, error_rate: f64, now: Millis,
 ) -> Option<EjectionReason> {
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -306,7 +306,7 @@
         retry::can_retry(request, idempotency, self.permissions.max_attempts)
     }
 
-    /// The probability of rejecting a new request of a tenant; below 0 without overload. All requests without a
+    /// The probability of rejecting a new request of a tenant; 0 or below without overload. All requests without a
     /// tenant (`None`) together count as one tenant's. The tenant's service level is retained.
     pub(crate) fn shed_probability(&mut self, tenant: Option<&str>, now: Millis) -> f64 {
         admission::shed_probability(self.requests.service_levels(tenant), now)
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -64,7 +64,7 @@
     pub objective_per_work: f64,
     /// The time after which clients of the class stop waiting, counted from the first attempt to send the request.
     pub timeout: Millis,
-    /// The value of a served request relative to other classes; queued requests are sent in its order, highest first.
+    /// The value of a served request relative to other classes; queued requests with the highest value are sent first.
     pub priority_weight: f64,
     /// Share of its value, from 0 to 1, that a result retains after the latency objective. Not used by the rules.
     pub late_value_share: f64,
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -12,7 +12,7 @@
 pub struct Version(pub u32);
 
 impl Version {
-    /// A value that no version has: marks a reused place of the endpoint table until its entry is applied.
+    /// A value that no version has: marks a reused slot of the endpoint table until its entry is applied.
     pub const INVALID: Version = Version(u32::MAX);
 }
 
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -126,8 +126,8 @@
     }
 }
 
-/// Those of the candidates that may get an attempt at a request now and are below their concurrency limit. If the
-/// request has not been sent to some of them yet, only those.
+/// The candidates that may get an attempt at the request now and are below their concurrency limit. Candidates that the
+/// request was sent to before are only included if there are no others.
 pub(crate) fn available_endpoints(
     candidates: &[EndpointIndex], request: &Request, class: &RequestClass, rules: &AttemptRules,
 ) -> Vec<EndpointIndex> {
--- a/crates/policy/src/state/endpoint.rs
+++ b/crates/policy/src/state/endpoint.rs
@@ -92,7 +92,7 @@
     pub in_flight: u32,
     /// Limit of this gateway's attempts in flight, at least 1; a fraction, because it moves in small steps.
     pub concurrency_limit: f64,
-    /// When this gateway last received a response, or a report of another sender with a success; 0 if never.
+    /// When this gateway last received a response, or a report that an attempt of another sender succeeded; 0 if never.
     pub last_response_at: Millis,
     /// Until then, the last successful response is evidence that the endpoint is neither draining nor replaced, even
     /// if the list has expired; `None` without such a response.
--- a/crates/policy/src/state/registry.rs
+++ b/crates/policy/src/state/registry.rs
@@ -155,7 +155,7 @@
     pub failed_calls: u32,
     /// The lowest version among the ready endpoints, which is the baseline until a rollout is reported.
     pub lowest_version: Version,
-    /// Times at which requests arrived, without those that clients sent again.
+    /// Times at which requests arrived; retries by clients are not counted.
     pub arrivals: SlidingWindow,
     /// Running mean of arrivals per millisecond and fully warmed-up endpoint.
     pub mean_arrival_rate: f64,
--- a/crates/policy/tests/policy/admission.rs
+++ b/crates/policy/tests/policy/admission.rs
@@ -66,7 +66,7 @@
     let slow = gateway
         .sent
         .iter()
-        .filter(|s| gateway.succeeded.get(&s.id).is_some_and(|at| at - s.at > 500.0))
+        .filter(|s| gateway.succeeded.get(&s.id).is_some_and(|at| at - s.sent_at > 500.0))
         .count();
     assert!(
         gateway.succeeded.len() > 250 && slow * 10 < gateway.succeeded.len(),
@@ -80,7 +80,7 @@
 #[case::much_traffic(2)]
 fn load_shedding_ends_soon_after_an_overload(#[case] every: usize) {
     // For four seconds all attempts time out, then all succeed as before.
-    let is_overloaded = |sent: &SentAttempt| (103_000.0..107_000.0).contains(&sent.at);
+    let is_overloaded = |sent: &SentAttempt| (103_000.0..107_000.0).contains(&sent.sent_at);
     let behavior = move |sent: &SentAttempt| {
         if is_overloaded(sent) { (AttemptOutcome::Timeout, 500.0) } else { succeed(sent) }
     };
@@ -102,7 +102,7 @@
     let (mut received, mut sent) = (0, 0);
     for seed in 0..10 {
         let overloaded = |sent: &SentAttempt| {
-            if sent.at > 103_000.0 { (AttemptOutcome::Timeout, 500.0) } else { succeed(sent) }
+            if sent.sent_at > 103_000.0 { (AttemptOutcome::Timeout, 500.0) } else { succeed(sent) }
         };
         let mut gateway =
             TestGateway::with_endpoints(TestConfig { seed, ..TestConfig::default() }, 4, overloaded);
--- a/crates/policy/tests/policy/canary.rs
+++ b/crates/policy/tests/policy/canary.rs
@@ -24,7 +24,7 @@
 }
 
 fn age(sent: &SentAttempt) -> Millis {
-    sent.at - sent.started_at
+    sent.sent_at - sent.started_at
 }
 
 /// A version that is worse than the baseline is rolled back. A version whose endpoints only warm up, of which a single
@@ -72,7 +72,8 @@
 #[case::fails(12, true)]
 #[case::fails_no_more_than_before(1000, false)]
 fn canary_without_baseline_is_compared_with_the_time_before(#[case] one_in: u32, #[case] is_bad: bool) {
-    let behavior = move |sent: &SentAttempt| fail_if(is_canary(sent) && sent.at > 117_000.0, one_in, sent);
+    let behavior =
+        move |sent: &SentAttempt| fail_if(is_canary(sent) && sent.sent_at > 117_000.0, one_in, sent);
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, behavior);
     gateway.update_rollout(BASELINE, 2, RolloutPhase::Promoted, 1.0);
     gateway.serve_for(12_000.0, 2);
@@ -97,7 +98,7 @@
         _ => 420.0,
     };
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 4, move |sent: &SentAttempt| {
-        (AttemptOutcome::Success, elapsed(sent.at))
+        (AttemptOutcome::Success, elapsed(sent.sent_at))
     });
     gateway.update_rollout(BASELINE, 2, RolloutPhase::Promoted, 1.0);
     gateway.serve_for(7000.0, 2);
--- a/crates/policy/tests/policy/exposure.rs
+++ b/crates/policy/tests/policy/exposure.rs
@@ -24,10 +24,10 @@
     for class_counted in if per_class { vec![Some(true), Some(false)] } else { vec![None] } {
         let counts = |rare: bool| class_counted.is_none_or(|counted| counted == rare);
         for last in exposed.iter().filter(|sent| counts(is_rare(sent.id))) {
-            let within = |at: Millis| at > last.at - 2000.0 && at <= last.at;
-            let sent = exposed.iter().filter(|sent| within(sent.at) && counts(is_rare(sent.id))).count();
+            let within = |at: Millis| at > last.sent_at - 2000.0 && at <= last.sent_at;
+            let sent = exposed.iter().filter(|sent| within(sent.sent_at) && counts(is_rare(sent.id))).count();
             let received_within =
-                gateway.sent.iter().filter(|sent| sent.id < received[0].1 && within(sent.at)).count()
+                gateway.sent.iter().filter(|sent| sent.id < received[0].1 && within(sent.sent_at)).count()
                     + received.iter().filter(|(at, _, rare)| within(*at) && counts(*rare)).count();
             assert!(
                 sent as f64 <= 2.0 + 0.1 * received_within as f64 + 1e-9,
@@ -48,10 +48,13 @@
         gateway.step();
     });
     let exposed: Vec<&SentAttempt> =
-        gateway.sent.iter().filter(|sent| sent.version == Version(2) && sent.at > from).collect();
+        gateway.sent.iter().filter(|sent| sent.version == Version(2) && sent.sent_at > from).collect();
     assert!(!exposed.is_empty());
     for last in &exposed {
-        let sent = exposed.iter().filter(|sent| sent.at > last.at - 2000.0 && sent.at <= last.at).count();
+        let sent = exposed
+            .iter()
+            .filter(|sent| sent.sent_at > last.sent_at - 2000.0 && sent.sent_at <= last.sent_at)
+            .count();
         assert!(sent <= 2, "{sent} canary attempts, where only the allowance of 2 permits any");
     }
 }
--- a/crates/policy/tests/policy/list_lease.rs
+++ b/crates/policy/tests/policy/list_lease.rs
@@ -88,14 +88,14 @@
 #[case::is_silent(AttemptOutcome::Timeout)]
 fn endpoint_without_successful_responses_gets_no_attempts_after_its_lease(#[case] outcome: AttemptOutcome) {
     let behavior = move |sent: &SentAttempt| {
-        if sent.endpoint == "a0" && sent.at > 100_500.0 { (outcome, 50.0) } else { succeed(sent) }
+        if sent.endpoint == "a0" && sent.sent_at > 100_500.0 { (outcome, 50.0) } else { succeed(sent) }
     };
     let mut gateway = TestGateway::with_endpoints(TestConfig::default(), 2, behavior);
     gateway.connected_at = Some(0.0);
     gateway.deliver(failed(CONNECTION_LOST));
     gateway.serve_for(10_000.0, 5);
     let sent_since = |endpoint: &str, at: Millis| {
-        gateway.sent.iter().filter(|sent| sent.endpoint == endpoint && sent.at > at).count()
+        gateway.sent.iter().filter(|sent| sent.endpoint == endpoint && sent.sent_at > at).count()
     };
     assert_eq!(
         sent_since("a0", 107_100.0),
--- a/crates/policy/tests/policy/many_gateways.rs
+++ b/crates/policy/tests/policy/many_gateways.rs
@@ -92,7 +92,9 @@
     /// Times of all attempts at an endpoint from `since` on.
     fn sent_to(&self, endpoint: &str, since: Millis) -> Vec<Millis> {
         let all = self.gateways.iter().flat_map(|gateway| &gateway.sent);
-        all.filter(|sent| sent.endpoint == endpoint && sent.at >= since).map(|sent| sent.at).collect()
+        all.filter(|sent| sent.endpoint == endpoint && sent.sent_at >= since)
+            .map(|sent| sent.sent_at)
+            .collect()
     }
 
     fn for_each(&mut self, act: impl Fn(&mut TestGateway)) {
--- a/crates/policy/tests/policy/outliers.rs
+++ b/crates/policy/tests/policy/outliers.rs
@@ -43,7 +43,7 @@
     // Four endpoints pause for one second in every two; attempts that they receive meanwhile complete after the pause.
     let pauses = |sent: &SentAttempt| ["a0", "a1", "b5", "b6"].contains(&sent.endpoint.as_str());
     let behavior = move |sent: &SentAttempt| {
-        let since_pause = sent.at % 2000.0;
+        let since_pause = sent.sent_at % 2000.0;
         let pause_left = if pauses(sent) && since_pause < 1000.0 { 1000.0 - since_pause } else { 0.0 };
         (AttemptOutcome::Success, 50.0 + pause_left)
     };
@@ -55,7 +55,7 @@
     }
     assert_eq!(sent_to.len(), 10);
     for (name, sent) in sent_to.iter().filter(|(_, sent)| !pauses(sent[0])) {
-        let gap = sent.windows(2).map(|two| two[1].at - two[0].at).fold(0.0, f64::max);
+        let gap = sent.windows(2).map(|two| two[1].sent_at - two[0].sent_at).fold(0.0, f64::max);
         assert!(gap <= max_gap, "{name} gets no attempt for {gap} ms");
         let max = sent.iter().map(|sent| sent.in_flight).max().unwrap_or(0);
         assert!(max <= 6, "{name} has {max} attempts in flight");
--- a/crates/policy/tests/policy/retries.rs
+++ b/crates/policy/tests/policy/retries.rs
@@ -63,7 +63,7 @@
         assert!(
             rejected == matches!(status, Action::Reject { .. }) || gateway.endpoints_tried(id).is_empty()
         );
-        assert!(gateway.sent.iter().filter(|sent| sent.id == id).all(|sent| sent.at <= *at));
+        assert!(gateway.sent.iter().filter(|sent| sent.id == id).all(|sent| sent.sent_at <= *at));
     }
 }
 
@@ -95,7 +95,7 @@
             gateway.actions.iter().find(|(_, a)| matches!(a, Action::CancelAttempt { id: r, .. } if *r == id))
         };
         for second in gateway.sent.iter().filter(|sent| sent.number == 1) {
-            assert!(cancelled(second.id).is_some_and(|(at, _)| *at < second.at));
+            assert!(cancelled(second.id).is_some_and(|(at, _)| *at < second.sent_at));
         }
     }
 }
--- a/crates/policy/tests/policy/routing.rs
+++ b/crates/policy/tests/policy/routing.rs
@@ -14,12 +14,12 @@
     let updated_at = gateway.now;
     gateway.serve_for(1000.0, 1);
     assert!(gateway.sent.iter().any(|sent| sent.endpoint == "a0"));
-    assert!(gateway.sent.iter().all(|sent| sent.endpoint != "a0" || sent.at < updated_at));
+    assert!(gateway.sent.iter().all(|sent| sent.endpoint != "a0" || sent.sent_at < updated_at));
     // The id is listed again with another version: it counts as a new endpoint of that version, which is warming up.
     gateway.update_rollout(Version(2), 0, RolloutPhase::Canary, 0.0);
     gateway.start_endpoints(&["a0"], Version(2));
     gateway.serve_for(1000.0, 1);
-    assert!(gateway.sent.iter().all(|sent| sent.endpoint != "a0" || sent.at < updated_at));
+    assert!(gateway.sent.iter().all(|sent| sent.endpoint != "a0" || sent.sent_at < updated_at));
 }
 
 #[rstest]
@@ -41,7 +41,7 @@
         gateway.serve_for(5000.0, 40);
         let measured_from = gateway.now;
         gateway.serve_for(10_000.0, 40);
-        let is_measured = |sent: &&SentAttempt| sent.at >= measured_from;
+        let is_measured = |sent: &&SentAttempt| sent.sent_at >= measured_from;
         canary += gateway.sent.iter().filter(is_measured).filter(|sent| sent.version == Version(2)).count();
         all += gateway.sent.iter().filter(is_measured).count();
     }
--- a/crates/policy/tests/policy/slow_start.rs
+++ b/crates/policy/tests/policy/slow_start.rs
@@ -15,9 +15,9 @@
     });
     gateway.serve_for(1000.0, 1);
     let during_slow_start =
-        gateway.sent.iter().filter(|sent| sent.endpoint == "a7" && sent.at >= started_at).count();
-    // With 0.4 to 0.55 of its capacity and four warm endpoints, its share of 100 requests a second is 10. The burst may
-    // raise that by half.
+        gateway.sent.iter().filter(|sent| sent.endpoint == "a7" && sent.sent_at >= started_at).count();
+    // Beside four warm endpoints, an endpoint with 0.4 to 0.55 of its capacity has a share of 10 of the 100 requests a
+    // second. A burst of requests may raise that by half.
     assert!((2..=21).contains(&during_slow_start), "{during_slow_start} attempts in the first second");
 }
 
@@ -53,7 +53,7 @@
     // The gateway's own clock is ten hours behind.
     gateway.update_endpoint("a7", Version(1), EndpointStatus::Ready, 10.0 * HOUR + started_at + clock_step);
     let sent_since = |gateway: &TestGateway, at: Millis| {
-        gateway.sent.iter().filter(|sent| sent.endpoint == "a7" && sent.at >= at).count()
+        gateway.sent.iter().filter(|sent| sent.endpoint == "a7" && sent.sent_at >= at).count()
     };
     gateway.serve_for(1000.0, 1);
     let attempts = sent_since(&gateway, started_at);
@@ -77,7 +77,8 @@
     let restarted_at = gateway.now;
     gateway.update_endpoint("a0", Version(1), EndpointStatus::Ready, 40.0 * HOUR + clock_step);
     gateway.serve_for(1000.0, 1);
-    let sent = gateway.sent.iter().filter(|sent| sent.endpoint == "a0" && sent.at >= restarted_at).count();
+    let sent =
+        gateway.sent.iter().filter(|sent| sent.endpoint == "a0" && sent.sent_at >= restarted_at).count();
     assert!(
         sent <= 25,
         "{sent} attempts in the first second after the restart at {restarted_at}, listed first at {listed_at}"
--- a/crates/policy/tests/policy/support/mod.rs
+++ b/crates/policy/tests/policy/support/mod.rs
@@ -27,7 +27,7 @@
 /// One attempt as its endpoint receives it.
 #[derive(Clone, Debug)]
 pub(crate) struct SentAttempt {
-    pub(crate) at: Millis,
+    pub(crate) sent_at: Millis,
     pub(crate) id: RequestId,
     /// The position among the attempts of the request, from 0.
     pub(crate) number: u32,
@@ -39,9 +39,9 @@
     pub(crate) in_flight: usize,
 }
 
-/// An attempt in flight, with the outcome that it gets at `at` unless it is cancelled before.
+/// An attempt in flight, with the outcome that it gets at `completes_at` unless it is cancelled before.
 struct ScheduledOutcome {
-    at: Millis,
+    completes_at: Millis,
     attempt: SentAttempt,
     outcome: AttemptOutcome,
 }
@@ -208,7 +208,7 @@
     pub(crate) fn step(&mut self) {
         let mut events = std::mem::take(&mut self.events);
         let scheduled = std::mem::take(&mut self.scheduled);
-        let (due, later) = scheduled.into_iter().partition(|scheduled| scheduled.at <= self.now);
+        let (due, later) = scheduled.into_iter().partition(|scheduled| scheduled.completes_at <= self.now);
         self.scheduled = later;
         for ScheduledOutcome { attempt, outcome, .. } in due {
             events.push(self.complete(attempt, outcome));
@@ -232,7 +232,7 @@
             endpoint: attempt.endpoint,
             outcome,
             is_final: self.succeeded.contains_key(&id) || self.unserved.contains_key(&id),
-            elapsed: self.now - attempt.at,
+            elapsed: self.now - attempt.sent_at,
             load: LoadReport::default(),
             connected_at: self.connected_at,
         })
@@ -246,7 +246,7 @@
                 if let Some(found) =
                     self.scheduled.iter_mut().find(|scheduled| is_cancelled(&scheduled.attempt))
                 {
-                    found.at = self.now + STEP;
+                    found.completes_at = self.now + STEP;
                     found.outcome = AttemptOutcome::Cancelled;
                 }
             }
@@ -260,7 +260,7 @@
     fn send(&mut self, id: RequestId, endpoint: &str) {
         let entry = &self.listed[endpoint];
         let attempt = SentAttempt {
-            at: self.now,
+            sent_at: self.now,
             id,
             number: self.sent.iter().filter(|sent| sent.id == id).count() as u32,
             endpoint: endpoint.to_string(),
@@ -269,12 +269,12 @@
             in_flight: self.scheduled.iter().filter(|other| other.attempt.endpoint == endpoint).count(),
         };
         let (mut outcome, elapsed) = (self.behavior)(&attempt);
-        let mut at = self.now + elapsed;
-        if at > self.deadlines[&id] {
+        let mut completes_at = self.now + elapsed;
+        if completes_at > self.deadlines[&id] {
             outcome = AttemptOutcome::Timeout;
-            at = self.deadlines[&id];
+            completes_at = self.deadlines[&id];
         }
-        self.scheduled.push(ScheduledOutcome { at, attempt: attempt.clone(), outcome });
+        self.scheduled.push(ScheduledOutcome { completes_at, attempt: attempt.clone(), outcome });
         self.sent.push(attempt);
     }
 
--- a/crates/policy/tests/policy/support/scenarios.rs
+++ b/crates/policy/tests/policy/support/scenarios.rs
@@ -21,7 +21,7 @@
 
 /// Attempts at all endpoints succeed, after 50 ms until [`SLOWDOWN_AT`] and after 110 ms from then on.
 pub(crate) fn slowed(sent: &SentAttempt) -> (AttemptOutcome, Millis) {
-    (AttemptOutcome::Success, if sent.at < SLOWDOWN_AT { 50.0 } else { 110.0 })
+    (AttemptOutcome::Success, if sent.sent_at < SLOWDOWN_AT { 50.0 } else { 110.0 })
 }
 
 /// A gateway with four fully warmed-up endpoints of version 1, and three endpoints of version 2 that have just
--- a/crates/policy/tests/policy/voting.rs
+++ b/crates/policy/tests/policy/voting.rs
@@ -31,7 +31,7 @@
     let from = gateway.now;
     gateway.serve_for(4500.0, 2);
     let (canary, baseline): (Vec<_>, Vec<_>) =
-        gateway.sent.iter().filter(|sent| sent.at >= from).partition(|sent| sent.version == Version(2));
+        gateway.sent.iter().filter(|sent| sent.sent_at >= from).partition(|sent| sent.version == Version(2));
     let (canary, baseline) = (canary.len(), baseline.len());
     assert!(canary > 4 * baseline, "{canary} attempts at the canary, {baseline} at the baseline");
     assert!(gateway.has_voted(Version(2), Verdict::Promote));
