--- a/crates/policy/tests/policy/canary.rs
+++ b/crates/policy/tests/policy/canary.rs
@@ -92,7 +92,7 @@
 /// restore the earlier latencies.
 #[test]
 fn canary_is_not_rolled_back_for_earlier_slowness() {
-    let elapsed = |at: Millis| match at {
+    let elapsed = |sent_at: Millis| match sent_at {
         at if at < 104_000.0 => LATENCY,
         at if at < 107_100.0 => 200.0,
         _ => 420.0,
--- a/crates/policy/tests/policy/list_lease.rs
+++ b/crates/policy/tests/policy/list_lease.rs
@@ -36,8 +36,8 @@
     is_sent
 }
 
-fn run_until(gateway: &mut TestGateway, at: Millis) {
-    gateway.run_for(at - gateway.now);
+fn run_until(gateway: &mut TestGateway, end: Millis) {
+    gateway.run_for(end - gateway.now);
 }
 
 #[rstest]
@@ -94,8 +94,8 @@
     gateway.connected_at = Some(0.0);
     gateway.deliver(failed(CONNECTION_LOST));
     gateway.serve_for(10_000.0, 5);
-    let sent_since = |endpoint: &str, at: Millis| {
-        gateway.sent.iter().filter(|sent| sent.endpoint == endpoint && sent.sent_at > at).count()
+    let sent_since = |endpoint: &str, since: Millis| {
+        gateway.sent.iter().filter(|sent| sent.endpoint == endpoint && sent.sent_at > since).count()
     };
     assert_eq!(
         sent_since("a0", 107_100.0),
--- a/crates/policy/tests/policy/slow_start.rs
+++ b/crates/policy/tests/policy/slow_start.rs
@@ -52,8 +52,8 @@
     let started_at = gateway.now;
     // The gateway's own clock is ten hours behind.
     gateway.update_endpoint("a7", Version(1), EndpointStatus::Ready, 10.0 * HOUR + started_at + clock_step);
-    let sent_since = |gateway: &TestGateway, at: Millis| {
-        gateway.sent.iter().filter(|sent| sent.endpoint == "a7" && sent.sent_at >= at).count()
+    let sent_since = |gateway: &TestGateway, since: Millis| {
+        gateway.sent.iter().filter(|sent| sent.endpoint == "a7" && sent.sent_at >= since).count()
     };
     gateway.serve_for(1000.0, 1);
     let attempts = sent_since(&gateway, started_at);
