--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Sends a request to one of some endpoints. Returns `false` if none is available to it.
+    /// Sends an attempt at the request to an endpoint of `groups`. Returns `false` if none is available to the request.
     fn route(&mut self, id: RequestId, groups: &VersionGroups, now: Millis) -> bool {
         let draw = self.rng.random::<f64>();
         let is_canary_first = routing::is_canary_first(draw, &self.group_draw_inputs(groups));
@@ -295,7 +295,7 @@
                 latency_bias_age: now - endpoint.latency_bias_updated_at,
                 capacity: registry.capacity(index, now),
             };
-            load.value()
+            load.expected_load()
         };
         routing::choose_of_two(&available, load, &mut self.rng)
     }
@@ -306,7 +306,7 @@
         retry::can_retry(request, idempotency, self.permissions.max_attempts)
     }
 
-    /// The probability of rejecting a new request of a tenant; below 0 without overload. All requests without a
+    /// The probability of rejecting a new request of a tenant; 0 or below without overload. All requests without a
     /// tenant (`None`) together count as one tenant's. The tenant's service level is retained.
     pub(crate) fn shed_probability(&mut self, tenant: Option<&str>, now: Millis) -> f64 {
         admission::shed_probability(self.requests.service_levels(tenant), now)
--- a/crates/policy/tests/policy/support/scenarios.rs
+++ b/crates/policy/tests/policy/support/scenarios.rs
@@ -1,4 +1,5 @@
-//! Outcomes of attempts, and gateways at the start of a canary.
+//! Shared test scenarios: functions that decide the outcome and latency of each attempt, and gateways at the start of
+//! a canary.
 
 use super::{SentAttempt, TestConfig, TestGateway};
 use latchhaven_policy::{AttemptOutcome, Millis, RolloutPhase, Version};
@@ -20,7 +21,7 @@
 
 /// Attempts at all endpoints succeed, after 50 ms until [`SLOWDOWN_AT`] and after 110 ms from then on.
 pub(crate) fn slowed(sent: &SentAttempt) -> (AttemptOutcome, Millis) {
-    (AttemptOutcome::Success, if sent.at < SLOWDOWN_AT { 50.0 } else { 110.0 })
+    (AttemptOutcome::Success, if sent.sent_at < SLOWDOWN_AT { 50.0 } else { 110.0 })
 }
 
 /// A gateway with four fully warmed-up endpoints of version 1, and three endpoints of version 2 that have just
