--- a/crates/cli/tests/gateway/readiness.rs
+++ b/crates/cli/tests/gateway/readiness.rs
@@ -1,4 +1,4 @@
-//! When a new gateway responds to the load balancer in front, whose health checks are empty queries.
+//! When a new gateway responds to the load balancer in front, whose readiness probes are empty queries.
 
 use crate::support::assert_served;
 use latchhaven_test_support::fake_http::{FakeHttpService, HttpReply, STREAM_HEAD, chunk};
@@ -28,15 +28,15 @@
     response.iter().map(|message| message.kind).collect()
 }
 
-/// A health check that was sent.
-struct HealthCheck {
+/// A readiness probe that was sent.
+struct ReadinessProbe {
     /// Set when its response was received.
     is_complete: Arc<AtomicBool>,
     response: mpsc::Receiver<QueryResponse>,
 }
 
-/// Sends a health check and reads its response on another thread.
-fn send_health_check(gateway: &Gateway) -> HealthCheck {
+/// Sends a readiness probe and reads its response on another thread.
+fn send_readiness_probe(gateway: &Gateway) -> ReadinessProbe {
     let mut client = gateway.client();
     client.send(&query(""));
     let is_complete = Arc::new(AtomicBool::new(false));
@@ -47,40 +47,40 @@
         completed.store(true, SeqCst);
         let _ = response_sender.send(received);
     });
-    HealthCheck { is_complete, response }
+    ReadinessProbe { is_complete, response }
 }
 
 /// A new gateway has a list of unknown age. If it reported ready immediately, the load balancer would replace a
 /// gateway that knows the current list by one that does not. Clients that are already connected are served meanwhile.
 #[test]
-fn health_check_completes_once_a_list_is_confirmed_and_requests_are_served_before() {
+fn readiness_probe_completes_once_a_list_is_confirmed_and_requests_are_served_before() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let (gateway, discovery) = start_without_list(&server);
-    let health_check = send_health_check(&gateway);
+    let readiness_probe = send_readiness_probe(&gateway);
     assert_served(&mut gateway.client(), "a1", 900);
-    assert!(!health_check.is_complete.load(SeqCst), "completed without a confirmed list");
+    assert!(!readiness_probe.is_complete.load(SeqCst), "completed without a confirmed list");
     // The discovery service at another address confirms the list immediately.
     let ready = FakeHttpService::start(|_| HttpReply::KeepOpen(format!("{STREAM_HEAD}{}", chunk("\n"))));
     let mut config = gateway.config.clone();
     config["discovery"] = json!(ready.addr.to_string());
     gateway.reconfigure(&config.to_string());
-    assert_eq!(message_types(&health_check.response.recv().unwrap()), EMPTY_QUERY_RESPONSE);
+    assert_eq!(message_types(&readiness_probe.response.recv().unwrap()), EMPTY_QUERY_RESPONSE);
     drop(discovery);
 }
 
 /// If discovery is down, no list is confirmed: new gateways would never become ready, and a restart of all would stop
 /// service.
 #[test]
-fn health_check_completes_in_bounded_time_without_a_list() {
+fn readiness_probe_completes_in_bounded_time_without_a_list() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let (gateway, _discovery) = start_without_list(&server);
-    let health_check = send_health_check(&gateway);
-    assert_eq!(message_types(&health_check.response.recv().unwrap()), EMPTY_QUERY_RESPONSE);
+    let readiness_probe = send_readiness_probe(&gateway);
+    assert_eq!(message_types(&readiness_probe.response.recv().unwrap()), EMPTY_QUERY_RESPONSE);
 }
 
-/// A query that is pipelined behind a health check would use up its timeout while the health check waits for a list.
+/// A query that is pipelined behind a readiness probe would use up its timeout while the readiness probe waits for a list.
 #[test]
-fn query_pipelined_behind_a_health_check_completes_it() {
+fn query_pipelined_behind_a_readiness_probe_completes_it() {
     let server = FakeServer::start(ServerBehavior::Succeed);
     let (gateway, discovery) = start_without_list(&server);
     let mut client = Client::connect(gateway.addr);
--- a/crates/cli/tests/gateway/shutdown.rs
+++ b/crates/cli/tests/gateway/shutdown.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// Requests that arrive later than this after SIGTERM are rejected; the gateway stops accepting before.
-const REQUEST_WINDOW: Duration = Duration::from_millis(600);
+const NEW_REQUEST_WINDOW: Duration = Duration::from_millis(600);
 
 /// A rollout of the gateway must fail no request: pending ones complete, and the load balancer in front still opens
 /// connections for a while.
@@ -155,7 +155,7 @@
     for (n, client) in late.iter_mut().enumerate() {
         client.send(&[startup(), query(&select(&format!("a{n}"), "look", 1900))].concat());
     }
-    thread::sleep(REQUEST_WINDOW);
+    thread::sleep(NEW_REQUEST_WINDOW);
     gateway.signal("CONT");
     for client in &mut late {
         client.read_response();
@@ -176,7 +176,7 @@
     gateway.signal("TERM");
     wait_until("shutdown has begun", || gateway.logged("shutdown started"));
     let shutdown_seen_at = Instant::now();
-    let after_window = REQUEST_WINDOW + Duration::from_millis(50);
+    let after_window = NEW_REQUEST_WINDOW + Duration::from_millis(50);
     wait_until("the window for requests has ended", || shutdown_seen_at.elapsed() > after_window);
     client.send(&query(&select("a2", "look", 60_000)));
     // The first was sent and may have been executed; it is abandoned so that the second can be rejected, which was
--- a/crates/cli/tests/gateway/upstream_pool.rs
+++ b/crates/cli/tests/gateway/upstream_pool.rs
@@ -200,7 +200,8 @@
     });
 }
 
-/// Each setting has a query of its own, and load is only recorded if the settings expect it.
+/// The server sends its load in notices and responds to every query alike. The pool reads notices only under
+/// `InResponses`; under `InHealthChecks` the query asks for the load, which the caller reads from the result row.
 #[rstest]
 #[case::in_responses(LoadReporting::InResponses, "SELECT 1", 2)]
 #[case::in_health_checks(LoadReporting::InHealthChecks, "SHOW load", 0)]
--- a/crates/gateway/src/discovery/calls.rs
+++ b/crates/gateway/src/discovery/calls.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-/// Identifies a call of a client. Ids are assigned in ascending order, and the first is 1.
+/// Identifies a call of an endpoint list client to the discovery service. Ids are assigned in ascending order, and the first is 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
--- a/crates/gateway/src/gateway/rollout_tracker.rs
+++ b/crates/gateway/src/gateway/rollout_tracker.rs
@@ -5,7 +5,7 @@
 use latchhaven_policy::{Millis, RolloutState};
 
 /// The effect of a reported state.
-pub(super) enum RolloutChange {
+pub(super) enum RolloutReportEffect {
     /// The reported state, which is the current state already.
     Unchanged(RolloutState),
     /// The current state with its present age. The reported state is older.
@@ -27,20 +27,23 @@
 
 impl RolloutTracker {
     /// Makes a reported state the current one, unless the current state is the same or newer.
-    pub(super) fn apply(&mut self, state: RolloutState, now: Millis) -> RolloutChange {
+    pub(super) fn apply(&mut self, state: RolloutState, now: Millis) -> RolloutReportEffect {
         let began_at = now - state.age;
         if let Some(known) = &self.known {
             if is_same_state(&known.state, &state) {
-                return RolloutChange::Unchanged(state);
+                return RolloutReportEffect::Unchanged(state);
             }
             let is_superseded = state.version < known.state.version
                 || state.version == known.state.version && is_older_state(began_at, known.began_at);
             if is_superseded {
-                return RolloutChange::Superseded(RolloutState { age: now - known.began_at, ..known.state });
+                return RolloutReportEffect::Superseded(RolloutState {
+                    age: now - known.began_at,
+                    ..known.state
+                });
             }
         }
         self.known = Some(KnownRollout { state, began_at });
-        RolloutChange::Changed(state)
+        RolloutReportEffect::Changed(state)
     }
 }
 
--- a/crates/gateway/src/gateway/updates.rs
+++ b/crates/gateway/src/gateway/updates.rs
@@ -1,7 +1,7 @@
 //! Updates of the endpoint list and of the rollout state.
 
 use super::Gateway;
-use super::rollout_tracker::RolloutChange;
+use super::rollout_tracker::RolloutReportEffect;
 use crate::counters::COUNTERS;
 use crate::discovery::calls::CallId;
 use crate::discovery::ordered_client::ListDecision;
@@ -117,8 +117,8 @@
         COUNTERS.rollout_updates_total.increment();
         tracing::debug!(?state, "platform: rollout state");
         match self.rollout.apply(state, self.clock.now()) {
-            RolloutChange::Unchanged(state) | RolloutChange::Superseded(state) => state,
-            RolloutChange::Changed(state) => {
+            RolloutReportEffect::Unchanged(state) | RolloutReportEffect::Superseded(state) => state,
+            RolloutReportEffect::Changed(state) => {
                 // The policy chose the endpoints of unwritten attempts under the earlier state.
                 let unsent = self.pool.take_queued();
                 self.report_not_sent(unsent);
--- a/crates/gateway/src/limits/clients.rs
+++ b/crates/gateway/src/limits/clients.rs
@@ -39,7 +39,8 @@
 /// Maximum number of bytes that are read and discarded from a rejected client within [`LINGER_TIMEOUT`]. A query with
 /// the longest value fits.
 pub const MAX_LINGER_BYTES: usize = 256 * 1024;
-/// Interval at which the gateway checks whether a client has disconnected while it does not read from the client.
+/// Interval at which the gateway checks whether a client has disconnected, in phases in which the gateway does not
+/// read from that client.
 pub const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// The gateway does not read from a client while it writes to the client. Input that is found after a write that took
 /// longer than this is treated as if it had arrived at the start of the write, so that no deadline is too late.
--- a/crates/gateway/src/limits/platform.rs
+++ b/crates/gateway/src/limits/platform.rs
@@ -16,13 +16,13 @@
 pub const MAX_VOTE_CONNECTION_IDLE: Duration = Duration::from_secs(3);
 /// Maximum valid age in a report of the platform: one year.
 pub const MAX_REPORT_AGE: Duration = Duration::from_secs(365 * 86_400);
-/// Maximum difference between the start times that follow from two reports of the same rollout state. Start times
+/// Maximum difference between the start times of a rollout state, calculated from two reports of it. Start times
 /// differ because reported ages are rounded to milliseconds and arrive with a delay.
-pub const START_TIME_TOLERANCE: Duration = Duration::from_millis(20);
+pub const ROLLOUT_START_TOLERANCE: Duration = Duration::from_millis(20);
 
 /// Returns `true` if a reported rollout state, which began at `began_at`, is older than the known state of the same
 /// version, which began at `known_began_at`.
 #[must_use]
 pub fn is_older_state(began_at: Millis, known_began_at: Millis) -> bool {
-    began_at < known_began_at - millis(START_TIME_TOLERANCE)
+    began_at < known_began_at - millis(ROLLOUT_START_TOLERANCE)
 }
--- a/crates/gateway/src/limits/shutdown.rs
+++ b/crates/gateway/src/limits/shutdown.rs
@@ -1,5 +1,5 @@
 //! Timeouts after SIGTERM. The earliest SIGKILL follows after the longest timeout of a request class, limited to
-//! [`MAX_COUNTED_TIMEOUT`], plus 700 ms. Of these 700 ms, [`DRAIN_GRACE_PERIOD`] is for completing pending requests,
+//! [`MAX_COUNTED_CLASS_TIMEOUT`], plus 700 ms. Of these 700 ms, [`DRAIN_GRACE_PERIOD`] is for completing pending requests,
 //! [`QUEUED_REQUESTS_TIMEOUT`] for the final responses to requests that are queued behind abandoned ones, and the rest
 //! for exiting.
 
@@ -21,9 +21,9 @@
 pub const PIPELINE_IDLE_TIMEOUT: Duration = Duration::from_millis(10);
 /// A request that arrives later than this after the start of the shutdown is rejected immediately, because the process
 /// might be killed before the final response.
-pub const REQUEST_WINDOW: Duration = Duration::from_millis(600);
+pub const NEW_REQUEST_WINDOW: Duration = Duration::from_millis(600);
 /// Upper bound of the class timeout that is added to the time before SIGKILL.
-pub const MAX_COUNTED_TIMEOUT: Duration = Duration::from_secs(3);
+pub const MAX_COUNTED_CLASS_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time after the longest class timeout in which pending requests may still complete.
 pub const DRAIN_GRACE_PERIOD: Duration = Duration::from_millis(450);
 /// Time after the drain time in which requests queued behind abandoned ones may still receive their final response.
@@ -40,7 +40,7 @@
     /// Creates the schedule for request classes whose longest timeout is `longest_timeout`.
     #[must_use]
     pub fn new(longest_timeout: Millis) -> Self {
-        let drain_ms = longest_timeout.min(millis(MAX_COUNTED_TIMEOUT)) + millis(DRAIN_GRACE_PERIOD);
+        let drain_ms = longest_timeout.min(millis(MAX_COUNTED_CLASS_TIMEOUT)) + millis(DRAIN_GRACE_PERIOD);
         ShutdownSchedule { drain_time: duration(drain_ms) }
     }
 
@@ -56,12 +56,12 @@
         self.drain_time + QUEUED_REQUESTS_TIMEOUT
     }
 
-    /// Returns `true` if a request is rejected because it arrived after [`REQUEST_WINDOW`], or is processed only after
+    /// Returns `true` if a request is rejected because it arrived after [`NEW_REQUEST_WINDOW`], or is processed only after
     /// the drain time. `arrived_at` is the arrival of the request and `began_at` the start of the shutdown, both on the
     /// gateway's clock. `elapsed` is the time from the start of the shutdown until now.
     #[must_use]
     pub fn rejects_request(&self, arrived_at: Millis, began_at: Millis, elapsed: Duration) -> bool {
-        arrived_at >= began_at + millis(REQUEST_WINDOW) || elapsed >= self.drain_time
+        arrived_at >= began_at + millis(NEW_REQUEST_WINDOW) || elapsed >= self.drain_time
     }
 }
 
--- a/crates/gateway/src/limits/upstream.rs
+++ b/crates/gateway/src/limits/upstream.rs
@@ -12,20 +12,20 @@
 pub const MAX_LARGE_RESPONSES: usize = 12;
 
 /// Fraction of the endpoint's idle timeout after which an idle connection is no longer reused.
-const REUSE_FRACTION: f64 = 0.8;
+const IDLE_TIMEOUT_REUSE_FRACTION: f64 = 0.8;
 
 /// Returns the maximum idle time after which a connection is still reused. `idle_timeout` is the idle time after which
 /// the endpoint closes a connection.
 #[must_use]
 pub fn max_idle_for_reuse(idle_timeout: Millis) -> Duration {
-    duration(idle_timeout * REUSE_FRACTION)
+    duration(idle_timeout * IDLE_TIMEOUT_REUSE_FRACTION)
 }
 
 /// Returns the idle time after which the gateway closes a connection: midway between [`max_idle_for_reuse`] and
 /// `idle_timeout`, after which the endpoint closes it.
 #[must_use]
 pub fn idle_close_after(idle_timeout: Millis) -> Duration {
-    Duration::from_secs_f64(idle_timeout * (1.0 + REUSE_FRACTION) / (2.0 * MS_PER_SECOND))
+    Duration::from_secs_f64(idle_timeout * (1.0 + IDLE_TIMEOUT_REUSE_FRACTION) / (2.0 * MS_PER_SECOND))
 }
 
 /// Returns when the gateway stops waiting for the response to an attempt that starts at `now`: after the attempt's
--- a/crates/gateway/src/net/clients/accept.rs
+++ b/crates/gateway/src/net/clients/accept.rs
@@ -1,9 +1,9 @@
 //! Accepts connections, and evicts others above the limit.
 
 use super::Clients;
-use super::client_session::SharedSessionState;
 use super::closing;
 use super::session::SessionTask;
+use super::shared_state::SharedSessionState;
 use crate::counters::COUNTERS;
 use crate::limits::LOG_SAMPLING;
 use crate::limits::clients::{
--- a/crates/gateway/src/net/clients/closing.rs
+++ b/crates/gateway/src/net/clients/closing.rs
@@ -1,6 +1,6 @@
 //! Closes connections in such a way that the client can read the last message.
 
-use super::client_session::SharedSessionState;
+use super::shared_state::SharedSessionState;
 use crate::limits::clients::{DISCONNECT_POLL_INTERVAL, LINGER_TIMEOUT, MAX_LINGER_BYTES, WRITE_TIMEOUT};
 use crate::net::io::is_closed_by_peer;
 use crate::net::{read_some, write_all};
@@ -14,7 +14,7 @@
 
 /// What was sent to a client before its connection is closed. Decides how the rest of the input is treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum CloseReason {
+pub(super) enum OutputBeforeClose {
     /// No message can be on its way to the client: the connection is closed immediately.
     NoPendingOutput,
     /// A response may be on its way, or the client is closing the connection. Requests in the rest of the input are not
@@ -26,12 +26,14 @@
 
 /// Delays the close of a connection until the client has read the last message, at most by [`LINGER_TIMEOUT`]. Closing
 /// a socket with unread input resets the connection, and the client would lose what it has not read yet.
-pub(super) async fn linger(stream: &TcpStream, session: &SharedSessionState, reason: CloseReason) {
-    if reason == CloseReason::NoPendingOutput || SockRef::from(stream).shutdown(Shutdown::Write).is_err() {
+pub(super) async fn linger(stream: &TcpStream, session: &SharedSessionState, reason: OutputBeforeClose) {
+    if reason == OutputBeforeClose::NoPendingOutput
+        || SockRef::from(stream).shutdown(Shutdown::Write).is_err()
+    {
         return;
     }
     let client_leaves = async {
-        if reason == CloseReason::ErrorSent {
+        if reason == OutputBeforeClose::ErrorSent {
             discard_input(stream).await;
         } else {
             wait_until_disconnected(stream, || ()).await;
--- a/crates/gateway/src/net/clients/mod.rs
+++ b/crates/gateway/src/net/clients/mod.rs
@@ -1,7 +1,7 @@
 //! Connections of clients: each has a task that reads queries one after another and writes a final response to each.
 //!
 //! - `accept`: accepts connections, and evicts others above the limit.
-//! - `client_session`: the state of a connection that its task shares with the eviction rule and the shutdown.
+//! - `shared_state`: the state of a connection that its task shares with the eviction rule and the shutdown.
 //! - `session`: the task of a connection, from the startup message to the close.
 //! - `reading`: reads input until a deadline or the close of the connection.
 //! - `read_buffer`: input that was read and not yet parsed, and when it arrived.
@@ -12,12 +12,12 @@
 //! The limits and the rules for evictions and the shutdown are in [`limits`](crate::limits).
 
 mod accept;
-mod client_session;
 mod closing;
 mod read_buffer;
 mod reading;
 mod requests;
 mod session;
+mod shared_state;
 mod shutdown;
 
 use super::DriverEvent;
@@ -25,8 +25,8 @@
 use crate::limits::clients::{MAX_LARGE_MESSAGES, SessionState};
 use crate::readiness::Readiness;
 use bytes::Bytes;
-use client_session::SharedSessionState;
 use latchhaven_policy::{Idempotency, RequestClass};
+use shared_state::SharedSessionState;
 use shutdown::Shutdown;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/gateway/src/net/clients/reading.rs
+++ b/crates/gateway/src/net/clients/reading.rs
@@ -1,8 +1,8 @@
 //! Reads input of a connection until a deadline or until the connection is to be closed.
 
 use super::Clients;
-use super::client_session::SharedSessionState;
 use super::session::{ReadOutcome, SessionTask};
+use super::shared_state::SharedSessionState;
 use crate::limits::clients::{InputProgress, MAX_READ_AHEAD_BYTES};
 use crate::limits::shutdown::{CloseTime, WaitingConnection};
 use crate::net::io::has_unread_bytes;
--- a/crates/gateway/src/net/clients/requests.rs
+++ b/crates/gateway/src/net/clients/requests.rs
@@ -1,10 +1,10 @@
 //! One request, from its query to its final response.
 
 use super::Clients;
-use super::client_session::SharedSessionState;
 use super::closing::wait_until_disconnected;
 use super::read_buffer::{ReadBuffer, record_unread};
 use super::session::SessionTask;
+use super::shared_state::SharedSessionState;
 use crate::clock::millis;
 use crate::counters::COUNTERS;
 use crate::invariant;
--- a/crates/gateway/src/net/clients/session.rs
+++ b/crates/gateway/src/net/clients/session.rs
@@ -1,9 +1,9 @@
 //! The task of one client's connection, from the startup message to the close.
 
 use super::Clients;
-use super::client_session::SharedSessionState;
-use super::closing::{CloseReason, write};
+use super::closing::{OutputBeforeClose, write};
 use super::read_buffer::ReadBuffer;
+use super::shared_state::SharedSessionState;
 use crate::counters::{COUNTERS, Metric};
 use crate::limits::LOG_SAMPLING;
 use crate::limits::clients::{MAX_INVALID_QUERIES, SessionState};
@@ -35,7 +35,7 @@
 }
 
 /// `Break` if the connection is to be closed.
-type Step = ControlFlow<CloseReason>;
+type Step = ControlFlow<OutputBeforeClose>;
 
 /// Serves a connection. `session` is the part of the state that other tasks read or change.
 pub(super) struct SessionTask<'a> {
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     /// The connection is lost.
-    pub(super) async fn serve(mut self) -> io::Result<CloseReason> {
+    pub(super) async fn serve(mut self) -> io::Result<OutputBeforeClose> {
         self.stream.set_nodelay(true)?;
         loop {
             self.input.record_arrival(self.stream, self.clients.clock.now());
@@ -107,7 +107,7 @@
     async fn read_or_close(&mut self) -> io::Result<Step> {
         let reason = match self.read_more().await? {
             ReadOutcome::Read => return Ok(Step::Continue(())),
-            ReadOutcome::ClosedOrIdle => CloseReason::NoPendingOutput,
+            ReadOutcome::ClosedOrIdle => OutputBeforeClose::NoPendingOutput,
             ReadOutcome::CloseRequired => self.close().await?,
             ReadOutcome::TimedOut => {
                 self.close_with_violation(NO_COMPLETE_QUERY, &COUNTERS.clients_timed_out_total).await?
@@ -117,12 +117,16 @@
     }
 
     /// Closes the connection on the gateway's initiative.
-    async fn close(&mut self) -> io::Result<CloseReason> {
+    async fn close(&mut self) -> io::Result<OutputBeforeClose> {
         if !self.session.has_requested.get() {
             // Without an error the client would not know that its request was not executed and can be retried.
             return self.close_with_rejection(CLOSED_BEFORE_FIRST_QUERY).await;
         }
-        Ok(if self.session.is_evicted() { CloseReason::NoPendingOutput } else { CloseReason::ResponseSent })
+        Ok(if self.session.is_evicted() {
+            OutputBeforeClose::NoPendingOutput
+        } else {
+            OutputBeforeClose::ResponseSent
+        })
     }
 
     async fn on_message(&mut self, message: FrontendMessage, arrived_at: Option<Millis>) -> io::Result<Step> {
@@ -131,7 +135,7 @@
                 self.write(&[Bytes::from_static(pg::encode::NO_ENCRYPTION)]).await?;
             }
             FrontendMessage::CancelRequest | FrontendMessage::Terminate => {
-                return Ok(Step::Break(CloseReason::ResponseSent));
+                return Ok(Step::Break(OutputBeforeClose::ResponseSent));
             }
             FrontendMessage::Startup if !self.is_within_limit => {
                 return self.close_with_rejection("too many connections").await.map(Step::Break);
@@ -201,21 +205,21 @@
         let error = pg::encode::error(is_fatal, code, reason, None);
         let end: &[u8] = if completes_query && !is_fatal { pg::encode::READY } else { &[] };
         self.write(&[error, Bytes::from_static(end)]).await?;
-        Ok(if is_fatal { Step::Break(CloseReason::ErrorSent) } else { Step::Continue(()) })
+        Ok(if is_fatal { Step::Break(OutputBeforeClose::ErrorSent) } else { Step::Continue(()) })
     }
 
     /// Closes a connection that violates the protocol or exceeds a time limit, with an error.
-    async fn close_with_violation(&self, reason: &str, counter: &Metric) -> io::Result<CloseReason> {
+    async fn close_with_violation(&self, reason: &str, counter: &Metric) -> io::Result<OutputBeforeClose> {
         self.log_malformed_input(reason, counter);
         self.write(&[pg::encode::error(true, pg::sqlstate::PROTOCOL_VIOLATION, reason, None)]).await?;
-        Ok(CloseReason::ErrorSent)
+        Ok(OutputBeforeClose::ErrorSent)
     }
 
     /// Closes a connection above the limit, or before its first request, with an error that permits a retry.
-    async fn close_with_rejection(&self, reason: &str) -> io::Result<CloseReason> {
+    async fn close_with_rejection(&self, reason: &str) -> io::Result<OutputBeforeClose> {
         COUNTERS.clients_rejected_total.increment();
         self.write(&[pg::encode::error(true, pg::sqlstate::TOO_MANY_CONNECTIONS, reason, None)]).await?;
-        Ok(CloseReason::ErrorSent)
+        Ok(OutputBeforeClose::ErrorSent)
     }
 
     /// Counts and logs malformed input. Only a sample has level info, because clients can cause any number of lines.
--- a/crates/gateway/src/proto/json.rs
+++ b/crates/gateway/src/proto/json.rs
@@ -53,8 +53,9 @@
     /// and call again.
     ///
     /// # Errors
-    /// The stream contains anything but objects and white space, is nested too deeply, or continues with another
-    /// object within a truncated one: close the connection.
+    /// The stream contains anything but objects and white space, has brackets that do not match, is nested too deeply,
+    /// or has a line break in a string or an opening bracket where no value may begin. The last two are signs of a
+    /// truncated object that is followed by another. After any of these errors, close the connection.
     pub fn next_frame(&mut self) -> Result<Option<JsonFrame>, ParseError> {
         while let Some(byte) = self.buffer.get(self.position).copied() {
             self.position += 1;
--- a/crates/gateway/tests/parsers/arrivals.rs
+++ b/crates/gateway/tests/parsers/arrivals.rs
@@ -8,7 +8,7 @@
     arrivals.record(10, 1.0);
     arrivals.record(10, 2.0);
     arrivals.record(30, 3.0);
-    // The argument is the number of bytes left in the buffer. Consumes nothing; 4 bytes of the first chunk; its other
+    // The argument of `consume` is the number of bytes left in the buffer. The calls consume nothing; 4 bytes of the first chunk; its other
     // 6 and one of the next chunk; the rest.
     assert_eq!(
         [arrivals.consume(30), arrivals.consume(26), arrivals.consume(19), arrivals.consume(0)],
