--- a/crates/cli/tests/gateway/readiness.rs
+++ b/crates/cli/tests/gateway/readiness.rs
@@ -78,7 +78,7 @@
     assert_eq!(message_types(&readiness_probe.response.recv().unwrap()), EMPTY_QUERY_RESPONSE);
 }
 
-/// A query that is pipelined behind a readiness probe would use up its timeout while the readiness probe waits for a list.
+/// A query that is pipelined behind a readiness probe would use up its timeout while the probe waits for a list.
 #[test]
 fn query_pipelined_behind_a_readiness_probe_completes_it() {
     let server = FakeServer::start(ServerBehavior::Succeed);
--- a/crates/cli/tests/gateway/upstream_pool.rs
+++ b/crates/cli/tests/gateway/upstream_pool.rs
@@ -200,8 +200,8 @@
     });
 }
 
-/// The server sends its load in notices and responds to every query alike. The pool reads notices only under
-/// `InResponses`; under `InHealthChecks` the query asks for the load, which the caller reads from the result row.
+/// The server reports its load in `ParameterStatus` messages, whatever the query is. The pool reads them only with
+/// `InResponses`. With `InHealthChecks`, the event loop reads the load from the result of `SHOW load` instead.
 #[rstest]
 #[case::in_responses(LoadReporting::InResponses, "SELECT 1", 2)]
 #[case::in_health_checks(LoadReporting::InHealthChecks, "SHOW load", 0)]
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -151,8 +151,8 @@
         let reason = format!("expected {MIN_DESCRIPTORS} or more, found {sockets}");
         return Err(key_error("limits.sockets", &reason));
     }
-    // The gateway does not use the memory limit. This check only rejects values that cannot be a limit, because a process
-    // with too little memory is killed without an error message.
+    // The gateway does not use the memory limit. This check only rejects values that cannot be a limit, because a
+    // process with too little memory is killed without an error message.
     if let Some(value) = file.pointer("/limits/memory_mb")
         && !value.as_f64().is_some_and(|mib| mib > 0.0)
     {
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -42,7 +42,7 @@
     pub clock: Clock,
     /// Opens and reuses connections to endpoints. Reports to the event loop.
     pub pool: UpstreamPool,
-    /// Timeouts of these connections, and the operator's permissions for them.
+    /// Timeouts of these connections, and the operator's settings for health checks and load reports.
     pub connection_config: UpstreamConnectionConfig,
     /// Where the endpoint list is requested, until [`DriverEvent::DiscoveryMoved`] reports another address.
     pub discovery_address: SocketAddr,
