--- a/crates/gateway/src/limits/shutdown.rs
+++ b/crates/gateway/src/limits/shutdown.rs
@@ -1,7 +1,7 @@
 //! Timeouts after SIGTERM. The earliest SIGKILL follows after the longest timeout of a request class, limited to
 //! [`MAX_COUNTED_CLASS_TIMEOUT`], plus 700 ms. Of these 700 ms, [`DRAIN_GRACE_PERIOD`] is for completing pending
-//! requests, [`QUEUED_REQUESTS_TIMEOUT`] for the final responses to requests that are queued behind abandoned ones, and the rest
-//! for exiting.
+//! requests, [`QUEUED_REQUESTS_TIMEOUT`] for the final responses to requests that are queued behind abandoned ones, and
+//! the rest for exiting.
 
 use crate::clock::{duration, millis};
 use latchhaven_policy::Millis;
@@ -57,8 +57,8 @@
     }
 
     /// Returns `true` if a request is rejected because it arrived after [`NEW_REQUEST_WINDOW`], or is processed only
-    /// after the drain time. `arrived_at` is the arrival of the request and `began_at` the start of the shutdown, both on the
-    /// gateway's clock. `elapsed` is the time from the start of the shutdown until now.
+    /// after the drain time. `arrived_at` is the arrival of the request and `began_at` the start of the shutdown, both
+    /// on the gateway's clock. `elapsed` is the time from the start of the shutdown until now.
     #[must_use]
     pub fn rejects_request(&self, arrived_at: Millis, began_at: Millis, elapsed: Duration) -> bool {
         arrived_at >= began_at + millis(NEW_REQUEST_WINDOW) || elapsed >= self.drain_time
