--- a/crates/cli/tests/gateway/upstream_pool.rs
+++ b/crates/cli/tests/gateway/upstream_pool.rs
@@ -200,7 +200,8 @@
     });
 }
 
-/// Each setting has a query of its own, and load is only recorded if the settings expect it.
+/// The server reports its load in `ParameterStatus` messages, whatever the query is. The pool reads them only with
+/// `InResponses`. With `InHealthChecks`, the event loop reads the load from the result of `SHOW load` instead.
 #[rstest]
 #[case::in_responses(LoadReporting::InResponses, "SELECT 1", 2)]
 #[case::in_health_checks(LoadReporting::InHealthChecks, "SHOW load", 0)]
