--- a/crates/xds/tests/convergence/control_service.rs
+++ b/crates/xds/tests/convergence/control_service.rs
@@ -62,9 +62,10 @@
     SocketAddr::from(([127, 0, 0, 1], 2000 + index as u16))
 }
 
-/// What both control services have in common.
-pub(crate) struct Setup {
+/// The label signer and the settings that both control services share.
+pub(crate) struct ControlServiceConfig {
     pub(crate) signer: VersionSigner,
+    /// Set when endpoints are also published as LEDS resources, not only inline in EDS resources.
     pub(crate) separate_endpoints: bool,
 }
 
@@ -81,22 +82,23 @@
         ControlService { version_tracker: VersionTracker::default(), snapshot: None, observed_state }
     }
 
-    pub(crate) fn observe(&mut self, platform: &PlatformState, setup: &Setup) {
+    pub(crate) fn observe(&mut self, platform: &PlatformState, service_config: &ControlServiceConfig) {
         let rollout = RolloutState { age: platform.now - platform.rollout_since, ..platform.rollout };
         self.version_tracker.apply_rollout_state(&rollout, false, platform.now);
         self.version_tracker.apply_endpoint_list(platform.list_version, true, platform.now);
-        self.publish(platform, setup);
+        self.publish(platform, service_config);
     }
 
-    fn publish(&mut self, platform: &PlatformState, setup: &Setup) {
+    fn publish(&mut self, platform: &PlatformState, service_config: &ControlServiceConfig) {
         let Ok(version) = self.version_tracker.config_version() else { return };
         // A proxy may have reported a newer rollout state than the one that this service observed.
         let policy = policy_snapshot(platform, version.rollout.to_state(platform.now));
         let proxy_config = self.proxy_config(platform, &policy);
-        let listener = listener_config(setup.separate_endpoints);
+        let listener = listener_config(service_config.separate_endpoints);
         let config = Arc::new(ResourceConfig { classes: settings().classes, listener });
         let previous = self.snapshot.as_ref();
-        let snapshot = ResourceSnapshot::build(&proxy_config, version, &config, &setup.signer, previous);
+        let snapshot =
+            ResourceSnapshot::build(&proxy_config, version, &config, &service_config.signer, previous);
         self.snapshot = Some(snapshot);
     }
 
--- a/crates/xds/tests/convergence/main.rs
+++ b/crates/xds/tests/convergence/main.rs
@@ -9,7 +9,7 @@
 mod platform;
 mod proxy;
 
-use control_service::{ControlService, Setup};
+use control_service::{ControlService, ControlServiceConfig};
 use latchhaven_proxy_config::version::VersionSigner;
 use platform::PlatformState;
 use proptest::prelude::{ProptestConfig, any, prop, proptest};
@@ -33,7 +33,7 @@
 }
 
 struct Simulation {
-    setup: Setup,
+    service_config: ControlServiceConfig,
     /// All states of the platform, the newest one last.
     platform_states: Vec<PlatformState>,
     services: [ControlService; 2],
@@ -44,7 +44,7 @@
     fn new(separate_endpoints: bool) -> Self {
         let signer = VersionSigner::new(Some(b"site".to_vec()));
         Simulation {
-            setup: Setup { signer, separate_endpoints },
+            service_config: ControlServiceConfig { signer, separate_endpoints },
             platform_states: vec![PlatformState::initial()],
             services: [ControlService::new(0), ControlService::new(0)],
             proxies: (0..4).map(Proxy::new).collect(),
@@ -66,7 +66,7 @@
             1 | 2 => self.advance_service(service, 1 + usize::from(step.detail) % 3),
             3 if step.detail.is_multiple_of(4) => self.restart_service(service, step.selector),
             3 => proxy.connection = None,
-            4 => proxy.connect(service, &self.setup.signer),
+            4 => proxy.connect(service, &self.service_config.signer),
             5 => proxy.deliver_request(&mut self.services, now),
             6 => proxy.send_response(&self.services),
             7 => proxy.deliver_response(step.reject && step.detail.is_multiple_of(3)),
@@ -92,12 +92,12 @@
 
     fn publish_observed_state(&mut self, service: usize) {
         let service = &mut self.services[service];
-        service.observe(&self.platform_states[service.observed_state], &self.setup);
+        service.observe(&self.platform_states[service.observed_state], &self.service_config);
     }
 
     fn observe_in_all_services(&mut self, platform: &PlatformState) {
         for service in &mut self.services {
-            service.observe(platform, &self.setup);
+            service.observe(platform, &self.service_config);
         }
     }
 
@@ -108,7 +108,7 @@
         self.observe_in_all_services(&platform);
         for (index, proxy) in self.proxies.iter_mut().enumerate() {
             if proxy.connection.is_none() || proxy.cache.rejected_responses > 0 {
-                proxy.connect(index % 2, &self.setup.signer);
+                proxy.connect(index % 2, &self.service_config.signer);
             }
         }
         for round in 0..FAULT_FREE_ROUNDS {
