--- a/crates/control-plane/src/control_plane/proxy_registry.rs
+++ b/crates/control-plane/src/control_plane/proxy_registry.rs
@@ -21,11 +21,11 @@
 /// id; streams are identified by the number that the xDS server assigned.
 #[derive(Default)]
 pub(crate) struct ProxyRegistry {
-    /// By node id.
+    /// The registered proxies, by node id.
     proxies: BTreeMap<String, Proxy>,
     last_number: u64,
     streams: BTreeMap<u64, ProxyStream>,
-    /// Node ids of the discovery streams that are pending admission.
+    /// The node id of each discovery stream that is pending admission, by the number of the stream.
     pending_streams: BTreeMap<u64, String>,
 }
 
--- a/crates/control-plane/src/limits.rs
+++ b/crates/control-plane/src/limits.rs
@@ -22,15 +22,16 @@
 const MAX_POLL_INTERVAL: Millis = 1_000.0;
 /// Time for which load reports may name an endpoint that left the list, since they cover a past period.
 const ENDPOINT_RETENTION: Millis = 60_000.0;
-/// Limit of the versions retained for one address. A late load report names the version that ran there before.
+/// Limit of the software versions retained for one endpoint address. A late load report may name a version that ran
+/// there before.
 pub(crate) const MAX_RETAINED_VERSIONS: usize = 4;
-/// Limit of the proxies whose published canary shares are retained, per stream that may be open. More than one,
+/// Proxies whose published canary shares may be retained, for each stream that may be open or pending. More than one,
 /// because disconnected proxies still use their shares.
 const SHARE_ENTRIES_PER_STREAM: usize = 2;
-/// Limit of the registered proxies, per proxy whose shares are retained. Above it disconnected proxies are removed,
-/// which bounds memory.
+/// Proxies that may be registered for each proxy whose shares are retained, in addition to
+/// [`MIN_REGISTERED_PROXIES`]. Above the sum disconnected proxies are removed, which bounds memory.
 const PROXIES_PER_SHARE_ENTRY: usize = 2;
-/// Registered proxies that are always allowed, so that a small site removes none.
+/// Proxies that may be registered even if no shares are retained, so that a small site removes none.
 const MIN_REGISTERED_PROXIES: usize = 64;
 
 /// Limit of the events of one channel that are processed before the control plane is polled; bounds the delay of its
--- a/crates/proxy-config/src/load_reports/outcome_sum.rs
+++ b/crates/proxy-config/src/load_reports/outcome_sum.rs
@@ -16,14 +16,14 @@
 /// A sum rounded to integers.
 pub(super) struct RoundedOutcomes {
     pub(super) attempts: u64,
-    /// At most `attempts`.
+    /// Attempts that failed; at most `attempts`.
     pub(super) failures: u64,
     /// `None` if no attempt has a known latency.
     pub(super) mean_latency: Option<Millis>,
 }
 
 impl OutcomeSum {
-    /// The outcomes that a proxy counted at one endpoint.
+    /// Returns the outcomes that a proxy counted at one endpoint, with full weight.
     pub(super) fn from_counts(counts: &EndpointCounts) -> Self {
         OutcomeSum {
             attempts: (counts.succeeded + counts.failed) as f64,
--- a/crates/proxy-config/src/published_shares.rs
+++ b/crates/proxy-config/src/published_shares.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 struct PendingShares {
     acknowledgement: Acknowledgement,
-    /// The highest share of each class among them.
+    /// The highest of these shares, for each request class by its index.
     highest: CanaryShares,
 }
 
@@ -35,7 +35,7 @@
 struct ProxyShares {
     acknowledged: CanaryShares,
     pending: Option<PendingShares>,
-    /// In requests per ms, by class.
+    /// In requests per ms, for each request class by its index.
     request_rate: Vec<f64>,
     disconnected_at: Option<Millis>,
 }
@@ -53,7 +53,8 @@
         is_unacknowledged || self.disconnected_at.is_some()
     }
 
-    /// The highest share of a class that the proxy may be using: the acknowledged one, or a higher one sent since.
+    /// Returns the highest share of a class that the proxy may be using: the acknowledged one, or a higher one sent
+    /// since.
     fn highest_possible_share(&self, class: usize) -> PartsPerMillion {
         let share_of = |shares: &CanaryShares| shares.get(class).copied().unwrap_or_default();
         let pending = self.pending.as_ref().map(|pending| share_of(&pending.highest));
@@ -147,14 +148,14 @@
         }
     }
 
-    /// Sum of the request rates of one class over all connected proxies, in requests per ms.
+    /// Returns the sum of the request rates of one class over all connected proxies, in requests per ms.
     #[must_use]
     pub fn request_rate(&self, class: usize) -> f64 {
         let connected = self.proxies.values().filter(|proxy_shares| proxy_shares.disconnected_at.is_none());
         connected.filter_map(|proxy_shares| proxy_shares.request_rate.get(class)).sum()
     }
 
-    /// Number of proxies, including disconnected ones that have not expired.
+    /// Returns the number of proxies, including disconnected ones that have not expired.
     #[must_use]
     pub fn len(&self) -> usize {
         self.proxies.len()
@@ -173,8 +174,8 @@
         });
     }
 
-    /// The share of a class, from 0 to `total_share`, that each reachable proxy may use. With it the sum over all
-    /// proxies is at most `total_share` of the requests, unless the unreachable proxies alone exceed that.
+    /// Returns the share of a class, from 0 to `total_share`, that each reachable proxy may use. With it the sum over
+    /// all proxies is at most `total_share` of the requests, unless the unreachable proxies alone exceed that.
     #[must_use]
     pub fn remaining_share(&self, class: usize, total_share: f64, now: Millis) -> f64 {
         limits::remaining_share(total_share, self.usage(class, now))
--- a/crates/proxy-config/src/version.rs
+++ b/crates/proxy-config/src/version.rs
@@ -2,7 +2,8 @@
 //!
 //! A configuration is based on a state of the newest version's rollout and on a version of the endpoint list. Its
 //! version consists of these two parts. The order of versions is partial: one is newer only if neither of its parts
-//! is older. Neither the publishing service nor the time of publication matters.
+//! is older. Neither the publishing service nor the time of publication affects the
+//! order.
 //!
 //! A label is the version of a resource as text: a prefix with both parts, and a hash of the resource's content.
 //! Control services that share a key sign the prefix. From the label that a proxy reports, another service reads
@@ -188,7 +189,8 @@
         self.is_up_to_date_with(other) && !other.is_up_to_date_with(self)
     }
 
-    /// Combines the newer rollout state and the newer endpoint list of two versions. Up to date with both of them.
+    /// Combines the newer rollout state and the newer endpoint list of two versions. The combined version is up to date
+    /// with both.
     #[must_use]
     pub fn merge(&self, other: &Self) -> Self {
         let is_other_newer = other.rollout.compare(&self.rollout) == Ordering::Greater;
@@ -240,7 +242,7 @@
     Some(LabelParts { prefix, content_hash })
 }
 
-/// The label of a resource, from the prefix for its version and the hash of its content.
+/// Returns the label of a resource, from the prefix for its version and the hash of its content.
 #[must_use]
 pub fn join_label(prefix: &str, content_hash: u64) -> String {
     format!("{prefix}.{content_hash:016x}")
@@ -283,7 +285,8 @@
         pairs.fold(0, |difference, (given, expected)| difference | (given ^ expected)) == 0
     }
 
-    /// The prefix of the labels of a version, signed if there is a key. One prefix serves all resources of the version.
+    /// Returns the prefix of the labels of a version, signed if there is a key. One prefix serves all resources of the
+    /// version.
     #[must_use]
     pub fn prefix(&self, version: &ConfigVersion) -> String {
         let RolloutVersion { version: newest, status, stage, traffic_cap, since } = version.rollout;
@@ -296,7 +299,8 @@
         }
     }
 
-    /// The label of one resource of a version, signed if there is a key. Each call signs, unlike [`join_label`].
+    /// Returns the label of one resource of a version, signed if there is a key. Unlike [`join_label`], each call
+    /// computes a signature.
     #[must_use]
     pub fn label(&self, version: &ConfigVersion, content_hash: u64) -> String {
         join_label(&self.prefix(version), content_hash)
--- a/crates/xds/src/limits.rs
+++ b/crates/xds/src/limits.rs
@@ -22,11 +22,12 @@
 pub(crate) const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(10);
 /// A connection is closed if a ping is not acknowledged within this time.
 pub(crate) const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Open streams on one connection: discovery, load reports, and streams of a single resource type.
+/// Limit of the open streams on one connection: discovery, load reports, and streams of a single resource type.
 pub(crate) const MAX_STREAMS_PER_CONNECTION: u32 = 16;
-/// Connections per stream: more than one, because some connections have no stream yet.
+/// Connections that may be open for each stream that may be open or pending. More than one, because some connections
+/// have no stream yet.
 const CONNECTIONS_PER_STREAM: usize = 2;
-/// Accepted connections that wait in the queue to the gRPC server.
+/// Limit of the accepted connections that wait in the queue to the gRPC server.
 pub(crate) const MAX_QUEUED_CONNECTIONS: usize = 64;
 /// HTTP/2 flow-control window of each stream: bounds the bytes that a proxy sends before the server reads them.
 pub(crate) const STREAM_WINDOW_BYTES: u32 = 1 << 20;
@@ -39,7 +40,7 @@
 pub(crate) const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// A stream is rejected if it is not admitted within this time.
 pub(crate) const ADMISSION_TIMEOUT: Duration = Duration::from_secs(30);
-/// Responses queued for one stream. With more, a proxy that reads slowly would receive outdated responses.
+/// Limit of the responses queued for one stream. With more, a proxy that reads slowly would receive outdated responses.
 pub(crate) const MAX_QUEUED_RESPONSES: usize = 1;
 /// After reconnecting on an aggregated state-of-the-world stream, a proxy has this time to subscribe to its endpoints
 /// before clusters are sent: the subscription shows which clusters its routes reference.
@@ -49,15 +50,16 @@
 
 // Requests of proxies.
 
-/// Large, because the first request on an incremental stream may list the versions of all endpoints of a large fleet.
+/// Limit of the encoded length of one request. Large, because the first request on an incremental stream may list the
+/// versions of all endpoints of a large fleet.
 pub(crate) const MAX_REQUEST_BYTES: usize = 4 << 20;
-/// Length of a node id, in bytes of UTF-8. A stream whose first request has a longer one is closed.
+/// Limit of the length of a node id, in bytes of UTF-8. A stream whose first request has a longer one is closed.
 pub const MAX_NODE_ID_BYTES: usize = 256;
-/// Resource names of one type in a subscription, or in one request.
+/// Limit of the resource names of one type in a subscription, or in one request.
 pub(crate) const MAX_SUBSCRIBED_NAMES: usize = 1_024;
 pub(crate) const MAX_RESOURCE_NAME_BYTES: usize = 512;
-/// Initial resource versions, and unsubscribed names, in one request. A proxy may have the clusters and endpoints of
-/// several versions.
+/// Limit of the initial resource versions, and of the unsubscribed names, in one request. A proxy may have the
+/// clusters and endpoints of several versions.
 pub(crate) const MAX_INITIAL_VERSIONS: usize = 20_000;
 /// Type URLs are truncated to this length in the error for an unsupported type.
 pub(crate) const MAX_ERROR_URL_CHARS: usize = 256;
@@ -66,7 +68,7 @@
 /// Longer error messages of a NACK are truncated before they are logged.
 pub(crate) const MAX_REJECTION_REASON_BYTES: usize = 512;
 pub(crate) const MAX_REPORTED_CLUSTERS: usize = 1_024;
-/// In one load report, over all clusters.
+/// Endpoints in one load report, over all clusters.
 pub(crate) const MAX_REPORTED_ENDPOINTS: usize = 20_000;
 
 // Resources.
@@ -78,7 +80,8 @@
 /// Requests in flight to a cluster for which one retry in flight is allowed: bounds retry storms.
 const REQUESTS_PER_RETRY: u32 = 8;
 
-/// The tokens of the admission rate limiter after `elapsed`. Each admission uses one token.
+/// Returns the tokens that the admission rate limiter has at `elapsed` after it had `tokens`, at most
+/// [`MAX_ADMISSION_BURST`]. Each admission uses one token.
 pub(crate) fn refilled_tokens(tokens: f64, elapsed: Millis) -> f64 {
     (tokens + ADMISSIONS_PER_MS * elapsed.max(0.0)).min(MAX_ADMISSION_BURST)
 }
@@ -98,7 +101,7 @@
     unknown_nonces >= MAX_UNKNOWN_NONCES
 }
 
-/// Retries that a proxy may have in flight to a cluster that allows `max_in_flight` requests. Zero without
+/// Returns how many retries a proxy may have in flight to a cluster that allows `max_in_flight` requests. Zero without
 /// `allows_retries`, which is the case while a traffic cap counts every attempt.
 pub(crate) fn max_retries_in_flight(max_in_flight: u32, allows_retries: bool) -> u32 {
     if allows_retries { (max_in_flight / REQUESTS_PER_RETRY).max(1) } else { 0 }
--- a/crates/xds/src/stream/request_handling.rs
+++ b/crates/xds/src/stream/request_handling.rs
@@ -179,18 +179,20 @@
 }
 
 impl<'a> LabelVersions<'a> {
-    /// Parses a label and returns its content hash, or `None` if the text is not a version label.
+    /// Records the version in a label and returns the label's content hash. Returns `None` if the text is not a valid
+    /// label; then no version is recorded.
     fn record(&mut self, label: &'a str, signer: &VersionSigner) -> Option<u64> {
         let LabelParts { prefix, content_hash } = split_label(label)?;
         let version = self.by_prefix.entry(prefix).or_insert_with(|| signer.parse_prefix(prefix));
         version.map(|_| content_hash)
     }
 
+    /// Merges the versions of all valid labels. `None` if there is none.
     fn newest(&self) -> Option<ConfigVersion> {
         merge_versions(self.by_prefix.values().flatten())
     }
 
-    /// Counts only versions that were signed with the control services' key.
+    /// Like [`Self::newest`], but ignores versions that are not signed with the control services' key.
     fn newest_signed(&self) -> Option<ConfigVersion> {
         merge_versions(self.by_prefix.values().flatten().filter(|prefix| prefix.is_signed))
     }
@@ -215,7 +217,7 @@
     Ok(())
 }
 
-/// Truncates at the last character boundary within the limit.
+/// Truncates a text to at most `max_bytes`, at the last character boundary within them.
 fn truncate(mut text: String, max_bytes: usize) -> String {
     text.truncate(text.floor_char_boundary(max_bytes));
     text
