--- a/crates/xds/src/stream/response_selection.rs
+++ b/crates/xds/src/stream/response_selection.rs
@@ -11,7 +11,8 @@
 use std::sync::Arc;
 
 impl Stream {
-    /// `None` if there is nothing to send, or if no response of this type may be sent yet.
+    /// Returns the next response of a type. `None` if there is nothing to send, or if no response of this type may
+    /// be sent yet.
     pub(super) fn next_response_of_type(
         &mut self, resource_type: ResourceType, snapshot: &ResourceSnapshot,
     ) -> Option<StreamResponse> {
@@ -82,8 +83,8 @@
         Some(StreamResponse { resource_type, chunks, canary_shares })
     }
 
-    /// Content for a state-of-the-world stream, of a type with wildcard subscriptions: all subscribed resources of the
-    /// snapshot and the retained ones, since proxies remove resources that such a response omits.
+    /// Returns the content for a state-of-the-world stream, of a type with wildcard subscriptions: all subscribed
+    /// resources of the snapshot and the retained ones, since proxies remove resources that such a response omits.
     fn select_wildcard(
         &self, resource_type: ResourceType, snapshot: &ResourceSnapshot, set: &ResourceSet,
         retained: &Retained<'_>,
@@ -122,8 +123,8 @@
     }
 }
 
-/// Content for a state-of-the-world stream, of a type that is subscribed to by name: the changed resources or, if names
-/// were added to the subscription, all subscribed ones.
+/// Returns the content for a state-of-the-world stream, of a type that is subscribed to by name: the changed resources
+/// or, if names were added to the subscription, all subscribed ones.
 fn select_named(state: &TypeState, set: &ResourceSet) -> Option<ResponseContent> {
     let subscribed = state.subscribed_resources(set);
     let resources: Vec<_> =
@@ -133,8 +134,8 @@
     is_due.then_some(ResponseContent { resources, removed: Vec::new(), replaces_all: false })
 }
 
-/// Content for an incremental stream: the changed resources, and the names of resources that were removed or do not
-/// exist.
+/// Returns the content for an incremental stream: the changed resources, and the names of resources that were removed or
+/// do not exist.
 fn select_delta(state: &TypeState, set: &ResourceSet, retained: &Retained<'_>) -> Option<ResponseContent> {
     let is_changed = |new: &&Arc<Resource>| {
         let is_rejected = state.rejected_resource_hashes.get(&new.name) == Some(&new.hash);
--- a/crates/xds/src/stream/type_state.rs
+++ b/crates/xds/src/stream/type_state.rs
@@ -24,7 +24,7 @@
     pub(super) resources: Vec<Arc<Resource>>,
     /// Names of removed resources; used on incremental streams only.
     pub(super) removed: Vec<String>,
-    /// The proxy removes its resources of the type that the response omits.
+    /// Set when the proxy removes its resources of the type that the response omits.
     pub(super) replaces_all: bool,
 }
 
@@ -83,7 +83,7 @@
         set.values().filter(|resource| self.subscribes_to(&resource.name))
     }
 
-    /// Resources that are not subscribed to are ignored.
+    /// Returns `true` if the proxy has acknowledged all resources of the set that it subscribes to.
     pub(super) fn has_acknowledged_all(&self, set: &ResourceSet) -> bool {
         self.subscribed_resources(set).all(|resource| self.has_acknowledged(resource))
     }
