--- a/crates/control-plane/src/driver/upstreams.rs
+++ b/crates/control-plane/src/driver/upstreams.rs
@@ -25,7 +25,8 @@
         }
     }
 
-    /// Performs an action of the policy. A vote counts as not counted if the queue of votes is full or closed.
+    /// Performs an action of the policy. If the queue of votes is full or closed, a vote is not cast, and its outcome
+    /// is that the platform has not counted the vote.
     pub(super) fn perform_action(&mut self, action: Action) {
         match action {
             Action::WatchEndpoints { enabled } => {
--- a/crates/xds/src/limits.rs
+++ b/crates/xds/src/limits.rs
@@ -68,7 +68,7 @@
 /// Longer error messages of a NACK are truncated before they are logged.
 pub(crate) const MAX_REJECTION_REASON_BYTES: usize = 512;
 pub(crate) const MAX_REPORTED_CLUSTERS: usize = 1_024;
-/// Endpoints in one load report, over all clusters.
+/// Limit of the endpoints in one load report, over all clusters.
 pub(crate) const MAX_REPORTED_ENDPOINTS: usize = 20_000;
 
 // Resources.
--- a/crates/xds/src/stream/response_selection.rs
+++ b/crates/xds/src/stream/response_selection.rs
@@ -134,8 +134,8 @@
     is_due.then_some(ResponseContent { resources, removed: Vec::new(), replaces_all: false })
 }
 
-/// Returns the content for an incremental stream: the changed resources, and the names of resources that were removed or
-/// do not exist.
+/// Returns the content for an incremental stream: the changed resources, and the names of resources that were removed
+/// or do not exist.
 fn select_delta(state: &TypeState, set: &ResourceSet, retained: &Retained<'_>) -> Option<ResponseContent> {
     let is_changed = |new: &&Arc<Resource>| {
         let is_rejected = state.rejected_resource_hashes.get(&new.name) == Some(&new.hash);
