--- a/crates/client/src/config.rs
+++ b/crates/client/src/config.rs
@@ -5,8 +5,9 @@
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Moves the process id to bits that the clock, in nanoseconds, changes only every 18 minutes: the seeds of processes
-/// that start simultaneously differ.
+/// The process id is rotated left by this number of bits and combined with the wall clock, in nanoseconds, to form the
+/// seed. The clock changes the bits from this one upwards only every 18 minutes: processes that start simultaneously
+/// have different seeds.
 const PROCESS_ID_SHIFT_BITS: u32 = 40;
 
 /// The configuration of a [`Client`](crate::Client), read once when the client starts. Create it by
--- a/crates/client/src/pool/queue.rs
+++ b/crates/client/src/pool/queue.rs
@@ -4,6 +4,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct QueuedCall {
+    /// The id of the call.
     call: u64,
     /// Calls with a higher weight get a connection first.
     priority_weight: f64,
@@ -11,11 +12,12 @@
     sequence: u64,
 }
 
-/// Calls by priority; a fixed share of the connections goes to the calls that are queued longest.
+/// The calls that wait for a connection. Most connections go to the call with the highest priority; a fixed share goes
+/// to the call that is queued longest.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CallQueue {
     calls: Vec<QueuedCall>,
-    /// The number of calls of [`CallQueue::pop`].
+    /// How often [`CallQueue::pop`] was invoked, including invocations on an empty queue.
     pops: u64,
 }
 
--- a/crates/client/src/rules.rs
+++ b/crates/client/src/rules.rs
@@ -17,7 +17,7 @@
 const RETRY_BACKOFF: ExponentialBackoff = ExponentialBackoff::new(25.0, 1_000.0, Jitter::Full);
 /// The largest fraction of a `retry_after` that is added to it at random; the sum is never below `retry_after`.
 const RETRY_AFTER_JITTER: f64 = 0.5;
-/// The maximum number of attempts of a call; usually its deadline passes before.
+/// The maximum number of attempts of a call; usually the deadline of the call passes before so many were made.
 const MAX_ATTEMPTS: u32 = 8;
 /// The least remaining time of an attempt: sent as integer milliseconds, and gateways reject 0.
 const MIN_TIME_REMAINING: Millis = 1.0;
@@ -38,7 +38,8 @@
 /// The delay of a reconnect to a gateway that failed.
 const RECONNECT_BACKOFF: ExponentialBackoff =
     ExponentialBackoff::new(INITIAL_RECONNECT_DELAY, MAX_RECONNECT_DELAY, Jitter::Full);
-/// The least upper bound of the delay for each thousand reconnecting clients, if a gateway reported their number.
+/// If a gateway reported the number of reconnecting clients, the upper bound of the reconnect delay is at least this
+/// time for each thousand of them.
 const RECONNECT_SPREAD_PER_THOUSAND: Millis = 500.0;
 /// A failure within this time after a response is the first of a new series of failures; an older response does not
 /// show that the gateway has recovered.
--- a/crates/client/src/wire/response.rs
+++ b/crates/client/src/wire/response.rs
@@ -213,8 +213,8 @@
     Ok(body.slice(ROW_HEADER_BYTES..))
 }
 
-/// Parses an error message. One that is truncated, or has no or two SQLSTATEs, is malformed and never a rejection: a
-/// rejection allows a retry of any query, also of one that must not be executed twice.
+/// Parses an error message. An error that is truncated, or has no or two SQLSTATEs, is malformed and never counts as a
+/// rejection: a rejection allows a retry of any query, also of one that must not be executed twice.
 fn parse_error(body: &[u8]) -> Result<Response, MalformedMessage> {
     let mut code = None;
     let mut severity = "";
--- a/crates/experiments/src/reconnect_storm/connections.rs
+++ b/crates/experiments/src/reconnect_storm/connections.rs
@@ -78,7 +78,7 @@
         if call.call.begin_attempt(&now).is_none() {
             return false;
         }
-        call.sent = Some(AttemptInFlight { at: self.now, connection });
+        call.sent = Some(AttemptInFlight { sent_at: self.now, connection });
         let gateway = self.clients[client].gateway_by_connection[&connection];
         self.enqueue_work(gateway, Work::Request { client, connection, call: id });
         true
--- a/crates/experiments/src/reconnect_storm/model.rs
+++ b/crates/experiments/src/reconnect_storm/model.rs
@@ -32,7 +32,8 @@
 /// Properties shared by all calls of one kind.
 pub(super) struct CallKind {
     pub(super) effect: Idempotency,
-    /// Value of a call that is served within the latency objective; also the call's priority in the pool's queue.
+    /// Weight of a call of this kind in the results, which compare the calls served within the latency objective with
+    /// all calls; also the priority of the call in the pool's queue.
     pub(super) value: f64,
 }
 
@@ -118,7 +119,7 @@
 /// The attempt of a call that was sent and has no outcome yet.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptInFlight {
-    pub(super) at: Millis,
+    pub(super) sent_at: Millis,
     pub(super) connection: u64,
 }
 
@@ -145,15 +146,15 @@
     pub(super) value_requested: f64,
     /// Total value of the calls that were served within the latency objective.
     pub(super) value_in_time: f64,
-    /// Work for clients that no longer waited.
+    /// Time that gateways worked on requests and handshakes of clients that no longer waited.
     pub(super) wasted_work: Millis,
-    /// Work that gateways began, including the wasted work.
+    /// Time for all work that gateways began, including the wasted work.
     pub(super) work: Millis,
     /// Connection attempts by second of simulated time.
     pub(super) connects_by_second: BTreeMap<u64, u64>,
-    /// Number of executions of each payment, by the number of the call.
+    /// Number of executions of each payment, by the id of the call.
     pub(super) executions: BTreeMap<u64, u32>,
-    /// Times from the loss until disconnected clients were served again.
+    /// For each disconnected client that was served again, the time from the loss of the gateway until then.
     pub(super) recovered_after: Vec<Millis>,
     /// Connections, open or in handshake, that were lost with the gateway; a client has one at most.
     pub(super) disconnected: usize,
--- a/crates/experiments/src/reconnect_storm/simulation.rs
+++ b/crates/experiments/src/reconnect_storm/simulation.rs
@@ -65,7 +65,7 @@
     pub(super) rng: Pcg64Mcg,
     pub(super) counts: Counts,
     events: EventQueue<StormEvent>,
-    last_call: u64,
+    last_call_id: u64,
 }
 
 impl Simulation {
@@ -86,7 +86,7 @@
             rng,
             counts: Counts::default(),
             events: EventQueue::new(),
-            last_call: 0,
+            last_call_id: 0,
         };
         for (client, at) in starts.into_iter().enumerate() {
             simulation.schedule(at, StormEvent::StartCall(client));
@@ -130,8 +130,8 @@
         let mean_gap = MILLIS_PER_SECOND / CALLS_PER_SECOND;
         self.schedule(self.now + mean_gap * gap, StormEvent::StartCall(client));
         let kind = self.rng.random_range(0..CALL_KINDS.len());
-        self.last_call += 1;
-        let id = self.last_call;
+        self.last_call_id += 1;
+        let id = self.last_call_id;
         let now = self.timestamp();
         let mut call = Call::new(CALL_KINDS[kind].effect, CALL_TIMEOUT, MIN_REQUEST_TIME, now);
         call.start(&mut self.clients[client].budget, &now);
@@ -171,7 +171,7 @@
             }
             self.calls.remove(&id);
         } else if self.style == ReconnectStyle::Library {
-            self.retry_by_library_rules(id, outcome, sent.at);
+            self.retry_by_library_rules(id, outcome, sent.sent_at);
         } else {
             self.retry_until_timeout(id);
         }
--- a/crates/experiments/src/rollout_simulation/exposure.rs
+++ b/crates/experiments/src/rollout_simulation/exposure.rs
@@ -7,7 +7,8 @@
 use std::collections::VecDeque;
 
 impl Simulation {
-    /// Compares the attempts at the canary with its cap, over all proxies or gateways and the last window.
+    /// Counts a check of the canary's cap, and whether it is exceeded: compares the attempts at the canary within the
+    /// last exposure window with the requests that arrived in it, over all proxies or gateways.
     pub(super) fn check_exposure(&mut self) {
         let window_start = self.now - EXPOSURE_WINDOW;
         remove_until(&mut self.recent_arrivals, window_start);
--- a/crates/experiments/src/rollout_simulation/model.rs
+++ b/crates/experiments/src/rollout_simulation/model.rs
@@ -38,7 +38,7 @@
     pub(super) version: Version,
     /// When the host started with its version; `None` if it has been warm since the start of the day.
     pub(super) started_at: Option<Millis>,
-    /// When each worker has completed its last request.
+    /// When each worker completes the last request assigned to it; in the past if the worker is idle.
     pub(super) workers_free_at: Vec<Millis>,
 }
 
@@ -87,7 +87,8 @@
 }
 
 impl Defect {
-    /// All defects, in the order of the draw.
+    /// All defects. The defect of a bad version is drawn as an index into this list: another order changes the results
+    /// of a seed.
     pub(super) const ALL: [Defect; 3] = [Defect::Failures, Defect::NonIdempotentFailures, Defect::Slow];
 
     pub(super) fn effect_on(self, class: usize) -> DefectEffect {
@@ -265,7 +266,7 @@
     pub(super) reached_bad_version: u64,
     /// Requests that were closed without success.
     pub(super) failed: u64,
-    /// Checks of the canary's traffic against its cap.
+    /// Number of checks of the canary's traffic against its cap.
     pub(super) exposure_samples: u64,
     pub(super) exposure_samples_over_cap: u64,
     /// Attempts that may have executed a non-idempotent request twice.
--- a/crates/experiments/src/rollout_simulation/outcomes.rs
+++ b/crates/experiments/src/rollout_simulation/outcomes.rs
@@ -9,7 +9,7 @@
 pub(super) struct OutcomeCounts {
     attempts: u64,
     failures: u64,
-    /// Sum over the attempts that did not fail.
+    /// Sum of the latencies of the attempts that did not fail.
     total_latency: Millis,
 }
 
--- a/crates/experiments/src/rollout_simulation/parameters.rs
+++ b/crates/experiments/src/rollout_simulation/parameters.rs
@@ -13,7 +13,8 @@
     pub(super) name: &'static str,
     /// Idempotency of the class, in the words of the settings.
     effect: &'static str,
-    /// Value of a request that succeeds within the latency objective, relative to the other classes.
+    /// Weight of a request of the class in the results: the sum over the requests that succeed within the latency
+    /// objective is compared with the sum over all requests.
     pub(super) value: f64,
 }
 
--- a/crates/experiments/src/rollout_simulation/proxy_group.rs
+++ b/crates/experiments/src/rollout_simulation/proxy_group.rs
@@ -47,7 +47,7 @@
         Some(host_at(chosen.addr))
     }
 
-    /// Attempts in flight per weight, with the attempt that is about to be sent.
+    /// Number of attempts in flight, including the one about to be sent, divided by the weight of the endpoint.
     fn load(&self, endpoint: &CachedEndpoint) -> f64 {
         f64::from(self.in_flight[host_at(endpoint.addr)] + 1) / f64::from(endpoint.weight)
     }
--- a/crates/experiments/src/soak/directory.rs
+++ b/crates/experiments/src/soak/directory.rs
@@ -12,10 +12,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// Addresses between which the discovery service of each gateway moves.
+/// Number of addresses between which the discovery service of each gateway moves.
 const ADDRESSES_PER_GATEWAY: usize = 2;
 const FIRST_LIST_VERSION: u64 = 5;
-/// Bytes of a list that `DiscoveryFault::CutOff` sends before it closes the connection.
+/// Under `DiscoveryFault::CutOff`, number of bytes of an endpoint list that are sent before the connection is closed.
 const CUT_OFF_BYTES: usize = 20;
 
 /// The state that the discovery services of all gateways share.
@@ -29,8 +29,8 @@
     /// Current discovery fault of each gateway that has one, and when it began.
     faults: BTreeMap<usize, (DiscoveryFault, Moment)>,
     outages: Vec<OutageRecord>,
-    /// List that was last written to each gateway; the first list before that.
-    written: Vec<Value>,
+    /// The endpoint list that was last written to each gateway, by index; the initial list if none was written yet.
+    last_written: Vec<Value>,
 }
 
 impl State {
@@ -54,7 +54,7 @@
             change.written_at.entry(gateway).or_insert(now);
         }
         let list = self.list();
-        self.written[gateway] = list.clone();
+        self.last_written[gateway] = list.clone();
         list
     }
 
@@ -89,9 +89,9 @@
             status_changes: Vec::new(),
             faults: BTreeMap::new(),
             outages: Vec::new(),
-            written: Vec::new(),
+            last_written: Vec::new(),
         };
-        state.written = vec![state.list(); gateways];
+        state.last_written = vec![state.list(); gateways];
         let state = Arc::new(Mutex::new(state));
         let service = |gateway: usize| {
             let state = state.clone();
@@ -107,9 +107,9 @@
         self.services[gateway][moves % ADDRESSES_PER_GATEWAY].addr
     }
 
-    /// List that was last written to a gateway; the first list before that.
-    pub(super) fn written_list(&self, gateway: usize) -> Value {
-        lock_ignoring_poison(&self.state).written[gateway].clone()
+    /// The endpoint list that was last written to a gateway; the initial list if none was written yet.
+    pub(super) fn last_written_list(&self, gateway: usize) -> Value {
+        lock_ignoring_poison(&self.state).last_written[gateway].clone()
     }
 
     /// Lists a server as `up`, `draining` or `removed`, and notifies all gateways without a discovery fault.
--- a/crates/experiments/src/soak/gateways.rs
+++ b/crates/experiments/src/soak/gateways.rs
@@ -42,7 +42,7 @@
 ) -> Value {
     let mut config = gateway_config(&[], directory.address(gateway, discovery_moves), platform);
     config["name"] = json!(format!("n{gateway}"));
-    config["known"] = directory.written_list(gateway);
+    config["known"] = directory.last_written_list(gateway);
     let settings = &mut config["settings"];
     settings["me"] = json!(gateway);
     settings["replicas-of-me"] = json!(count);
--- a/crates/experiments/src/soak/runner.rs
+++ b/crates/experiments/src/soak/runner.rs
@@ -66,12 +66,13 @@
     directory: Directory,
     gateways: GatewayGroup,
     setups: Vec<ClientSetup>,
-    threads: Vec<JoinHandle<()>>,
+    /// Threads of the clients and of the connection floods.
+    client_threads: Vec<JoinHandle<()>>,
     stop_requested: Arc<AtomicBool>,
     records: mpsc::Receiver<RequestRecord>,
     /// Later steps of faults, and when they are due.
     steps: Vec<(Duration, Step)>,
-    /// Connection floods so far.
+    /// Number of connection floods begun so far.
     flood_count: usize,
 }
 
@@ -107,7 +108,7 @@
             servers,
             directory,
             gateways,
-            threads: clients.collect(),
+            client_threads: clients.collect(),
             setups,
             stop_requested,
             records,
@@ -138,7 +139,7 @@
     /// Waits for the outcomes of all requests, stops the gateways, and collects the records.
     pub(super) fn finish(mut self) -> RunRecords {
         self.stop_requested.store(true, SeqCst);
-        for thread in self.threads.drain(..) {
+        for thread in self.client_threads.drain(..) {
             let _ = thread.join();
         }
         self.setups.clear();
@@ -205,7 +206,7 @@
                 self.flood_count += 1;
                 let flood =
                     start_connection_flood(&self.setups[gateway], FIRST_FLOOD_NUMBER + self.flood_count);
-                self.threads.push(flood);
+                self.client_threads.push(flood);
             }
             // The gateway is shutting down, or `reserve` refused the server: the fault is skipped.
             _ => {}
--- a/crates/simulator-protocol/src/host.rs
+++ b/crates/simulator-protocol/src/host.rs
@@ -1,4 +1,4 @@
-//! Runs many policy instances on one stream of batches.
+//! Runs many policy instances on one stream of simulator messages, which are grouped into batches by time.
 
 use crate::actions::write_action;
 use crate::error::{HostError, ProtocolError};
--- a/crates/simulator-protocol/src/lib.rs
+++ b/crates/simulator-protocol/src/lib.rs
@@ -1,8 +1,9 @@
 //! The simulator's line protocol.
 //!
-//! [`InstanceHost`] runs many policy instances on one stream of batches: [`fields`] splits a line into fields,
-//! [`messages`] parses the messages to an instance, [`actions`] writes its actions, and [`settings`] parses its
-//! configuration. Only these modules contain the names that the simulator uses for messages, fields and settings.
+//! [`InstanceHost`] runs many policy instances on one stream of messages, which are grouped into batches by time:
+//! [`fields`] splits a line into fields, [`messages`] parses the messages to an instance, [`actions`] writes its
+//! actions, and [`settings`] parses its configuration. Only these modules contain the names that the simulator uses for
+//! messages, fields and settings.
 
 #![warn(clippy::pedantic)]
 #![allow(
--- a/crates/simulator-protocol/src/messages.rs
+++ b/crates/simulator-protocol/src/messages.rs
@@ -9,7 +9,7 @@
 
 /// Versions in endpoint lists are integers below this number.
 const VERSION_LIMIT: f64 = 65536.0;
-/// Value of `how` in a rollout state that is the reply to a vote.
+/// Value of the field `how` if a message with a rollout state is the reply to a vote.
 const VOTE_REPLY: u32 = 1;
 
 /// A message to an instance, parsed from one line.
--- a/crates/simulator-protocol/src/settings/mod.rs
+++ b/crates/simulator-protocol/src/settings/mod.rs
@@ -14,8 +14,8 @@
 use schema::SettingsSchema;
 use update_delays::UpdateDelays;
 
-/// The longest polling interval of a gateway on sockets if the settings state that lists are pushed and contain no
-/// interval above 0. Lists cannot be pushed on sockets, so the gateway subscribes instead.
+/// The longest polling interval, in seconds, of a gateway outside the simulator if the settings state that lists are
+/// pushed and contain no interval above 0. Only the simulator can push lists; elsewhere the gateway subscribes to them.
 const DEFAULT_MAX_POLL_INTERVAL_S: f64 = 10.0;
 
 fn seconds_to_millis(seconds: f64) -> Millis {
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Converts the settings for an adapter on sockets, where a gateway subscribes to endpoint lists even if the
-    /// settings state that lists are pushed.
+    /// Converts the settings for a gateway that runs outside the simulator and communicates over sockets. Such
+    /// a gateway subscribes to endpoint lists even if the settings state that lists are pushed.
     #[must_use]
     pub fn on_sockets(mut self) -> Self {
         let is_pushed = self.schema.discovery_mode == schema::DiscoveryMode::Pushed;
--- a/crates/simulator-protocol/src/settings/update_delays.rs
+++ b/crates/simulator-protocol/src/settings/update_delays.rs
@@ -4,9 +4,10 @@
 
 /// In the simulator, an update counts as delivered this number of longest polling intervals after a failed call.
 const FAILED_CALL_POLLS: f64 = 4.0;
-/// Discovery counts an update as delivered after this time to a gateway on sockets that it cannot reach.
+/// Outside the simulator, gateways and discovery communicate over sockets. If discovery cannot reach a gateway there,
+/// it counts an update as delivered to that gateway after this time.
 const SOCKET_UPDATE_DELAY: Millis = 6000.0;
-/// Discovery does so after this time if the gateway has switched to another address of discovery.
+/// The same, if the gateway has switched to another address of discovery.
 const SOCKET_MOVE_DELAY: Millis = 4000.0;
 
 /// Times from an event until a missed update counts as delivered; see `latchhaven_policy::DiscoveryConfig`.
--- a/crates/test-support/src/fake_load_reports.rs
+++ b/crates/test-support/src/fake_load_reports.rs
@@ -30,9 +30,9 @@
 
 const LOAD_REPORTS_PATH: &str = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats";
 const MAX_QUEUED_REPORTS: usize = 4;
-/// Endpoints in one report, for each cluster.
+/// Maximum number of endpoints of each cluster in one report.
 const MAX_REPORTED_ENDPOINTS: usize = 5;
-/// Each report covers this interval.
+/// The time between two reports, which is also the time that each report covers.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// The first report is sent after a random delay below this, so that proxies do not all report at the same time.
 const MAX_START_DELAY_MS: u64 = 1000;
@@ -89,7 +89,7 @@
 pub struct ReportedLoad {
     /// The names of the request classes that have requests.
     pub classes: &'static [&'static str],
-    /// Requests of each class.
+    /// The number of requests that the proxy reports for each class and second.
     pub requests_per_second: u64,
     /// The outcomes of the requests, by cluster.
     pub outcomes: ClusterOutcomes,
@@ -180,8 +180,8 @@
 }
 
 impl FakeProxy {
-    /// Sends a load report each second while the behavior has a service. Returns when the behavior stops the proxy, or
-    /// its sender is dropped.
+    /// Sends a load report each second while `behavior` has a control service to connect to. Returns when `behavior`
+    /// stops the proxy, or when the sender of `behavior` is dropped.
     pub async fn run_load_reports(
         self, mut behavior: watch::Receiver<ProxyBehavior>, seed: u64, load: ReportedLoad,
     ) {
--- a/crates/test-support/src/fake_platform.rs
+++ b/crates/test-support/src/fake_platform.rs
@@ -10,7 +10,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Less than the promised intervals: the feed promises a keepalive every second, service discovery every two seconds.
+/// Shorter than the promised intervals, so that keepalives arrive in time: the feed promises a keepalive every second,
+/// service discovery every two seconds.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(900);
 /// The age of an outcome report when it is sent.
 const OUTCOME_REPORT_AGE_MS: u64 = 500;
--- a/crates/test-support/src/fake_proxy.rs
+++ b/crates/test-support/src/fake_proxy.rs
@@ -34,9 +34,9 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 const MAX_QUEUED_REQUESTS: usize = 64;
-/// The method of aggregated streams (ADS) of the incremental form.
+/// The gRPC path of the aggregated discovery service (ADS) in its incremental form.
 const DELTA_PATH: &str = "/envoy.service.discovery.v3.AggregatedDiscoveryService/DeltaAggregatedResources";
-/// The method of aggregated streams (ADS) of the full form, state of the world.
+/// The gRPC path of the aggregated discovery service (ADS) in its full form, "state of the world".
 const FULL_PATH: &str = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources";
 
 /// The behavior of a proxy; it can be changed while the proxy runs.
