--- a/crates/operator-config/src/limits.rs
+++ b/crates/operator-config/src/limits.rs
@@ -1,15 +1,15 @@
 //! Limits of a configuration file and of its evaluation, and defaults of optional keys.
 
 pub(crate) const MAX_FILE_BYTES: u64 = 1 << 20;
-/// Calls and loop iterations of one file; limits the time of its evaluation.
+/// Maximum number of calls and loop iterations in one file, which limits the time of its evaluation.
 pub(crate) const MAX_STEPS: u64 = 1_000_000;
-/// Memory of all values of one file.
+/// Maximum memory of all values of one file.
 pub(crate) const MAX_HEAP_BYTES: usize = 64 << 20;
-/// Nesting depth of calls in a script.
+/// Maximum nesting depth of calls in a script.
 pub(crate) const MAX_CALL_DEPTH: usize = 100;
-/// Nesting depth of loads.
+/// Maximum nesting depth of loads.
 pub(crate) const MAX_LOAD_DEPTH: usize = 8;
-/// Loads of one script in total; a file that is loaded several times is evaluated each time.
+/// Maximum number of loads of one script in total, nested loads included; a file that is loaded several times is evaluated each time.
 pub(crate) const MAX_LOADS: usize = 64;
 
 /// Default of the key `streams_most`.
