--- a/crates/policy/src/verdict.rs
+++ b/crates/policy/src/verdict.rs
@@ -127,7 +127,8 @@
         }
     }
 
-    /// Returns the results of all tests that apply, the prior probability first.
+    /// Returns the results of all tests that apply, the prior probability first. If several have the largest probability,
+    /// the last of them is logged.
     fn test_results(
         &mut self, rng: &mut Pcg64Mcg, endpoints: &EndpointTable, view: &AnalysisView, context: CanaryContext,
     ) -> Vec<TestResult> {
