--- a/crates/cli/tests/control.rs
+++ b/crates/cli/tests/control.rs
@@ -343,12 +343,8 @@
         proxies.iter().for_each(|proxy| fixture.assert_served(proxy));
         assert!(proxies.iter().all(has_all_resources));
     }
-    assert!(
-        proxies
-            .iter()
-            .all(|proxy| cache_matches(proxy, |cache| cache.version_regressions + cache.dangling_responses
-                == 0))
-    );
+    let is_consistent = |cache: &ResourceCache| cache.version_regressions + cache.dangling_responses == 0;
+    assert!(proxies.iter().all(|proxy| cache_matches(proxy, is_consistent)));
 }
 
 /// Endless loops and recursion are among the errors: `check` must not hang or crash on them.
